--- a/src/admission/gate.c
+++ b/src/admission/gate.c
@@ -21,7 +21,7 @@
   struct tmx_ctl *controller = arg;
   if (job->team < 0 || !job->charged) return;
   tmx_statistics_start(controller->gate->statistics, (size_t)job->team, (size_t)job->account,
-                       tmx_wall() - job->released);
+                       tmx_clock_wall() - job->released);
 }
 
 struct tmx_gate *tmx_gate_new(struct tmx_ctl *controller) {
@@ -30,7 +30,7 @@
   if (!gate) abort();
   gate->controller = controller;
   gate->statistics = tmx_statistics_new();
-  gate->reported_at = tmx_now();
+  gate->reported_at = tmx_clock_steady();
   tmx_backlog_init(&gate->backlog, &controller->set);
   tmx_backlog_init(&gate->on_its_way, &controller->set);
   controller->rep.backlog = &gate->backlog;
@@ -153,7 +153,7 @@
 
 static void find_oldest(const struct tmx_replica *r, struct oldest *oldest) {
   struct tmx_job *job, *next;
-  double now = tmx_wall();
+  double now = tmx_clock_wall();
   HASH_ITER(hh, r->jobs, job, next) {
     if (!job->charged || job->n_placed || job->n_done || tmx_job_blocked(job)) continue;
     double *wait = &oldest->wait_s[job->team][job->account];
@@ -175,7 +175,7 @@
   char name[TMX_NAME_MAX];
   if (!account->jobs && !f.admitted && !f.refused_team && !f.refused_class && !f.starts) return;
   account_name(&gate->backlog, i, name, sizeof name);
-  tmx_log(TMX_INFO,
+  tmx_log(TMX_LOG_INFO,
           "admission: %s %s: %u jobs, backlog %.1f s, oldest waits %.0f s; admitted %lu, refused "
           "%lu by team, %lu by class; %lu began, after %.1f s (median), %.1f s (99%%), %.1f s "
           "(most)",
@@ -190,7 +190,7 @@
   if (!oldest) abort();
   find_oldest(&gate->controller->rep, oldest);
   struct tmx_rates rates = rates_now(gate);
-  tmx_log(TMX_INFO, "admission: backlog %.1f s of %.0f s, %.0f CPUs",
+  tmx_log(TMX_LOG_INFO, "admission: backlog %.1f s of %.0f s, %.0f CPUs",
           tmx_total_seconds(&gate->backlog, &rates), gate->controller->set.op.admission.backlog_s,
           rates.per_s[TMX_ADMISSION_CPU] / TMX_MILLI);
   for (size_t team = 0; team < gate->backlog.n_teams; team++)
@@ -200,7 +200,7 @@
 }
 
 void tmx_gate_tick(struct tmx_gate *gate) {
-  if (!gate || tmx_now() - gate->reported_at < TMX_ADMISSION_LOG_S) return;
-  gate->reported_at = tmx_now();
+  if (!gate || tmx_clock_steady() - gate->reported_at < TMX_ADMISSION_LOG_S) return;
+  gate->reported_at = tmx_clock_steady();
   tmx_gate_report(gate);
 }
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -21,9 +21,9 @@
   struct tmx_cloud *k = calloc(1, sizeof *k);
   if (!k) abort();
   k->c = c;
-  k->http = tmx_client_new(c->loop, c->set.cloud, 8);
+  k->http = tmx_http_client_new(c->loop, c->set.cloud, 8);
   k->types_at = -TMX_CATALOG_S;
-  k->tokens_at = tmx_now();
+  k->tokens_at = tmx_clock_steady();
   return k;
 }
 
@@ -38,7 +38,7 @@
     HASH_DEL(k->empties, e);
     free(e);
   }
-  if (k->http) tmx_client_free(k->http);
+  if (k->http) tmx_http_client_free(k->http);
   free(k);
 }
 
@@ -53,7 +53,7 @@
 }
 
 bool tmx_cloud_may_call(struct tmx_cloud *k) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   k->tokens += (now - k->tokens_at) * k->c->set.cloud_rps * 0.6;
   k->tokens_at = now;
   if (k->tokens > k->c->set.cloud_rps) k->tokens = k->c->set.cloud_rps;
@@ -67,38 +67,40 @@
 static void on_types(void *arg, int status, const uint8_t *body, size_t len) {
   struct tmx_cloud *k = arg;
   k->types_busy = false;
-  cbor_item_t *m = status == 200 ? tmx_cbor_parse(body, len) : NULL;
-  const cbor_item_t *ts = tmx_r_get(m, W_TYPES);
+  cbor_item_t *map = status == 200 ? tmx_cbor_parse(body, len) : NULL;
+  const cbor_item_t *types = tmx_cbor_get(map, W_TYPES);
   struct tmx_type t[TMX_TYPES_MAX];
   size_t n = 0;
   memset(t, 0, sizeof t);
-  for (size_t i = 0; i < tmx_r_len(ts) && n < TMX_TYPES_MAX; i++) {
-    const cbor_item_t *e = tmx_r_at(ts, i);
+  for (size_t i = 0; i < tmx_cbor_list_length(types) && n < TMX_TYPES_MAX; i++) {
+    const cbor_item_t *entry = tmx_cbor_list_at(types, i);
     struct tmx_type *d = &t[n];
-    if (!tmx_r_kstr(e, W_NAME, d->name, sizeof d->name) || !tmx_r_knum(e, W_CPUS, &d->cpus) ||
-        !tmx_r_knum(e, W_MEM, &d->mem))
+    if (!tmx_cbor_get_text(entry, W_NAME, d->name, sizeof d->name) ||
+        !tmx_cbor_get_number(entry, W_CPUS, &d->cpus) ||
+        !tmx_cbor_get_number(entry, W_MEM, &d->mem))
       continue;
-    tmx_r_knum(e, W_GPUS, &d->gpus);
-    tmx_r_knum(e, W_CACHE_GB, &d->cache_gb);
-    tmx_r_knum(e, W_FETCH, &d->fetch);
-    tmx_r_knum(e, W_PRICE, &d->price);
+    tmx_cbor_get_number(entry, W_GPUS, &d->gpus);
+    tmx_cbor_get_number(entry, W_CACHE_GB, &d->cache_gb);
+    tmx_cbor_get_number(entry, W_FETCH, &d->fetch);
+    tmx_cbor_get_number(entry, W_PRICE, &d->price);
     d->spot_price = d->price;
-    tmx_r_knum(e, W_SPOT_PRICE, &d->spot_price);
-    tmx_r_knum(e, W_BOOT_S, &d->boot_s);
-    const cbor_item_t *zs = tmx_r_get(e, W_ZONES);
-    for (size_t z = 0; z < tmx_r_len(zs); z++) {
+    tmx_cbor_get_number(entry, W_SPOT_PRICE, &d->spot_price);
+    tmx_cbor_get_number(entry, W_BOOT_S, &d->boot_s);
+    const cbor_item_t *zones = tmx_cbor_get(entry, W_ZONES);
+    for (size_t z = 0; z < tmx_cbor_list_length(zones); z++) {
       char name[TMX_NAME_MAX];
-      int zi =
-          tmx_r_str(tmx_r_at(zs, z), name, sizeof name) ? tmx_zone_index(&k->c->set, name) : -1;
+      int zi = tmx_cbor_as_text(tmx_cbor_list_at(zones, z), name, sizeof name)
+                   ? tmx_zone_index(&k->c->set, name)
+                   : -1;
       if (zi >= 0) d->zones[zi] = true;
     }
     n++;
   }
   if (n) {
-    if (!k->n_types) tmx_log(TMX_INFO, "cloud: %zu machine types", n);
-    if (!k->n_types && tmx_r_len(ts) > n)
-      tmx_log(TMX_ERROR, "cloud: %zu of %zu machine types are left out", tmx_r_len(ts) - n,
-              tmx_r_len(ts));
+    if (!k->n_types) tmx_log(TMX_LOG_INFO, "cloud: %zu machine types", n);
+    if (!k->n_types && tmx_cbor_list_length(types) > n)
+      tmx_log(TMX_LOG_ERROR, "cloud: %zu of %zu machine types are left out",
+              tmx_cbor_list_length(types) - n, tmx_cbor_list_length(types));
     bool sizes = n != k->n_types;
     for (size_t i = 0; i < n && !sizes; i++)
       sizes = strcmp(t[i].name, k->types[i].name) || t[i].cpus != k->types[i].cpus ||
@@ -109,7 +111,7 @@
     if (sizes) HASH_ITER(hh, k->c->rep.machines, x, xt) tmx_rounds_machine(k->c->rounds, x);
     tmx_rounds_kick(k->c);
   }
-  tmx_cbor_free(m);
+  tmx_cbor_free(map);
 }
 
 /* ------------------------------------------------------------ list */
@@ -130,25 +132,26 @@
 static void on_list(void *arg, int status, const uint8_t *body, size_t len) {
   struct tmx_cloud *k = arg;
   k->list_busy = false;
-  cbor_item_t *m = status == 200 ? tmx_cbor_parse(body, len) : NULL;
-  const cbor_item_t *ms = tmx_r_get(m, W_MACHINES);
-  double now = tmx_now();
-  if (!m) {
+  cbor_item_t *map = status == 200 ? tmx_cbor_parse(body, len) : NULL;
+  const cbor_item_t *machines = tmx_cbor_get(map, W_MACHINES);
+  double now = tmx_clock_steady();
+  if (!map) {
     k->from[0] = 0;
     return;
   }
   char before[TMX_ID_MAX];
   memcpy(before, k->from, sizeof before);
-  for (size_t i = 0; i < tmx_r_len(ms); i++) {
-    const cbor_item_t *e = tmx_r_at(ms, i);
+  for (size_t i = 0; i < tmx_cbor_list_length(machines); i++) {
+    const cbor_item_t *entry = tmx_cbor_list_at(machines, i);
     char id[TMX_ID_MAX], state[16], zone[TMX_NAME_MAX];
-    if (!tmx_r_kstr(e, W_ID, id, sizeof id)) continue;
+    if (!tmx_cbor_get_text(entry, W_ID, id, sizeof id)) continue;
     struct listed *l = tmx_cloud_listed(k, id);
-    tmx_r_kstr(e, W_TYPE, l->type, sizeof l->type);
-    l->zone = tmx_r_kstr(e, W_ZONE, zone, sizeof zone) ? tmx_zone_index(&k->c->set, zone) : -1;
-    tmx_r_kbool(e, W_SPOT, &l->spot);
-    tmx_r_knum(e, W_AGE, &l->held);
-    if (tmx_r_kstr(e, W_STATE, state, sizeof state)) {
+    tmx_cbor_get_text(entry, W_TYPE, l->type, sizeof l->type);
+    l->zone =
+        tmx_cbor_get_text(entry, W_ZONE, zone, sizeof zone) ? tmx_zone_index(&k->c->set, zone) : -1;
+    tmx_cbor_get_bool(entry, W_SPOT, &l->spot);
+    tmx_cbor_get_number(entry, W_AGE, &l->held);
+    if (tmx_cbor_get_text(entry, W_STATE, state, sizeof state)) {
       int s = !strcmp(state, WV_BOOTING)  ? LS_BOOTING
               : !strcmp(state, WV_FAILED) ? LS_FAILED
                                           : LS_RUNNING;
@@ -159,15 +162,15 @@
     if (strcmp(id, k->from) > 0) snprintf(k->from, sizeof k->from, "%s", id);
   }
   bool more = false;
-  tmx_r_kbool(m, W_MORE, &more);
+  tmx_cbor_get_bool(map, W_MORE, &more);
   /* a page that brings no later name would come again for ever */
   bool forward = strcmp(k->from, before) > 0;
-  tmx_cbor_free(m);
+  tmx_cbor_free(map);
   if (more && forward) {
     read_list(k);
     return;
   }
-  if (more) tmx_log(TMX_ERROR, "cloud: the list of machines is not in order behind %s", before);
+  if (more) tmx_log(TMX_LOG_ERROR, "cloud: the list of machines is not in order behind %s", before);
   k->from[0] = 0;
   k->pass++;
   struct listed *l, *t;
@@ -186,7 +189,7 @@
   if (k->list_busy || !tmx_cloud_may_call(k)) return;
   snprintf(path, sizeof path, WP_MACHINES "?%s%s%spage=500", k->from[0] ? "from=" : "", k->from,
            k->from[0] ? "&" : "");
-  k->list_busy = tmx_client_call(k->http, "GET", path, NULL, TMX_CLOUD_TIMEOUT_S, on_list, k);
+  k->list_busy = tmx_http_client_call(k->http, "GET", path, NULL, TMX_CLOUD_TIMEOUT_S, on_list, k);
 }
 
 /* ------------------------------------------------------------ renting */
@@ -208,7 +211,7 @@
 static void block(struct tmx_cloud *k, const struct hire_call *h) {
   struct blocked *b = block_of(k, h->type, h->zone, h->spot);
   b->wait = fmin(fmax(b->wait * 2, TMX_REFUSED_S), TMX_REFUSED_MAX_S);
-  b->until = tmx_now() + b->wait;
+  b->until = tmx_clock_steady() + b->wait;
 }
 
 static void send_hire(struct hire_call *h);
@@ -221,14 +224,14 @@
 static void on_hired(void *arg, int status, const uint8_t *body, size_t len) {
   struct hire_call *h = arg;
   struct tmx_cloud *k = h->k;
-  cbor_item_t *m = tmx_cbor_parse(body, len);
-  if (status == 200 && m) {
-    const cbor_item_t *ms = tmx_r_get(m, W_MACHINES);
+  cbor_item_t *map = tmx_cbor_parse(body, len);
+  if (status == 200 && map) {
+    const cbor_item_t *machines = tmx_cbor_get(map, W_MACHINES);
     uint32_t got = 0;
-    double now = tmx_now();
-    for (size_t i = 0; i < tmx_r_len(ms); i++) {
+    double now = tmx_clock_steady();
+    for (size_t i = 0; i < tmx_cbor_list_length(machines); i++) {
       char id[TMX_ID_MAX];
-      if (!tmx_r_str(tmx_r_at(ms, i), id, sizeof id)) continue;
+      if (!tmx_cbor_as_text(tmx_cbor_list_at(machines, i), id, sizeof id)) continue;
       struct listed *l = tmx_cloud_listed(k, id);
       if (!l->type[0]) {
         snprintf(l->type, sizeof l->type, "%s", h->type);
@@ -239,7 +242,7 @@
       if (!l->at) l->at = now;
       got++;
     }
-    tmx_log(TMX_INFO, "cloud: rented %u of %u %s in %s%s", got, h->count, h->type,
+    tmx_log(TMX_LOG_INFO, "cloud: rented %u of %u %s in %s%s", got, h->count, h->type,
             k->c->set.zones[h->zone], h->spot ? ", spot" : "");
     if (got < h->count)
       block(k, h);
@@ -249,25 +252,26 @@
   } else if ((status == 0 || status == 429) && ++h->tries < 4 && tmx_link_leading(k->c->link)) {
     send_hire(h); /* the same name rents nothing twice */
   } else {
-    tmx_log(TMX_INFO, "cloud: %s in %s%s refused (%d)", h->type, k->c->set.zones[h->zone],
+    tmx_log(TMX_LOG_INFO, "cloud: %s in %s%s refused (%d)", h->type, k->c->set.zones[h->zone],
             h->spot ? ", spot" : "", status);
     if (status == 503 || status == 200) block(k, h);
     drop_hire(h);
   }
-  tmx_cbor_free(m);
+  tmx_cbor_free(map);
 }
 
 static void send_hire(struct hire_call *h) {
-  struct tmx_buf b = {0};
-  tmx_w_map(&b, 5);
-  tmx_w_kstr(&b, W_REQUEST, h->name);
-  tmx_w_kstr(&b, W_TYPE, h->type);
-  tmx_w_kstr(&b, W_ZONE, h->k->c->set.zones[h->zone]);
-  tmx_w_kbool(&b, W_SPOT, h->spot);
-  tmx_w_ku64(&b, W_COUNT, h->count);
-  bool ok = tmx_cloud_may_call(h->k) &&
-            tmx_client_call(h->k->http, "POST", WP_MACHINES, &b, TMX_CLOUD_TIMEOUT_S, on_hired, h);
-  tmx_buf_free(&b);
+  struct tmx_buffer buffer = {0};
+  tmx_cbor_put_map(&buffer, 5);
+  tmx_cbor_put_text_field(&buffer, W_REQUEST, h->name);
+  tmx_cbor_put_text_field(&buffer, W_TYPE, h->type);
+  tmx_cbor_put_text_field(&buffer, W_ZONE, h->k->c->set.zones[h->zone]);
+  tmx_cbor_put_bool_field(&buffer, W_SPOT, h->spot);
+  tmx_cbor_put_u64_field(&buffer, W_COUNT, h->count);
+  bool ok =
+      tmx_cloud_may_call(h->k) && tmx_http_client_call(h->k->http, "POST", WP_MACHINES, &buffer,
+                                                       TMX_CLOUD_TIMEOUT_S, on_hired, h);
+  tmx_buffer_free(&buffer);
   if (!ok) drop_hire(h);
 }
 
@@ -280,7 +284,7 @@
     h->zone = o->zone;
     h->spot = o->spot;
     h->count = count < TMX_HIRE_MAX ? count : TMX_HIRE_MAX;
-    h->started = tmx_now();
+    h->started = tmx_clock_steady();
     snprintf(h->type, sizeof h->type, "%s", o->type->name);
     snprintf(h->name, sizeof h->name, "%s-%llu-%llu", k->c->set.node,
              (unsigned long long)tmx_link_inc(k->c->link), (unsigned long long)++k->hire_seq);
@@ -345,7 +349,7 @@
 static void weigh(struct tmx_cloud *k) {
   struct tmx_ctl *c = k->c;
   struct tmx_replica *r = &c->rep;
-  double now = tmx_now(), have = 0;
+  double now = tmx_clock_steady(), have = 0;
   struct needs d = {0};
   struct tmx_offer o[TMX_TYPES_MAX * TMX_ZONES_MAX * 2];
   size_t n_o = 0, n_c = 0;
@@ -412,12 +416,12 @@
 }
 
 void tmx_cloud_tick(struct tmx_cloud *k) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   if (!k->types_busy && now - k->types_at > (k->n_types ? TMX_CATALOG_S : TMX_CATALOG_RETRY_S) &&
       tmx_cloud_may_call(k)) {
     k->types_at = now;
     k->types_busy =
-        tmx_client_call(k->http, "GET", WP_TYPES, NULL, TMX_CLOUD_TIMEOUT_S, on_types, k);
+        tmx_http_client_call(k->http, "GET", WP_TYPES, NULL, TMX_CLOUD_TIMEOUT_S, on_types, k);
   }
   tmx_cloud_note_demand(k, now);
   /* a leader that lost the state service may have been replaced: it gives nothing up */
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -30,7 +30,7 @@
 
 struct tmx_cloud {
   struct tmx_ctl *c;
-  struct tmx_client *http;
+  struct tmx_http_client *http;
   struct tmx_type types[TMX_TYPES_MAX];
   size_t n_types;
   double types_at, list_at, rent_at, sweep_at, tokens, tokens_at, led_since;
--- a/src/cloud/returns.c
+++ b/src/cloud/returns.c
@@ -44,7 +44,7 @@
 static void drain(struct tmx_cloud *k, struct tmx_machine *m, bool on) {
   char line[TMX_LINE_MAX];
   snprintf(line, sizeof line, "%c %s %d", TMX_LINE_DRAIN, m->id, on);
-  tmx_log(TMX_INFO, "cloud: %s is %s needed", m->id, on ? "no longer" : "again");
+  tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", m->id, on ? "no longer" : "again");
   tmx_rounds_line(k->c->rounds, line);
 }
 
@@ -85,7 +85,7 @@
 static void shrink(struct tmx_cloud *k, bool waiting) {
   struct tmx_ctl *c = k->c;
   struct tmx_replica *r = &c->rep;
-  double now = tmx_now(), peak = peak_booked(k), have = 0;
+  double now = tmx_clock_steady(), peak = peak_booked(k), have = 0;
   double zone_free[TMX_ZONES_MAX] = {0};
   struct tmx_machine *m, *mt;
   size_t n = 0, known = 0;
@@ -148,7 +148,7 @@
   double cpus[2] = {0, 0}, booked[2] = {0, 0}, drain = 0, services = 0;
   size_t n = 0, unusable = 0;
   struct tmx_machine *m, *mt;
-  if (!tmx_log_on(TMX_INFO) || now - k->use_at < TMX_USE_LOG_S) return;
+  if (!tmx_log_enabled(TMX_LOG_INFO) || now - k->use_at < TMX_USE_LOG_S) return;
   k->use_at = now;
   HASH_ITER(hh, k->c->rep.machines, m, mt) {
     const struct tmx_type *t = tmx_cloud_type(k, m->type);
@@ -161,7 +161,7 @@
     services += m->services;
   }
   tmx_log(
-      TMX_INFO,
+      TMX_LOG_INFO,
       "use: %zu machines (%zu not usable), CPUs booked %.0f of %.0f, spot %.0f of %.0f, services "
       "%.0f, being returned %.0f, waiting %.0f",
       n, unusable, booked[0], cpus[0], booked[1], cpus[1], services, drain, k->c->rep.asked);
@@ -170,7 +170,7 @@
 void tmx_cloud_sweep(struct tmx_cloud *k) {
   struct tmx_ctl *c = k->c;
   struct tmx_replica *r = &c->rep;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   if (k->delete_busy) return;
   struct delete_call *d = calloc(1, sizeof *d);
   if (!d) abort();
@@ -253,7 +253,7 @@
     else if (m->errors >= TMX_SICK_ERRORS && m->error_two && !m->tasks)
       why = "faulty";
     if (why) {
-      tmx_log(TMX_INFO, "cloud: deleting %s: %s", m->id, why);
+      tmx_log(TMX_LOG_INFO, "cloud: deleting %s: %s", m->id, why);
       snprintf(d->ids[d->n++], TMX_ID_MAX, "%s", m->id);
       continue;
     }
@@ -307,19 +307,19 @@
         why = "never heard";
     }
     if (!why) continue;
-    tmx_log(TMX_INFO, "cloud: deleting %s: %s", l->id, why);
+    tmx_log(TMX_LOG_INFO, "cloud: deleting %s: %s", l->id, why);
     l->deleting = true;
     snprintf(d->ids[d->n++], TMX_ID_MAX, "%s", l->id);
   }
   if (d->n && tmx_cloud_may_call(k)) {
-    struct tmx_buf b = {0};
-    tmx_w_map(&b, 1);
-    tmx_w_str(&b, W_MACHINES);
-    tmx_w_list(&b, d->n);
-    for (size_t i = 0; i < d->n; i++) tmx_w_str(&b, d->ids[i]);
-    k->delete_busy =
-        tmx_client_call(k->http, "POST", WP_DELETE, &b, TMX_CLOUD_TIMEOUT_S, on_deleted, d);
-    tmx_buf_free(&b);
+    struct tmx_buffer buffer = {0};
+    tmx_cbor_put_map(&buffer, 1);
+    tmx_cbor_put_text(&buffer, W_MACHINES);
+    tmx_cbor_put_list(&buffer, d->n);
+    for (size_t i = 0; i < d->n; i++) tmx_cbor_put_text(&buffer, d->ids[i]);
+    k->delete_busy = tmx_http_client_call(k->http, "POST", WP_DELETE, &buffer, TMX_CLOUD_TIMEOUT_S,
+                                          on_deleted, d);
+    tmx_buffer_free(&buffer);
   }
   if (!k->delete_busy) {
     for (size_t i = 0; i < d->n; i++) {
--- a/src/controller.c
+++ b/src/controller.c
@@ -36,20 +36,20 @@
 
 bool tmx_ctl_fresh(const struct tmx_ctl *c) {
   double at = tmx_link_confirmed(c->link);
-  return c->rep.loaded && at > 0 && tmx_now() - at < tmx_fresh_bound(&c->set);
+  return c->rep.loaded && at > 0 && tmx_clock_steady() - at < tmx_fresh_bound(&c->set);
 }
 
 /* Work that runs goes on without the state for as long as a cancellation allows. Nothing is
  * started, though: another controller may have cancelled it since, and told its user. */
 bool tmx_ctl_may_start(const struct tmx_ctl *c) {
-  return tmx_ctl_fresh(c) && tmx_now() - tmx_link_confirmed(c->link) < TMX_START_FRESH_S;
+  return tmx_ctl_fresh(c) && tmx_clock_steady() - tmx_link_confirmed(c->link) < TMX_START_FRESH_S;
 }
 
 /* The state service answers others but not this controller: others should do the work. When it
  * answers nobody, everybody stays at work as far as freshness allows. */
 bool tmx_ctl_cut_off(const struct tmx_ctl *c) {
   double at = tmx_link_confirmed(c->link);
-  if (c->rep.loaded && tmx_now() - at < TMX_STATE_LOST_S) return false;
+  if (c->rep.loaded && tmx_clock_steady() - at < TMX_STATE_LOST_S) return false;
   return tmx_peers_state_age(c->peers) < TMX_STATE_LOST_S / 2;
 }
 
@@ -57,7 +57,7 @@
 static bool ready(const struct tmx_ctl *c) {
   double at = tmx_link_confirmed(c->link);
   if (!tmx_ctl_fresh(c) || tmx_ctl_cut_off(c)) return false;
-  return tmx_now() - at < TMX_STATE_LOST_S || tmx_peers_any(c->peers);
+  return tmx_clock_steady() - at < TMX_STATE_LOST_S || tmx_peers_any(c->peers);
 }
 
 int tmx_ctl_self(const struct tmx_ctl *c) { return tmx_member_index(&c->rep, c->set.node); }
@@ -77,27 +77,28 @@
 
 static void commit_view(struct tmx_ctl *c, const struct tmx_view *new_view) {
   struct tmx_txn t = {0};
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   struct tmx_view copy = *new_view, *v = &copy;
   tmx_txn_if(&t, TMX_K_VIEW, c->rep.view.stamp);
-  tmx_view_encode(&b, v);
+  tmx_view_encode(&buffer, v);
   /* a value is bounded: the oldest exceptions go, their machines fall back to the hash */
-  while (tmx_json_len(&b) > tmx_value_room(&c->set) && v->n_exceptions) {
+  while (tmx_json_length(&buffer) > tmx_value_room(&c->set) && v->n_exceptions) {
     size_t cut = v->n_exceptions / 4 + 1;
     v->exceptions += cut;
     v->n_exceptions -= cut;
-    b.n = 0;
-    tmx_view_encode(&b, v);
+    buffer.length = 0;
+    tmx_view_encode(&buffer, v);
   }
-  tmx_txn_put(&t, TMX_K_VIEW, &b, 0);
+  tmx_txn_put(&t, TMX_K_VIEW, &buffer, 0);
   tmx_txn_head(&t, c->set.node);
-  tmx_buf_free(&b);
-  c->view_at = tmx_now();
+  tmx_buffer_free(&buffer);
+  c->view_at = tmx_clock_steady();
   c->view_busy = tmx_link_commit(c->link, &t, true, on_view_sent, c);
 }
 
 void tmx_ctl_take(struct tmx_ctl *c, const char *const *machines, size_t n) {
-  if (c->view_busy || !tmx_link_member(c->link) || tmx_now() - c->view_at < TMX_VIEW_SPACING_S)
+  if (c->view_busy || !tmx_link_member(c->link) ||
+      tmx_clock_steady() - c->view_at < TMX_VIEW_SPACING_S)
     return;
   struct tmx_view v = c->rep.view;
   struct tmx_exception *e = calloc(v.n_exceptions + n, sizeof *e);
@@ -112,7 +113,7 @@
   for (size_t k = 0; k < n; k++, at++) {
     snprintf(e[at].machine, sizeof e[at].machine, "%s", machines[k]);
     snprintf(e[at].node, sizeof e[at].node, "%s", c->set.node);
-    tmx_log(TMX_INFO, "view: taking %s, which cannot reach its owner", machines[k]);
+    tmx_log(TMX_LOG_INFO, "view: taking %s, which cannot reach its owner", machines[k]);
   }
   v.exceptions = e;
   v.n_exceptions = at;
@@ -141,7 +142,7 @@
 
 static bool seems_lost(const struct tmx_ctl *c, const char *name, const struct tmx_outlook *o,
                        double since) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   struct tmx_sign s = {.refused = tmx_peers_refused(c->peers, name),
                        .cut = tmx_peers_cut(c->peers, name),
                        .silence = tmx_peers_silence(c->peers, name),
@@ -153,7 +154,7 @@
 /* The leader keeps the members equal to the registered runs, without those that seem lost. */
 static void view_step(struct tmx_ctl *c) {
   struct tmx_replica *r = &c->rep;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   bool leads = r->loaded && r->leader_stamp && !strcmp(r->leader, c->set.node) &&
                r->leader_inc == tmx_link_inc(c->link);
   if (!leads) c->led_at = now;
@@ -179,8 +180,8 @@
       if (!strcmp(v.members[k].name, r->view.exceptions[i].node) &&
           tmx_machine_find(r, r->view.exceptions[i].machine))
         v.exceptions[v.n_exceptions++] = r->view.exceptions[i];
-  tmx_log(TMX_INFO, "view: term %llu with %zu members%s", (unsigned long long)v.term, v.n_members,
-          v.local ? ", each zone by itself" : "");
+  tmx_log(TMX_LOG_INFO, "view: term %llu with %zu members%s", (unsigned long long)v.term,
+          v.n_members, v.local ? ", each zone by itself" : "");
   commit_view(c, &v);
   free(v.exceptions);
 }
@@ -245,11 +246,11 @@
   (void)l;
   (void)ev;
   struct tmx_ctl *c = w->data;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   /* it stood still, or has more to do than its processor allows: time is missing here */
   if (c->tick_at && now - c->tick_at > TMX_TICK_S + TMX_LATE_S) {
     c->late_at = now;
-    tmx_log(TMX_INFO, "loop: %.2f s late", now - c->tick_at - TMX_TICK_S);
+    tmx_log(TMX_LOG_INFO, "loop: %.2f s late", now - c->tick_at - TMX_TICK_S);
   }
   c->tick_at = now;
   /* coming back from a cut it hears the others one after the other: the last one is not lost */
@@ -269,17 +270,17 @@
 
 /* ------------------------------------------------------------ requests */
 
-static void on_request(void *arg, struct tmx_req *q) {
+static void on_request(void *arg, struct tmx_http_request *request) {
   struct tmx_ctl *c = arg;
-  if (!strcmp(q->path, WP_READY)) {
-    tmx_req_reply(q, ready(c) ? 200 : 503, NULL, 0);
-  } else if (!strcmp(q->path, WP_REPORT)) {
-    if (q->method == HTTP_POST)
-      tmx_workers_report(c->workers, q);
+  if (!strcmp(request->path, WP_READY)) {
+    tmx_http_reply(request, ready(c) ? 200 : 503, NULL, 0);
+  } else if (!strcmp(request->path, WP_REPORT)) {
+    if (request->method == HTTP_POST)
+      tmx_workers_report(c->workers, request);
     else
-      tmx_req_reply(q, 405, NULL, 0);
-  } else if (!tmx_users_handle(c->users, q)) {
-    tmx_req_reply(q, 404, NULL, 0);
+      tmx_http_reply(request, 405, NULL, 0);
+  } else if (!tmx_users_handle(c->users, request)) {
+    tmx_http_reply(request, 404, NULL, 0);
   }
 }
 
@@ -297,7 +298,7 @@
   c->rep.on_job = on_job;
   c->rep.on_view = on_view;
   c->rep.on_clear = on_clear;
-  c->started_at = tmx_now();
+  c->started_at = tmx_clock_steady();
   c->gate = tmx_gate_new(c);
   c->workers = tmx_workers_new(c);
   c->users = tmx_users_new(c);
@@ -306,8 +307,9 @@
     snprintf(err, cap, "settings: peer_listen: %s cannot be listened on", s->peer_listen);
     return NULL;
   }
-  c->server = tmx_server_new(loop, s->listen, tmx_sockets_in(s),
-                             fmax(TMX_IDLE_CLOSE_S, TMX_IDLE_REPORTS * s->report_s), on_request, c);
+  c->server =
+      tmx_http_server_new(loop, s->listen, tmx_sockets_in(s),
+                          fmax(TMX_IDLE_CLOSE_S, TMX_IDLE_REPORTS * s->report_s), on_request, c);
   if (!c->server) {
     snprintf(err, cap, "settings: listen: %s cannot be listened on", s->listen);
     return NULL;
@@ -328,7 +330,7 @@
 void tmx_ctl_free(struct tmx_ctl *c) {
   ev_prepare_stop(c->loop, &c->prepare);
   ev_timer_stop(c->loop, &c->tick);
-  tmx_server_free(c->server);
+  tmx_http_server_free(c->server);
   tmx_cloud_free(c->cloud);
   tmx_fold_free(c->fold);
   tmx_link_free(c->link);
--- a/src/controller.h
+++ b/src/controller.h
@@ -27,7 +27,7 @@
   struct tmx_users *users;
   struct tmx_cloud *cloud;
   struct tmx_peers *peers;
-  struct tmx_server *server;
+  struct tmx_http_server *server;
   struct tmx_rounds *rounds;
   struct tmx_fold *fold;
   struct tmx_gate *gate; /* NULL: every submission that can run is admitted */
@@ -95,7 +95,7 @@
 /* src/worker */
 struct tmx_workers *tmx_workers_new(struct tmx_ctl *c);
 void tmx_workers_free(struct tmx_workers *w);
-void tmx_workers_report(struct tmx_workers *w, struct tmx_req *r);
+void tmx_workers_report(struct tmx_workers *w, struct tmx_http_request *request);
 void tmx_workers_changed(struct tmx_workers *w, struct tmx_machine *m); /* its orders may differ */
 void tmx_workers_gone(struct tmx_workers *w, struct tmx_machine *m);
 void tmx_workers_flush(struct tmx_workers *w); /* sends what the latest events made due */
@@ -137,7 +137,8 @@
 /* src/user */
 struct tmx_users *tmx_users_new(struct tmx_ctl *c);
 void tmx_users_free(struct tmx_users *u);
-bool tmx_users_handle(struct tmx_users *u, struct tmx_req *r); /* false: not its path */
+bool tmx_users_handle(struct tmx_users *u,
+                      struct tmx_http_request *request); /* false: not its path */
 
 /* src/cloud */
 struct tmx_type {
--- a/src/main.c
+++ b/src/main.c
@@ -77,7 +77,7 @@
     return EXIT_SETTINGS;
   }
   report_on_signal(loop, c);
-  tmx_log(TMX_INFO, "tallymux %s serves %s", TMX_VERSION, set.listen);
+  tmx_log(TMX_LOG_INFO, "tallymux %s serves %s", TMX_VERSION, set.listen);
   ev_run(loop, 0);
   return 0;
 }
--- a/src/net/cbor.c
+++ b/src/net/cbor.c
@@ -7,69 +7,69 @@
 
 #include "tmx/constants.h"
 
-void tmx_buf_add(struct tmx_buf *b, const void *p, size_t n) {
-  if (b->n + n > b->cap) {
-    size_t cap = b->cap ? b->cap * 2 : 256;
-    while (cap < b->n + n) cap *= 2;
-    uint8_t *q = realloc(b->p, cap);
+void tmx_buffer_append(struct tmx_buffer *buffer, const void *p, size_t n) {
+  if (buffer->length + n > buffer->capacity) {
+    size_t cap = buffer->capacity ? buffer->capacity * 2 : 256;
+    while (cap < buffer->length + n) cap *= 2;
+    uint8_t *q = realloc(buffer->data, cap);
     if (!q) abort(); /* out of memory: end and be started again, nothing is half written */
-    b->p = q;
-    b->cap = cap;
+    buffer->data = q;
+    buffer->capacity = cap;
   }
-  if (n) memcpy(b->p + b->n, p, n);
-  b->n += n;
+  if (n) memcpy(buffer->data + buffer->length, p, n);
+  buffer->length += n;
 }
 
-void tmx_buf_free(struct tmx_buf *b) {
-  free(b->p);
-  memset(b, 0, sizeof *b);
+void tmx_buffer_free(struct tmx_buffer *buffer) {
+  free(buffer->data);
+  memset(buffer, 0, sizeof *buffer);
 }
 
-void tmx_w_map(struct tmx_buf *b, size_t n) {
+void tmx_cbor_put_map(struct tmx_buffer *buffer, size_t n) {
   uint8_t t[16];
-  tmx_buf_add(b, t, cbor_encode_map_start(n, t, sizeof t));
+  tmx_buffer_append(buffer, t, cbor_encode_map_start(n, t, sizeof t));
 }
-void tmx_w_list(struct tmx_buf *b, size_t n) {
+void tmx_cbor_put_list(struct tmx_buffer *buffer, size_t n) {
   uint8_t t[16];
-  tmx_buf_add(b, t, cbor_encode_array_start(n, t, sizeof t));
+  tmx_buffer_append(buffer, t, cbor_encode_array_start(n, t, sizeof t));
 }
-void tmx_w_str(struct tmx_buf *b, const char *s) {
+void tmx_cbor_put_text(struct tmx_buffer *buffer, const char *s) {
   uint8_t t[16];
   size_t n = strlen(s);
-  tmx_buf_add(b, t, cbor_encode_string_start(n, t, sizeof t));
-  tmx_buf_add(b, s, n);
+  tmx_buffer_append(buffer, t, cbor_encode_string_start(n, t, sizeof t));
+  tmx_buffer_append(buffer, s, n);
 }
-void tmx_w_u64(struct tmx_buf *b, uint64_t v) {
+void tmx_cbor_put_u64(struct tmx_buffer *buffer, uint64_t v) {
   uint8_t t[16];
-  tmx_buf_add(b, t, cbor_encode_uint(v, t, sizeof t));
+  tmx_buffer_append(buffer, t, cbor_encode_uint(v, t, sizeof t));
 }
-void tmx_w_num(struct tmx_buf *b, double v) {
+void tmx_cbor_put_number(struct tmx_buffer *buffer, double v) {
   uint8_t t[16];
-  tmx_buf_add(b, t, cbor_encode_double(v, t, sizeof t));
+  tmx_buffer_append(buffer, t, cbor_encode_double(v, t, sizeof t));
 }
-void tmx_w_bool(struct tmx_buf *b, bool v) {
+void tmx_cbor_put_bool(struct tmx_buffer *buffer, bool v) {
   uint8_t t[16];
-  tmx_buf_add(b, t, cbor_encode_bool(v, t, sizeof t));
+  tmx_buffer_append(buffer, t, cbor_encode_bool(v, t, sizeof t));
 }
-void tmx_w_null(struct tmx_buf *b) {
+void tmx_cbor_put_null(struct tmx_buffer *buffer) {
   uint8_t t[16];
-  tmx_buf_add(b, t, cbor_encode_null(t, sizeof t));
+  tmx_buffer_append(buffer, t, cbor_encode_null(t, sizeof t));
 }
-void tmx_w_kstr(struct tmx_buf *b, const char *k, const char *v) {
-  tmx_w_str(b, k);
-  tmx_w_str(b, v);
+void tmx_cbor_put_text_field(struct tmx_buffer *buffer, const char *k, const char *v) {
+  tmx_cbor_put_text(buffer, k);
+  tmx_cbor_put_text(buffer, v);
 }
-void tmx_w_ku64(struct tmx_buf *b, const char *k, uint64_t v) {
-  tmx_w_str(b, k);
-  tmx_w_u64(b, v);
+void tmx_cbor_put_u64_field(struct tmx_buffer *buffer, const char *k, uint64_t v) {
+  tmx_cbor_put_text(buffer, k);
+  tmx_cbor_put_u64(buffer, v);
 }
-void tmx_w_knum(struct tmx_buf *b, const char *k, double v) {
-  tmx_w_str(b, k);
-  tmx_w_num(b, v);
+void tmx_cbor_put_number_field(struct tmx_buffer *buffer, const char *k, double v) {
+  tmx_cbor_put_text(buffer, k);
+  tmx_cbor_put_number(buffer, v);
 }
-void tmx_w_kbool(struct tmx_buf *b, const char *k, bool v) {
-  tmx_w_str(b, k);
-  tmx_w_bool(b, v);
+void tmx_cbor_put_bool_field(struct tmx_buffer *buffer, const char *k, bool v) {
+  tmx_cbor_put_text(buffer, k);
+  tmx_cbor_put_bool(buffer, v);
 }
 
 /* A first pass over the tokens guards the tree builder against two attacks: lists that claim
@@ -199,11 +199,11 @@
   return cbor_load(p, n, &r);
 }
 
-void tmx_cbor_free(cbor_item_t *it) {
-  if (it) cbor_decref(&it);
+void tmx_cbor_free(cbor_item_t *item) {
+  if (item) cbor_decref(&item);
 }
 
-const cbor_item_t *tmx_r_get(const cbor_item_t *map, const char *key) {
+const cbor_item_t *tmx_cbor_get(const cbor_item_t *map, const char *key) {
   if (!map || !cbor_isa_map(map)) return NULL;
   const struct cbor_pair *pr = cbor_map_handle(map);
   size_t n = cbor_map_size(map), kl = strlen(key);
@@ -211,64 +211,69 @@
     const cbor_item_t *k = pr[i].key;
     if (!cbor_isa_string(k) || !cbor_string_is_definite(k) || cbor_string_length(k) != kl) continue;
     if (memcmp(cbor_string_handle(k), key, kl)) continue;
-    const cbor_item_t *v = pr[i].value;
-    if (cbor_isa_float_ctrl(v) && cbor_float_ctrl_is_ctrl(v) && !cbor_is_bool(v)) return NULL;
-    return v;
+    const cbor_item_t *value = pr[i].value;
+    if (cbor_isa_float_ctrl(value) && cbor_float_ctrl_is_ctrl(value) && !cbor_is_bool(value))
+      return NULL;
+    return value;
   }
   return NULL;
 }
 
-size_t tmx_r_len(const cbor_item_t *l) { return l && cbor_isa_array(l) ? cbor_array_size(l) : 0; }
-const cbor_item_t *tmx_r_at(const cbor_item_t *l, size_t i) { return cbor_array_handle(l)[i]; }
+size_t tmx_cbor_list_length(const cbor_item_t *list) {
+  return list && cbor_isa_array(list) ? cbor_array_size(list) : 0;
+}
+const cbor_item_t *tmx_cbor_list_at(const cbor_item_t *list, size_t i) {
+  return cbor_array_handle(list)[i];
+}
 
-bool tmx_r_str(const cbor_item_t *it, char *out, size_t cap) {
-  if (!it || !cbor_isa_string(it) || !cbor_string_is_definite(it)) return false;
-  size_t n = cbor_string_length(it);
-  if (n >= cap || memchr(cbor_string_handle(it), 0, n)) return false;
-  if (n) memcpy(out, cbor_string_handle(it), n);
+bool tmx_cbor_as_text(const cbor_item_t *item, char *out, size_t cap) {
+  if (!item || !cbor_isa_string(item) || !cbor_string_is_definite(item)) return false;
+  size_t n = cbor_string_length(item);
+  if (n >= cap || memchr(cbor_string_handle(item), 0, n)) return false;
+  if (n) memcpy(out, cbor_string_handle(item), n);
   out[n] = 0;
   return true;
 }
-bool tmx_r_u64(const cbor_item_t *it, uint64_t *out) {
-  if (!it || !cbor_isa_uint(it)) return false;
-  *out = cbor_get_int(it);
+bool tmx_cbor_as_u64(const cbor_item_t *item, uint64_t *out) {
+  if (!item || !cbor_isa_uint(item)) return false;
+  *out = cbor_get_int(item);
   return true;
 }
-bool tmx_r_num(const cbor_item_t *it, double *out) {
-  if (!it) return false;
-  if (cbor_isa_uint(it)) {
-    *out = (double)cbor_get_int(it);
-  } else if (cbor_isa_negint(it)) {
-    *out = -1.0 - (double)cbor_get_int(it);
-  } else if (cbor_isa_float_ctrl(it) && !cbor_float_ctrl_is_ctrl(it)) {
-    *out = cbor_float_get_float(it);
+bool tmx_cbor_as_number(const cbor_item_t *item, double *out) {
+  if (!item) return false;
+  if (cbor_isa_uint(item)) {
+    *out = (double)cbor_get_int(item);
+  } else if (cbor_isa_negint(item)) {
+    *out = -1.0 - (double)cbor_get_int(item);
+  } else if (cbor_isa_float_ctrl(item) && !cbor_float_ctrl_is_ctrl(item)) {
+    *out = cbor_float_get_float(item);
   } else {
     return false;
   }
   return isfinite(*out);
 }
-bool tmx_r_bool(const cbor_item_t *it, bool *out) {
-  if (!it || !cbor_isa_float_ctrl(it) || !cbor_float_ctrl_is_ctrl(it) || !cbor_is_bool(it))
+bool tmx_cbor_as_bool(const cbor_item_t *item, bool *out) {
+  if (!item || !cbor_isa_float_ctrl(item) || !cbor_float_ctrl_is_ctrl(item) || !cbor_is_bool(item))
     return false;
-  *out = cbor_get_bool(it);
+  *out = cbor_get_bool(item);
   return true;
 }
-bool tmx_r_kstr(const cbor_item_t *m, const char *k, char *out, size_t cap) {
-  return tmx_r_str(tmx_r_get(m, k), out, cap);
+bool tmx_cbor_get_text(const cbor_item_t *map, const char *k, char *out, size_t cap) {
+  return tmx_cbor_as_text(tmx_cbor_get(map, k), out, cap);
 }
-bool tmx_r_ku64(const cbor_item_t *m, const char *k, uint64_t *out) {
-  return tmx_r_u64(tmx_r_get(m, k), out);
+bool tmx_cbor_get_u64(const cbor_item_t *map, const char *k, uint64_t *out) {
+  return tmx_cbor_as_u64(tmx_cbor_get(map, k), out);
 }
-bool tmx_r_knum(const cbor_item_t *m, const char *k, double *out) {
-  return tmx_r_num(tmx_r_get(m, k), out);
+bool tmx_cbor_get_number(const cbor_item_t *map, const char *k, double *out) {
+  return tmx_cbor_as_number(tmx_cbor_get(map, k), out);
 }
-bool tmx_r_kbool(const cbor_item_t *m, const char *k, bool *out) {
-  return tmx_r_bool(tmx_r_get(m, k), out);
+bool tmx_cbor_get_bool(const cbor_item_t *map, const char *k, bool *out) {
+  return tmx_cbor_as_bool(tmx_cbor_get(map, k), out);
 }
 
 /* ------------------------------------------------------------ length as JSON */
 
-size_t tmx_json_text(const char *s, size_t n) {
+size_t tmx_json_text_length(const char *s, size_t n) {
   size_t len = 2;
   for (size_t i = 0; i < n; i++) {
     unsigned char c = (unsigned char)s[i];
@@ -277,38 +282,39 @@
   return len;
 }
 
-static size_t item_len(const cbor_item_t *it) {
+static size_t item_len(const cbor_item_t *item) {
   char text[40];
   double num;
   uint64_t whole;
   size_t len = 2;
-  if (cbor_isa_string(it))
-    return tmx_json_text((const char *)cbor_string_handle(it), cbor_string_length(it));
-  if (tmx_r_u64(it, &whole))
+  if (cbor_isa_string(item))
+    return tmx_json_text_length((const char *)cbor_string_handle(item), cbor_string_length(item));
+  if (tmx_cbor_as_u64(item, &whole))
     return (size_t)snprintf(text, sizeof text, "%llu", (unsigned long long)whole);
-  if (tmx_r_num(it, &num)) return (size_t)snprintf(text, sizeof text, "%.17g", num);
-  if (cbor_isa_array(it)) {
-    for (size_t i = 0; i < cbor_array_size(it); i++) len += item_len(cbor_array_handle(it)[i]) + 2;
+  if (tmx_cbor_as_number(item, &num)) return (size_t)snprintf(text, sizeof text, "%.17g", num);
+  if (cbor_isa_array(item)) {
+    for (size_t i = 0; i < cbor_array_size(item); i++)
+      len += item_len(cbor_array_handle(item)[i]) + 2;
     return len;
   }
-  if (cbor_isa_map(it)) {
-    const struct cbor_pair *p = cbor_map_handle(it);
-    for (size_t i = 0; i < cbor_map_size(it); i++)
+  if (cbor_isa_map(item)) {
+    const struct cbor_pair *p = cbor_map_handle(item);
+    for (size_t i = 0; i < cbor_map_size(item); i++)
       len += item_len(p[i].key) + item_len(p[i].value) + 4;
     return len;
   }
   return 5; /* false, the longest of the others */
 }
 
-size_t tmx_json_len(const struct tmx_buf *b) {
+size_t tmx_json_length(const struct tmx_buffer *buffer) {
   size_t len = 0;
-  for (size_t at = 0; at < b->n;) {
+  for (size_t at = 0; at < buffer->length;) {
     struct cbor_load_result res;
-    cbor_item_t *it = cbor_load(b->p + at, b->n - at, &res);
-    if (!it) return SIZE_MAX / 2; /* not ours: larger than any limit */
-    len += item_len(it) + 2;
+    cbor_item_t *item = cbor_load(buffer->data + at, buffer->length - at, &res);
+    if (!item) return SIZE_MAX / 2; /* not ours: larger than any limit */
+    len += item_len(item) + 2;
     at += res.read;
-    cbor_decref(&it);
+    cbor_decref(&item);
   }
   return len;
 }
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -26,7 +26,7 @@
   int fd;
   bool connecting;
   ev_io wr;
-  struct tmx_buf out;
+  struct tmx_buffer out;
   size_t sent;
   double opened_at, stuck_at, refused_at;
   int refusals;
@@ -41,7 +41,7 @@
   struct tmx_peers *p;
   int fd;
   ev_io rd;
-  struct tmx_buf in;
+  struct tmx_buffer in;
   struct incoming *prev, *next;
 };
 struct tmx_peers {
@@ -62,7 +62,7 @@
   close(i->fd);
   DL_DELETE(i->p->in, i);
   i->p->n_in--;
-  tmx_buf_free(&i->in);
+  tmx_buffer_free(&i->in);
   free(i);
 }
 
@@ -71,7 +71,7 @@
   for (size_t i = 0; i < p->n; i++)
     if (!strcmp(p->peers[i].name, b->node)) q = &p->peers[i];
   if (!q) return;
-  q->beat_at = tmx_now();
+  q->beat_at = tmx_clock_steady();
   q->refusals = 0;
   q->state_age = b->state_age_ms / 1000.0;
   q->term = b->term;
@@ -105,21 +105,21 @@
     in_close(i);
     return;
   }
-  tmx_buf_add(&i->in, buf, (size_t)n);
+  tmx_buffer_append(&i->in, buf, (size_t)n);
   for (;;) {
-    if (i->in.n < 4) return;
+    if (i->in.length < 4) return;
     uint32_t len;
-    memcpy(&len, i->in.p, 4);
+    memcpy(&len, i->in.data, 4);
     len = ntohl(len);
     if (len > BEAT_BYTES_MAX) {
       in_close(i);
       return;
     }
-    if (i->in.n < 4 + (size_t)len) return;
+    if (i->in.length < 4 + (size_t)len) return;
     XDR x;
     tmx_beat b;
     memset(&b, 0, sizeof b);
-    xdrmem_create(&x, (char *)i->in.p + 4, len, XDR_DECODE);
+    xdrmem_create(&x, (char *)i->in.data + 4, len, XDR_DECODE);
     bool ok = xdr_tmx_beat(&x, &b);
     if (ok) take_beat(i->p, &b);
     xdr_destroy(&x);
@@ -128,8 +128,8 @@
       in_close(i);
       return;
     }
-    memmove(i->in.p, i->in.p + 4 + len, i->in.n - 4 - len);
-    i->in.n -= 4 + len;
+    memmove(i->in.data, i->in.data + 4 + len, i->in.length - 4 - len);
+    i->in.length -= 4 + len;
   }
 }
 
@@ -157,7 +157,7 @@
   ev_io_stop(q->p->c->loop, &q->wr);
   close(q->fd);
   q->fd = -1;
-  q->out.n = q->sent = 0;
+  q->out.length = q->sent = 0;
 }
 
 static void on_out(struct ev_loop *l, ev_io *w, int ev) {
@@ -169,7 +169,7 @@
     getsockopt(q->fd, SOL_SOCKET, SO_ERROR, &err, &n);
     if (err) {
       if (err == ECONNREFUSED) {
-        q->refused_at = tmx_now();
+        q->refused_at = tmx_clock_steady();
         q->refusals++;
       }
       out_close(q);
@@ -178,8 +178,8 @@
     q->connecting = false;
     q->refusals = 0;
   }
-  while (q->sent < q->out.n) {
-    ssize_t k = send(q->fd, q->out.p + q->sent, q->out.n - q->sent, MSG_NOSIGNAL);
+  while (q->sent < q->out.length) {
+    ssize_t k = send(q->fd, q->out.data + q->sent, q->out.length - q->sent, MSG_NOSIGNAL);
     if (k < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
     if (k <= 0) {
       out_close(q);
@@ -187,7 +187,7 @@
     }
     q->sent += (size_t)k;
   }
-  q->out.n = q->sent = 0;
+  q->out.length = q->sent = 0;
   ev_io_stop(l, &q->wr);
 }
 
@@ -233,7 +233,7 @@
 }
 
 /* Appends one record, with its length before it; false: it cannot be encoded. */
-static bool append_record(struct tmx_buf *out, tmx_beat *b) {
+static bool append_record(struct tmx_buffer *out, tmx_beat *b) {
   u_int size = (u_int)xdr_sizeof((xdrproc_t)xdr_tmx_beat, b);
   char *record = malloc(size);
   XDR x;
@@ -242,8 +242,8 @@
   bool ok = xdr_tmx_beat(&x, b);
   uint32_t len = htonl(size);
   if (ok) {
-    tmx_buf_add(out, &len, sizeof len);
-    tmx_buf_add(out, record, size);
+    tmx_buffer_append(out, &len, sizeof len);
+    tmx_buffer_append(out, record, size);
   }
   xdr_destroy(&x);
   free(record);
@@ -252,7 +252,7 @@
 
 /* A record holds a bounded number of machines in doubt: more of them go out in further records of
  * the same heartbeat, which every version takes as one heartbeat after another. */
-static void encode_beat(struct tmx_buf *out, tmx_beat *b, struct gather *g) {
+static void encode_beat(struct tmx_buffer *out, tmx_beat *b, struct gather *g) {
   size_t at = 0;
   do {
     size_t part = g->n - at < TMX_BEAT_MACHINES ? g->n - at : TMX_BEAT_MACHINES;
@@ -266,10 +266,10 @@
 static void send_beats(struct tmx_peers *p) {
   struct tmx_ctl *c = p->c;
   struct gather g = {0};
-  struct tmx_buf out = {0};
+  struct tmx_buffer out = {0};
   tmx_workers_suspects(c->workers, gather_one, &g);
   for (size_t i = 0; i < g.n; i++) g.v[i].id = g.ids[i];
-  double age = tmx_now() - tmx_link_confirmed(c->link);
+  double age = tmx_clock_steady() - tmx_link_confirmed(c->link);
   const struct tmx_zone_signs *signs = tmx_workers_zones(c->workers);
   tmx_beat_zone zones[TMX_ZONES_MAX];
   for (size_t i = 0; i < c->set.n_zones; i++)
@@ -283,22 +283,22 @@
   encode_beat(&out, &b, &g);
   for (size_t i = 0; i < p->n; i++) {
     struct peer *q = &p->peers[i];
-    if (q->fd < 0 || q->connecting || q->out.n) continue; /* a stuck peer gets the next one */
-    tmx_buf_add(&q->out, out.p, out.n);
+    if (q->fd < 0 || q->connecting || q->out.length) continue; /* a stuck peer gets the next one */
+    tmx_buffer_append(&q->out, out.data, out.length);
     ev_io_start(c->loop, &q->wr);
   }
-  tmx_buf_free(&out);
+  tmx_buffer_free(&out);
   free(g.v);
   free(g.ids);
 }
 
 void tmx_peers_tick(struct tmx_peers *p) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   if (now - p->sent_at < TMX_BEAT_S) return;
   p->sent_at = now;
   for (size_t i = 0; i < p->n; i++) {
     struct peer *q = &p->peers[i];
-    if (!q->out.n && !q->connecting) q->stuck_at = now;
+    if (!q->out.length && !q->connecting) q->stuck_at = now;
     if (q->fd >= 0 && now - q->stuck_at > TMX_BEAT_LOST_S) out_close(q);
     if (q->fd < 0) open_to(q, now);
   }
@@ -308,12 +308,12 @@
 double tmx_peers_silence(const struct tmx_peers *p, const char *node) {
   for (size_t i = 0; i < p->n; i++)
     if (!strcmp(p->peers[i].name, node))
-      return p->peers[i].beat_at ? tmx_now() - p->peers[i].beat_at : 1e9;
+      return p->peers[i].beat_at ? tmx_clock_steady() - p->peers[i].beat_at : 1e9;
   return 1e9;
 }
 
 bool tmx_peers_refused(const struct tmx_peers *p, const char *node) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   for (size_t i = 0; i < p->n; i++) {
     const struct peer *q = &p->peers[i];
     if (!strcmp(q->name, node))
@@ -324,14 +324,14 @@
 }
 
 bool tmx_peers_any(const struct tmx_peers *p) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   for (size_t i = 0; i < p->n; i++)
     if (p->peers[i].beat_at && now - p->peers[i].beat_at < TMX_BEAT_LOST_S) return true;
   return false;
 }
 
 double tmx_peers_state_age(const struct tmx_peers *p) {
-  double best = 1e9, now = tmx_now();
+  double best = 1e9, now = tmx_clock_steady();
   for (size_t i = 0; i < p->n; i++) {
     const struct peer *q = &p->peers[i];
     double age = q->state_age + (now - q->beat_at);
@@ -341,7 +341,7 @@
 }
 
 bool tmx_peers_cut(const struct tmx_peers *p, const char *node) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   for (size_t i = 0; i < p->n; i++)
     if (!strcmp(p->peers[i].name, node))
       return p->peers[i].no_workers && now - p->peers[i].beat_at < TMX_BEAT_LOST_S;
@@ -358,7 +358,7 @@
 struct tmx_peers *tmx_peers_new(struct tmx_ctl *c) {
   struct sockaddr_in a;
   int one = 1;
-  if (!tmx_parse_addr(c->set.peer_listen, &a)) return NULL;
+  if (!tmx_parse_address(c->set.peer_listen, &a)) return NULL;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return NULL;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
@@ -375,7 +375,7 @@
     q->p = p;
     q->fd = -1;
     snprintf(q->name, sizeof q->name, "%s", c->set.peers[i].name);
-    tmx_parse_addr(c->set.peers[i].addr, &q->addr);
+    tmx_parse_address(c->set.peers[i].addr, &q->addr);
   }
   ev_io_init(&p->acc, on_acc, fd, EV_READ);
   p->acc.data = p;
@@ -389,7 +389,7 @@
   while (p->in) in_close(p->in);
   for (size_t i = 0; i < p->n; i++) {
     out_close(&p->peers[i]);
-    tmx_buf_free(&p->peers[i].out);
+    tmx_buffer_free(&p->peers[i].out);
   }
   free(p);
 }
--- a/src/rounds/batch.c
+++ b/src/rounds/batch.c
@@ -23,8 +23,8 @@
 
 static void end_group(struct tmx_batch *b) {
   if (!b->group[0]) return;
-  if (tmx_log_on(TMX_DEBUG)) tmx_log(TMX_DEBUG, "op: %s", b->group);
-  tmx_w_str(&b->list, b->group);
+  if (tmx_log_enabled(TMX_LOG_DEBUG)) tmx_log(TMX_LOG_DEBUG, "op: %s", b->group);
+  tmx_cbor_put_text(&b->list, b->group);
   b->lines++;
   b->group[0] = 0;
 }
@@ -33,11 +33,11 @@
   char key[TMX_KEY_MAX + 1];
   end_group(b);
   if (!b->lines && !b->n_jobs) return;
-  b->v.n = 0;
+  b->v.length = 0;
   tmx_lines_encode(&b->v, &b->jobs, b->n_jobs, &b->list, b->lines);
   next_key(b->p, key, sizeof key);
   tmx_txn_put(&b->t, key, &b->v, 0);
-  b->list.n = b->jobs.n = 0;
+  b->list.length = b->jobs.length = 0;
   b->lines = b->n_jobs = 0;
   b->txn += b->value + TMX_JSON_FRAME;
   b->value = 0;
@@ -54,12 +54,12 @@
 }
 
 bool tmx_batch_line(struct tmx_batch *b, const char *line, int more_puts) {
-  size_t len = tmx_json_text(line, strlen(line)) + 1;
+  size_t len = tmx_json_text_length(line, strlen(line)) + 1;
   end_group(b);
   if (!tmx_batch_fits(b, len, more_puts)) return false;
   b->value += len;
-  if (tmx_log_on(TMX_DEBUG)) tmx_log(TMX_DEBUG, "op: %s", line);
-  tmx_w_str(&b->list, line);
+  if (tmx_log_enabled(TMX_LOG_DEBUG)) tmx_log(TMX_LOG_DEBUG, "op: %s", line);
+  tmx_cbor_put_text(&b->list, line);
   b->lines++;
   return true;
 }
@@ -67,7 +67,7 @@
 /* The operation joins the line before it; false: it begins another. */
 static bool join_group(struct tmx_batch *b, const struct tmx_op *o, const char *item,
                        int more_puts) {
-  size_t len = tmx_json_text(item, strlen(item)), used = strlen(b->group);
+  size_t len = tmx_json_text_length(item, strlen(item)), used = strlen(b->group);
   if (!used || !tmx_op_same_group(&b->group_op, o)) return false;
   if (used + strlen(item) >= sizeof b->group || b->value + len > b->value_max) return false;
   if (!tmx_batch_fits(b, len, more_puts)) return false;
@@ -87,7 +87,7 @@
   end_group(b);
   int head = tmx_group_head_print(line, sizeof line, o);
   snprintf(line + head, sizeof line - (size_t)head, "%s", item);
-  size_t len = tmx_json_text(line, strlen(line)) + 1;
+  size_t len = tmx_json_text_length(line, strlen(line)) + 1;
   if (!tmx_batch_fits(b, len, more_puts)) return false;
   strcpy(b->group, line);
   b->group_op = *o;
--- a/src/rounds/batch.h
+++ b/src/rounds/batch.h
@@ -6,7 +6,7 @@
 struct tmx_batch {
   struct tmx_rounds *p;
   struct tmx_txn t;
-  struct tmx_buf list, jobs, v;
+  struct tmx_buffer list, jobs, v;
   size_t lines, n_jobs;
   bool grouped;                 /* operations of one job share lines */
   char group[TMX_LINE_MAX];     /* the line that grows; empty: none */
--- a/src/rounds/commit.c
+++ b/src/rounds/commit.c
@@ -12,7 +12,7 @@
   struct tmx_ctl *c = p->c;
   p->sending = false;
   if (rev > p->wait_rev) p->wait_rev = rev;
-  p->wait_rev_at = tmx_now();
+  p->wait_rev_at = tmx_clock_steady();
   tmx_submissions_answer(p, res);
   if (res == TMX_TXN_CONFLICT && ++p->resent <= TMX_RESENDS) {
     /* what was planned is checked again on the state that won, and sent anew */
@@ -24,8 +24,8 @@
     for (size_t i = 0; i < p->n_lines; i++) /* those that came meanwhile stay */
       if (!p->lines[i].sent) p->lines[n++] = p->lines[i];
     p->n_lines = n;
-  } else if (tmx_log_on(TMX_DEBUG)) {
-    tmx_log(TMX_DEBUG, "round: not committed (%d)", res);
+  } else if (tmx_log_enabled(TMX_LOG_DEBUG)) {
+    tmx_log(TMX_LOG_DEBUG, "round: not committed (%d)", res);
   }
   bool cut = p->plan.cut;
   tmx_round_over(p);
@@ -89,7 +89,8 @@
   if (last && (d->n_finished == TMX_FINISHED_MAX || d->b.spare < 2)) {
     p->puts = TMX_ROUND_PUTS + 1;
     d->later = true;
-    if (tmx_log_on(TMX_DEBUG)) tmx_log(TMX_DEBUG, "job: %s is done, and waits for a put", o->job);
+    if (tmx_log_enabled(TMX_LOG_DEBUG))
+      tmx_log(TMX_LOG_DEBUG, "job: %s is done, and waits for a put", o->job);
     return true;
   }
   if (!tmx_batch_op(&d->b, o, last)) return false;
@@ -145,7 +146,7 @@
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_K_JOB "%s", j->id);
   tmx_txn_if(&b->t, key, j->stamp);
-  b->v.n = 0;
+  b->v.length = 0;
   tmx_job_encode_final(&b->v, j, fin, ended, tmx_value_room(&p->c->set));
   tmx_txn_put(&b->t, key, &b->v, 0);
 }
@@ -161,7 +162,7 @@
 }
 
 static void add_final_states(struct tmx_rounds *p, struct draft *d) {
-  double ended = p->c->rep.pipelines ? tmx_wall() : 0;
+  double ended = p->c->rep.pipelines ? tmx_clock_wall() : 0;
   tmx_batch_flush(&d->b);
   for (size_t i = 0; i < d->n_finished; i++)
     put_final_state(p, &d->b, d->finished[i], TMX_FIN_DONE, ended);
@@ -169,15 +170,15 @@
 }
 
 static void free_draft(struct draft *d) {
-  tmx_buf_free(&d->b.list);
-  tmx_buf_free(&d->b.jobs);
-  tmx_buf_free(&d->b.v);
+  tmx_buffer_free(&d->b.list);
+  tmx_buffer_free(&d->b.jobs);
+  tmx_buffer_free(&d->b.v);
 }
 
 static void nothing_to_send(struct tmx_rounds *p, struct draft *d) {
   bool cut = p->plan.cut;
-  tmx_buf_free(&d->b.t.conds);
-  tmx_buf_free(&d->b.t.ops);
+  tmx_buffer_free(&d->b.t.conds);
+  tmx_buffer_free(&d->b.t.ops);
   tmx_round_over(p);
   if (cut) tmx_rounds_kick_in(p->c, TMX_ROUND_EMPTY_S);
 }
@@ -185,8 +186,8 @@
 static void send_batch(struct tmx_rounds *p, struct draft *d) {
   struct tmx_ctl *c = p->c;
   tmx_txn_head(&d->b.t, c->set.node);
-  if (tmx_log_on(TMX_DEBUG))
-    tmx_log(TMX_DEBUG, "round: %zu ends, %zu of %zu planned, %zu looked at, %d keys, resent %d",
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "round: %zu ends, %zu of %zu planned, %zu looked at, %d keys, resent %d",
             p->n_ends, d->placed, p->plan.n_ops, p->plan.visits, d->b.t.n_ops, p->resent);
   p->sent_head = c->rep.head;
   p->sending = tmx_link_commit(c->link, &d->b.t, true, on_batch, p);
--- a/src/rounds/feed.c
+++ b/src/rounds/feed.c
@@ -116,7 +116,7 @@
   f->stuck_since = j->stuck_since;
   f->retry_at = j->retry_at;
   f->aim_s = last_aim(c, j);
-  f->next_aim_s = next_aim(c, j, tmx_wall() - j->released);
+  f->next_aim_s = next_aim(c, j, tmx_clock_wall() - j->released);
   f->run_s = fmax(tmx_expected_run(&c->rep, &j->spec), j->longest);
   f->n_done = j->n_done;
   f->n_placed = j->n_placed;
@@ -137,7 +137,7 @@
     if (!f->n_waits) j->first_wait = k;
     f->waits[f->n_waits++] = (struct tmx_plan_wait){k, t->attempt + 1};
   }
-  double wait = j->retry_at - tmx_now();
+  double wait = j->retry_at - tmx_clock_steady();
   if (f->n_waits && wait > 0) tmx_rounds_kick_in(c, wait + 0.05);
 }
 
@@ -147,8 +147,8 @@
   struct tmx_ctl *c = p->c;
   struct tmx_replica *r = &c->rep;
   memset(in, 0, sizeof *in);
-  in->now = tmx_now();
-  in->wall = tmx_wall();
+  in->now = tmx_clock_steady();
+  in->wall = tmx_clock_wall();
   in->self = tmx_ctl_self(c);
   in->leading = tmx_link_leading(c->link);
   in->n_zones = c->set.n_zones;
--- a/src/rounds/internal.h
+++ b/src/rounds/internal.h
@@ -20,7 +20,7 @@
 /* A submission on its way into the log. */
 struct tmx_arrival {
   char id[TMX_ID_MAX];
-  struct tmx_buf value; /* the job's record ... */
+  struct tmx_buffer value; /* the job's record ... */
   struct tmx_awaits
       awaits;         /* ... and of the ids that it names, those that have no room in it ... */
   uint32_t in_record; /* ... follow from here on */
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -45,7 +45,7 @@
 void tmx_rounds_kick_in(struct tmx_ctl *c, double s) {
   struct tmx_rounds *p = c->rounds;
   if (!p) return;
-  double spaced = p->round_at + TMX_ROUND_SPACING_S - tmx_now();
+  double spaced = p->round_at + TMX_ROUND_SPACING_S - tmx_clock_steady();
   timer(p, s > spaced ? s : spaced);
 }
 void tmx_rounds_kick(struct tmx_ctl *c) { tmx_rounds_kick_in(c, 0); }
@@ -101,7 +101,7 @@
 
 /* The next step needs the replica to hold the latest revision that a commit told of. */
 bool tmx_rounds_caught_up(const struct tmx_rounds *p) {
-  return p->wait_rev <= p->c->rep.rev || tmx_now() - p->wait_rev_at > TMX_STATE_TIMEOUT_S;
+  return p->wait_rev <= p->c->rep.rev || tmx_clock_steady() - p->wait_rev_at > TMX_STATE_TIMEOUT_S;
 }
 
 void tmx_round_over(struct tmx_rounds *p) {
@@ -119,7 +119,7 @@
   int self = tmx_ctl_self(c);
   if (n < 2 || self < 0 || tmx_link_rich(c->link)) return 0;
   double slot = tmx_turn_length(c), period = slot * (double)(n + 1);
-  double at = fmod(tmx_wall(), period), wait = period;
+  double at = fmod(tmx_clock_wall(), period), wait = period;
   for (int k = 0; k < 1 + tmx_link_leading(c->link); k++) {
     double into = at - slot * (k ? (double)n : self);
     if (into >= 0 && into < slot * TMX_TURN_BEGIN) return 0;
@@ -150,7 +150,7 @@
 
 static void begin(struct tmx_rounds *p) {
   struct tmx_ctl *c = p->c;
-  double now = tmx_now(), budget = tmx_link_budget(c->link);
+  double now = tmx_clock_steady(), budget = tmx_link_budget(c->link);
   /* Rounds are paced by this member's share of the puts. Submissions draw on it too; a round a
    * second goes out in any case, or nothing accepted would ever start. */
   if (budget < p->puts && now - p->round_at < 1.0) {
--- a/src/rounds/submissions.c
+++ b/src/rounds/submissions.c
@@ -7,7 +7,7 @@
 #include "rounds/batch.h"
 
 void tmx_submission_free(struct tmx_arrival *a) {
-  tmx_buf_free(&a->value);
+  tmx_buffer_free(&a->value);
   tmx_awaits_free(&a->awaits);
   free(a);
 }
@@ -25,7 +25,7 @@
 /* Answers those that are decided or have waited too long; the rest may be sent. Where the answer to
  * a commit is slow, the log may tell sooner that the job is in it. */
 static void sort_arrivals(struct tmx_rounds *p) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   for (size_t i = 0; i < p->n_arrivals;) {
     struct tmx_arrival *a = p->arrivals[i];
     bool busy = a->direct || a->sent;
@@ -59,7 +59,7 @@
 
 static void add_arrival(struct tmx_batch *b, const struct tmx_arrival *a) {
   char line[TMX_LINE_MAX];
-  tmx_buf_add(&b->jobs, a->value.p, a->value.n);
+  tmx_buffer_append(&b->jobs, a->value.data, a->value.length);
   b->value += a->json;
   b->n_jobs++;
   for (uint32_t at = a->in_record; at < a->awaits.n;) {
@@ -96,7 +96,7 @@
     if (a->direct || a->answered) continue;
     full = full || b->t.n_conds >= conds || !has_room(b, a);
     a->sent = !full && admitted(p, a);
-    a->sent_at = tmx_now();
+    a->sent_at = tmx_clock_steady();
     if (!a->sent) continue;
     tmx_gate_hold(p->c->gate, &a->candidate);
     condition(&b->t, a->id);
@@ -125,7 +125,7 @@
   if (res == TMX_TXN_CONFLICT && !a->answered) { /* again once the replica has what won */
     a->tries++;
     if (rev > p->wait_rev) p->wait_rev = rev;
-    p->wait_rev_at = tmx_now();
+    p->wait_rev_at = tmx_clock_steady();
     return;
   }
   for (size_t i = 0; i < p->n_arrivals; i++)
@@ -142,7 +142,7 @@
   char line[TMX_LINE_MAX];
   for (uint32_t at = a->in_record; at < a->awaits.n;) {
     tmx_awaits_print(line, sizeof line, a->id, &a->awaits, &at);
-    size_t len = tmx_json_text(line, strlen(line)) + 1;
+    size_t len = tmx_json_text_length(line, strlen(line)) + 1;
     values += used + len > room;
     used = used + len > room ? len : used + len;
   }
@@ -161,7 +161,7 @@
   memcpy(a->id, s->id, sizeof a->id);
   a->in_record = tmx_job_encode_open(&a->value, s->id, &s->spec, s->submitted, &s->awaits,
                                      tmx_value_room(&p->c->set));
-  a->json = tmx_json_len(&a->value);
+  a->json = tmx_json_length(&a->value);
   a->awaits.n = s->awaits.n;
   a->awaits.ids = calloc(s->awaits.n + 1, sizeof *a->awaits.ids);
   if (!a->awaits.ids) abort();
@@ -180,12 +180,13 @@
     if (!strcmp(p->arrivals[i]->id, s->id)) return TMX_ARRIVAL_LATER; /* it is on its way already */
   struct tmx_arrival *a = make_arrival(p, s);
   if (too_large(&c->set, a)) {
-    tmx_log(TMX_INFO, "job: %s refused: %zu bytes and %u awaited jobs take more than a transaction",
-            s->id, a->json, s->awaits.n);
+    tmx_log(TMX_LOG_INFO,
+            "job: %s refused: %zu bytes and %u awaited jobs take more than a transaction", s->id,
+            a->json, s->awaits.n);
     tmx_submission_free(a);
     return TMX_ARRIVAL_TOO_LARGE;
   }
-  a->until = tmx_now() + within;
+  a->until = tmx_clock_steady() + within;
   a->cb = cb;
   a->arg = arg;
   p->arrivals[p->n_arrivals++] = a;
@@ -200,7 +201,7 @@
   tmx_txn_if(&t, TMX_K_HEAD, c->rep.head);
   condition(&t, a->id);
   tmx_txn_put(&t, key, &a->value, 0);
-  a->sent_at = tmx_now();
+  a->sent_at = tmx_clock_steady();
   a->direct = tmx_link_commit(c->link, &t, true, on_direct, a);
   if (a->direct) tmx_gate_hold(c->gate, &a->candidate);
 }
--- a/src/state/depend.c
+++ b/src/state/depend.c
@@ -126,8 +126,8 @@
   j->released = j->submitted;
   for (uint32_t i = 0; i < j->deps.named.n; i++)
     j->released = fmax(j->released, j->deps.needs[i]->ended);
-  if (tmx_log_on(TMX_DEBUG))
-    tmx_log(TMX_DEBUG, "job: %s %s released, priority %d, due in %.0f s", j->id, j->spec.class,
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "job: %s %s released, priority %d, due in %.0f s", j->id, j->spec.class,
             j->urgency.priority, j->urgency.due_at - j->released);
   tmx_replica_job_changed(r, j);
 }
@@ -187,7 +187,7 @@
   for (uint32_t i = 0; i < n; i++) {
     needs[i] = tmx_job_find(r, j->deps.named.ids[i]);
     if (needs[i]) continue;
-    tmx_log(TMX_ERROR, "state: %s awaits %s, which is not known", j->id, j->deps.named.ids[i]);
+    tmx_log(TMX_LOG_ERROR, "state: %s awaits %s, which is not known", j->id, j->deps.named.ids[i]);
     free(needs);
     return false;
   }
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -76,7 +76,7 @@
 /* A record that was accepted under larger limits may exceed the present ones: types that have no
  * room in it follow in lines. */
 static void write_record(const struct tmx_fold *f, struct place *at, const struct tmx_job *j,
-                         struct tmx_buf *job) {
+                         struct tmx_buffer *job) {
   size_t room = tmx_value_room(&f->c->set);
   struct tmx_spec part = j->spec;
   part.n_types = tmx_job_types_within(j->id, &j->spec, j->submitted, &j->deps.named, room);
@@ -87,7 +87,7 @@
 
 /* What comes next in the pages, a line or an encoded job; false: nothing. */
 static bool next_line(struct tmx_fold *f, struct place *at, char *line, size_t cap,
-                      struct tmx_buf *job) {
+                      struct tmx_buffer *job) {
   struct tmx_replica *r = &f->c->rep;
   for (; at->machine < f->n_machines; at->machine++) {
     const struct tmx_machine *m = tmx_machine_find(r, f->machines[at->machine]);
@@ -130,7 +130,7 @@
 static void write_pages(struct tmx_fold *f) {
   struct tmx_ctl *c = f->c;
   struct tmx_txn t = {0};
-  struct tmx_buf list = {0}, jobs = {0}, one = {0}, v = {0};
+  struct tmx_buffer list = {0}, jobs = {0}, one = {0}, value = {0};
   size_t max = tmx_value_room(&c->set), n = 0, n_jobs = 0, len = 0, all = 0;
   int puts = (int)tmx_link_budget(c->link);
   char line[TMX_LINE_MAX], key[TMX_KEY_MAX + 1];
@@ -139,48 +139,49 @@
   bool more = true;
   tmx_txn_if(&t, TMX_K_HEAD, c->rep.head);
   while (more && t.n_ops < puts && all + max + TMX_JSON_FRAME < TMX_TXN_BYTES) {
-    list.n = jobs.n = n = n_jobs = len = 0;
+    list.length = jobs.length = n = n_jobs = len = 0;
     for (;;) {
       struct place before = at;
-      one.n = 0;
+      one.length = 0;
       more = next_line(f, &at, line, sizeof line, &one);
       if (!more) break;
-      size_t next = one.n ? tmx_json_len(&one) : tmx_json_text(line, strlen(line)) + 1;
+      size_t next =
+          one.length ? tmx_json_length(&one) : tmx_json_text_length(line, strlen(line)) + 1;
       if (len + next > max) {
         at = before; /* it begins the next page */
         break;
       }
       len += next;
-      if (one.n) {
-        tmx_buf_add(&jobs, one.p, one.n);
+      if (one.length) {
+        tmx_buffer_append(&jobs, one.data, one.length);
         n_jobs++;
       } else {
-        tmx_w_str(&list, line);
+        tmx_cbor_put_text(&list, line);
         n++;
       }
     }
     if (!n && !n_jobs) break;
     all += len + TMX_JSON_FRAME;
-    v.n = 0;
-    tmx_lines_encode(&v, &jobs, n_jobs, &list, n);
+    value.length = 0;
+    tmx_lines_encode(&value, &jobs, n_jobs, &list, n);
     snprintf(key, sizeof key, TMX_K_PAGE "%016llx/%05u", (unsigned long long)f->mark, f->page++);
-    tmx_txn_put(&t, key, &v, 0);
+    tmx_txn_put(&t, key, &value, 0);
   }
   f->sent = at;
-  tmx_buf_free(&list);
-  tmx_buf_free(&jobs);
-  tmx_buf_free(&one);
-  tmx_buf_free(&v);
+  tmx_buffer_free(&list);
+  tmx_buffer_free(&jobs);
+  tmx_buffer_free(&one);
+  tmx_buffer_free(&value);
   if (t.n_ops) {
     f->busy = tmx_link_commit(c->link, &t, true, on_pages, f);
     return;
   }
-  tmx_buf_free(&t.conds);
-  tmx_buf_free(&t.ops);
+  tmx_buffer_free(&t.conds);
+  tmx_buffer_free(&t.ops);
   if (!more) {
     f->step = MARK;
   } else if (puts > 0 && all == 0) {
-    tmx_log(TMX_ERROR, "fold: given up, %s exceeds a value", f->jobs[at.job]);
+    tmx_log(TMX_LOG_ERROR, "fold: given up, %s exceeds a value", f->jobs[at.job]);
     f->step = IDLE;
   }
 }
@@ -195,13 +196,13 @@
 
 static void write_mark(struct tmx_fold *f) {
   struct tmx_txn t = {0};
-  struct tmx_buf v = {0};
+  struct tmx_buffer value = {0};
   tmx_txn_if(&t, TMX_K_FOLD, f->stamp);
-  tmx_w_map(&v, 2);
-  tmx_w_ku64(&v, "mark", f->mark);
-  tmx_w_ku64(&v, "gen", f->mark);
-  tmx_txn_put(&t, TMX_K_FOLD, &v, 0);
-  tmx_buf_free(&v);
+  tmx_cbor_put_map(&value, 2);
+  tmx_cbor_put_u64_field(&value, "mark", f->mark);
+  tmx_cbor_put_u64_field(&value, "gen", f->mark);
+  tmx_txn_put(&t, TMX_K_FOLD, &value, 0);
+  tmx_buffer_free(&value);
   f->busy = tmx_link_commit(f->c->link, &t, true, on_mark, f);
 }
 
@@ -227,7 +228,7 @@
     if (gen != c->rep.fold_gen) tmx_txn_drop(&t, k->key);
   }
   if (!t.n_ops) {
-    tmx_buf_free(&t.conds);
+    tmx_buffer_free(&t.conds);
     return false;
   }
   f->busy = tmx_link_commit(c->link, &t, true, on_drops, f);
@@ -236,7 +237,7 @@
 
 void tmx_fold_tick(struct tmx_fold *f) {
   struct tmx_ctl *c = f->c;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   if (f->busy) return;
   if (!tmx_link_leading(c->link) || !c->rep.loaded) {
     f->step = IDLE;
@@ -251,7 +252,7 @@
     HASH_ITER(hh, c->rep.batches, k, t) n += k->stamp > c->rep.fold_mark;
     if (n <= f->above) return;
     begin(f);
-    tmx_log(TMX_INFO, "fold: %zu machines, %zu jobs, %zu batches", f->n_machines, f->n_jobs, n);
+    tmx_log(TMX_LOG_INFO, "fold: %zu machines, %zu jobs, %zu batches", f->n_machines, f->n_jobs, n);
   }
   if (f->step == PAGES)
     write_pages(f);
--- a/src/state/internal.h
+++ b/src/state/internal.h
@@ -11,6 +11,6 @@
 /* members.c */
 int tmx_replica_owner_index(const struct tmx_replica *r, const char *machine, int zone);
 void tmx_replica_apply_node(struct tmx_replica *r, const char *name, uint64_t stamp,
-                            const cbor_item_t *v);
-void tmx_replica_apply_view(struct tmx_replica *r, uint64_t stamp, const cbor_item_t *v);
+                            const cbor_item_t *value);
+void tmx_replica_apply_view(struct tmx_replica *r, uint64_t stamp, const cbor_item_t *value);
 #endif
--- a/src/state/lines.c
+++ b/src/state/lines.c
@@ -8,56 +8,62 @@
 
 static const char *prio_names[] = {"idle", "normal", "high", "prod"};
 
-bool tmx_spec_parse(const cbor_item_t *m, struct tmx_spec *s, char *id, size_t id_cap) {
+bool tmx_spec_parse(const cbor_item_t *map, struct tmx_spec *s, char *id, size_t id_cap) {
   char kind[16], prio[16];
   uint64_t tasks;
   memset(s, 0, sizeof *s);
-  if (!m || !cbor_isa_map(m)) return false;
-  if (!tmx_r_kstr(m, W_ID, id, id_cap)) return false;
-  if (!tmx_r_kstr(m, W_CLASS, s->class, sizeof s->class) || !s->class[0]) return false;
-  if (!tmx_r_kstr(m, W_TEAM, s->team, sizeof s->team) || !s->team[0]) return false;
-  if (!tmx_r_kstr(m, W_KIND, kind, sizeof kind)) return false;
+  if (!map || !cbor_isa_map(map)) return false;
+  if (!tmx_cbor_get_text(map, W_ID, id, id_cap)) return false;
+  if (!tmx_cbor_get_text(map, W_CLASS, s->class, sizeof s->class) || !s->class[0]) return false;
+  if (!tmx_cbor_get_text(map, W_TEAM, s->team, sizeof s->team) || !s->team[0]) return false;
+  if (!tmx_cbor_get_text(map, W_KIND, kind, sizeof kind)) return false;
   if (!strcmp(kind, WV_SERVICE))
     s->service = true;
   else if (strcmp(kind, WV_ARRAY))
     return false;
-  if (!tmx_r_kstr(m, W_PRIORITY, prio, sizeof prio)) return false;
+  if (!tmx_cbor_get_text(map, W_PRIORITY, prio, sizeof prio)) return false;
   for (s->priority = 0; s->priority < 4; s->priority++)
     if (!strcmp(prio, prio_names[s->priority])) break;
   if (s->priority == 4) return false;
-  if (!tmx_r_ku64(m, W_TASKS, &tasks) || tasks < 1 || tasks > TMX_TASKS_MAX) return false;
+  if (!tmx_cbor_get_u64(map, W_TASKS, &tasks) || tasks < 1 || tasks > TMX_TASKS_MAX) return false;
   s->tasks = (uint32_t)tasks;
-  if (!tmx_r_knum(m, W_CPUS, &s->cpus) || s->cpus < 0) return false;
-  if (!tmx_r_knum(m, W_GPUS, &s->gpus) || s->gpus < 0) return false;
-  if (!tmx_r_knum(m, W_MEM, &s->mem) || s->mem < 0) return false;
-  if (!tmx_r_kstr(m, W_IMAGE, s->image, sizeof s->image) || !s->image[0]) return false;
-  if (!tmx_r_knum(m, W_IMAGE_GB, &s->image_gb) || s->image_gb < 0) return false;
-  const cbor_item_t *ty = tmx_r_get(m, W_TYPES);
-  if (ty) {
-    if (!cbor_isa_array(ty) || !tmx_r_len(ty) || tmx_r_len(ty) > TMX_TYPES_MAX) return false;
-    for (size_t i = 0; i < tmx_r_len(ty); i++)
-      if (!tmx_r_str(tmx_r_at(ty, i), s->types[i], sizeof s->types[i])) return false;
-    s->n_types = tmx_r_len(ty);
+  if (!tmx_cbor_get_number(map, W_CPUS, &s->cpus) || s->cpus < 0) return false;
+  if (!tmx_cbor_get_number(map, W_GPUS, &s->gpus) || s->gpus < 0) return false;
+  if (!tmx_cbor_get_number(map, W_MEM, &s->mem) || s->mem < 0) return false;
+  if (!tmx_cbor_get_text(map, W_IMAGE, s->image, sizeof s->image) || !s->image[0]) return false;
+  if (!tmx_cbor_get_number(map, W_IMAGE_GB, &s->image_gb) || s->image_gb < 0) return false;
+  const cbor_item_t *types = tmx_cbor_get(map, W_TYPES);
+  if (types) {
+    if (!cbor_isa_array(types) || !tmx_cbor_list_length(types) ||
+        tmx_cbor_list_length(types) > TMX_TYPES_MAX)
+      return false;
+    for (size_t i = 0; i < tmx_cbor_list_length(types); i++)
+      if (!tmx_cbor_as_text(tmx_cbor_list_at(types, i), s->types[i], sizeof s->types[i]))
+        return false;
+    s->n_types = tmx_cbor_list_length(types);
   }
-  if (tmx_r_get(m, W_ZONE) && !tmx_r_kstr(m, W_ZONE, s->zone, sizeof s->zone)) return false;
-  if (!tmx_r_kbool(m, W_ONE_ZONE, &s->one_zone) || !tmx_r_kbool(m, W_SPREAD, &s->spread) ||
-      !tmx_r_kbool(m, W_SPOT, &s->spot))
+  if (tmx_cbor_get(map, W_ZONE) && !tmx_cbor_get_text(map, W_ZONE, s->zone, sizeof s->zone))
+    return false;
+  if (!tmx_cbor_get_bool(map, W_ONE_ZONE, &s->one_zone) ||
+      !tmx_cbor_get_bool(map, W_SPREAD, &s->spread) || !tmx_cbor_get_bool(map, W_SPOT, &s->spot))
     return false; /* only what may be null may be left out */
   s->deadline_s = -1;
-  if (!tmx_r_knum(m, W_ESTIMATE, &s->estimate_s) || s->estimate_s < 0) return false;
-  if (!tmx_r_knum(m, W_CHECKPOINT, &s->checkpoint_s) || s->checkpoint_s < 0) return false;
-  if (!tmx_r_knum(m, W_SAVE, &s->save_s) || s->save_s < 0) return false;
-  if (tmx_r_get(m, W_DEADLINE) && (!tmx_r_knum(m, W_DEADLINE, &s->deadline_s) || s->deadline_s < 0))
+  if (!tmx_cbor_get_number(map, W_ESTIMATE, &s->estimate_s) || s->estimate_s < 0) return false;
+  if (!tmx_cbor_get_number(map, W_CHECKPOINT, &s->checkpoint_s) || s->checkpoint_s < 0)
+    return false;
+  if (!tmx_cbor_get_number(map, W_SAVE, &s->save_s) || s->save_s < 0) return false;
+  if (tmx_cbor_get(map, W_DEADLINE) &&
+      (!tmx_cbor_get_number(map, W_DEADLINE, &s->deadline_s) || s->deadline_s < 0))
     return false;
   return true;
 }
 
 /* Whole numbers take a byte or two, and most are. */
-static void w_short(struct tmx_buf *b, double v) {
+static void w_short(struct tmx_buffer *buffer, double v) {
   if (v >= 0 && v < 4e9 && v == (double)(uint64_t)v)
-    tmx_w_u64(b, (uint64_t)v);
+    tmx_cbor_put_u64(buffer, (uint64_t)v);
   else
-    tmx_w_num(b, v);
+    tmx_cbor_put_number(buffer, v);
 }
 
 /* A record is a list in a fixed order: values are small, and many jobs may come at once. The
@@ -72,57 +78,58 @@
   RECORD_FIELDS_ALL
 };
 
-static void encode_spec(struct tmx_buf *b, size_t fields, const char *id, const struct tmx_spec *s,
-                        double submitted, int fin) {
-  tmx_w_list(b, fields);
-  tmx_w_str(b, id);
-  tmx_w_str(b, s->class);
-  tmx_w_str(b, s->team);
-  tmx_w_str(b, s->image);
-  tmx_w_str(b, s->zone);
-  tmx_w_list(b, s->n_types);
-  for (size_t i = 0; i < s->n_types; i++) tmx_w_str(b, s->types[i]);
-  tmx_w_u64(b, (uint64_t)(s->service | s->one_zone << 1 | s->spread << 2 | s->spot << 3));
-  tmx_w_u64(b, (uint64_t)s->priority);
-  tmx_w_u64(b, s->tasks);
-  w_short(b, s->cpus);
-  w_short(b, s->gpus);
-  w_short(b, s->mem);
-  w_short(b, s->image_gb);
-  w_short(b, s->estimate_s);
-  w_short(b, s->checkpoint_s);
-  w_short(b, s->save_s);
-  w_short(b, s->deadline_s);
-  tmx_w_num(b, submitted);
-  tmx_w_u64(b, (uint64_t)fin);
-}
-
-void tmx_job_encode(struct tmx_buf *b, const char *id, const struct tmx_spec *s, double submitted,
-                    int fin) {
-  encode_spec(b, RECORD_FIELDS, id, s, submitted, fin);
-}
-
-static void encode_awaiting(struct tmx_buf *b, const char *id, const struct tmx_spec *s,
+static void encode_spec(struct tmx_buffer *buffer, size_t fields, const char *id,
+                        const struct tmx_spec *s, double submitted, int fin) {
+  tmx_cbor_put_list(buffer, fields);
+  tmx_cbor_put_text(buffer, id);
+  tmx_cbor_put_text(buffer, s->class);
+  tmx_cbor_put_text(buffer, s->team);
+  tmx_cbor_put_text(buffer, s->image);
+  tmx_cbor_put_text(buffer, s->zone);
+  tmx_cbor_put_list(buffer, s->n_types);
+  for (size_t i = 0; i < s->n_types; i++) tmx_cbor_put_text(buffer, s->types[i]);
+  tmx_cbor_put_u64(buffer,
+                   (uint64_t)(s->service | s->one_zone << 1 | s->spread << 2 | s->spot << 3));
+  tmx_cbor_put_u64(buffer, (uint64_t)s->priority);
+  tmx_cbor_put_u64(buffer, s->tasks);
+  w_short(buffer, s->cpus);
+  w_short(buffer, s->gpus);
+  w_short(buffer, s->mem);
+  w_short(buffer, s->image_gb);
+  w_short(buffer, s->estimate_s);
+  w_short(buffer, s->checkpoint_s);
+  w_short(buffer, s->save_s);
+  w_short(buffer, s->deadline_s);
+  tmx_cbor_put_number(buffer, submitted);
+  tmx_cbor_put_u64(buffer, (uint64_t)fin);
+}
+
+void tmx_job_encode(struct tmx_buffer *buffer, const char *id, const struct tmx_spec *s,
+                    double submitted, int fin) {
+  encode_spec(buffer, RECORD_FIELDS, id, s, submitted, fin);
+}
+
+static void encode_awaiting(struct tmx_buffer *buffer, const char *id, const struct tmx_spec *s,
                             double submitted, uint32_t n_awaits, const char *awaits) {
-  encode_spec(b, RECORD_FIELDS_ALL, id, s, submitted, TMX_OPEN);
-  tmx_w_str(b, awaits);
-  tmx_w_u64(b, n_awaits);
-  tmx_w_u64(b, 0);
+  encode_spec(buffer, RECORD_FIELDS_ALL, id, s, submitted, TMX_OPEN);
+  tmx_cbor_put_text(buffer, awaits);
+  tmx_cbor_put_u64(buffer, n_awaits);
+  tmx_cbor_put_u64(buffer, 0);
 }
 
 size_t tmx_job_types_within(const char *id, const struct tmx_spec *s, double submitted,
                             const struct tmx_awaits *a, size_t room) {
   struct tmx_spec part = *s;
-  struct tmx_buf bare = {0};
+  struct tmx_buffer bare = {0};
   for (; part.n_types > 1; part.n_types--) {
-    bare.n = 0;
+    bare.length = 0;
     if (a->n)
       encode_awaiting(&bare, id, &part, submitted, a->n, "");
     else
       tmx_job_encode(&bare, id, &part, submitted, TMX_OPEN);
-    if (tmx_json_len(&bare) <= room) break;
+    if (tmx_json_length(&bare) <= room) break;
   }
-  tmx_buf_free(&bare);
+  tmx_buffer_free(&bare);
   return part.n_types;
 }
 
@@ -130,48 +137,48 @@
   snprintf(out, cap, "%c %s %s", TMX_LINE_TYPE, id, type);
 }
 
-uint32_t tmx_job_encode_open(struct tmx_buf *b, const char *id, const struct tmx_spec *s,
+uint32_t tmx_job_encode_open(struct tmx_buffer *buffer, const char *id, const struct tmx_spec *s,
                              double submitted, const struct tmx_awaits *a, size_t room) {
   if (!a->n) {
-    tmx_job_encode(b, id, s, submitted, TMX_OPEN);
+    tmx_job_encode(buffer, id, s, submitted, TMX_OPEN);
     return 0;
   }
-  struct tmx_buf bare = {0};
+  struct tmx_buffer bare = {0};
   encode_awaiting(&bare, id, s, submitted, a->n, "");
-  size_t used = tmx_json_len(&bare);
+  size_t used = tmx_json_length(&bare);
   size_t left = room > used ? room - used : 0;
   uint32_t written = 0;
   char *text = calloc(1, left + 1);
   if (!text) abort();
   tmx_awaits_text(text, left + 1, a, &written);
-  encode_awaiting(b, id, s, submitted, a->n, text);
-  tmx_buf_free(&bare);
+  encode_awaiting(buffer, id, s, submitted, a->n, text);
+  tmx_buffer_free(&bare);
   free(text);
   return written;
 }
 
-static void encode_final(struct tmx_buf *b, const struct tmx_job *j, const struct tmx_spec *s,
-                         int fin, double ended) {
-  encode_spec(b, ended > 0 ? RECORD_FIELDS_ALL : RECORD_FIELDS, j->id, s, j->submitted, fin);
+static void encode_final(struct tmx_buffer *buffer, const struct tmx_job *j,
+                         const struct tmx_spec *s, int fin, double ended) {
+  encode_spec(buffer, ended > 0 ? RECORD_FIELDS_ALL : RECORD_FIELDS, j->id, s, j->submitted, fin);
   if (ended <= 0) return;
-  tmx_w_str(b, "");
-  tmx_w_u64(b, 0);
-  tmx_w_num(b, ended);
+  tmx_cbor_put_text(buffer, "");
+  tmx_cbor_put_u64(buffer, 0);
+  tmx_cbor_put_number(buffer, ended);
 }
 
 /* What a job that is over has left on machines counts by its size and team; the rest of what its
  * owner said is of no use any more and gives way to a limit that was lowered meanwhile. */
-void tmx_job_encode_final(struct tmx_buf *b, const struct tmx_job *j, int fin, double ended,
+void tmx_job_encode_final(struct tmx_buffer *buffer, const struct tmx_job *j, int fin, double ended,
                           size_t room) {
-  size_t start = b->n;
-  encode_final(b, j, &j->spec, fin, ended);
-  struct tmx_buf written = {.p = b->p + start, .n = b->n - start};
-  if (tmx_json_len(&written) <= room) return;
+  size_t start = buffer->length;
+  encode_final(buffer, j, &j->spec, fin, ended);
+  struct tmx_buffer written = {.data = buffer->data + start, .length = buffer->length - start};
+  if (tmx_json_length(&written) <= room) return;
   struct tmx_spec short_spec = j->spec;
   short_spec.n_types = 0;
   short_spec.class[0] = short_spec.image[0] = short_spec.zone[0] = 0;
-  b->n = start;
-  encode_final(b, j, &short_spec, fin, ended);
+  buffer->length = start;
+  encode_final(buffer, j, &short_spec, fin, ended);
 }
 
 /* ------------------------------------------------------------ awaited jobs */
@@ -187,17 +194,18 @@
 
 static int by_id(const void *a, const void *b) { return strcmp(a, b); }
 
-bool tmx_awaits_parse(const cbor_item_t *m, struct tmx_awaits *a) {
-  const cbor_item_t *list = tmx_r_get(m, W_AWAITS);
+bool tmx_awaits_parse(const cbor_item_t *map, struct tmx_awaits *a) {
+  const cbor_item_t *list = tmx_cbor_get(map, W_AWAITS);
   memset(a, 0, sizeof *a);
   if (!list) return true;
   if (!cbor_isa_array(list)) return false;
-  size_t n = tmx_r_len(list);
+  size_t n = tmx_cbor_list_length(list);
   if (!n) return true;
   a->ids = calloc(n, sizeof *a->ids);
   if (!a->ids) abort();
   for (size_t i = 0; i < n; i++)
-    if (!tmx_r_str(tmx_r_at(list, i), a->ids[i], TMX_ID_MAX) || !tmx_job_id_ok(a->ids[i])) {
+    if (!tmx_cbor_as_text(tmx_cbor_list_at(list, i), a->ids[i], TMX_ID_MAX) ||
+        !tmx_job_id_ok(a->ids[i])) {
       tmx_awaits_free(a);
       return false;
     }
@@ -239,30 +247,36 @@
   tmx_awaits_text(out + n, cap - (size_t)n, a, from);
 }
 
-static bool decode_dependencies(const cbor_item_t *l, struct tmx_job_record *out) {
-  if (tmx_r_len(l) < RECORD_FIELDS_ALL) return true;
-  out->awaits = tmx_r_at(l, RECORD_AWAITS);
-  return cbor_isa_string(out->awaits) && tmx_r_u64(tmx_r_at(l, RECORD_N_AWAITS), &out->n_awaits) &&
-         out->n_awaits <= TMX_BODY_MAX && tmx_r_num(tmx_r_at(l, RECORD_ENDED), &out->ended);
+static bool decode_dependencies(const cbor_item_t *list, struct tmx_job_record *out) {
+  if (tmx_cbor_list_length(list) < RECORD_FIELDS_ALL) return true;
+  out->awaits = tmx_cbor_list_at(list, RECORD_AWAITS);
+  return cbor_isa_string(out->awaits) &&
+         tmx_cbor_as_u64(tmx_cbor_list_at(list, RECORD_N_AWAITS), &out->n_awaits) &&
+         out->n_awaits <= TMX_BODY_MAX &&
+         tmx_cbor_as_number(tmx_cbor_list_at(list, RECORD_ENDED), &out->ended);
 }
 
-bool tmx_job_decode(const cbor_item_t *l, struct tmx_job_record *out) {
+bool tmx_job_decode(const cbor_item_t *list, struct tmx_job_record *out) {
   uint64_t flags, prio, tasks;
   struct tmx_spec *s = &out->spec;
   memset(out, 0, sizeof *out);
-  if (tmx_r_len(l) < RECORD_FIELDS || !tmx_r_str(tmx_r_at(l, 0), out->id, sizeof out->id) ||
-      !tmx_r_str(tmx_r_at(l, 1), s->class, sizeof s->class) ||
-      !tmx_r_str(tmx_r_at(l, 2), s->team, sizeof s->team) ||
-      !tmx_r_str(tmx_r_at(l, 3), s->image, sizeof s->image) ||
-      !tmx_r_str(tmx_r_at(l, 4), s->zone, sizeof s->zone))
+  if (tmx_cbor_list_length(list) < RECORD_FIELDS ||
+      !tmx_cbor_as_text(tmx_cbor_list_at(list, 0), out->id, sizeof out->id) ||
+      !tmx_cbor_as_text(tmx_cbor_list_at(list, 1), s->class, sizeof s->class) ||
+      !tmx_cbor_as_text(tmx_cbor_list_at(list, 2), s->team, sizeof s->team) ||
+      !tmx_cbor_as_text(tmx_cbor_list_at(list, 3), s->image, sizeof s->image) ||
+      !tmx_cbor_as_text(tmx_cbor_list_at(list, 4), s->zone, sizeof s->zone))
     return false;
-  const cbor_item_t *types = tmx_r_at(l, 5);
-  for (; s->n_types < tmx_r_len(types) && s->n_types < TMX_TYPES_MAX; s->n_types++)
-    if (!tmx_r_str(tmx_r_at(types, s->n_types), s->types[s->n_types], TMX_ID_MAX)) return false;
-  if (!tmx_r_u64(tmx_r_at(l, 6), &flags) || !tmx_r_u64(tmx_r_at(l, 7), &prio) ||
-      !tmx_r_u64(tmx_r_at(l, 8), &tasks) || tasks < 1 || tasks > TMX_TASKS_MAX ||
-      prio > TMX_PRIO_PROD || !tmx_r_num(tmx_r_at(l, RECORD_SUBMITTED), &out->submitted) ||
-      !tmx_r_u64(tmx_r_at(l, RECORD_FIN), &out->fin))
+  const cbor_item_t *types = tmx_cbor_list_at(list, 5);
+  for (; s->n_types < tmx_cbor_list_length(types) && s->n_types < TMX_TYPES_MAX; s->n_types++)
+    if (!tmx_cbor_as_text(tmx_cbor_list_at(types, s->n_types), s->types[s->n_types], TMX_ID_MAX))
+      return false;
+  if (!tmx_cbor_as_u64(tmx_cbor_list_at(list, 6), &flags) ||
+      !tmx_cbor_as_u64(tmx_cbor_list_at(list, 7), &prio) ||
+      !tmx_cbor_as_u64(tmx_cbor_list_at(list, 8), &tasks) || tasks < 1 || tasks > TMX_TASKS_MAX ||
+      prio > TMX_PRIO_PROD ||
+      !tmx_cbor_as_number(tmx_cbor_list_at(list, RECORD_SUBMITTED), &out->submitted) ||
+      !tmx_cbor_as_u64(tmx_cbor_list_at(list, RECORD_FIN), &out->fin))
     return false;
   s->service = flags & 1;
   s->one_zone = flags >> 1 & 1;
@@ -273,8 +287,8 @@
   double *num[] = {&s->cpus,       &s->gpus,         &s->mem,    &s->image_gb,
                    &s->estimate_s, &s->checkpoint_s, &s->save_s, &s->deadline_s};
   for (size_t i = 0; i < sizeof num / sizeof num[0]; i++)
-    if (!tmx_r_num(tmx_r_at(l, 9 + i), num[i])) return false;
-  return decode_dependencies(l, out);
+    if (!tmx_cbor_as_number(tmx_cbor_list_at(list, 9 + i), num[i])) return false;
+  return decode_dependencies(list, out);
 }
 
 bool tmx_task_parse(const char *s, char *job, size_t cap, uint32_t *index) {
@@ -416,56 +430,56 @@
   return n;
 }
 
-void tmx_lines_encode(struct tmx_buf *b, const struct tmx_buf *jobs, size_t n_jobs,
-                      const struct tmx_buf *list, size_t n) {
-  tmx_w_map(b, (n_jobs > 0) + (n > 0));
+void tmx_lines_encode(struct tmx_buffer *buffer, const struct tmx_buffer *jobs, size_t n_jobs,
+                      const struct tmx_buffer *list, size_t n) {
+  tmx_cbor_put_map(buffer, (n_jobs > 0) + (n > 0));
   if (n_jobs) {
-    tmx_w_str(b, "jobs");
-    tmx_w_list(b, n_jobs);
-    tmx_buf_add(b, jobs->p, jobs->n);
+    tmx_cbor_put_text(buffer, "jobs");
+    tmx_cbor_put_list(buffer, n_jobs);
+    tmx_buffer_append(buffer, jobs->data, jobs->length);
   }
   if (n) {
-    tmx_w_str(b, "ops");
-    tmx_w_list(b, n);
-    tmx_buf_add(b, list->p, list->n);
+    tmx_cbor_put_text(buffer, "ops");
+    tmx_cbor_put_list(buffer, n);
+    tmx_buffer_append(buffer, list->data, list->length);
   }
 }
 
-void tmx_view_encode(struct tmx_buf *b, const struct tmx_view *v) {
-  tmx_w_map(b, 4);
-  tmx_w_kbool(b, "local", v->local);
-  tmx_w_ku64(b, "term", v->term);
-  tmx_w_str(b, "members");
-  tmx_w_list(b, v->n_members);
+void tmx_view_encode(struct tmx_buffer *buffer, const struct tmx_view *v) {
+  tmx_cbor_put_map(buffer, 4);
+  tmx_cbor_put_bool_field(buffer, "local", v->local);
+  tmx_cbor_put_u64_field(buffer, "term", v->term);
+  tmx_cbor_put_text(buffer, "members");
+  tmx_cbor_put_list(buffer, v->n_members);
   for (size_t i = 0; i < v->n_members; i++) {
-    tmx_w_map(b, 2);
-    tmx_w_kstr(b, "name", v->members[i].name);
-    tmx_w_ku64(b, "inc", v->members[i].inc);
+    tmx_cbor_put_map(buffer, 2);
+    tmx_cbor_put_text_field(buffer, "name", v->members[i].name);
+    tmx_cbor_put_u64_field(buffer, "inc", v->members[i].inc);
   }
-  tmx_w_str(b, "exceptions");
+  tmx_cbor_put_text(buffer, "exceptions");
   /* by node, so that each name is written once: a value is small, a cut takes many machines */
   size_t n = 0;
-  struct tmx_buf list = {0};
+  struct tmx_buffer list = {0};
   bool *seen = calloc(v->n_exceptions + 1, sizeof *seen);
   if (!seen) abort();
   for (size_t i = 0; i < v->n_exceptions; i++) {
     if (seen[i]) continue;
-    struct tmx_buf ids = {0};
+    struct tmx_buffer ids = {0};
     size_t k = 0;
     for (size_t j = i; j < v->n_exceptions; j++) {
       if (strcmp(v->exceptions[j].node, v->exceptions[i].node)) continue;
       seen[j] = true;
-      tmx_w_str(&ids, v->exceptions[j].machine);
+      tmx_cbor_put_text(&ids, v->exceptions[j].machine);
       k++;
     }
-    tmx_w_str(&list, v->exceptions[i].node);
-    tmx_w_list(&list, k);
-    tmx_buf_add(&list, ids.p, ids.n);
-    tmx_buf_free(&ids);
+    tmx_cbor_put_text(&list, v->exceptions[i].node);
+    tmx_cbor_put_list(&list, k);
+    tmx_buffer_append(&list, ids.data, ids.length);
+    tmx_buffer_free(&ids);
     n += 2;
   }
   free(seen);
-  tmx_w_list(b, n);
-  tmx_buf_add(b, list.p, list.n);
-  tmx_buf_free(&list);
+  tmx_cbor_put_list(buffer, n);
+  tmx_buffer_append(buffer, list.data, list.length);
+  tmx_buffer_free(&list);
 }
--- a/src/state/link.h
+++ b/src/state/link.h
@@ -30,11 +30,12 @@
  * committed; TXN_REFUSED not executed (rate, outage); TXN_UNKNOWN may be applied, now or later. */
 enum { TMX_TXN_OK, TMX_TXN_CONFLICT, TMX_TXN_REFUSED, TMX_TXN_UNKNOWN };
 struct tmx_txn {
-  struct tmx_buf conds, ops;
+  struct tmx_buffer conds, ops;
   int n_conds, n_ops;
 };
 void tmx_txn_if(struct tmx_txn *t, const char *key, uint64_t version);
-void tmx_txn_put(struct tmx_txn *t, const char *key, const struct tmx_buf *value, uint64_t lease);
+void tmx_txn_put(struct tmx_txn *t, const char *key, const struct tmx_buffer *value,
+                 uint64_t lease);
 void tmx_txn_drop(struct tmx_txn *t, const char *key);
 void tmx_txn_head(struct tmx_txn *t, const char *by); /* rewrites head */
 typedef void (*tmx_txn_cb)(void *arg, int result, uint64_t rev);
--- a/src/state/members.c
+++ b/src/state/members.c
@@ -71,11 +71,11 @@
 }
 
 void tmx_replica_apply_node(struct tmx_replica *r, const char *name, uint64_t stamp,
-                            const cbor_item_t *v) {
+                            const cbor_item_t *value) {
   size_t i;
   for (i = 0; i < r->n_nodes; i++)
     if (!strcmp(r->nodes[i].name, name)) break;
-  if (!v) {
+  if (!value) {
     if (i < r->n_nodes) r->nodes[i] = r->nodes[--r->n_nodes];
   } else {
     if (i == r->n_nodes) {
@@ -88,33 +88,35 @@
   tmx_replica_changed(r);
 }
 
-void tmx_replica_apply_view(struct tmx_replica *r, uint64_t stamp, const cbor_item_t *v) {
+void tmx_replica_apply_view(struct tmx_replica *r, uint64_t stamp, const cbor_item_t *value) {
   struct tmx_view *w = &r->view;
-  if (!v) return;
+  if (!value) return;
   HASH_CLEAR(hh, w->taken);
   free(w->exceptions);
   memset(w, 0, sizeof *w);
   w->stamp = stamp;
-  tmx_r_ku64(v, "term", &w->term);
-  tmx_r_kbool(v, "local", &w->local);
-  const cbor_item_t *ms = tmx_r_get(v, "members"), *ex = tmx_r_get(v, "exceptions");
-  for (size_t i = 0; i < tmx_r_len(ms) && w->n_members < TMX_MEMBERS_MAX; i++) {
+  tmx_cbor_get_u64(value, "term", &w->term);
+  tmx_cbor_get_bool(value, "local", &w->local);
+  const cbor_item_t *machines = tmx_cbor_get(value, "members"),
+                    *overrides = tmx_cbor_get(value, "exceptions");
+  for (size_t i = 0; i < tmx_cbor_list_length(machines) && w->n_members < TMX_MEMBERS_MAX; i++) {
     struct tmx_member *m = &w->members[w->n_members];
-    if (!tmx_r_kstr(tmx_r_at(ms, i), "name", m->name, sizeof m->name) ||
-        !tmx_r_ku64(tmx_r_at(ms, i), "inc", &m->inc))
+    if (!tmx_cbor_get_text(tmx_cbor_list_at(machines, i), "name", m->name, sizeof m->name) ||
+        !tmx_cbor_get_u64(tmx_cbor_list_at(machines, i), "inc", &m->inc))
       continue;
     m->zone = tmx_node_zone(r->set, m->name);
     w->n_members++;
   }
   size_t n = 0;
-  for (size_t i = 1; i < tmx_r_len(ex); i += 2) n += tmx_r_len(tmx_r_at(ex, i));
+  for (size_t i = 1; i < tmx_cbor_list_length(overrides); i += 2)
+    n += tmx_cbor_list_length(tmx_cbor_list_at(overrides, i));
   w->exceptions = tmx_replica_alloc(sizeof *w->exceptions * (n + 1));
-  for (size_t i = 0; i + 1 < tmx_r_len(ex); i += 2) {
-    const cbor_item_t *ids = tmx_r_at(ex, i + 1);
-    for (size_t k = 0; k < tmx_r_len(ids); k++) {
+  for (size_t i = 0; i + 1 < tmx_cbor_list_length(overrides); i += 2) {
+    const cbor_item_t *ids = tmx_cbor_list_at(overrides, i + 1);
+    for (size_t k = 0; k < tmx_cbor_list_length(ids); k++) {
       struct tmx_exception *e = &w->exceptions[w->n_exceptions], *old;
-      if (!tmx_r_str(tmx_r_at(ex, i), e->node, TMX_NAME_MAX) ||
-          !tmx_r_str(tmx_r_at(ids, k), e->machine, TMX_ID_MAX))
+      if (!tmx_cbor_as_text(tmx_cbor_list_at(overrides, i), e->node, TMX_NAME_MAX) ||
+          !tmx_cbor_as_text(tmx_cbor_list_at(ids, k), e->machine, TMX_ID_MAX))
         continue;
       HASH_FIND_STR(w->taken, e->machine, old);
       if (old) continue;
--- a/src/state/replica.c
+++ b/src/state/replica.c
@@ -336,7 +336,7 @@
   tmx_depend_declare(j, (uint32_t)record->n_awaits);
   size_t len = cbor_string_length(record->awaits);
   char *text = tmx_replica_alloc(len + 1);
-  tmx_r_str(record->awaits, text, len + 1);
+  tmx_cbor_as_text(record->awaits, text, len + 1);
   tmx_awaits_read(j, 0, text);
   free(text);
   tmx_depend_resolve(r, j);
@@ -344,10 +344,10 @@
 
 /* A submission, from the log, or with its final state from the job's own key, of that version;
  * 0: not from there. */
-static void apply_job(struct tmx_replica *r, const cbor_item_t *v, uint64_t own_key_stamp) {
+static void apply_job(struct tmx_replica *r, const cbor_item_t *value, uint64_t own_key_stamp) {
   struct tmx_job_record record;
-  if (!tmx_job_decode(v, &record)) {
-    tmx_log(TMX_ERROR, "state: a job cannot be read");
+  if (!tmx_job_decode(value, &record)) {
+    tmx_log(TMX_LOG_ERROR, "state: a job cannot be read");
     return;
   }
   struct tmx_job *j = tmx_job_find(r, record.id);
@@ -517,12 +517,13 @@
 
 static void apply_each(void *arg, const struct tmx_op *o) { apply_op(arg, o); }
 
-static void apply_lines(struct tmx_replica *r, const cbor_item_t *v) {
-  const cbor_item_t *ops = tmx_r_get(v, "ops"), *jobs = tmx_r_get(v, "jobs");
-  for (size_t i = 0; i < tmx_r_len(jobs); i++) apply_job(r, tmx_r_at(jobs, i), 0);
-  for (size_t i = 0; i < tmx_r_len(ops); i++) {
+static void apply_lines(struct tmx_replica *r, const cbor_item_t *value) {
+  const cbor_item_t *ops = tmx_cbor_get(value, "ops"), *jobs = tmx_cbor_get(value, "jobs");
+  for (size_t i = 0; i < tmx_cbor_list_length(jobs); i++)
+    apply_job(r, tmx_cbor_list_at(jobs, i), 0);
+  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++) {
     char s[TMX_LINE_MAX];
-    if (!tmx_r_str(tmx_r_at(ops, i), s, sizeof s)) continue;
+    if (!tmx_cbor_as_text(tmx_cbor_list_at(ops, i), s, sizeof s)) continue;
     if (s[0] == TMX_LINE_MACHINE || s[0] == TMX_LINE_DRAIN || s[0] == TMX_LINE_GONE)
       apply_machine(r, s);
     else if (s[0] == TMX_LINE_RUN)
@@ -537,11 +538,11 @@
 }
 
 static void apply_batch(struct tmx_replica *r, const char *key, const char *rest, uint64_t stamp,
-                        const cbor_item_t *v) {
-  keep_key(&r->batches, key, stamp, v != NULL);
+                        const cbor_item_t *value) {
+  keep_key(&r->batches, key, stamp, value != NULL);
   /* Batches up to the mark are in the pages. Their keys are written over in any order, so what is
    * left of them no longer tells the whole story. */
-  if (!v || stamp <= r->fold_mark) return;
+  if (!value || stamp <= r->fold_mark) return;
   const char *end = strchr(rest, '/');
   size_t n = end ? (size_t)(end - rest) : 0, i;
   if (n && n < TMX_NAME_MAX) {
@@ -553,7 +554,7 @@
     }
     if (i < r->n_wrote) r->wrote[i].at = r->now;
   }
-  apply_lines(r, v);
+  apply_lines(r, value);
 }
 
 static bool after(const char *key, const char *prefix, const char **rest) {
@@ -564,35 +565,35 @@
 }
 
 void tmx_replica_apply(struct tmx_replica *r, const char *key, uint64_t stamp,
-                       const cbor_item_t *v) {
+                       const cbor_item_t *value) {
   const char *rest;
   if (after(key, TMX_K_BATCH, &rest)) {
-    apply_batch(r, key, rest, stamp, v);
+    apply_batch(r, key, rest, stamp, value);
   } else if (after(key, TMX_K_JOB, &rest)) {
-    if (v) apply_job(r, v, stamp); /* job keys are never dropped */
+    if (value) apply_job(r, value, stamp); /* job keys are never dropped */
   } else if (after(key, TMX_K_PAGE, &rest)) {
-    keep_key(&r->pages, key, stamp, v != NULL);
+    keep_key(&r->pages, key, stamp, value != NULL);
     /* A complete copy has it already. Pages of a fold that was given up tell of tasks whose ends
      * may lie before the mark that stands: of a job that is over no page of this fold would put
      * that right. */
-    if (v && !r->loaded && strtoull(rest, NULL, 16) == r->fold_gen) apply_lines(r, v);
+    if (value && !r->loaded && strtoull(rest, NULL, 16) == r->fold_gen) apply_lines(r, value);
   } else if (!strcmp(key, TMX_K_FOLD)) {
-    r->fold_stamp = v ? stamp : 0;
-    tmx_r_ku64(v, "mark", &r->fold_mark);
-    tmx_r_ku64(v, "gen", &r->fold_gen);
+    r->fold_stamp = value ? stamp : 0;
+    tmx_cbor_get_u64(value, "mark", &r->fold_mark);
+    tmx_cbor_get_u64(value, "gen", &r->fold_gen);
   } else if (after(key, TMX_K_NODE, &rest)) {
-    tmx_replica_apply_node(r, rest, stamp, v);
+    tmx_replica_apply_node(r, rest, stamp, value);
   } else if (!strcmp(key, TMX_K_HEAD)) {
     r->head = stamp;
   } else if (!strcmp(key, TMX_K_VIEW)) {
-    tmx_replica_apply_view(r, stamp, v);
+    tmx_replica_apply_view(r, stamp, value);
   } else if (!strcmp(key, TMX_K_LEADER)) {
     r->leader[0] = 0;
-    r->leader_stamp = v ? stamp : 0;
+    r->leader_stamp = value ? stamp : 0;
     r->leader_inc = 0;
-    if (v) {
-      tmx_r_kstr(v, "name", r->leader, sizeof r->leader);
-      tmx_r_ku64(v, "inc", &r->leader_inc);
+    if (value) {
+      tmx_cbor_get_text(value, "name", r->leader, sizeof r->leader);
+      tmx_cbor_get_u64(value, "inc", &r->leader_inc);
     }
     tmx_replica_changed(r);
   }
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -237,16 +237,16 @@
 static inline uint32_t tmx_task_index(const struct tmx_task *t);
 
 /* wire forms */
-bool tmx_spec_parse(const cbor_item_t *m, struct tmx_spec *s, char *id, size_t id_cap);
+bool tmx_spec_parse(const cbor_item_t *map, struct tmx_spec *s, char *id, size_t id_cap);
 bool tmx_job_id_ok(const char *id);
 /* The ids that a submission names, each once; false: malformed. */
-bool tmx_awaits_parse(const cbor_item_t *m, struct tmx_awaits *a);
+bool tmx_awaits_parse(const cbor_item_t *map, struct tmx_awaits *a);
 /* A job's record, in the form that every version reads. */
-void tmx_job_encode(struct tmx_buf *b, const char *id, const struct tmx_spec *s, double submitted,
-                    int fin);
+void tmx_job_encode(struct tmx_buffer *buffer, const char *id, const struct tmx_spec *s,
+                    double submitted, int fin);
 /* ... of one that may name others, with as many of their ids as `room` (bytes as JSON) leaves;
  * returns how many. The rest follows in lines. */
-uint32_t tmx_job_encode_open(struct tmx_buf *b, const char *id, const struct tmx_spec *s,
+uint32_t tmx_job_encode_open(struct tmx_buffer *buffer, const char *id, const struct tmx_spec *s,
                              double submitted, const struct tmx_awaits *a, size_t room);
 /* How many of its machine types a record in `room` bytes can name, at least one: the others follow
  * in lines. An older version, which passes over these, takes the job for one that allows fewer. */
@@ -255,7 +255,7 @@
 void tmx_type_print(char *out, size_t cap, const char *id, const char *type);
 /* ... of one that is over, cut down to what still counts where `room` asks for it. ended: time of
  * day, s; 0 leaves it out. */
-void tmx_job_encode_final(struct tmx_buf *b, const struct tmx_job *j, int fin, double ended,
+void tmx_job_encode_final(struct tmx_buffer *buffer, const struct tmx_job *j, int fin, double ended,
                           size_t room);
 struct tmx_job_record { /* of a job, as it is stored */
   char id[TMX_ID_MAX];
@@ -264,7 +264,7 @@
   uint64_t fin, n_awaits;    /* n_awaits: all that it names */
   const cbor_item_t *awaits; /* text: the first of them; NULL: none */
 };
-bool tmx_job_decode(const cbor_item_t *l, struct tmx_job_record *out);
+bool tmx_job_decode(const cbor_item_t *list, struct tmx_job_record *out);
 /* Ids as they stand in a record or a line: without their common prefix, set apart by spaces. */
 size_t tmx_awaits_text(char *out, size_t cap, const struct tmx_awaits *a, uint32_t *from);
 void tmx_awaits_read(struct tmx_job *j, uint32_t from, const char *text);
@@ -278,15 +278,15 @@
                       const struct tmx_machine *m);
 uint32_t tmx_run_print(char *out, size_t cap, const struct tmx_job *j, uint32_t from, int *len);
 /* A batch's or a page's value: encoded jobs, and lines. */
-void tmx_lines_encode(struct tmx_buf *b, const struct tmx_buf *jobs, size_t n_jobs,
-                      const struct tmx_buf *list, size_t n);
+void tmx_lines_encode(struct tmx_buffer *buffer, const struct tmx_buffer *jobs, size_t n_jobs,
+                      const struct tmx_buffer *list, size_t n);
 /* How long a task of the job is expected to run, s: the owner's estimate, as far as it has held for
  * the class of late. */
 double tmx_expected_run(const struct tmx_replica *r, const struct tmx_spec *s);
 void tmx_learn_run(struct tmx_replica *r, const struct tmx_spec *s, double ran);
 /* The time at which a batch of this member was last seen; 0: never. */
 double tmx_replica_wrote(const struct tmx_replica *r, const char *node);
-void tmx_view_encode(struct tmx_buf *b, const struct tmx_view *v);
+void tmx_view_encode(struct tmx_buffer *buffer, const struct tmx_view *v);
 #define TMX_OP_PLACE 'p'
 #define TMX_OP_STOP 's'
 #define TMX_OP_END 'e'
--- a/src/user/user.c
+++ b/src/user/user.c
@@ -17,7 +17,7 @@
 enum kind { ASK_POLL, ASK_SUBMIT, ASK_CANCEL };
 struct ask { /* a request that waits for the state */
   struct tmx_users *u;
-  struct tmx_req *req;
+  struct tmx_http_request *req;
   enum kind kind;
   char id[TMX_ID_MAX];
   int otherwise;                  /* status for an unknown job */
@@ -39,34 +39,34 @@
 }
 void tmx_users_free(struct tmx_users *u) { free(u); }
 
-static void refuse(struct tmx_req *q, const char *why) {
-  if (tmx_log_on(TMX_DEBUG))
-    tmx_log(TMX_DEBUG, "user: %s refused for now: %s", q->method == HTTP_POST ? "request" : "poll",
-            why);
-  tmx_req_reply(q, 503, NULL, tmx_retry_after());
+static void refuse(struct tmx_http_request *request, const char *why) {
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: %s",
+            request->method == HTTP_POST ? "request" : "poll", why);
+  tmx_http_reply(request, 503, NULL, tmx_retry_after());
 }
 
-static void answer_named(struct tmx_req *q, int status, const char *id, const char *state,
-                         const struct tmx_job *j) {
-  struct tmx_buf b = {0};
-  tmx_w_map(&b, j ? 4 : 2);
-  tmx_w_kstr(&b, W_ID, id);
-  tmx_w_kstr(&b, W_STATE, state);
+static void answer_named(struct tmx_http_request *request, int status, const char *id,
+                         const char *state, const struct tmx_job *j) {
+  struct tmx_buffer buffer = {0};
+  tmx_cbor_put_map(&buffer, j ? 4 : 2);
+  tmx_cbor_put_text_field(&buffer, W_ID, id);
+  tmx_cbor_put_text_field(&buffer, W_STATE, state);
   if (j) {
-    tmx_w_ku64(&b, W_DONE, j->n_done);
-    tmx_w_ku64(&b, W_RUNNING, j->fin ? 0 : j->n_placed);
+    tmx_cbor_put_u64_field(&buffer, W_DONE, j->n_done);
+    tmx_cbor_put_u64_field(&buffer, W_RUNNING, j->fin ? 0 : j->n_placed);
   }
-  tmx_req_reply(q, status, &b, 0);
-  tmx_buf_free(&b);
+  tmx_http_reply(request, status, &buffer, 0);
+  tmx_buffer_free(&buffer);
 }
 
-static void answer_job(struct tmx_req *q, struct tmx_job *j) {
-  j->answered_at = tmx_now();
+static void answer_job(struct tmx_http_request *request, struct tmx_job *j) {
+  j->answered_at = tmx_clock_steady();
   const char *s = j->fin == TMX_FIN_DONE        ? WV_DONE
                   : j->fin == TMX_FIN_CANCELLED ? WV_CANCELLED
                   : j->n_placed                 ? WV_RUNNING
                                                 : WV_PENDING;
-  answer_named(q, 200, j->id, s, j);
+  answer_named(request, 200, j->id, s, j);
 }
 
 static void free_submission(struct tmx_submission *s) {
@@ -85,11 +85,11 @@
 }
 
 static void refuse_overload(struct ask *a) {
-  if (tmx_log_on(TMX_DEBUG))
-    tmx_log(TMX_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", a->id,
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", a->id,
             a->ruling.backlog_s, a->ruling.ceiling_s);
   tmx_gate_told(a->u->c->gate, &a->candidate, a->ruling.verdict);
-  tmx_req_reply(a->req, 503, NULL, tmx_gate_retry_after(&a->ruling));
+  tmx_http_reply(a->req, 503, NULL, tmx_gate_retry_after(&a->ruling));
 }
 
 static void on_confirm(void *arg, bool ok) {
@@ -103,7 +103,7 @@
   } else if (!j && a->overload)
     refuse_overload(a);
   else if (!j)
-    tmx_req_reply(a->req, a->otherwise, NULL, a->otherwise == 503 ? tmx_retry_after() : 0);
+    tmx_http_reply(a->req, a->otherwise, NULL, a->otherwise == 503 ? tmx_retry_after() : 0);
   else if (a->kind == ASK_CANCEL && !j->fin) {
     cancel_step(a);
     return;
@@ -116,29 +116,30 @@
 
 /* Waits until the replica holds all that was committed before this request came. A submission that
  * is handed over is judged then, if nobody has submitted the job meanwhile. */
-static void ask(struct tmx_users *u, struct tmx_req *q, const struct ask *what) {
+static void ask(struct tmx_users *u, struct tmx_http_request *request, const struct ask *what) {
   /* Where the state is out of reach nothing can be decided: the sender goes elsewhere at once. When
    * more ask than can be answered, those go first of whose job nobody was told here of late, so
    * that none stays without an answer however many others ask. */
   const struct tmx_job *j = tmx_job_find(&u->c->rep, what->id);
-  bool late = what->kind != ASK_POLL || (j && tmx_now() - j->answered_at > TMX_POLL_FAIR_S);
+  bool late =
+      what->kind != ASK_POLL || (j && tmx_clock_steady() - j->answered_at > TMX_POLL_FAIR_S);
   struct ask *a = calloc(1, sizeof *a);
   if (!a || !tmx_link_served(u->c->link) ||
       u->waiting >= (late ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2)) {
     free(a);
     free_submission(what->submission);
-    refuse(q, tmx_link_served(u->c->link) ? "too many wait" : "no state");
+    refuse(request, tmx_link_served(u->c->link) ? "too many wait" : "no state");
     return;
   }
   double within = what->kind == ASK_POLL ? TMX_USER_WAIT_S : TMX_SUBMIT_WAIT_S;
   *a = *what;
   a->u = u;
-  a->req = q;
-  a->since = tmx_now();
-  a->until = tmx_now() + within;
+  a->req = request;
+  a->since = tmx_clock_steady();
+  a->until = tmx_clock_steady() + within;
   u->waiting++;
   if (!tmx_link_confirm(u->c->link, within, on_confirm, a)) {
-    refuse(q, "too many wait for the state");
+    refuse(request, "too many wait for the state");
     done(a);
   }
 }
@@ -153,8 +154,8 @@
     done(a);
     return;
   }
-  if (res == TMX_TXN_CONFLICT && ++a->tries < 8 && tmx_now() < a->until &&
-      tmx_link_confirm(a->u->c->link, a->until - tmx_now(), on_confirm, a))
+  if (res == TMX_TXN_CONFLICT && ++a->tries < 8 && tmx_clock_steady() < a->until &&
+      tmx_link_confirm(a->u->c->link, a->until - tmx_clock_steady(), on_confirm, a))
     return;
   refuse(a->req, "not known whether it is cancelled"); /* the user asks again and is told then */
   done(a);
@@ -164,16 +165,16 @@
   struct tmx_ctl *c = a->u->c;
   struct tmx_job *j = tmx_job_find(&c->rep, a->id);
   struct tmx_txn t = {0};
-  struct tmx_buf v = {0};
+  struct tmx_buffer value = {0};
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_K_JOB "%s", a->id);
   /* Conditional on the job's own key, which also its completion rewrites; head is rewritten,
    * so that no batch planned before this can start one of its tasks. */
   tmx_txn_if(&t, key, j->stamp);
-  tmx_job_encode_final(&v, j, TMX_FIN_CANCELLED, 0, tmx_value_room(&c->set));
-  tmx_txn_put(&t, key, &v, 0);
+  tmx_job_encode_final(&value, j, TMX_FIN_CANCELLED, 0, tmx_value_room(&c->set));
+  tmx_txn_put(&t, key, &value, 0);
   tmx_txn_head(&t, c->set.node);
-  tmx_buf_free(&v);
+  tmx_buffer_free(&value);
   if (!tmx_link_commit(c->link, &t, true, on_cancelled, a)) {
     refuse(a->req, "no connection to the state");
     done(a);
@@ -196,8 +197,9 @@
 static void on_submitted(void *arg, int res) {
   struct ask *a = arg;
   if (res == TMX_TXN_OK) {
-    if (tmx_log_on(TMX_DEBUG))
-      tmx_log(TMX_DEBUG, "job: %s accepted in %.0f ms", a->id, (tmx_now() - a->since) * 1000);
+    if (tmx_log_enabled(TMX_LOG_DEBUG))
+      tmx_log(TMX_LOG_DEBUG, "job: %s accepted in %.0f ms", a->id,
+              (tmx_clock_steady() - a->since) * 1000);
     answer_named(a->req, 201, a->id, a->through_cancelled ? WV_CANCELLED : WV_PENDING, NULL);
     tmx_gate_told(a->u->c->gate, &a->candidate, TMX_ADMITTED);
     done(a);
@@ -299,17 +301,18 @@
     send_arrival(a);
     return;
   }
-  tmx_req_reply(a->req, 422, NULL, 0);
+  tmx_http_reply(a->req, 422, NULL, 0);
   done(a);
 }
 
 /* false: the body is not even a named submission. whole: nothing in it is malformed. */
-static bool read_submission(const struct tmx_req *q, struct tmx_submission *s, bool *whole) {
-  cbor_item_t *m = tmx_cbor_parse(q->body, q->body_len);
-  bool named = m && tmx_r_kstr(m, W_ID, s->id, sizeof s->id) && tmx_job_id_ok(s->id);
-  *whole =
-      named && tmx_spec_parse(m, &s->spec, s->id, sizeof s->id) && tmx_awaits_parse(m, &s->awaits);
-  tmx_cbor_free(m);
+static bool read_submission(const struct tmx_http_request *request, struct tmx_submission *s,
+                            bool *whole) {
+  cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
+  bool named = map && tmx_cbor_get_text(map, W_ID, s->id, sizeof s->id) && tmx_job_id_ok(s->id);
+  *whole = named && tmx_spec_parse(map, &s->spec, s->id, sizeof s->id) &&
+           tmx_awaits_parse(map, &s->awaits);
+  tmx_cbor_free(map);
   return named;
 }
 
@@ -331,64 +334,65 @@
   return look;
 }
 
-static void submit(struct tmx_users *u, struct tmx_req *q) {
+static void submit(struct tmx_users *u, struct tmx_http_request *request) {
   struct tmx_ctl *c = u->c;
   struct tmx_submission *s = calloc(1, sizeof *s);
   bool whole;
   if (!s) abort();
-  if (!read_submission(q, s, &whole)) {
+  if (!read_submission(request, s, &whole)) {
     free_submission(s);
-    tmx_req_reply(q, 400, NULL, 0);
+    tmx_http_reply(request, 400, NULL, 0);
     return;
   }
   if (!c->rep.loaded || !tmx_link_served(c->link)) {
     free_submission(s);
-    refuse(q, "no state");
+    refuse(request, "no state");
     return;
   }
   /* A known job is answered before any validation: what was accepted stays accepted. */
   struct tmx_job *j = tmx_job_find(&c->rep, s->id);
   if (j && j->fin) {
     free_submission(s);
-    answer_job(q, j);
+    answer_job(request, j);
     return;
   }
-  s->submitted = tmx_wall();
+  s->submitted = tmx_clock_wall();
   struct ask look = first_look(c, s, whole, j);
   if (look.otherwise) {
     free_submission(s);
     look.submission = NULL;
   }
   if (look.otherwise || look.names_unknown) {
-    ask(u, q, &look);
+    ask(u, request, &look);
     return;
   }
   struct ask *a = malloc(sizeof *a);
   if (!a) abort();
   *a = look;
   a->u = u;
-  a->req = q;
-  a->since = tmx_now();
+  a->req = request;
+  a->since = tmx_clock_steady();
   u->waiting++;
   send_arrival(a);
 }
 
-static void ask_about(struct tmx_users *u, struct tmx_req *q, enum kind kind, const char *id) {
+static void ask_about(struct tmx_users *u, struct tmx_http_request *request, enum kind kind,
+                      const char *id) {
   struct ask what = {.kind = kind, .otherwise = 404};
   snprintf(what.id, sizeof what.id, "%.*s", TMX_ID_MAX - 1, id);
-  ask(u, q, &what);
+  ask(u, request, &what);
 }
 
-bool tmx_users_handle(struct tmx_users *u, struct tmx_req *q) {
+bool tmx_users_handle(struct tmx_users *u, struct tmx_http_request *request) {
   static const char base[] = WP_JOBS;
   char id[TMX_PATH_MAX];
-  if (strncmp(q->path, base, sizeof base - 1)) return false;
-  const char *rest = q->path + sizeof base - 1;
+  if (strncmp(request->path, base, sizeof base - 1)) return false;
+  const char *rest = request->path + sizeof base - 1;
   if (!*rest) {
-    if (q->method == HTTP_POST)
-      submit(u, q);
+    if (request->method == HTTP_POST)
+      submit(u, request);
     else
-      tmx_req_reply(q, 405, NULL, 0);
+      tmx_http_reply(request, 405, NULL, 0);
     return true;
   }
   if (*rest++ != '/') return false;
@@ -399,24 +403,24 @@
   bool cancel = slash && !strcmp(slash, WP_CANCEL);
   if (slash && !cancel) return false;
   if (slash) *slash = 0;
-  if ((cancel && q->method != HTTP_POST) || (!cancel && q->method != HTTP_GET)) {
-    tmx_req_reply(q, 405, NULL, 0);
+  if ((cancel && request->method != HTTP_POST) || (!cancel && request->method != HTTP_GET)) {
+    tmx_http_reply(request, 405, NULL, 0);
     return true;
   }
   if (!tmx_job_id_ok(id)) {
-    tmx_req_reply(q, 404, NULL, 0);
+    tmx_http_reply(request, 404, NULL, 0);
     return true;
   }
   if (!u->c->rep.loaded) {
-    refuse(q, "no state");
+    refuse(request, "no state");
     return true;
   }
   struct tmx_job *j = tmx_job_find(&u->c->rep, id);
   if (j && j->fin && cancel)
-    answer_named(q, 200, id, j->fin == TMX_FIN_DONE ? WV_DONE : WV_CANCELLED, NULL);
+    answer_named(request, 200, id, j->fin == TMX_FIN_DONE ? WV_DONE : WV_CANCELLED, NULL);
   else if (j && j->fin)
-    answer_job(q, j); /* a final state never changes: no read is needed */
+    answer_job(request, j); /* a final state never changes: no read is needed */
   else
-    ask_about(u, q, cancel ? ASK_CANCEL : ASK_POLL, id);
+    ask_about(u, request, cancel ? ASK_CANCEL : ASK_POLL, id);
   return true;
 }
--- a/src/worker/health.c
+++ b/src/worker/health.c
@@ -12,7 +12,8 @@
 /* An answer may lie in a buffer while this controller stands still or is behind with its own work:
  * then a probe that timed out says nothing of the machine. */
 static void probe_lost(struct worker *r) {
-  if (r->w->c->late_at < r->probe_at && tmx_now() - r->w->c->tick_at < TMX_TICK_S + TMX_LATE_S)
+  if (r->w->c->late_at < r->probe_at &&
+      tmx_clock_steady() - r->w->c->tick_at < TMX_TICK_S + TMX_LATE_S)
     r->probes_lost++;
 }
 
@@ -46,16 +47,17 @@
 /* A command without orders: its answer shows our token, which a report would show only later. That
  * it may be executed late does no harm. */
 static bool introduce(struct worker *r) {
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   uint64_t token = tmx_ctl_token(r->w->c, r->bump);
   if (r->seen > token) return false;
-  tmx_w_map(&b, 3);
-  tmx_w_ku64(&b, W_TOKEN, token);
-  tmx_w_ku64(&b, W_SESSION, r->session);
-  tmx_w_str(&b, W_COMMANDS);
-  tmx_w_list(&b, 0);
-  r->in_flight = tmx_client_call(r->client, "POST", WP_COMMANDS, &b, TMX_PROBE_S, on_introduced, r);
-  tmx_buf_free(&b);
+  tmx_cbor_put_map(&buffer, 3);
+  tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
+  tmx_cbor_put_u64_field(&buffer, W_SESSION, r->session);
+  tmx_cbor_put_text(&buffer, W_COMMANDS);
+  tmx_cbor_put_list(&buffer, 0);
+  r->in_flight =
+      tmx_http_client_call(r->client, "POST", WP_COMMANDS, &buffer, TMX_PROBE_S, on_introduced, r);
+  tmx_buffer_free(&buffer);
   return r->in_flight;
 }
 
@@ -67,7 +69,7 @@
   /* in turns with a plain question: a machine that answers only that is up, and not reached */
   if (r->owned && r->session && !tmx_worker_hears(r) && !(r->probes_lost & 1) && introduce(r))
     return true;
-  r->probe_busy = tmx_client_call(r->client, "GET", WP_STATUS, NULL, TMX_PROBE_S, on_shown, r);
+  r->probe_busy = tmx_http_client_call(r->client, "GET", WP_STATUS, NULL, TMX_PROBE_S, on_shown, r);
   return true;
 }
 
@@ -79,7 +81,7 @@
   HASH_ITER(hh, w->all, r, t) {
     if (w->n_clients * 10 <= max * 8) return;
     if (!r->client || r->in_flight || r->probe_busy) continue;
-    tmx_client_free(r->client);
+    tmx_http_client_free(r->client);
     r->client = NULL;
     w->n_clients--;
   }
@@ -147,7 +149,7 @@
 
 void tmx_workers_tick(struct tmx_workers *w) {
   struct tmx_ctl *c = w->c;
-  double now = tmx_now(), rate = tmx_workers_probe_rate(c);
+  double now = tmx_clock_steady(), rate = tmx_workers_probe_rate(c);
   if (now - w->sweep_at < TMX_SWEEP_S) return;
   w->probe_tokens = fmin(w->probe_tokens + rate * (now - w->sweep_at), rate * 2 * TMX_SWEEP_S);
   w->sweep_at = now;
@@ -227,7 +229,7 @@
 }
 
 void tmx_workers_suspects(struct tmx_workers *w, tmx_each_suspect f, void *arg) {
-  double now = tmx_now(), heard_s = w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S;
+  double now = tmx_clock_steady(), heard_s = w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S;
   struct worker *r, *t;
   HASH_ITER(hh, w->all, r, t) {
     struct tmx_suspect s;
@@ -245,7 +247,7 @@
     if (!r) return;
   }
   r->said = *s;
-  r->said_at = tmx_now();
+  r->said_at = tmx_clock_steady();
   r->said_term = term;
   snprintf(r->said_by, sizeof r->said_by, "%s", node);
 }
@@ -253,7 +255,7 @@
 bool tmx_workers_suspect(const struct tmx_workers *w, const struct tmx_machine *m,
                          struct tmx_suspect *out) {
   const struct worker *r = m->worker;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   if (!r || m->owner < 0) return false;
   if (m->owner == tmx_ctl_self(w->c))
     return suspect(r, now, w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S, out);
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -41,7 +41,7 @@
   struct worker *r = find(w, id);
   if (r) return r;
   if (HASH_COUNT(w->all) >= workers_max(w) && !forget_one(w)) {
-    tmx_log(TMX_ERROR, "worker: %s is refused: memory is kept for %zu machines", id,
+    tmx_log(TMX_LOG_ERROR, "worker: %s is refused: memory is kept for %zu machines", id,
             workers_max(w));
     return NULL;
   }
@@ -62,19 +62,19 @@
   return w;
 }
 
-static void answer_move(struct tmx_req *q, const char *to) {
-  struct tmx_buf b = {0};
-  tmx_w_map(&b, to ? 1 : 0);
-  if (to) tmx_w_kstr(&b, W_REPORT_TO, to);
-  tmx_req_reply(q, 421, &b, 0);
-  tmx_buf_free(&b);
+static void answer_move(struct tmx_http_request *request, const char *to) {
+  struct tmx_buffer buffer = {0};
+  tmx_cbor_put_map(&buffer, to ? 1 : 0);
+  if (to) tmx_cbor_put_text_field(&buffer, W_REPORT_TO, to);
+  tmx_http_reply(request, 421, &buffer, 0);
+  tmx_buffer_free(&buffer);
 }
 
-static struct tmx_req *release_held(struct worker *r) {
-  struct tmx_req *q = r->held;
-  if (q) r->w->n_held--;
+static struct tmx_http_request *release_held(struct worker *r) {
+  struct tmx_http_request *request = r->held;
+  if (request) r->w->n_held--;
   r->held = NULL;
-  return q;
+  return request;
 }
 
 static void worker_free(struct tmx_workers *w, struct worker *r) {
@@ -83,7 +83,7 @@
   HASH_DEL(w->all, r);
   if (r->held) answer_move(release_held(r), NULL);
   if (r->client) {
-    tmx_client_free(r->client);
+    tmx_http_client_free(r->client);
     w->n_clients--;
   }
   for (size_t i = 0; r->queued && i < w->n_queue; i++)
@@ -142,11 +142,11 @@
     if (term == r->term && r->bump < TMX_BUMP_MAX) r->bump++;
     r->fence = tmx_ctl_token(w->c, r->bump);
     r->heir = true;
-    r->fence_at = tmx_now();
+    r->fence_at = tmx_clock_steady();
     r->fence_session = UINT64_MAX;
     r->starts_out = false;
     r->unanswered = false;
-    r->owned_at = tmx_now();
+    r->owned_at = tmx_clock_steady();
     r->probes_lost = 0;
   }
   r->owned = now;
@@ -167,24 +167,25 @@
          !r->unanswered && !r->starts_out;
 }
 
-static bool parse_loads(const cbor_item_t *ls, struct load **out, size_t *n) {
-  size_t len = tmx_r_len(ls);
+static bool parse_loads(const cbor_item_t *tasks, struct load **out, size_t *n) {
+  size_t len = tmx_cbor_list_length(tasks);
   struct load *v = calloc(len + 1, sizeof *v);
   if (!v) abort();
   *n = 0;
   for (size_t i = 0; i < len; i++) {
-    const cbor_item_t *l = tmx_r_at(ls, i);
+    const cbor_item_t *list = tmx_cbor_list_at(tasks, i);
     char task[TMX_ID_MAX + 16], state[16], why[16] = "";
     uint64_t attempt;
     struct load *d = &v[*n];
-    if (!tmx_r_kstr(l, W_TASK, task, sizeof task) || !tmx_r_ku64(l, W_ATTEMPT, &attempt) ||
-        !tmx_r_kstr(l, W_STATE, state, sizeof state) ||
+    if (!tmx_cbor_get_text(list, W_TASK, task, sizeof task) ||
+        !tmx_cbor_get_u64(list, W_ATTEMPT, &attempt) ||
+        !tmx_cbor_get_text(list, W_STATE, state, sizeof state) ||
         !tmx_task_parse(task, d->job, sizeof d->job, &d->task) || attempt > UINT32_MAX) {
       free(v);
       return false;
     }
     d->attempt = (uint32_t)attempt;
-    tmx_r_kstr(l, W_WHY, why, sizeof why);
+    tmx_cbor_get_text(list, W_WHY, why, sizeof why);
     if (!strcmp(state, WV_EXITED)) {
       d->state = LD_EXITED;
       d->how = !strcmp(why, WV_DONE)      ? TMX_END_DONE
@@ -236,10 +237,11 @@
   for (struct tmx_task *t = r->m->tasks; t; t = t->next) {
     bool listed = reported(r, t), leaving = t->stop || t->job->fin;
     if (listed && t->report_state == LD_RUNNING && !t->seen_at) {
-      t->seen_at = (float)tmx_now();
-      if (tmx_log_on(TMX_DEBUG))
-        tmx_log(TMX_DEBUG, "task: %s/%u %u runs on %s, image %s, placed %.2f s ago", t->job->id,
-                tmx_task_index(t), t->attempt, r->id, t->job->spec.image, tmx_now() - t->placed_at);
+      t->seen_at = (float)tmx_clock_steady();
+      if (tmx_log_enabled(TMX_LOG_DEBUG))
+        tmx_log(TMX_LOG_DEBUG, "task: %s/%u %u runs on %s, image %s, placed %.2f s ago", t->job->id,
+                tmx_task_index(t), t->attempt, r->id, t->job->spec.image,
+                tmx_clock_steady() - t->placed_at);
     }
     if (!(listed && t->report_state == LD_EXITED) && !leaving) continue;
     may_end(r);
@@ -264,24 +266,25 @@
 
 /* Takes a report in: from a request, or (hello false) from the answer to a command or a probe.
  * false: malformed. fresh: newer than all that is known. */
-static bool take_report(struct tmx_workers *w, const cbor_item_t *m, bool hello,
+static bool take_report(struct tmx_workers *w, const cbor_item_t *map, bool hello,
                         struct worker **out, bool *fresh, uint64_t *in_session) {
   struct tmx_worker_facts f = {0};
   uint64_t session, seq, seen = 0;
   double notice = -1;
-  const cbor_item_t *ls = tmx_r_get(m, W_TASKS);
+  const cbor_item_t *tasks = tmx_cbor_get(map, W_TASKS);
   *out = NULL;
   *fresh = false;
-  if (!tmx_r_kstr(m, W_MACHINE, f.id, sizeof f.id) || !f.id[0] || strpbrk(f.id, " \t\n") ||
-      !tmx_r_kstr(m, W_ADDR, f.addr, sizeof f.addr) || !f.addr[0] || strpbrk(f.addr, " \t\n") ||
-      !tmx_r_kstr(m, W_TYPE, f.type, sizeof f.type) || !f.type[0] || strpbrk(f.type, " \t\n") ||
-      !tmx_r_kstr(m, W_ZONE, f.zone, sizeof f.zone) || !f.zone[0] || strpbrk(f.zone, " \t\n") ||
-      !tmx_r_ku64(m, W_SESSION, &session) || !tmx_r_ku64(m, W_SEQ, &seq) ||
-      (ls && !cbor_isa_array(ls)))
+  if (!tmx_cbor_get_text(map, W_MACHINE, f.id, sizeof f.id) || !f.id[0] || strpbrk(f.id, " \t\n") ||
+      !tmx_cbor_get_text(map, W_ADDR, f.addr, sizeof f.addr) || !f.addr[0] ||
+      strpbrk(f.addr, " \t\n") || !tmx_cbor_get_text(map, W_TYPE, f.type, sizeof f.type) ||
+      !f.type[0] || strpbrk(f.type, " \t\n") ||
+      !tmx_cbor_get_text(map, W_ZONE, f.zone, sizeof f.zone) || !f.zone[0] ||
+      strpbrk(f.zone, " \t\n") || !tmx_cbor_get_u64(map, W_SESSION, &session) ||
+      !tmx_cbor_get_u64(map, W_SEQ, &seq) || (tasks && !cbor_isa_array(tasks)))
     return false;
-  tmx_r_kbool(m, W_SPOT, &f.spot);
-  tmx_r_ku64(m, W_TOKEN, &seen);
-  tmx_r_knum(m, W_NOTICE, &notice);
+  tmx_cbor_get_bool(map, W_SPOT, &f.spot);
+  tmx_cbor_get_u64(map, W_TOKEN, &seen);
+  tmx_cbor_get_number(map, W_NOTICE, &notice);
   *in_session = session;
   if (tmx_machine_gone(&w->c->rep, f.id)) return true; /* a late copy */
   struct worker *r = tmx_worker_make(w, f.id);
@@ -293,10 +296,10 @@
   }
   struct load *loads;
   size_t n;
-  if (!parse_loads(ls, &loads, &n)) return false;
+  if (!parse_loads(tasks, &loads, &n)) return false;
   *out = r;
   *fresh = true;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   if (now - fmax(r->heard_at, r->reached_at) > w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S)
     r->back_at = now;
   r->session = session;
@@ -319,7 +322,7 @@
   if (hello) r->starts_out = false;
   if ((notice >= 0) != r->notice) {
     r->notice = notice >= 0;
-    tmx_log(TMX_INFO, "worker: %s notice %s", r->id, r->notice ? "given" : "withdrawn");
+    tmx_log(TMX_LOG_INFO, "worker: %s notice %s", r->id, r->notice ? "given" : "withdrawn");
     tmx_rounds_kick(w->c);
   }
   free(r->loads);
@@ -335,19 +338,19 @@
   return true;
 }
 
-static void w_order(struct tmx_buf *b, const char *op, const char *job, uint32_t task,
+static void w_order(struct tmx_buffer *buffer, const char *op, const char *job, uint32_t task,
                     uint32_t attempt, double grace) {
   char name[TMX_ID_MAX + 16];
   snprintf(name, sizeof name, "%s/%u", job, task);
-  tmx_w_map(b, grace >= 0 ? 4 : 3);
-  tmx_w_kstr(b, W_OP, op);
-  tmx_w_kstr(b, W_TASK, name);
-  tmx_w_ku64(b, W_ATTEMPT, attempt);
-  if (grace >= 0) tmx_w_knum(b, W_GRACE, grace);
+  tmx_cbor_put_map(buffer, grace >= 0 ? 4 : 3);
+  tmx_cbor_put_text_field(buffer, W_OP, op);
+  tmx_cbor_put_text_field(buffer, W_TASK, name);
+  tmx_cbor_put_u64_field(buffer, W_ATTEMPT, attempt);
+  if (grace >= 0) tmx_cbor_put_number_field(buffer, W_GRACE, grace);
 }
 
 /* Appends orders; returns their number. Stops alone may go at any time, and more than once. */
-static size_t orders(struct worker *r, struct tmx_buf *b, bool stops_only, bool *starts) {
+static size_t orders(struct worker *r, struct tmx_buffer *buffer, bool stops_only, bool *starts) {
   bool may_start = tmx_ctl_may_start(r->w->c);
   struct tmx_machine *m = r->m;
   size_t n = 0;
@@ -359,7 +362,7 @@
     if (!reported(r, t) || t->report_state == LD_EXITED || (!t->stop && !t->job->fin)) continue;
     bool save = t->stop == 2 && !t->job->fin;
     if (save && t->report_state == LD_SAVING) continue;
-    w_order(b, WV_STOP, t->job->id, tmx_task_index(t), t->attempt,
+    w_order(buffer, WV_STOP, t->job->id, tmx_task_index(t), t->attempt,
             save ? t->job->spec.save_s + 1.0 : 0.0);
     n++;
   }
@@ -368,14 +371,14 @@
     if (l->current || (stops_only && l->state == LD_EXITED)) continue;
     /* The log has settled this attempt: an exited one may be forgotten. One that still runs
      * must not. */
-    w_order(b, l->state == LD_EXITED ? WV_FORGET : WV_STOP, l->job, l->task, l->attempt,
+    w_order(buffer, l->state == LD_EXITED ? WV_FORGET : WV_STOP, l->job, l->task, l->attempt,
             l->state == LD_EXITED ? -1 : 0.0);
     n++;
   }
   if (stops_only || !may_start) return n;
   for (struct tmx_task *t = m->tasks; t && n < TMX_ORDERS_MAX; t = t->next) {
     if (t->stop || t->job->fin || reported(r, t)) continue;
-    w_order(b, WV_START, t->job->id, tmx_task_index(t), t->attempt, -1);
+    w_order(buffer, WV_START, t->job->id, tmx_task_index(t), t->attempt, -1);
     *starts = true;
     n++;
   }
@@ -387,12 +390,12 @@
 static void send_direct(struct tmx_workers *w, struct worker *r);
 
 bool tmx_worker_answer(struct worker *r, const uint8_t *body, size_t len) {
-  cbor_item_t *m = tmx_cbor_parse(body, len);
+  cbor_item_t *map = tmx_cbor_parse(body, len);
   struct worker *same = NULL;
   uint64_t session;
-  bool fresh, ok = m && take_report(r->w, m, false, &same, &fresh, &session) && same == r;
-  tmx_cbor_free(m);
-  if (ok) r->reached_at = tmx_now();
+  bool fresh, ok = map && take_report(r->w, map, false, &same, &fresh, &session) && same == r;
+  tmx_cbor_free(map);
+  if (ok) r->reached_at = tmx_clock_steady();
   return ok;
 }
 
@@ -406,7 +409,7 @@
      * first, and until the worker has seen it, or is known to have begun a later session than the
      * command was for, no absence is believed. The session is the latest one: an earlier command
      * may have been for an earlier session, and that one's end says nothing of this one. */
-    if (tmx_worker_hears(r)) r->fence_at = tmx_now();
+    if (tmx_worker_hears(r)) r->fence_at = tmx_clock_steady();
     r->unanswered = true;
     if (r->bump < TMX_BUMP_MAX) r->bump++;
     r->fence = tmx_ctl_token(w->c, r->bump);
@@ -416,16 +419,16 @@
   if (told && (status == 200 || r->dirty)) send_direct(w, r);
 }
 
-struct tmx_client *tmx_worker_client(struct worker *r, const char *addr) {
+struct tmx_http_client *tmx_worker_client(struct worker *r, const char *addr) {
   if (r->client && strcmp(r->client_addr, addr)) {
-    tmx_client_free(r->client);
+    tmx_http_client_free(r->client);
     r->client = NULL;
     r->w->n_clients--;
     r->in_flight = r->probe_busy = false;
   }
   if (!r->client) {
     snprintf(r->client_addr, sizeof r->client_addr, "%s", addr);
-    r->client = tmx_client_new(r->w->c->loop, addr, 2);
+    r->client = tmx_http_client_new(r->w->c->loop, addr, 2);
     if (r->client) r->w->n_clients++;
   }
   return r->client;
@@ -440,23 +443,23 @@
   if (!tmx_worker_own(w, r) || !tmx_ctl_fresh(w->c)) return;
   uint64_t token = tmx_ctl_token(w->c, r->bump);
   if (r->seen > token) return;
-  struct tmx_buf o = {0}, b = {0};
+  struct tmx_buffer commands = {0}, buffer = {0};
   bool starts;
-  size_t n = orders(r, &o, false, &starts);
+  size_t n = orders(r, &commands, false, &starts);
   if (n) {
-    tmx_w_map(&b, 3);
-    tmx_w_ku64(&b, W_TOKEN, token);
-    tmx_w_ku64(&b, W_SESSION, r->session);
-    tmx_w_str(&b, W_COMMANDS);
-    tmx_w_list(&b, n);
-    tmx_buf_add(&b, o.p, o.n);
-    struct tmx_client *cl = tmx_worker_client(r, r->facts.addr);
-    if (cl)
-      r->in_flight =
-          tmx_client_call(cl, "POST", WP_COMMANDS, &b, TMX_COMMAND_TIMEOUT_S, on_command, r);
+    tmx_cbor_put_map(&buffer, 3);
+    tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
+    tmx_cbor_put_u64_field(&buffer, W_SESSION, r->session);
+    tmx_cbor_put_text(&buffer, W_COMMANDS);
+    tmx_cbor_put_list(&buffer, n);
+    tmx_buffer_append(&buffer, commands.data, commands.length);
+    struct tmx_http_client *client = tmx_worker_client(r, r->facts.addr);
+    if (client)
+      r->in_flight = tmx_http_client_call(client, "POST", WP_COMMANDS, &buffer,
+                                          TMX_COMMAND_TIMEOUT_S, on_command, r);
   }
-  tmx_buf_free(&o);
-  tmx_buf_free(&b);
+  tmx_buffer_free(&commands);
+  tmx_buffer_free(&buffer);
 }
 
 void tmx_workers_changed(struct tmx_workers *w, struct tmx_machine *m) {
@@ -491,7 +494,8 @@
   HASH_ITER(hh, w->all, r, t) tmx_worker_own(w, r);
 }
 
-static void answer_owned(struct tmx_workers *w, struct worker *r, struct tmx_req *q, bool older);
+static void answer_owned(struct tmx_workers *w, struct worker *r, struct tmx_http_request *request,
+                         bool older);
 
 /* Sends what the latest events made due; called after events were applied, not within. */
 void tmx_workers_flush(struct tmx_workers *w) {
@@ -508,7 +512,7 @@
   struct worker *r, *t;
   HASH_ITER(hh, w->all, r, t) {
     if (!r->held) continue;
-    if (!r->held->conn || tmx_now() - r->held_at > TMX_TAKE_HOLD_S)
+    if (!r->held->conn || tmx_clock_steady() - r->held_at > TMX_TAKE_HOLD_S)
       answer_move(release_held(r), NULL);
     else if (tmx_ctl_fresh(w->c) && tmx_worker_own(w, r))
       answer_owned(w, r, release_held(r), false);
@@ -557,99 +561,102 @@
 }
 
 /* Answers a report with orders, which are freed. */
-static void answer_orders(struct tmx_req *q, uint64_t token, struct tmx_buf *o, size_t n) {
-  struct tmx_buf b = {0};
-  tmx_w_map(&b, 2);
-  tmx_w_ku64(&b, W_TOKEN, token);
-  tmx_w_str(&b, W_COMMANDS);
-  tmx_w_list(&b, n);
-  tmx_buf_add(&b, o->p, o->n);
-  tmx_req_reply(q, 200, &b, 0);
-  tmx_buf_free(o);
-  tmx_buf_free(&b);
-}
-
-static void answer_for_owner(struct tmx_workers *w, struct worker *r, struct tmx_req *q) {
-  struct tmx_buf o = {0};
+static void answer_orders(struct tmx_http_request *request, uint64_t token,
+                          struct tmx_buffer *commands, size_t n) {
+  struct tmx_buffer buffer = {0};
+  tmx_cbor_put_map(&buffer, 2);
+  tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
+  tmx_cbor_put_text(&buffer, W_COMMANDS);
+  tmx_cbor_put_list(&buffer, n);
+  tmx_buffer_append(&buffer, commands->data, commands->length);
+  tmx_http_reply(request, 200, &buffer, 0);
+  tmx_buffer_free(commands);
+  tmx_buffer_free(&buffer);
+}
+
+static void answer_for_owner(struct tmx_workers *w, struct worker *r,
+                             struct tmx_http_request *request) {
+  struct tmx_buffer commands = {0};
   size_t n = 0;
   for (size_t i = 0; i < r->n_loads && n < TMX_ORDERS_MAX; i++) {
     const struct load *l = &r->loads[i];
     const struct tmx_job *j = tmx_job_find(&w->c->rep, l->job);
     if (l->state == LD_EXITED || !j || !j->fin) continue;
-    w_order(&o, WV_STOP, l->job, l->task, l->attempt, 0.0);
+    w_order(&commands, WV_STOP, l->job, l->task, l->attempt, 0.0);
     n++;
   }
-  answer_orders(q, r->seen, &o, n);
+  answer_orders(request, r->seen, &commands, n);
 }
 
-void tmx_workers_report(struct tmx_workers *w, struct tmx_req *q) {
+void tmx_workers_report(struct tmx_workers *w, struct tmx_http_request *request) {
   struct tmx_ctl *c = w->c;
-  cbor_item_t *m = tmx_cbor_parse(q->body, q->body_len);
+  cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
   struct worker *r = NULL;
   bool latest;
   uint64_t session;
-  if (!m || !take_report(w, m, true, &r, &latest, &session)) {
-    tmx_cbor_free(m);
-    tmx_req_reply(q, 400, NULL, 0);
+  if (!map || !take_report(w, map, true, &r, &latest, &session)) {
+    tmx_cbor_free(map);
+    tmx_http_reply(request, 400, NULL, 0);
     return;
   }
-  tmx_cbor_free(m);
+  tmx_cbor_free(map);
   if (!r) {
-    answer_move(q, NULL);
+    answer_move(request, NULL);
     return;
   }
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   if (latest) r->heard_at = w->report_at = now;
   /* A cut-off controller must not renew leases for longer than a cancellation allows. */
   if (!tmx_ctl_fresh(c)) {
-    tmx_req_reply(q, 503, NULL, 1);
+    tmx_http_reply(request, 503, NULL, 1);
     return;
   }
   if (tmx_ctl_cut_off(c)) {
-    answer_move(q, NULL);
+    answer_move(request, NULL);
     return;
   }
   if (!tmx_worker_own(w, r)) {
     const char *owner = tmx_owner_of(&c->rep, r->id);
     if (owner && !strcmp(owner, c->set.node)) owner = NULL; /* this run is not in the view yet */
     if (owner && latest && keeps_for_owner(w, r, owner, now)) {
-      answer_for_owner(w, r, q);
+      answer_for_owner(w, r, request);
       return;
     }
     if (owner && latest && !r->held && tmx_link_member(c->link) &&
         cut_from_owner(w, r, owner, now)) {
-      r->held = q;
+      r->held = request;
       r->held_at = now;
       w->n_held++;
       return;
     }
     if (owner && latest) r->bounced_at = now;
-    answer_move(q, owner);
+    answer_move(request, owner);
     return;
   }
   if (session < r->session) { /* a late copy: nobody waits for its answer */
-    answer_move(q, NULL);
+    answer_move(request, NULL);
     return;
   }
-  answer_owned(w, r, q, !latest);
+  answer_owned(w, r, request, !latest);
 }
 
 /* older: a probe's answer has overtaken the report, which its worker still waits for (or it is a
  * late copy, and nobody does). Its lease counts from when it was sent, in either case. */
-static void answer_owned(struct tmx_workers *w, struct worker *r, struct tmx_req *q, bool older) {
+static void answer_owned(struct tmx_workers *w, struct worker *r, struct tmx_http_request *request,
+                         bool older) {
   r->bounced_at = 0;
   uint64_t token = tmx_ctl_token(w->c, r->bump);
   if (r->seen > token) { /* a newer owner has been at it */
-    answer_move(q, NULL);
+    answer_move(request, NULL);
     return;
   }
-  struct tmx_buf o = {0};
+  struct tmx_buffer commands = {0};
   bool starts = false;
   /* While a command is under way its effect is not known: nothing is started. An answer that renews
    * a lease always stops what is cancelled, though. */
-  size_t n = orders(r, &o, older || r->in_flight, &starts);
+  size_t n = orders(r, &commands, older || r->in_flight, &starts);
   if (starts) r->starts_out = true;
-  answer_orders(q, token, &o, n);
+  answer_orders(request, token, &commands, n);
 }
 
 /* ------------------------------------------------------------ for the rounds */
@@ -698,7 +705,7 @@
  * late copy of a report of a machine that was returned never does. */
 size_t tmx_workers_unregistered(struct tmx_workers *w, struct tmx_worker_facts *out, size_t max) {
   size_t n = 0;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   struct worker *r, *tmp;
   if (!w->unknown_at || now - w->unknown_at > 2 * w->c->set.report_s) return 0;
   HASH_ITER(hh, w->all, r, tmp) {
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -23,7 +23,8 @@
   double back_at;              /* it gave a sign after it had been silent */
   double hello_at;             /* its own report came here last, and not only answers; 0: never */
   double bounced_at;
-  struct tmx_req *held; /* a report that waits, for a moment, until this controller is the owner */
+  struct tmx_http_request
+      *held; /* a report that waits, for a moment, until this controller is the owner */
   double held_at;
   bool notice;
   struct load *loads;
@@ -44,7 +45,7 @@
   bool probe_busy;
   int probes_lost; /* in a row */
   double probe_at, owned_at;
-  struct tmx_client *client;
+  struct tmx_http_client *client;
   char client_addr[TMX_NAME_MAX];
   /* what another owner says of it */
   struct tmx_suspect said;
@@ -73,7 +74,7 @@
 
 struct worker *tmx_worker_make(struct tmx_workers *w, const char *id);
 bool tmx_worker_own(struct tmx_workers *w, struct worker *r);
-struct tmx_client *tmx_worker_client(struct worker *r, const char *addr);
+struct tmx_http_client *tmx_worker_client(struct worker *r, const char *addr);
 /* Takes the body of an answer to a probe or a command in; false: not one of this worker's. */
 bool tmx_worker_answer(struct worker *r, const uint8_t *body, size_t len);
 bool tmx_worker_hears(const struct worker *r);
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -12,7 +12,7 @@
 
 struct entry { /* of the log */
   char key[64];
-  struct tmx_buf value;
+  struct tmx_buffer value;
 };
 struct copy { /* a replica with its accounts */
   struct tmx_replica replica;
@@ -36,7 +36,7 @@
 }
 
 static void read_entry(struct copy *copy, const struct entry *entry, size_t at) {
-  cbor_item_t *value = tmx_cbor_parse(entry->value.p, entry->value.n);
+  cbor_item_t *value = tmx_cbor_parse(entry->value.data, entry->value.length);
   tmx_replica_apply(&copy->replica, entry->key, at + 1, value);
   tmx_cbor_free(value);
 }
@@ -52,12 +52,12 @@
 }
 
 static void commit_line(struct history *h, const char *line) {
-  struct tmx_buf list = {0};
+  struct tmx_buffer list = {0};
   char key[64];
-  tmx_w_str(&list, line);
+  tmx_cbor_put_text(&list, line);
   snprintf(key, sizeof key, TMX_K_BATCH "h/%zu", h->n_entries);
   tmx_lines_encode(&append(h, key)->value, NULL, 0, &list, 1);
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
   committed(h);
 }
 
@@ -184,7 +184,7 @@
     for (size_t k = i + 1; latest && k < n; k++)
       latest = strcmp(h->entries[i].key, h->entries[k].key) != 0;
     if (!latest) continue;
-    values[n_items] = tmx_cbor_parse(h->entries[i].value.p, h->entries[i].value.n);
+    values[n_items] = tmx_cbor_parse(h->entries[i].value.data, h->entries[i].value.length);
     items[n_items] = (struct tmx_item){(char *)h->entries[i].key, i + 1, values[n_items]};
     n_items++;
   }
@@ -197,14 +197,14 @@
   free(values);
 }
 
-static void add_page_line(struct tmx_buf *list, size_t *n, const char *line) {
-  tmx_w_str(list, line);
+static void add_page_line(struct tmx_buffer *list, size_t *n, const char *line) {
+  tmx_cbor_put_text(list, line);
   ++*n;
 }
 
 /* A replica that reads nothing but pages of the live one, and final states. */
 static void load_folded(const struct history *h, struct copy *copy) {
-  struct tmx_buf jobs = {0}, list = {0}, page = {0};
+  struct tmx_buffer jobs = {0}, list = {0}, page = {0};
   size_t n_jobs = 0, n = 0;
   char line[TMX_LINE_MAX];
   struct tmx_job *job, *next;
@@ -222,16 +222,16 @@
     }
   }
   tmx_lines_encode(&page, &jobs, n_jobs, &list, n);
-  cbor_item_t *value = tmx_cbor_parse(page.p, page.n);
+  cbor_item_t *value = tmx_cbor_parse(page.data, page.length);
   struct tmx_item item = {TMX_K_PAGE "0000000000000000/00000", 1, value};
   open_copy(copy, &h->settings);
   copy->replica.load_until = 1;
   tmx_replica_load(&copy->replica, &item, 1);
   tmx_replica_reached(&copy->replica, 1);
   tmx_cbor_free(value);
-  tmx_buf_free(&jobs);
-  tmx_buf_free(&list);
-  tmx_buf_free(&page);
+  tmx_buffer_free(&jobs);
+  tmx_buffer_free(&list);
+  tmx_buffer_free(&page);
 }
 
 static void open_history(struct history *h) {
@@ -280,7 +280,7 @@
   h->report.folded_replica_differs = differs(h, copy);
   struct admission_report report = h->report;
   tmx_replica_clear(&h->live.replica);
-  for (size_t i = 0; i < h->n_entries; i++) tmx_buf_free(&h->entries[i].value);
+  for (size_t i = 0; i < h->n_entries; i++) tmx_buffer_free(&h->entries[i].value);
   free(copy);
   free(h);
   return report;
--- a/tests/cluster/history.c
+++ b/tests/cluster/history.c
@@ -15,7 +15,7 @@
 
 static void add(json_t *event) {
   if (file && event) {
-    json_object_set_new(event, "t", json_real(tmx_now()));
+    json_object_set_new(event, "t", json_real(tmx_clock_steady()));
     json_dumpf(event, file, JSON_COMPACT);
     fputc('\n', file);
   }
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -91,9 +91,9 @@
   }
   chunk->n = (size_t)n;
   chunk->sent = 0;
-  chunk->due = tmx_now() + link->delay_s;
+  chunk->due = tmx_clock_steady() + link->delay_s;
   LL_APPEND(side->chunks, chunk);
-  if (link->mode == LINK_OPEN && !send_due(side, tmx_now())) close_pair(side->pair);
+  if (link->mode == LINK_OPEN && !send_due(side, tmx_clock_steady())) close_pair(side->pair);
 }
 
 static void on_flush(struct ev_loop *loop, ev_timer *timer, int events) {
@@ -103,7 +103,7 @@
   (void)events;
   if (link->mode != LINK_OPEN) return;
   DL_FOREACH_SAFE(link->pairs, pair, next) {
-    double now = tmx_now();
+    double now = tmx_clock_steady();
     if (!send_due(&pair->sides[0], now) || !send_due(&pair->sides[1], now)) close_pair(pair);
   }
 }
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -90,11 +90,12 @@
 static void on_written(const char *key, const uint8_t *value, size_t len) {
   char line[TMX_LINE_MAX];
   if (strncmp(key, TMX_K_BATCH, strlen(TMX_K_BATCH))) return;
-  cbor_item_t *m = tmx_cbor_parse(value, len);
-  const cbor_item_t *ops = tmx_r_get(m, "ops");
-  for (size_t i = 0; i < tmx_r_len(ops); i++)
-    if (tmx_r_str(tmx_r_at(ops, i), line, sizeof line)) tmx_ops_each(line, on_op, NULL);
-  tmx_cbor_free(m);
+  cbor_item_t *map = tmx_cbor_parse(value, len);
+  const cbor_item_t *ops = tmx_cbor_get(map, "ops");
+  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++)
+    if (tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line))
+      tmx_ops_each(line, on_op, NULL);
+  tmx_cbor_free(map);
 }
 
 /* ------------------------------------------------------------ running */
@@ -114,7 +115,7 @@
   (void)l;
   (void)t;
   (void)events;
-  double now = tmx_now(), dt = last ? now - last : 0;
+  double now = tmx_clock_steady(), dt = last ? now - last : 0;
   last = now;
   begin_troubles(now);
   nodes_tick();
@@ -125,8 +126,9 @@
 }
 
 static void go_on(double s) { /* longer than one pump */
-  double until = tmx_now() + s;
-  while (tmx_now() < until) pump_for(until - tmx_now() < 5 ? until - tmx_now() : 5);
+  double until = tmx_clock_steady() + s;
+  while (tmx_clock_steady() < until)
+    pump_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
 }
 
 static void show(const char *when, double over) {
@@ -180,7 +182,9 @@
   submitting = false;
   go_on(settle_s);
   users_ask_all();
-  for (double until = tmx_now() + final_s; tmx_now() < until && !users_all_told();) pump_for(0.5);
+  for (double until = tmx_clock_steady() + final_s;
+       tmx_clock_steady() < until && !users_all_told();)
+    pump_for(0.5);
 }
 
 static void read_options(int argc, const char **argv) {
@@ -232,7 +236,7 @@
   history_open(history_path);
   users_open(surge > 0 ? surge_kinds() : steady_kinds(), nodes);
   nodes_open(nodes, operator_config, adjust, machines + SPARE_CONNECTIONS);
-  begun_at = tmx_now();
+  begun_at = tmx_clock_steady();
   workers_open(&(struct workers_setup){.machines = machines,
                                        .nodes = nodes,
                                        .report_s = report_s,
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -89,9 +89,9 @@
       if (i != k) links[k][DESTINATIONS + i] = link_new(loop, port_of(s[i].peer_listen));
     write_settings(k, &s[k]);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_USERS]));
-    node[k].users = tmx_client_new(loop, addr, 256);
+    node[k].users = tmx_http_client_new(loop, addr, 256);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_WORKERS]));
-    node[k].reports = tmx_client_new(loop, addr, connections);
+    node[k].reports = tmx_http_client_new(loop, addr, connections);
     node_begin(k);
   }
 }
@@ -141,7 +141,7 @@
 bool nodes_trouble(const char *text) {
   char verb[16] = "", where[16] = "";
   int k;
-  double for_s, now = tmx_now();
+  double for_s, now = tmx_clock_steady();
   bool process = sscanf(text, "%15s %d %lf", verb, &k, &for_s) == 3;
   if (!process && sscanf(text, "%15s %15s %d %lf", verb, where, &k, &for_s) != 4) return false;
   if (k < 0 || k >= n_nodes) return false;
@@ -167,7 +167,7 @@
 }
 
 void nodes_tick(void) {
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   for (int k = 0; k < n_nodes; k++) {
     for (int to = 0; to < DESTINATIONS; to++) {
       if (!troubles[k][to].until || now < troubles[k][to].until) continue;
--- a/tests/cluster/nodes.h
+++ b/tests/cluster/nodes.h
@@ -12,7 +12,7 @@
   double back_at; /* when it is started again, or goes on; 0: not due */
   bool paused;
   double cpu; /* s, when it was last looked at */
-  struct tmx_client *users, *reports;
+  struct tmx_http_client *users, *reports;
 };
 extern struct node node[FAKE_NODES];
 
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -61,7 +61,7 @@
   unsigned long number = strtoul(task + strlen(W_JOB_PREFIX) + 1, NULL, 10);
   if (number >= n_jobs) return;
   struct job *job = jobs[number];
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   look_at_gap(state_of(job), now);
   state_of(job)->last_start = now;
   if (!job->began_at) job->began_at = now;
@@ -69,21 +69,21 @@
 
 /* ------------------------------------------------------------ requests */
 
-static struct tmx_client *some_node(void) {
+static struct tmx_http_client *some_node(void) {
   return node[gsl_rng_uniform_int(cluster_rng, (unsigned long)n_nodes)].users;
 }
 
 static void read_state(const uint8_t *body, size_t len, char *state, size_t cap) {
-  cbor_item_t *m = tmx_cbor_parse(body, len);
+  cbor_item_t *map = tmx_cbor_parse(body, len);
   state[0] = 0;
-  tmx_r_kstr(m, W_STATE, state, cap);
-  tmx_cbor_free(m);
+  tmx_cbor_get_text(map, W_STATE, state, cap);
+  tmx_cbor_free(map);
 }
 
 static void on_submitted(void *arg, int status, const uint8_t *body, size_t len) {
   struct job *job = arg;
   char state[16];
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   read_state(body, len, state, sizeof state);
   history_answer("submit", job->id, job->kind->tasks, status, state, final_round);
   job->busy = false;
@@ -110,13 +110,13 @@
                           .tasks = k->tasks,
                           .cpus = k->cpus,
                           .estimate_s = k->run_s};
-  struct tmx_buf b = {0};
-  submission_of(&b, &body);
-  job->asked_at = tmx_now();
-  job->busy =
-      tmx_client_call(some_node(), "POST", WP_JOBS, &b, submit_timeout_s, on_submitted, job);
+  struct tmx_buffer buffer = {0};
+  submission_of(&buffer, &body);
+  job->asked_at = tmx_clock_steady();
+  job->busy = tmx_http_client_call(some_node(), "POST", WP_JOBS, &buffer, submit_timeout_s,
+                                   on_submitted, job);
   if (!job->busy) job->next_at = job->asked_at + 1;
-  tmx_buf_free(&b);
+  tmx_buffer_free(&buffer);
 }
 
 static void on_polled(void *arg, int status, const uint8_t *body, size_t len) {
@@ -125,7 +125,7 @@
   read_state(body, len, state, sizeof state);
   history_answer("poll", job->id, job->kind->tasks, status, state, final_round);
   job->busy = false;
-  job->next_at = tmx_now() + (final_round ? 0.2 : poll_every_s);
+  job->next_at = tmx_clock_steady() + (final_round ? 0.2 : poll_every_s);
   figures.answered += status == 200;
   job->over |= status == 200 && !strcmp(state, WV_DONE);
   job->told_at_the_end |= final_round && status == 200;
@@ -134,9 +134,9 @@
 static void poll_state(struct job *job) {
   char path[64];
   snprintf(path, sizeof path, WP_JOBS "/%s", job->id);
-  job->busy = tmx_client_call(some_node(), "GET", path, NULL, poll_timeout_s, on_polled, job);
+  job->busy = tmx_http_client_call(some_node(), "GET", path, NULL, poll_timeout_s, on_polled, job);
   figures.asked += job->busy;
-  if (!job->busy) job->next_at = tmx_now() + 1;
+  if (!job->busy) job->next_at = tmx_clock_steady() + 1;
 }
 
 /* ------------------------------------------------------------ steps */
@@ -151,7 +151,7 @@
   if (!job) abort();
   snprintf(job->id, sizeof job->id, W_JOB_PREFIX "%c%06zu", kind->letter, n_jobs);
   job->kind = kind;
-  job->first_at = tmx_now();
+  job->first_at = tmx_clock_steady();
   jobs = tmx_grow(jobs, &cap_jobs, n_jobs + 1, sizeof *jobs);
   jobs[n_jobs++] = job;
   state_of(job)->submitted++;
@@ -235,5 +235,6 @@
   printf("%.0f s; waits from the first attempt to the first task, s\n", lasted_s);
   printf("%-8s %-8s %9s %8s %8s %7s %6s %7s %7s %7s %7s %7s\n", "team", "class", "submitted",
          "accepted", "refusals", "gave up", "began", "median", "99%", "most", "waiting", "gap");
-  for (const struct job_kind *kind = kinds; kind->letter; kind++) print_kind(kind, tmx_now());
+  for (const struct job_kind *kind = kinds; kind->letter; kind++)
+    print_kind(kind, tmx_clock_steady());
 }
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -51,7 +51,7 @@
 
 static void on_report(void *arg, int status, const uint8_t *body, size_t len) {
   struct worker *x = arg;
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   x->busy = false;
   figures.slowest_report = fmax(figures.slowest_report, now - x->sent);
   if (status != 200 && status != 421) {
@@ -108,13 +108,13 @@
 }
 
 static void send_report(struct worker *x, double now) {
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   x->w.seq++;
-  worker_encode(&x->w, &b);
-  x->busy = tmx_client_call(node[x->at].reports, "POST", WP_REPORT, &b, 4, on_report, x);
+  worker_encode(&x->w, &buffer);
+  x->busy = tmx_http_client_call(node[x->at].reports, "POST", WP_REPORT, &buffer, 4, on_report, x);
   x->sent = now;
   if (!x->busy) x->due = now + 1;
-  tmx_buf_free(&b);
+  tmx_buffer_free(&buffer);
 }
 
 void workers_step(double now, double dt) {
@@ -129,7 +129,7 @@
 
 void workers_open(const struct workers_setup *wanted) {
   char id[32];
-  double now = tmx_now();
+  double now = tmx_clock_steady();
   setup = *wanted;
   workers = calloc((size_t)setup.machines, sizeof *workers);
   if (!workers) abort();
--- a/tests/fake.c
+++ b/tests/fake.c
@@ -48,72 +48,73 @@
 
 static void on_answer(void *arg, int status, const uint8_t *body, size_t len) {
   struct fake_waiting *x = arg;
-  cbor_item_t *m = tmx_cbor_parse(body, len);
+  cbor_item_t *map = tmx_cbor_parse(body, len);
   x->done = true;
   x->status = status;
-  tmx_r_kstr(m, W_STATE, x->state, sizeof x->state);
-  tmx_cbor_free(m);
+  tmx_cbor_get_text(map, W_STATE, x->state, sizeof x->state);
+  tmx_cbor_free(map);
 }
 
 struct fake_answer call(struct tmx_ctl *c, const char *method, const char *path,
-                        const struct tmx_buf *body) {
+                        const struct tmx_buffer *body) {
   struct fake_waiting x = {0};
   struct fake_answer a = {0};
-  struct tmx_client *k = to(c);
-  assert_true(tmx_client_call(k, method, path, body, 5, on_answer, &x));
+  struct tmx_http_client *k = to(c);
+  assert_true(tmx_http_client_call(k, method, path, body, 5, on_answer, &x));
   a.done = pump(fake_is_done, &x);
   a.status = x.status;
   snprintf(a.state, sizeof a.state, "%s", x.state);
-  tmx_client_free(k);
+  tmx_http_client_free(k);
   return a;
 }
 
-void submission(struct tmx_buf *b, const char *id, const char *kind, uint32_t tasks, double cpus,
-                const char *team) {
-  submission_awaiting(b, id, kind, tasks, cpus, team, NULL);
+void submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
+                double cpus, const char *team) {
+  submission_awaiting(buffer, id, kind, tasks, cpus, team, NULL);
 }
 
-void submission_awaiting(struct tmx_buf *b, const char *id, const char *kind, uint32_t tasks,
-                         double cpus, const char *team, const struct tmx_buf *awaits) {
+void submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
+                         uint32_t tasks, double cpus, const char *team,
+                         const struct tmx_buffer *awaits) {
   struct fake_job job = {
       .id = id, .kind = kind, .team = team, .tasks = tasks, .cpus = cpus, .awaits = awaits};
-  submission_of(b, &job);
+  submission_of(buffer, &job);
 }
 
-void submission_of(struct tmx_buf *b, const struct fake_job *job) {
-  tmx_w_map(b, 17 + (job->awaits != NULL) + (job->types != NULL));
+void submission_of(struct tmx_buffer *buffer, const struct fake_job *job) {
+  tmx_cbor_put_map(buffer, 17 + (job->awaits != NULL) + (job->types != NULL));
   if (job->types) {
-    tmx_w_str(b, W_TYPES);
-    tmx_buf_add(b, job->types->p, job->types->n);
+    tmx_cbor_put_text(buffer, W_TYPES);
+    tmx_buffer_append(buffer, job->types->data, job->types->length);
   }
   if (job->awaits) {
-    tmx_w_str(b, W_AWAITS);
-    tmx_buf_add(b, job->awaits->p, job->awaits->n);
+    tmx_cbor_put_text(buffer, W_AWAITS);
+    tmx_buffer_append(buffer, job->awaits->data, job->awaits->length);
   }
-  tmx_w_kstr(b, W_ID, job->id);
-  tmx_w_kstr(b, W_CLASS, job->class ? job->class : "c");
-  tmx_w_kstr(b, W_TEAM, job->team);
-  tmx_w_kstr(b, W_KIND, job->kind ? job->kind : WV_ARRAY);
-  tmx_w_kstr(b, W_PRIORITY, job->priority ? job->priority : "normal");
-  tmx_w_ku64(b, W_TASKS, job->tasks);
-  tmx_w_knum(b, W_CPUS, job->cpus);
-  tmx_w_knum(b, W_GPUS, 0);
-  tmx_w_knum(b, W_MEM, 1);
-  tmx_w_kbool(b, W_ONE_ZONE, false);
-  tmx_w_kbool(b, W_SPREAD, false);
-  tmx_w_kbool(b, W_SPOT, false);
-  tmx_w_kstr(b, W_IMAGE, "img");
-  tmx_w_knum(b, W_IMAGE_GB, 0.1);
-  tmx_w_knum(b, W_ESTIMATE, job->estimate_s > 0 ? job->estimate_s : 10);
-  tmx_w_knum(b, W_CHECKPOINT, 0);
-  tmx_w_knum(b, W_SAVE, 0);
+  tmx_cbor_put_text_field(buffer, W_ID, job->id);
+  tmx_cbor_put_text_field(buffer, W_CLASS, job->class ? job->class : "c");
+  tmx_cbor_put_text_field(buffer, W_TEAM, job->team);
+  tmx_cbor_put_text_field(buffer, W_KIND, job->kind ? job->kind : WV_ARRAY);
+  tmx_cbor_put_text_field(buffer, W_PRIORITY, job->priority ? job->priority : "normal");
+  tmx_cbor_put_u64_field(buffer, W_TASKS, job->tasks);
+  tmx_cbor_put_number_field(buffer, W_CPUS, job->cpus);
+  tmx_cbor_put_number_field(buffer, W_GPUS, 0);
+  tmx_cbor_put_number_field(buffer, W_MEM, 1);
+  tmx_cbor_put_bool_field(buffer, W_ONE_ZONE, false);
+  tmx_cbor_put_bool_field(buffer, W_SPREAD, false);
+  tmx_cbor_put_bool_field(buffer, W_SPOT, false);
+  tmx_cbor_put_text_field(buffer, W_IMAGE, "img");
+  tmx_cbor_put_number_field(buffer, W_IMAGE_GB, 0.1);
+  tmx_cbor_put_number_field(buffer, W_ESTIMATE, job->estimate_s > 0 ? job->estimate_s : 10);
+  tmx_cbor_put_number_field(buffer, W_CHECKPOINT, 0);
+  tmx_cbor_put_number_field(buffer, W_SAVE, 0);
 }
 
 int submit_job(struct tmx_ctl *c, const struct fake_job *job) {
-  struct tmx_buf b = {0};
-  submission_of(&b, job);
-  struct fake_answer a = call(c, "POST", WP_JOBS, &b);
-  tmx_buf_free(&b);
+  struct tmx_buffer buffer = {0};
+  submission_of(&buffer, job);
+  struct fake_answer a = call(c, "POST", WP_JOBS, &buffer);
+  tmx_buffer_free(&buffer);
   return a.status;
 }
 
@@ -135,10 +136,10 @@
 
 /* ------------------------------------------------------------ controllers */
 
-struct tmx_client *to(struct tmx_ctl *c) {
+struct tmx_http_client *to(struct tmx_ctl *c) {
   char addr[32];
-  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_server_port(c->server));
-  struct tmx_client *k = tmx_client_new(loop, addr, 4);
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(c->server));
+  struct tmx_http_client *k = tmx_http_client_new(loop, addr, 4);
   assert_non_null(k);
   return k;
 }
@@ -169,8 +170,8 @@
   strcpy(s->zone, "a");
   strcpy(s->listen, "127.0.0.1:0");
   snprintf(s->peer_listen, sizeof s->peer_listen, "127.0.0.1:%d", ports[k][0]);
-  snprintf(s->state, sizeof s->state, "127.0.0.1:%d", tmx_server_port(state.doors[k].srv));
-  snprintf(s->cloud, sizeof s->cloud, "127.0.0.1:%d", tmx_server_port(cloud.srv));
+  snprintf(s->state, sizeof s->state, "127.0.0.1:%d", tmx_http_server_port(state.doors[k].srv));
+  snprintf(s->cloud, sizeof s->cloud, "127.0.0.1:%d", tmx_http_server_port(cloud.srv));
   for (int i = 0; i < of; i++) {
     if (i == k) continue;
     struct tmx_peer_conf *p = &s->peers[s->n_peers++];
@@ -232,7 +233,7 @@
   memset(&cloud, 0, sizeof cloud);
   fake_state_open();
   for (int i = 0; i < FAKE_NODES; i++) ports[i][0] = reserve_port(&ports[i][1]);
-  cloud.srv = tmx_server_new(loop, "127.0.0.1:0", 100, 60, fake_cloud_request, &cloud);
+  cloud.srv = tmx_http_server_new(loop, "127.0.0.1:0", 100, 60, fake_cloud_request, &cloud);
 }
 
 void fake_close(void) {
@@ -240,5 +241,5 @@
   fake_adjust = NULL;
   for (int i = 0; i < FAKE_NODES; i++) close(ports[i][1]);
   fake_state_close();
-  tmx_server_free(cloud.srv);
+  tmx_http_server_free(cloud.srv);
 }
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -24,14 +24,14 @@
   uint64_t stamp;
 };
 struct fake_watch {
-  struct tmx_req *req;
+  struct tmx_http_request *req;
   uint64_t from;
   int door;
 };
 /* Each controller talks to a door of its own, so that one of them can be refused alone. */
 struct fake_door {
   struct fake_state *s;
-  struct tmx_server *srv;
+  struct tmx_http_server *srv;
   bool refuse;       /* 503 to everything; open watches wait */
   bool freeze_watch; /* events do not come through */
   bool gone_watch;   /* the next watch is told that its revision is too old */
@@ -39,11 +39,11 @@
   unsigned reads;
   size_t page_max;    /* entries in one answer; 0: all */
   char hold_from[64]; /* a read from there on waits for fake_read_on */
-  struct tmx_req *held_read;
+  struct tmx_http_request *held_read;
   bool lose_next_txn; /* the next transaction is applied, its answer is lost */
   char lose_key[64];  /* ... only one that writes this key */
   bool hold;          /* ... and does not come at all rather than say nothing */
-  struct tmx_req *held;
+  struct tmx_http_request *held;
   bool late_next_txn; /* one that writes late_key is carried out only when fake_late says so */
   char late_key[64];
   uint8_t *late;
@@ -67,7 +67,7 @@
   struct fake_door doors[FAKE_NODES];
 };
 struct fake_cloud {
-  struct tmx_server *srv;
+  struct tmx_http_server *srv;
   bool refuse_delete;
   unsigned deletes, hires;
   char deleted[32][TMX_ID_MAX];
@@ -81,7 +81,7 @@
 };
 struct fake_worker {
   char id[TMX_ID_MAX], addr[32];
-  struct tmx_server *srv;
+  struct tmx_http_server *srv;
   bool mute;   /* takes commands and never answers */
   bool silent; /* does not answer probes either */
   uint64_t session, seq, token;
@@ -123,7 +123,7 @@
 void controller_end(struct tmx_ctl *c); /* it ends without a word, as a killed process does */
 bool fake_planning(void);               /* a planner's thread has work */
 bool fake_ready(void *controller);      /* for pump: it is a member, fresh, and knows the types */
-struct tmx_client *to(struct tmx_ctl *c);
+struct tmx_http_client *to(struct tmx_ctl *c);
 bool pump(bool (*done)(void *), void *arg); /* runs the loop until done; false after 10 s */
 void pump_for(double s);
 void fake_free_watches(void);
@@ -132,7 +132,7 @@
 void fake_read_on(struct fake_door *d);
 void fake_end_leases(
     void); /* from the first call on leases end when they are not renewed in time */
-void fake_put(const char *key, const struct tmx_buf *value); /* as another client would */
+void fake_put(const char *key, const struct tmx_buffer *value); /* as another client would */
 void fake_drop(const char *key);
 const struct fake_entry *fake_get(const char *key);
 bool fake_logged(const char *line); /* a batch that stands holds it */
@@ -141,7 +141,8 @@
 void worker_open(struct fake_worker *w, const char *id);
 void worker_report(struct fake_worker *w,
                    struct tmx_ctl *c); /* sends one and waits for its answer */
-void worker_encode(const struct fake_worker *w, struct tmx_buf *b); /* its report as it stands */
+void worker_encode(const struct fake_worker *w,
+                   struct tmx_buffer *buffer); /* its report as it stands */
 void worker_answered(struct fake_worker *w, int status, const uint8_t *body, size_t len);
 bool worker_has(const struct fake_worker *w, const char *op, const char *task, uint32_t attempt);
 void worker_do(struct fake_worker *w); /* executes the orders of the latest answer */
@@ -152,19 +153,20 @@
   const char *id, *kind, *class, *team, *priority;
   uint32_t tasks;
   double cpus, estimate_s;
-  const struct tmx_buf *awaits, *types; /* the encoded lists; NULL: none */
+  const struct tmx_buffer *awaits, *types; /* the encoded lists; NULL: none */
 };
-void submission_of(struct tmx_buf *b, const struct fake_job *job);
+void submission_of(struct tmx_buffer *buffer, const struct fake_job *job);
 int submit_job(struct tmx_ctl *c, const struct fake_job *job); /* the answer's status */
-void submission(struct tmx_buf *b, const char *id, const char *kind, uint32_t tasks, double cpus,
-                const char *team);
+void submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
+                double cpus, const char *team);
 /* One that awaits others: a submission with the encoded list in place of nothing. */
-void submission_awaiting(struct tmx_buf *b, const char *id, const char *kind, uint32_t tasks,
-                         double cpus, const char *team, const struct tmx_buf *awaits);
+void submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
+                         uint32_t tasks, double cpus, const char *team,
+                         const struct tmx_buffer *awaits);
 int submit(struct tmx_ctl *c, const char *id, const char *kind, uint32_t tasks, double cpus,
            const char *team);
 struct fake_answer call(struct tmx_ctl *c, const char *method, const char *path,
-                        const struct tmx_buf *body);
+                        const struct tmx_buffer *body);
 struct fake_answer poll_job(struct tmx_ctl *c, const char *id);
 struct fake_answer cancel_job(struct tmx_ctl *c, const char *id);
 #endif
--- a/tests/fake_internal.h
+++ b/tests/fake_internal.h
@@ -12,5 +12,5 @@
 bool fake_is_done(void *waiting); /* for pump */
 void fake_state_open(void);
 void fake_state_close(void);
-void fake_cloud_request(void *arg, struct tmx_req *q);
+void fake_cloud_request(void *arg, struct tmx_http_request *request);
 #endif
--- a/tests/fake_state.c
+++ b/tests/fake_state.c
@@ -62,15 +62,15 @@
   event(key, NULL, 0);
 }
 
-static void w_entry(struct tmx_buf *b, const char *name, const char *key, const uint8_t *v,
+static void w_entry(struct tmx_buffer *buffer, const char *name, const char *key, const uint8_t *v,
                     size_t len, uint64_t stamp) {
-  tmx_w_map(b, v ? 3 : 2);
-  tmx_w_kstr(b, name, key);
+  tmx_cbor_put_map(buffer, v ? 3 : 2);
+  tmx_cbor_put_text_field(buffer, name, key);
   if (v) {
-    tmx_w_str(b, W_VALUE);
-    tmx_buf_add(b, v, len);
+    tmx_cbor_put_text(buffer, W_VALUE);
+    tmx_buffer_append(buffer, v, len);
   }
-  tmx_w_ku64(b, W_VERSION, stamp);
+  tmx_cbor_put_u64_field(buffer, W_VERSION, stamp);
 }
 
 static void serve_watches(void) {
@@ -81,7 +81,7 @@
       i++;
       continue;
     }
-    struct tmx_buf b = {0}, l = {0};
+    struct tmx_buffer buffer = {0}, l = {0};
     size_t n = 0;
     for (size_t k = 0; k < state.n_ev; k++) {
       const struct fake_event *e = &state.ev[k];
@@ -89,16 +89,16 @@
       w_entry(&l, e->value ? W_PUT : W_DROP, e->key, e->value, e->len, e->stamp);
       n++;
     }
-    tmx_w_map(&b, 2);
-    tmx_w_ku64(&b, W_REVISION, state.rev);
-    tmx_w_str(&b, W_EVENTS);
-    tmx_w_list(&b, n);
-    tmx_buf_add(&b, l.p, l.n);
-    struct tmx_req *q = w->req;
+    tmx_cbor_put_map(&buffer, 2);
+    tmx_cbor_put_u64_field(&buffer, W_REVISION, state.rev);
+    tmx_cbor_put_text(&buffer, W_EVENTS);
+    tmx_cbor_put_list(&buffer, n);
+    tmx_buffer_append(&buffer, l.data, l.length);
+    struct tmx_http_request *request = w->req;
     state.w[i] = state.w[--state.n_w];
-    tmx_req_reply(q, 200, &b, 0);
-    tmx_buf_free(&b);
-    tmx_buf_free(&l);
+    tmx_http_reply(request, 200, &buffer, 0);
+    tmx_buffer_free(&buffer);
+    tmx_buffer_free(&l);
   }
 }
 
@@ -107,9 +107,9 @@
   serve_watches();
 }
 
-void fake_put(const char *key, const struct tmx_buf *value) {
+void fake_put(const char *key, const struct tmx_buffer *value) {
   state.rev++;
-  put(key, value->p, value->n, 0);
+  put(key, value->data, value->length, 0);
   serve_watches();
 }
 
@@ -119,45 +119,46 @@
   serve_watches();
 }
 
-static void reply_rev(struct tmx_req *q, int status) {
-  struct tmx_buf b = {0};
-  tmx_w_map(&b, 1);
-  tmx_w_ku64(&b, W_REVISION, state.rev);
-  tmx_req_reply(q, status, &b, 0);
-  tmx_buf_free(&b);
+static void reply_rev(struct tmx_http_request *request, int status) {
+  struct tmx_buffer buffer = {0};
+  tmx_cbor_put_map(&buffer, 1);
+  tmx_cbor_put_u64_field(&buffer, W_REVISION, state.rev);
+  tmx_http_reply(request, status, &buffer, 0);
+  tmx_buffer_free(&buffer);
 }
 
-static void reencode(const cbor_item_t *v, struct tmx_buf *b) {
+static void reencode(const cbor_item_t *value, struct tmx_buffer *buffer) {
   unsigned char *out = NULL;
-  size_t cap, n = cbor_serialize_alloc(v, &out, &cap);
-  tmx_buf_add(b, out, n);
+  size_t cap, n = cbor_serialize_alloc(value, &out, &cap);
+  tmx_buffer_append(buffer, out, n);
   free(out);
 }
 
 /* The length of a value as the real service counts it. */
-static json_t *as_json(const cbor_item_t *it) {
+static json_t *as_json(const cbor_item_t *item) {
   char text[4096];
   uint64_t u;
   double num;
   bool yes;
-  if (tmx_r_str(it, text, sizeof text)) return json_string(text);
-  if (tmx_r_u64(it, &u)) return json_integer((json_int_t)u);
-  if (tmx_r_num(it, &num)) return json_real(num);
-  if (tmx_r_bool(it, &yes)) return json_boolean(yes);
-  if (cbor_isa_array(it)) {
+  if (tmx_cbor_as_text(item, text, sizeof text)) return json_string(text);
+  if (tmx_cbor_as_u64(item, &u)) return json_integer((json_int_t)u);
+  if (tmx_cbor_as_number(item, &num)) return json_real(num);
+  if (tmx_cbor_as_bool(item, &yes)) return json_boolean(yes);
+  if (cbor_isa_array(item)) {
     json_t *a = json_array();
-    for (size_t i = 0; i < tmx_r_len(it); i++) json_array_append_new(a, as_json(tmx_r_at(it, i)));
+    for (size_t i = 0; i < tmx_cbor_list_length(item); i++)
+      json_array_append_new(a, as_json(tmx_cbor_list_at(item, i)));
     return a;
   }
-  if (!cbor_isa_map(it)) return json_null();
+  if (!cbor_isa_map(item)) return json_null();
   json_t *o = json_object();
-  for (size_t i = 0; i < cbor_map_size(it); i++)
-    if (tmx_r_str(cbor_map_handle(it)[i].key, text, sizeof text))
-      json_object_set_new(o, text, as_json(cbor_map_handle(it)[i].value));
+  for (size_t i = 0; i < cbor_map_size(item); i++)
+    if (tmx_cbor_as_text(cbor_map_handle(item)[i].key, text, sizeof text))
+      json_object_set_new(o, text, as_json(cbor_map_handle(item)[i].value));
   return o;
 }
-static size_t json_size(const cbor_item_t *it) {
-  json_t *j = as_json(it);
+static size_t json_size(const cbor_item_t *item) {
+  json_t *j = as_json(item);
   char *text = json_dumps(j, JSON_COMPACT | JSON_ENCODE_ANY);
   assert_non_null(text);
   size_t n = strlen(text);
@@ -167,18 +168,18 @@
 }
 
 static bool too_large(const cbor_item_t *then) {
-  if (state.txn_max && tmx_r_len(then) > state.txn_max) return true;
-  for (size_t i = 0; state.value_max && i < tmx_r_len(then); i++) {
-    const cbor_item_t *v = tmx_r_get(tmx_r_at(then, i), W_VALUE);
-    if (v && json_size(v) > state.value_max) return true;
+  if (state.txn_max && tmx_cbor_list_length(then) > state.txn_max) return true;
+  for (size_t i = 0; state.value_max && i < tmx_cbor_list_length(then); i++) {
+    const cbor_item_t *value = tmx_cbor_get(tmx_cbor_list_at(then, i), W_VALUE);
+    if (value && json_size(value) > state.value_max) return true;
   }
   return false;
 }
 
 static bool writes(const cbor_item_t *then, const char *prefix) {
   char key[TMX_KEY_MAX + 1];
-  for (size_t i = 0; i < tmx_r_len(then); i++)
-    if (tmx_r_kstr(tmx_r_at(then, i), W_PUT, key, sizeof key) &&
+  for (size_t i = 0; i < tmx_cbor_list_length(then); i++)
+    if (tmx_cbor_get_text(tmx_cbor_list_at(then, i), W_PUT, key, sizeof key) &&
         !strncmp(key, prefix, strlen(prefix)))
       return true;
   return false;
@@ -186,14 +187,14 @@
 
 static bool is_over(uint64_t lease) {
   if (lease <= state.lapsed) return true;
-  return state.lease_until && state.lease_until[lease] < tmx_now();
+  return state.lease_until && state.lease_until[lease] < tmx_clock_steady();
 }
 
 enum { LEASES_MAX = 4096 };
 
 static void renew(uint64_t lease) {
   if (state.lease_until && lease < LEASES_MAX)
-    state.lease_until[lease] = tmx_now() + TMX_LEASE_TTL_MS / 1000.0;
+    state.lease_until[lease] = tmx_clock_steady() + TMX_LEASE_TTL_MS / 1000.0;
 }
 
 void fake_end_leases(void) {
@@ -210,99 +211,101 @@
   }
 }
 
-static void answer_lease(struct tmx_req *q) {
-  struct tmx_buf b = {0};
-  uint64_t lease =
-      strtoull(q->path + strlen(WP_LEASES) + (q->path[strlen(WP_LEASES)] == '/'), NULL, 10);
+static void answer_lease(struct tmx_http_request *request) {
+  struct tmx_buffer buffer = {0};
+  uint64_t lease = strtoull(
+      request->path + strlen(WP_LEASES) + (request->path[strlen(WP_LEASES)] == '/'), NULL, 10);
   if (lease && state.lease_until && is_over(lease)) {
-    tmx_req_reply(q, 404, NULL, 0);
+    tmx_http_reply(request, 404, NULL, 0);
     return;
   }
   if (!lease) lease = ++state.leases;
   renew(lease);
-  tmx_w_map(&b, 1);
-  tmx_w_ku64(&b, W_LEASE, lease);
-  tmx_req_reply(q, 200, &b, 0);
-  tmx_buf_free(&b);
+  tmx_cbor_put_map(&buffer, 1);
+  tmx_cbor_put_u64_field(&buffer, W_LEASE, lease);
+  tmx_http_reply(request, 200, &buffer, 0);
+  tmx_buffer_free(&buffer);
 }
 
 static bool uses_lapsed(const cbor_item_t *then) {
   uint64_t lease;
-  for (size_t i = 0; i < tmx_r_len(then); i++)
-    if (tmx_r_ku64(tmx_r_at(then, i), W_LEASE, &lease) && lease && is_over(lease)) return true;
+  for (size_t i = 0; i < tmx_cbor_list_length(then); i++)
+    if (tmx_cbor_get_u64(tmx_cbor_list_at(then, i), W_LEASE, &lease) && lease && is_over(lease))
+      return true;
   return false;
 }
 
 /* q NULL: late, nobody waits for its answer. */
-static int txn(struct fake_door *d, struct tmx_req *q, const uint8_t *body, size_t len) {
-  cbor_item_t *m = tmx_cbor_parse(body, len);
-  const cbor_item_t *cond = tmx_r_get(m, W_IF), *then = tmx_r_get(m, W_THEN);
+static int txn(struct fake_door *d, struct tmx_http_request *request, const uint8_t *body,
+               size_t len) {
+  cbor_item_t *map = tmx_cbor_parse(body, len);
+  const cbor_item_t *cond = tmx_cbor_get(map, W_IF), *then = tmx_cbor_get(map, W_THEN);
   char key[TMX_KEY_MAX + 1];
   bool lose = false;
-  assert_non_null(m);
+  assert_non_null(map);
   if (too_large(then)) {
     state.too_large++;
-    tmx_cbor_free(m);
-    if (q) tmx_req_reply(q, 400, NULL, 0);
+    tmx_cbor_free(map);
+    if (request) tmx_http_reply(request, 400, NULL, 0);
     return 400;
   }
-  if (q && d->late_next_txn && writes(then, d->late_key)) {
+  if (request && d->late_next_txn && writes(then, d->late_key)) {
     d->late_next_txn = false;
     d->late = malloc(len);
     memcpy(d->late, body, len);
     d->late_len = len;
-    tmx_cbor_free(m);
-    tmx_req_reply(q, 500, NULL, 0); /* says nothing of what becomes of it */
+    tmx_cbor_free(map);
+    tmx_http_reply(request, 500, NULL, 0); /* says nothing of what becomes of it */
     return 0;
   }
-  for (size_t i = 0; i < tmx_r_len(cond); i++) {
+  for (size_t i = 0; i < tmx_cbor_list_length(cond); i++) {
     uint64_t want = 0;
-    assert_true(tmx_r_kstr(tmx_r_at(cond, i), W_KEY, key, sizeof key));
-    assert_true(tmx_r_ku64(tmx_r_at(cond, i), W_VERSION, &want));
+    assert_true(tmx_cbor_get_text(tmx_cbor_list_at(cond, i), W_KEY, key, sizeof key));
+    assert_true(tmx_cbor_get_u64(tmx_cbor_list_at(cond, i), W_VERSION, &want));
     const struct fake_entry *e = find(key);
     if ((e ? e->stamp : 0) == want) continue;
     state.conflicts++;
-    tmx_cbor_free(m);
-    if (q) reply_rev(q, 409);
+    tmx_cbor_free(map);
+    if (request) reply_rev(request, 409);
     return 409;
   }
   if (uses_lapsed(then)) {
-    struct tmx_buf b = {0};
+    struct tmx_buffer buffer = {0};
     state.lapsed_puts++;
-    tmx_cbor_free(m);
-    tmx_w_map(&b, 1);
-    tmx_w_kstr(&b, "error", WV_NO_LEASE);
-    if (q) tmx_req_reply(q, 400, &b, 0);
-    tmx_buf_free(&b);
+    tmx_cbor_free(map);
+    tmx_cbor_put_map(&buffer, 1);
+    tmx_cbor_put_text_field(&buffer, "error", WV_NO_LEASE);
+    if (request) tmx_http_reply(request, 400, &buffer, 0);
+    tmx_buffer_free(&buffer);
     return 400;
   }
   state.rev++;
   state.commits++;
-  for (size_t i = 0; i < tmx_r_len(then); i++) {
-    const cbor_item_t *o = tmx_r_at(then, i);
+  for (size_t i = 0; i < tmx_cbor_list_length(then); i++) {
+    const cbor_item_t *o = tmx_cbor_list_at(then, i);
     uint64_t lease = 0;
-    tmx_r_ku64(o, W_LEASE, &lease);
-    if (tmx_r_kstr(o, W_PUT, key, sizeof key)) {
-      struct tmx_buf v = {0};
+    tmx_cbor_get_u64(o, W_LEASE, &lease);
+    if (tmx_cbor_get_text(o, W_PUT, key, sizeof key)) {
+      struct tmx_buffer value = {0};
       assert_int_equal(cbor_map_size(o), lease ? 3 : 2); /* an operation has no other fields */
-      reencode(tmx_r_get(o, W_VALUE), &v);
-      put(key, v.p, v.n, lease);
-      tmx_buf_free(&v);
+      reencode(tmx_cbor_get(o, W_VALUE), &value);
+      put(key, value.data, value.length, lease);
+      tmx_buffer_free(&value);
       if (d->lose_next_txn && !strncmp(key, d->lose_key, strlen(d->lose_key))) lose = true;
-    } else if (tmx_r_kstr(o, W_DROP, key, sizeof key)) {
+    } else if (tmx_cbor_get_text(o, W_DROP, key, sizeof key)) {
       drop(key);
     }
   }
-  tmx_cbor_free(m);
-  if (!q) {
+  tmx_cbor_free(map);
+  if (!request) {
   } else if (lose) {
     d->lose_next_txn = false;
     if (d->hold && !d->held)
-      d->held = q;
+      d->held = request;
     else
-      tmx_req_reply(q, 500, NULL, 0); /* says nothing of what became of it */
+      tmx_http_reply(request, 500, NULL, 0); /* says nothing of what became of it */
   } else {
-    reply_rev(q, 200);
+    reply_rev(request, 200);
   }
   serve_watches();
   return 200;
@@ -319,8 +322,8 @@
 /* A read's answer, slow_s after it was carried out. */
 struct slow {
   ev_timer t;
-  struct tmx_req *q;
-  struct tmx_buf body;
+  struct tmx_http_request *q;
+  struct tmx_buffer body;
   struct slow *next;
 };
 static struct slow *slow_answers;
@@ -331,19 +334,20 @@
   while (*at != x) at = &(*at)->next;
   *at = x->next;
   ev_timer_stop(l, t);
-  tmx_req_reply(x->q, 200, &x->body, 0);
-  tmx_buf_free(&x->body);
+  tmx_http_reply(x->q, 200, &x->body, 0);
+  tmx_buffer_free(&x->body);
   free(x);
 }
 
-static void answer_read(struct fake_door *d, struct tmx_req *q, struct tmx_buf *b) {
+static void answer_read(struct fake_door *d, struct tmx_http_request *request,
+                        struct tmx_buffer *buffer) {
   if (d->slow_s <= 0) {
-    tmx_req_reply(q, 200, b, 0);
+    tmx_http_reply(request, 200, buffer, 0);
     return;
   }
   struct slow *x = calloc(1, sizeof *x);
-  x->q = q;
-  tmx_buf_add(&x->body, b->p, b->n);
+  x->q = request;
+  tmx_buffer_append(&x->body, buffer->data, buffer->length);
   x->next = slow_answers;
   slow_answers = x;
   ev_timer_init(&x->t, on_slow, d->slow_s, 0);
@@ -351,14 +355,14 @@
   ev_timer_start(loop, &x->t);
 }
 
-static void read_keys(struct fake_door *d, struct tmx_req *q) {
-  struct tmx_buf b = {0}, l = {0};
+static void read_keys(struct fake_door *d, struct tmx_http_request *request) {
+  struct tmx_buffer buffer = {0}, l = {0};
   char prefix[128] = "", from[TMX_KEY_MAX + 1] = "";
-  const char *f = strstr(q->path, "from=");
+  const char *f = strstr(request->path, "from=");
   size_t n = 0;
   bool more = false;
   d->reads++;
-  sscanf(strstr(q->path, "prefix=") + 7, "%127[^&]", prefix);
+  sscanf(strstr(request->path, "prefix=") + 7, "%127[^&]", prefix);
   if (f) sscanf(f + 5, "%200[^&]", from);
   for (size_t i = 0; i < state.n_e && !more; i++) {
     const struct fake_entry *e = &state.e[i];
@@ -368,45 +372,45 @@
     w_entry(&l, W_KEY, e->key, e->value, e->len, e->stamp);
     n++;
   }
-  tmx_w_map(&b, 3);
-  tmx_w_str(&b, W_ITEMS);
-  tmx_w_list(&b, n);
-  tmx_buf_add(&b, l.p, l.n);
-  tmx_w_kbool(&b, W_MORE, more);
-  tmx_w_ku64(&b, W_REVISION, state.rev);
-  answer_read(d, q, &b);
-  tmx_buf_free(&b);
-  tmx_buf_free(&l);
+  tmx_cbor_put_map(&buffer, 3);
+  tmx_cbor_put_text(&buffer, W_ITEMS);
+  tmx_cbor_put_list(&buffer, n);
+  tmx_buffer_append(&buffer, l.data, l.length);
+  tmx_cbor_put_bool_field(&buffer, W_MORE, more);
+  tmx_cbor_put_u64_field(&buffer, W_REVISION, state.rev);
+  answer_read(d, request, &buffer);
+  tmx_buffer_free(&buffer);
+  tmx_buffer_free(&l);
 }
 
 void fake_read_on(struct fake_door *d) {
-  struct tmx_req *q = d->held_read;
+  struct tmx_http_request *request = d->held_read;
   d->held_read = NULL;
   d->hold_from[0] = 0;
-  read_keys(d, q);
+  read_keys(d, request);
 }
 
-static void on_state(void *arg, struct tmx_req *q) {
+static void on_state(void *arg, struct tmx_http_request *request) {
   struct fake_door *d = arg;
-  const char *from = strstr(q->path, "from=");
-  if (!strncmp(q->path, WP_WATCH, strlen(WP_WATCH)) && d->gone_watch) {
+  const char *from = strstr(request->path, "from=");
+  if (!strncmp(request->path, WP_WATCH, strlen(WP_WATCH)) && d->gone_watch) {
     d->gone_watch = false;
-    tmx_req_reply(q, 410, NULL, 0);
-  } else if (!strncmp(q->path, WP_WATCH, strlen(WP_WATCH))) {
+    tmx_http_reply(request, 410, NULL, 0);
+  } else if (!strncmp(request->path, WP_WATCH, strlen(WP_WATCH))) {
     assert_in_range(state.n_w, 0, 31);
     state.w[state.n_w++] =
-        (struct fake_watch){q, strtoull(from + 5, NULL, 10), (int)(d - state.doors)};
+        (struct fake_watch){request, strtoull(from + 5, NULL, 10), (int)(d - state.doors)};
     serve_watches();
   } else if (d->refuse) {
-    tmx_req_reply(q, 503, NULL, 0);
-  } else if (!strcmp(q->path, WP_TXN)) {
-    txn(d, q, q->body, q->body_len);
-  } else if (!strncmp(q->path, WP_LEASES, strlen(WP_LEASES))) {
-    answer_lease(q);
+    tmx_http_reply(request, 503, NULL, 0);
+  } else if (!strcmp(request->path, WP_TXN)) {
+    txn(d, request, request->body, request->body_len);
+  } else if (!strncmp(request->path, WP_LEASES, strlen(WP_LEASES))) {
+    answer_lease(request);
   } else if (from && d->hold_from[0] && !strncmp(from + 5, d->hold_from, strlen(d->hold_from))) {
-    d->held_read = q;
+    d->held_read = request;
   } else {
-    read_keys(d, q);
+    read_keys(d, request);
   }
 }
 
@@ -415,11 +419,11 @@
   char s[TMX_LINE_MAX];
   for (size_t i = 0; i < state.n_e; i++) {
     if (strncmp(state.e[i].key, TMX_K_BATCH, strlen(TMX_K_BATCH))) continue;
-    cbor_item_t *m = tmx_cbor_parse(state.e[i].value, state.e[i].len);
-    const cbor_item_t *ops = tmx_r_get(m, "ops");
-    for (size_t k = 0; k < tmx_r_len(ops); k++)
-      if (tmx_r_str(tmx_r_at(ops, k), s, sizeof s)) f(arg, s);
-    tmx_cbor_free(m);
+    cbor_item_t *map = tmx_cbor_parse(state.e[i].value, state.e[i].len);
+    const cbor_item_t *ops = tmx_cbor_get(map, "ops");
+    for (size_t k = 0; k < tmx_cbor_list_length(ops); k++)
+      if (tmx_cbor_as_text(tmx_cbor_list_at(ops, k), s, sizeof s)) f(arg, s);
+    tmx_cbor_free(map);
   }
 }
 
@@ -459,18 +463,19 @@
   memset(&state, 0, sizeof state);
   for (int i = 0; i < FAKE_NODES; i++) {
     state.doors[i].s = &state;
-    state.doors[i].srv = tmx_server_new(loop, "127.0.0.1:0", 200, 60, on_state, &state.doors[i]);
+    state.doors[i].srv =
+        tmx_http_server_new(loop, "127.0.0.1:0", 200, 60, on_state, &state.doors[i]);
   }
 }
 
 void fake_state_close(void) {
   while (slow_answers) on_slow(loop, &slow_answers->t, 0);
   for (int i = 0; i < FAKE_NODES; i++)
-    if (state.doors[i].held) tmx_req_reply(state.doors[i].held, 500, NULL, 0);
-  for (size_t i = 0; i < state.n_w; i++) tmx_req_reply(state.w[i].req, 503, NULL, 0);
+    if (state.doors[i].held) tmx_http_reply(state.doors[i].held, 500, NULL, 0);
+  for (size_t i = 0; i < state.n_w; i++) tmx_http_reply(state.w[i].req, 503, NULL, 0);
   state.n_w = 0;
   for (int i = 0; i < FAKE_NODES; i++) {
-    tmx_server_free(state.doors[i].srv);
+    tmx_http_server_free(state.doors[i].srv);
     free(state.doors[i].late);
   }
   for (size_t i = 0; i < state.n_e; i++) free(state.e[i].value);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -355,22 +355,24 @@
   (void)st;
   struct at_once x = {0};
   char addr[32], id[TMX_ID_MAX];
-  struct tmx_client *clients[2];
+  struct tmx_http_client *clients[2];
   for (int k = 0; k < 2; k++) {
-    snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_server_port((k ? b : a)->server));
-    clients[k] = tmx_client_new(loop, addr, AT_ONCE);
+    snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port((k ? b : a)->server));
+    clients[k] = tmx_http_client_new(loop, addr, AT_ONCE);
   }
   for (int i = 0; i < AT_ONCE; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     struct fake_job job = {.id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1};
-    struct tmx_buf body = {0};
+    struct tmx_buffer body = {0};
     submission_of(&body, &job);
-    assert_true(tmx_client_call(clients[i % 2], "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
-    tmx_buf_free(&body);
+    assert_true(
+        tmx_http_client_call(clients[i % 2], "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
+    tmx_buffer_free(&body);
   }
-  double sent_at = tmx_now();
+  double sent_at = tmx_clock_steady();
   assert_true(pump(all_answered, &x));
-  assert_true(tmx_now() - sent_at < 1); /* refused as soon as it is known, not when time is up */
+  assert_true(tmx_clock_steady() - sent_at <
+              1); /* refused as soon as it is known, not when time is up */
   pump_for(0.2);
   assert_in_range(x.accepted, 5, 30);
   assert_int_equal(a->rep.backlog->accounts[0][0].jobs, x.accepted);
@@ -381,7 +383,7 @@
   }
   next_job = 100;
   assert_int_equal(flood(a, "t", "c"), alone); /* as many as one after the other */
-  for (int k = 0; k < 2; k++) tmx_client_free(clients[k]);
+  for (int k = 0; k < 2; k++) tmx_http_client_free(clients[k]);
 }
 
 static void a_late_copy_does_not_admit_by_old_shares(void **st) {
@@ -420,7 +422,7 @@
 static void a_known_job_is_told_as_such_by_a_late_copy(void **st) {
   (void)st;
   struct at_once x = {.answered = AT_ONCE - 1};
-  struct tmx_buf body = {0};
+  struct tmx_buffer body = {0};
   struct fake_job job = {.id = "wk-900000", .class = "d", .team = "t", .tasks = 1, .cpus = 1};
   flood(b, "t", "c");
   pump_for(0.5);
@@ -428,16 +430,16 @@
   assert_int_equal(submit_job(a, &job), 201);
   job.class = "c"; /* by another body, of the class that would be refused */
   submission_of(&body, &job);
-  struct tmx_client *client = to(b);
-  assert_true(tmx_client_call(client, "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
+  struct tmx_http_client *client = to(b);
+  assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
   pump_for(0.3);
   assert_int_equal(x.answered, AT_ONCE - 1);
   state.doors[1].freeze_watch = false;
   fake_free_watches();
   assert_true(pump(all_answered, &x));
   assert_int_equal(x.known, 1);
-  tmx_client_free(client);
-  tmx_buf_free(&body);
+  tmx_http_client_free(client);
+  tmx_buffer_free(&body);
 }
 
 static void the_judgement_outlives_leaders_folds_and_restarts(void **st) {
@@ -513,19 +515,19 @@
 static void a_pipeline_begun_is_carried_on_within_a_bound(void **st) {
   (void)st;
   flood(a, "t", "c");
-  struct tmx_buf list = {0};
+  struct tmx_buffer list = {0};
   char id[TMX_ID_MAX];
   unsigned n = 0;
   int status = 201;
-  tmx_w_list(&list, 1);
-  tmx_w_str(&list, "wk-000001");
+  tmx_cbor_put_list(&list, 1);
+  tmx_cbor_put_text(&list, "wk-000001");
   for (; n < 100 && status == 201; n++) {
     snprintf(id, sizeof id, "wk-%06u", 700000 + n);
     struct fake_job job = {
         .id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1, .awaits = &list};
     status = submit_job(a, &job);
   }
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
   assert_int_equal(status, 503);
   assert_in_range(n, 10,
                   40); /* up to the raised ceiling of the team, 81 s, rather than of the class */
--- a/tests/test_depend.c
+++ b/tests/test_depend.c
@@ -35,12 +35,12 @@
   return 0;
 }
 
-static void apply(const char *key, struct tmx_buf *b) {
-  cbor_item_t *value = tmx_cbor_parse(b->p, b->n);
+static void apply(const char *key, struct tmx_buffer *buffer) {
+  cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
   assert_non_null(value);
   tmx_replica_apply(&rep, key, ++revision, value);
   tmx_cbor_free(value);
-  tmx_buf_free(b);
+  tmx_buffer_free(buffer);
 }
 
 static struct tmx_spec spec(void) {
@@ -62,14 +62,14 @@
 static void put_spec(const char *id, const struct tmx_spec *s, double submitted,
                      const char *names) {
   struct tmx_awaits awaits = {.ids = calloc(8, TMX_ID_MAX)};
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
   awaits.n = (uint32_t)tmx_line_fields(copy, name, 8);
   for (uint32_t i = 0; i < awaits.n; i++) snprintf(awaits.ids[i], TMX_ID_MAX, "%s", name[i]);
-  assert_int_equal(tmx_job_encode_open(&b, id, s, submitted, &awaits, 2000), awaits.n);
+  assert_int_equal(tmx_job_encode_open(&buffer, id, s, submitted, &awaits, 2000), awaits.n);
   tmx_awaits_free(&awaits);
-  apply(job_key(id), &b);
+  apply(job_key(id), &buffer);
 }
 static void put(const char *id, const char *names) {
   struct tmx_spec s = spec();
@@ -83,17 +83,17 @@
 }
 
 static void end(const char *id, int fin, double at) {
-  struct tmx_buf b = {0};
-  tmx_job_encode_final(&b, job(id), fin, at, 2000);
-  apply(job_key(id), &b);
+  struct tmx_buffer buffer = {0};
+  tmx_job_encode_final(&buffer, job(id), fin, at, 2000);
+  apply(job_key(id), &buffer);
 }
 
 static void put_lines(const char *line) {
-  struct tmx_buf b = {0}, list = {0};
-  tmx_w_str(&list, line);
-  tmx_lines_encode(&b, NULL, 0, &list, 1);
-  tmx_buf_free(&list);
-  apply(TMX_K_BATCH "h/1", &b);
+  struct tmx_buffer buffer = {0}, list = {0};
+  tmx_cbor_put_text(&list, line);
+  tmx_lines_encode(&buffer, NULL, 0, &list, 1);
+  tmx_buffer_free(&list);
+  apply(TMX_K_BATCH "h/1", &buffer);
 }
 
 static bool placeable(const char *id) {
@@ -179,17 +179,17 @@
 static cbor_item_t *encoded(const char *id, const char *names, int fin, double ended) {
   struct tmx_awaits awaits = {.ids = calloc(1, TMX_ID_MAX), .n = names[0] != 0};
   struct tmx_spec s = spec();
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   struct tmx_job j = {.spec = s, .submitted = 100};
   snprintf(j.id, sizeof j.id, "%s", id);
   snprintf(awaits.ids[0], TMX_ID_MAX, "%s", names);
   if (fin)
-    tmx_job_encode_final(&b, &j, fin, ended, 2000);
+    tmx_job_encode_final(&buffer, &j, fin, ended, 2000);
   else
-    tmx_job_encode_open(&b, id, &s, 100, &awaits, 2000);
-  cbor_item_t *value = tmx_cbor_parse(b.p, b.n);
+    tmx_job_encode_open(&buffer, id, &s, 100, &awaits, 2000);
+  cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
   tmx_awaits_free(&awaits);
-  tmx_buf_free(&b);
+  tmx_buffer_free(&buffer);
   return value;
 }
 
@@ -220,16 +220,16 @@
   (void)st;
   struct tmx_spec s = spec();
   struct tmx_awaits awaits = {.ids = calloc(400, TMX_ID_MAX), .n = 400};
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   char line[TMX_LINE_MAX];
   for (uint32_t i = 0; i < 400; i++) {
     snprintf(awaits.ids[i], TMX_ID_MAX, "wk-%06u", i);
     put(awaits.ids[i], "");
   }
-  uint32_t at = tmx_job_encode_open(&b, "wk-last", &s, 100, &awaits, 900);
-  assert_true(tmx_json_len(&b) <= 900);
+  uint32_t at = tmx_job_encode_open(&buffer, "wk-last", &s, 100, &awaits, 900);
+  assert_true(tmx_json_length(&buffer) <= 900);
   assert_in_range(at, 50, 399);
-  apply(job_key("wk-last"), &b);
+  apply(job_key("wk-last"), &buffer);
   uint32_t second = at;
   tmx_awaits_print(line, sizeof line, "wk-last", &awaits, &second);
   while (at < awaits.n) {
@@ -301,27 +301,27 @@
   (void)st;
   struct tmx_spec s = spec();
   struct tmx_awaits none = {0};
-  struct tmx_buf before = {0}, now = {0};
+  struct tmx_buffer before = {0}, now = {0};
   tmx_job_encode(&before, "wk-a", &s, 100, TMX_OPEN);
   tmx_job_encode_open(&now, "wk-a", &s, 100, &none, 2000);
-  assert_int_equal(now.n, before.n);
-  assert_memory_equal(now.p, before.p, now.n);
+  assert_int_equal(now.length, before.length);
+  assert_memory_equal(now.data, before.data, now.length);
   put("wk-a", "");
-  before.n = now.n = 0;
+  before.length = now.length = 0;
   tmx_job_encode(&before, "wk-a", &s, 100, TMX_FIN_DONE);
   tmx_job_encode_final(&now, job("wk-a"), TMX_FIN_DONE, 0, 2000);
-  assert_int_equal(now.n, before.n);
-  assert_memory_equal(now.p, before.p, now.n);
+  assert_int_equal(now.length, before.length);
+  assert_memory_equal(now.data, before.data, now.length);
   assert_false(rep.pipelines);
-  tmx_buf_free(&before);
-  tmx_buf_free(&now);
+  tmx_buffer_free(&before);
+  tmx_buffer_free(&now);
 }
 
 /* A job that was accepted under a larger limit must still come to its final state. */
 static void final_state_fits_the_smallest_value(void **st) {
   (void)st;
   struct tmx_job j = {.spec = spec(), .submitted = 1.7e9 + 0.123456};
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   set.value_kb = 1;
   memset(j.id, 'x', sizeof j.id - 1);
   memset(j.spec.class, 'c', TMX_NAME_MAX - 1);
@@ -331,16 +331,16 @@
   j.spec.n_types = TMX_TYPES_MAX;
   for (size_t i = 0; i < TMX_TYPES_MAX; i++) memset(j.spec.types[i], 'y', TMX_ID_MAX - 1);
   j.spec.cpus = j.spec.mem = j.spec.image_gb = 1.0 / 3;
-  tmx_job_encode_final(&b, &j, TMX_FIN_DONE, 1.7e9 + 0.654321, tmx_value_room(&set));
-  assert_true(tmx_json_len(&b) <= tmx_value_room(&set));
+  tmx_job_encode_final(&buffer, &j, TMX_FIN_DONE, 1.7e9 + 0.654321, tmx_value_room(&set));
+  assert_true(tmx_json_length(&buffer) <= tmx_value_room(&set));
   struct tmx_job_record record;
-  cbor_item_t *value = tmx_cbor_parse(b.p, b.n);
+  cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
   assert_true(tmx_job_decode(value, &record));
   assert_int_equal(record.fin, TMX_FIN_DONE);
   assert_string_equal(record.spec.team, j.spec.team);
   assert_true(record.spec.cpus == j.spec.cpus);
   tmx_cbor_free(value);
-  tmx_buf_free(&b);
+  tmx_buffer_free(&buffer);
 }
 
 /* Operations of one job that share a line mean what they mean each in a line of its own. */
