--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -41,8 +41,8 @@
   if (a) controller_end(a);
   if (b) controller_end(b);
   a = b = NULL;
-  tmx_server_free(w.srv);
-  for (int i = 0; i < 2; i++) tmx_server_free(others[i].srv);
+  tmx_http_server_free(w.srv);
+  for (int i = 0; i < 2; i++) tmx_http_server_free(others[i].srv);
   fake_close();
   return 0;
 }
@@ -112,14 +112,14 @@
   unsigned reads = door->reads;
   for (int i = 0; slow_s && i < 1000 && door->reads == reads; i++) pump_for(0.005);
   assert_string_equal(cancel_job(other, "wk-000001").state, WV_CANCELLED);
-  double confirmed = tmx_now(), renewed = confirmed;
+  double confirmed = tmx_clock_steady(), renewed = confirmed;
   if (slow_s) pump_for(slow_s + 0.3); /* the read that began just before is answered only now */
   state.doors[0].refuse = state.doors[1].refuse = true;
   unsigned begun = w.executed_starts, answered = 0;
   for (double t = 0; t < cancel + 5; t += 0.5) {
     struct tmx_ctl *asked[] = {owner, other};
     for (int i = 0; i < 2; i++) {
-      double sent = tmx_now();
+      double sent = tmx_clock_steady();
       worker_report(&w, asked[i]);
       if (w.status != 200 || w.answer_token < w.token) continue;
       answered++;
@@ -128,7 +128,7 @@
       renewed = sent;
     }
     pump_for(0.12);
-    tmx_clock_shift(0.38);
+    tmx_clock_advance(0.38);
   }
   assert_true(answered > 0); /* running work went on for a while */
   assert_true(renewed + lease * (1 + TMX_DRIFT) < confirmed + cancel);
@@ -161,9 +161,9 @@
   bool first = !strcmp(tmx_owner_of(&a->rep, w.id), a->set.node);
   struct tmx_ctl *keeper = first ? b : a;
   assert_string_equal(cancel_job(keeper, "wk-000001").state, WV_CANCELLED);
-  double confirmed = tmx_now();
+  double confirmed = tmx_clock_steady();
   pump_for(0.3);
-  tmx_clock_shift(9);
+  tmx_clock_advance(9);
   pump_for(0.5);
   w.silent = true;
   state.doors[0].refuse = state.doors[1].refuse = true;
@@ -175,11 +175,11 @@
   pump_for(0.2);
   assert_int_equal(fake_placed(), 1);
   worker_report(&w, keeper);
-  tmx_clock_shift(TMX_STATE_LOST_S);
+  tmx_clock_advance(TMX_STATE_LOST_S);
   worker_report(&w, keeper);
   assert_int_equal(w.status, 200); /* a lease from now on ends in time */
-  assert_true(tmx_now() + keeper->set.lease_s < confirmed + keeper->set.cancel_s);
-  tmx_clock_shift(7);
+  assert_true(tmx_clock_steady() + keeper->set.lease_s < confirmed + keeper->set.cancel_s);
+  tmx_clock_advance(7);
   assert_true(tmx_ctl_fresh(keeper));
   worker_report(&w, keeper);
   assert_int_not_equal(w.status, 200);
@@ -194,7 +194,7 @@
   wait_starts(1);
   state.doors[0].refuse = true;
   pump_for(0.2);
-  tmx_clock_shift(TMX_START_FRESH_S);
+  tmx_clock_advance(TMX_START_FRESH_S);
   w.session++; /* its lease lapsed: the task is missing, and the log says that it belongs there */
   w.n_loads = 0;
   for (int i = 0; i < 3; i++) {
@@ -389,11 +389,11 @@
   (void)st;
   up(&w);
   uint64_t run = tmx_link_inc(a->link);
-  struct tmx_buf v = {0};
-  tmx_w_map(&v, 1);
-  tmx_w_kstr(&v, "listen", a->set.listen);
-  fake_put(TMX_K_NODE "hand-0", &v);
-  tmx_buf_free(&v);
+  struct tmx_buffer value = {0};
+  tmx_cbor_put_map(&value, 1);
+  tmx_cbor_put_text_field(&value, "listen", a->set.listen);
+  fake_put(TMX_K_NODE "hand-0", &value);
+  tmx_buffer_free(&value);
   pump_for(0.1);
   assert_true(pump(fake_ready, a));
   assert_true(tmx_link_inc(a->link) > run);
@@ -437,7 +437,7 @@
   restart();
   assert_string_equal(poll_job(a, "wk-000001").state, WV_RUNNING);
   controller_end(a);
-  tmx_clock_shift(30);
+  tmx_clock_advance(30);
   w.session++;
   w.n_loads = 0;
   a = controller(0, 1);
@@ -460,12 +460,12 @@
 }
 
 static void lead(const struct tmx_ctl *next) {
-  struct tmx_buf v = {0};
-  tmx_w_map(&v, 2);
-  tmx_w_kstr(&v, "name", next->set.node);
-  tmx_w_ku64(&v, "inc", tmx_link_inc(next->link));
-  fake_put(TMX_K_LEADER, &v);
-  tmx_buf_free(&v);
+  struct tmx_buffer value = {0};
+  tmx_cbor_put_map(&value, 2);
+  tmx_cbor_put_text_field(&value, "name", next->set.node);
+  tmx_cbor_put_u64_field(&value, "inc", tmx_link_inc(next->link));
+  fake_put(TMX_K_LEADER, &value);
+  tmx_buffer_free(&value);
 }
 
 static void complete_all(void) {
@@ -562,7 +562,7 @@
   /* one task more than the limit of the team: while it waits nothing is returned */
   assert_int_equal(submit(a, "wk-000001", "batch", 5, 2, "t"), 201);
   for (int i = 0; i <= TMX_PEAK_S / TMX_DEMAND_GAP_S; i++) {
-    tmx_clock_shift(TMX_DEMAND_GAP_S - 1);
+    tmx_clock_advance(TMX_DEMAND_GAP_S - 1);
     for (int k = 0; k < 3; k++) {
       worker_report(all[k], a);
       if (all[k]->status != 200) worker_report(all[k], b);
@@ -574,8 +574,8 @@
   for (int k = 0; k < 3; k++) assert_false(tmx_machine_find(&next->rep, all[k]->id)->drain);
   assert_int_equal(cloud.deletes, 0);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  double since = tmx_now();
-  while (tmx_now() - since < TMX_SETTLE_S + TMX_DRAIN_SPACING_S + 2) {
+  double since = tmx_clock_steady();
+  while (tmx_clock_steady() - since < TMX_SETTLE_S + TMX_DRAIN_SPACING_S + 2) {
     for (int k = 0; k < 3; k++) {
       worker_report(all[k], a);
       if (all[k]->status != 200) worker_report(all[k], b);
@@ -638,7 +638,7 @@
   strcpy(d->hold_from, TMX_K_FOLD);
   b = controller(1, 2);
   for (int i = 0; i < 400 && !d->held_read; i++) pump_for(0.02);
-  const struct tmx_req *held = d->held_read;
+  const struct tmx_http_request *held = d->held_read;
   assert_non_null(held);
   assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
   tmx_fold_above(a->fold, 0);
@@ -847,7 +847,7 @@
   assert_true(m->usable);
   double step = a->set.report_s;
   for (int k = 0; k < 3; k++) { /* the others report on */
-    tmx_clock_shift(step);
+    tmx_clock_advance(step);
     for (int i = 1; i < 3; i++) worker_report(all[i], a);
     pump_for(0.4);
   }
@@ -855,14 +855,14 @@
   assert_true(tmx_machine_find(&a->rep, others[0].id)->usable);
   assert_int_equal(cloud.deletes, 0);
   for (int k = 0; k < 8 && !cloud.deletes; k++) {
-    tmx_clock_shift(step);
+    tmx_clock_advance(step);
     for (int i = 1; i < 3; i++) worker_report(all[i], a);
     pump_for(0.4);
   }
   for (int i = 0; i < 200 && !fake_logged("x n-000001"); i++) pump_for(0.02);
   assert_true(fake_logged("x n-000001"));
   for (int k = 0; k < 8; k++) { /* now none of them reports */
-    tmx_clock_shift(step);
+    tmx_clock_advance(step);
     pump_for(0.3);
   }
   assert_int_equal(cloud.deletes, 1);
@@ -873,20 +873,20 @@
 static void job_of_one_zone_loses_its_machine(void **st) {
   (void)st;
   up(&w);
-  struct tmx_buf body = {0};
-  tmx_w_map(&body, 18);
-  tmx_w_kstr(&body, W_ZONE, "a");
-  struct tmx_buf rest = {0};
+  struct tmx_buffer body = {0};
+  tmx_cbor_put_map(&body, 18);
+  tmx_cbor_put_text_field(&body, W_ZONE, "a");
+  struct tmx_buffer rest = {0};
   submission(&rest, "wk-000001", "batch", 2, 2, "t");
-  tmx_buf_add(&body, rest.p + 1, rest.n - 1); /* all fields of a map of 17 */
-  tmx_buf_free(&rest);
+  tmx_buffer_append(&body, rest.data + 1, rest.length - 1); /* all fields of a map of 17 */
+  tmx_buffer_free(&rest);
   assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 201);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
   wait_starts(2);
   up(&others[0]);
   w.silent = true;
   cloud.refuse_delete = true;
-  tmx_clock_shift(12);
+  tmx_clock_advance(12);
   pump_for(2);
   assert_int_equal(others[0].executed_starts, 0);
   cloud.refuse_delete = false;
@@ -904,17 +904,17 @@
  * is never refused for its body. */
 static void bad_input_in_trouble(void **st) {
   (void)st;
-  struct tmx_buf ok = {0};
+  struct tmx_buffer ok = {0};
   static const char *needed[] = {W_GPUS,  W_ONE_ZONE, W_SPREAD,   W_SPOT,  W_CPUS, W_MEM,
                                  W_IMAGE, W_TASKS,    W_ESTIMATE, W_CLASS, W_TEAM, W_PRIORITY};
   submission(&ok, "wk-000001", "batch", 1, 2, "t");
   for (size_t i = 0; i < sizeof needed / sizeof *needed; i++) {
-    struct tmx_buf bad = {0};
+    struct tmx_buffer bad = {0};
     size_t len = strlen(needed[i]);
-    tmx_buf_add(&bad, ok.p, ok.n);
-    uint8_t *at = memmem(bad.p + 1, bad.n - 1, needed[i], len);
+    tmx_buffer_append(&bad, ok.data, ok.length);
+    uint8_t *at = memmem(bad.data + 1, bad.length - 1, needed[i], len);
     while (at && at[-1] != 0x60 + len) /* the name itself, not a part of another */
-      at = memmem(at + 1, bad.n - (size_t)(at + 1 - bad.p), needed[i], len);
+      at = memmem(at + 1, bad.length - (size_t)(at + 1 - bad.data), needed[i], len);
     assert_non_null(at);
     at[0] = 'X'; /* the field is missing now */
     assert_int_equal(call(a, "POST", WP_JOBS, &bad).status, 400);
@@ -923,27 +923,27 @@
     assert_int_equal(call(a, "POST", WP_JOBS, &bad).status, 503);
     state.doors[0].refuse = false;
     pump_for(0.4);
-    tmx_buf_free(&bad);
+    tmx_buffer_free(&bad);
   }
   assert_int_equal(call(a, "POST", WP_JOBS, &ok).status, 201);
-  tmx_buf_free(&ok);
+  tmx_buffer_free(&ok);
   /* a body that is too large for a value, under a name that only another controller knows yet */
-  struct tmx_buf large = {0}, list = {0};
+  struct tmx_buffer large = {0}, list = {0};
   submission(&ok, "wk-000001", "batch", 1, 2, "t");
-  tmx_w_map(&large, 18);
-  tmx_w_str(&large, W_TYPES);
-  tmx_w_list(&list, TMX_TYPES_MAX);
-  for (int i = 0; i < TMX_TYPES_MAX; i++) tmx_w_str(&list, "big");
-  tmx_buf_add(&large, list.p, list.n);
-  tmx_buf_add(&large, ok.p + 1, ok.n - 1);
+  tmx_cbor_put_map(&large, 18);
+  tmx_cbor_put_text(&large, W_TYPES);
+  tmx_cbor_put_list(&list, TMX_TYPES_MAX);
+  for (int i = 0; i < TMX_TYPES_MAX; i++) tmx_cbor_put_text(&list, "big");
+  tmx_buffer_append(&large, list.data, list.length);
+  tmx_buffer_append(&large, ok.data + 1, ok.length - 1);
   a->set.value_kb = 0.4;
   assert_int_equal(call(a, "POST", WP_JOBS, &large).status, 200);
   a->set.value_kb = 16;
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   assert_int_equal(call(a, "POST", WP_JOBS, &large).status, 200);
-  tmx_buf_free(&ok);
-  tmx_buf_free(&large);
-  tmx_buf_free(&list);
+  tmx_buffer_free(&ok);
+  tmx_buffer_free(&large);
+  tmx_buffer_free(&list);
 }
 
 int main(void) {
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -14,30 +14,31 @@
 
 static void round_trip(void **st) {
   (void)st;
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   char s[16];
   uint64_t u;
   double d;
   bool y;
-  tmx_w_map(&b, 4);
-  tmx_w_kstr(&b, "a", "text");
-  tmx_w_ku64(&b, "b", UINT64_MAX);
-  tmx_w_knum(&b, "c", 4.5);
-  tmx_w_kbool(&b, "d", true);
-  cbor_item_t *m = tmx_cbor_parse(b.p, b.n);
-  assert_non_null(m);
-  assert_true(tmx_r_kstr(m, "a", s, sizeof s) && !strcmp(s, "text"));
-  assert_true(tmx_r_ku64(m, "b", &u) && u == UINT64_MAX);
-  assert_true(tmx_r_knum(m, "c", &d) && d == 4.5);
-  assert_true(tmx_r_kbool(m, "d", &y) && y);
-  assert_false(tmx_r_kstr(m, "a", s, 4)); /* does not fit */
-  assert_false(tmx_r_ku64(m, "a", &u));
-  assert_null(tmx_r_get(m, "e"));
-  tmx_cbor_free(m);
-  for (size_t i = 0; i < b.n; i++) assert_null(tmx_cbor_parse(b.p, i)); /* truncated */
-  tmx_buf_add(&b, "x", 1);
-  assert_null(tmx_cbor_parse(b.p, b.n)); /* more than one item */
-  tmx_buf_free(&b);
+  tmx_cbor_put_map(&buffer, 4);
+  tmx_cbor_put_text_field(&buffer, "a", "text");
+  tmx_cbor_put_u64_field(&buffer, "b", UINT64_MAX);
+  tmx_cbor_put_number_field(&buffer, "c", 4.5);
+  tmx_cbor_put_bool_field(&buffer, "d", true);
+  cbor_item_t *map = tmx_cbor_parse(buffer.data, buffer.length);
+  assert_non_null(map);
+  assert_true(tmx_cbor_get_text(map, "a", s, sizeof s) && !strcmp(s, "text"));
+  assert_true(tmx_cbor_get_u64(map, "b", &u) && u == UINT64_MAX);
+  assert_true(tmx_cbor_get_number(map, "c", &d) && d == 4.5);
+  assert_true(tmx_cbor_get_bool(map, "d", &y) && y);
+  assert_false(tmx_cbor_get_text(map, "a", s, 4)); /* does not fit */
+  assert_false(tmx_cbor_get_u64(map, "a", &u));
+  assert_null(tmx_cbor_get(map, "e"));
+  tmx_cbor_free(map);
+  for (size_t i = 0; i < buffer.length; i++)
+    assert_null(tmx_cbor_parse(buffer.data, i)); /* truncated */
+  tmx_buffer_append(&buffer, "x", 1);
+  assert_null(tmx_cbor_parse(buffer.data, buffer.length)); /* more than one item */
+  tmx_buffer_free(&buffer);
 }
 
 static void hostile_bodies(void **st) {
@@ -65,28 +66,29 @@
   tmx_cbor_free(ok);
 }
 
-static void submission(struct tmx_buf *b, const struct tmx_spec *s) { /* as a user sends it */
-  tmx_w_map(b, 18);
-  tmx_w_kstr(b, W_ID, "wk-1");
-  tmx_w_knum(b, W_GPUS, s->gpus);
-  tmx_w_kbool(b, W_ONE_ZONE, s->one_zone);
-  tmx_w_kbool(b, W_SPREAD, s->spread);
-  tmx_w_kbool(b, W_SPOT, s->spot);
-  tmx_w_kstr(b, W_CLASS, s->class);
-  tmx_w_kstr(b, W_TEAM, s->team);
-  tmx_w_kstr(b, W_KIND, WV_ARRAY);
-  tmx_w_kstr(b, W_PRIORITY, "high");
-  tmx_w_ku64(b, W_TASKS, s->tasks);
-  tmx_w_knum(b, W_CPUS, s->cpus);
-  tmx_w_knum(b, W_MEM, s->mem);
-  tmx_w_kstr(b, W_IMAGE, s->image);
-  tmx_w_knum(b, W_IMAGE_GB, s->image_gb);
-  tmx_w_str(b, W_TYPES);
-  tmx_w_list(b, s->n_types);
-  for (size_t i = 0; i < s->n_types; i++) tmx_w_str(b, s->types[i]);
-  tmx_w_knum(b, W_ESTIMATE, s->estimate_s);
-  tmx_w_knum(b, W_CHECKPOINT, s->checkpoint_s);
-  tmx_w_knum(b, W_SAVE, s->save_s);
+static void submission(struct tmx_buffer *buffer,
+                       const struct tmx_spec *s) { /* as a user sends it */
+  tmx_cbor_put_map(buffer, 18);
+  tmx_cbor_put_text_field(buffer, W_ID, "wk-1");
+  tmx_cbor_put_number_field(buffer, W_GPUS, s->gpus);
+  tmx_cbor_put_bool_field(buffer, W_ONE_ZONE, s->one_zone);
+  tmx_cbor_put_bool_field(buffer, W_SPREAD, s->spread);
+  tmx_cbor_put_bool_field(buffer, W_SPOT, s->spot);
+  tmx_cbor_put_text_field(buffer, W_CLASS, s->class);
+  tmx_cbor_put_text_field(buffer, W_TEAM, s->team);
+  tmx_cbor_put_text_field(buffer, W_KIND, WV_ARRAY);
+  tmx_cbor_put_text_field(buffer, W_PRIORITY, "high");
+  tmx_cbor_put_u64_field(buffer, W_TASKS, s->tasks);
+  tmx_cbor_put_number_field(buffer, W_CPUS, s->cpus);
+  tmx_cbor_put_number_field(buffer, W_MEM, s->mem);
+  tmx_cbor_put_text_field(buffer, W_IMAGE, s->image);
+  tmx_cbor_put_number_field(buffer, W_IMAGE_GB, s->image_gb);
+  tmx_cbor_put_text(buffer, W_TYPES);
+  tmx_cbor_put_list(buffer, s->n_types);
+  for (size_t i = 0; i < s->n_types; i++) tmx_cbor_put_text(buffer, s->types[i]);
+  tmx_cbor_put_number_field(buffer, W_ESTIMATE, s->estimate_s);
+  tmx_cbor_put_number_field(buffer, W_CHECKPOINT, s->checkpoint_s);
+  tmx_cbor_put_number_field(buffer, W_SAVE, s->save_s);
 }
 
 static void fuzzed_bodies(void **st) {
@@ -95,35 +97,35 @@
   gsl_rng_set(g, 7);
   struct tmx_spec s = {.tasks = 3, .cpus = 1, .mem = 2, .deadline_s = 9}, back;
   char id[TMX_ID_MAX];
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   strcpy(s.class, "c");
   strcpy(s.team, "t");
   strcpy(s.image, "i");
   strcpy(s.types[0], "g8");
   s.n_types = 1;
-  submission(&b, &s);
-  cbor_item_t *m = tmx_cbor_parse(b.p, b.n);
-  assert_non_null(m);
-  assert_true(tmx_spec_parse(m, &back, id, sizeof id));
+  submission(&buffer, &s);
+  cbor_item_t *map = tmx_cbor_parse(buffer.data, buffer.length);
+  assert_non_null(map);
+  assert_true(tmx_spec_parse(map, &back, id, sizeof id));
   assert_int_equal(back.tasks, 3);
   assert_string_equal(back.types[0], "g8");
-  tmx_cbor_free(m);
+  tmx_cbor_free(map);
   unsigned parsed = 0;
   for (int i = 0; i < 20000; i++) {
     uint8_t copy[1024];
-    memcpy(copy, b.p, b.n);
+    memcpy(copy, buffer.data, buffer.length);
     for (unsigned k = 0; k <= gsl_rng_uniform_int(g, 4); k++)
-      copy[gsl_rng_uniform_int(g, b.n)] = (uint8_t)gsl_rng_uniform_int(g, 256);
-    m = tmx_cbor_parse(copy, b.n);
-    if (m && tmx_spec_parse(m, &back, id, sizeof id)) {
+      copy[gsl_rng_uniform_int(g, buffer.length)] = (uint8_t)gsl_rng_uniform_int(g, 256);
+    map = tmx_cbor_parse(copy, buffer.length);
+    if (map && tmx_spec_parse(map, &back, id, sizeof id)) {
       parsed++;
       assert_in_range(back.tasks, 1, TMX_TASKS_MAX);
       assert_true(back.cpus >= 0 && back.mem >= 0);
     }
-    tmx_cbor_free(m);
+    tmx_cbor_free(map);
   }
   assert_true(parsed > 0);
-  tmx_buf_free(&b);
+  tmx_buffer_free(&buffer);
   gsl_rng_free(g);
 }
 
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -39,7 +39,7 @@
   if (a) controller_end(a);
   if (b) controller_end(b);
   a = b = NULL;
-  tmx_server_free(w.srv);
+  tmx_http_server_free(w.srv);
   fake_close();
   return 0;
 }
@@ -90,31 +90,31 @@
 }
 
 /* A submission that allows so many types, "big" among them. */
-static void submission_with_types(struct tmx_buf *b, const char *id, int n) {
-  struct tmx_buf types = {0};
+static void submission_with_types(struct tmx_buffer *buffer, const char *id, int n) {
+  struct tmx_buffer types = {0};
   char type[TMX_ID_MAX];
-  tmx_w_list(&types, (size_t)n);
+  tmx_cbor_put_list(&types, (size_t)n);
   for (int i = 0; i < n; i++) {
     snprintf(type, sizeof type, i ? "a type with a rather long %02d" : "big", i);
-    tmx_w_str(&types, type);
+    tmx_cbor_put_text(&types, type);
   }
   struct fake_job job = {.id = id, .team = "t", .tasks = 1, .cpus = 2, .types = &types};
-  submission_of(b, &job);
-  tmx_buf_free(&types);
+  submission_of(buffer, &job);
+  tmx_buffer_free(&types);
 }
 
 /* A list of ids, each a text, set apart by spaces in `names`. */
 static struct fake_answer submit_named(struct tmx_ctl *c, const char *id, const char *names) {
-  struct tmx_buf list = {0}, body = {0};
+  struct tmx_buffer list = {0}, body = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
   size_t n = tmx_line_fields(copy, name, 8);
-  tmx_w_list(&list, n);
-  for (size_t i = 0; i < n; i++) tmx_w_str(&list, name[i]);
+  tmx_cbor_put_list(&list, n);
+  for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, name[i]);
   submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
   struct fake_answer r = call(c, "POST", WP_JOBS, &body);
-  tmx_buf_free(&list);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&list);
+  tmx_buffer_free(&body);
   return r;
 }
 static void accepted(const char *id, const char *names) {
@@ -371,49 +371,49 @@
   assert_int_equal(status, 503); /* it cannot be told now */
 }
 
-static int submit_list(const struct tmx_buf *list) {
-  struct tmx_buf body = {0};
+static int submit_list(const struct tmx_buffer *list) {
+  struct tmx_buffer body = {0};
   submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
   int status = call(a, "POST", WP_JOBS, &body).status;
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
   return status;
 }
 
 static void malformed_lists(void **st) {
   (void)st;
   up();
-  struct tmx_buf list = {0};
+  struct tmx_buffer list = {0};
   accepted("wk-000001", "");
   assert_int_equal(submit(a, "wk-000002", WV_SERVICE, 1, 2, "t"), 201);
-  tmx_w_str(&list, "wk-000001");
+  tmx_cbor_put_text(&list, "wk-000001");
   assert_int_equal(submit_list(&list), 400);
-  list.n = 0;
-  tmx_w_list(&list, 1);
-  tmx_w_u64(&list, 1);
+  list.length = 0;
+  tmx_cbor_put_list(&list, 1);
+  tmx_cbor_put_u64(&list, 1);
   assert_int_equal(submit_list(&list), 400);
   assert_int_equal(submit_named(a, "wk-000009", "job-1").status, 400);
   assert_int_equal(submit_named(a, "wk-000009", "wk-000009").status, 422);
   assert_int_equal(submit_named(a, "wk-000009", "wk-000777 wk-000001").status, 422);
   assert_int_equal(submit_named(a, "wk-000009", "wk-000002").status,
                    422); /* a service never ends */
-  list.n = 0;
-  tmx_w_null(&list);
+  list.length = 0;
+  tmx_cbor_put_null(&list);
   assert_int_equal(submit_list(&list), 201);
   accepted("wk-000003", "wk-000001 wk-000001 wk-000001");
   assert_int_equal(tmx_job_find(&a->rep, "wk-000003")->deps.named.n, 1);
   /* what is known is answered before anything is judged */
   assert_int_equal(submit_named(a, "wk-000003", "job-1").status, 200);
   assert_int_equal(submit_named(a, "wk-000003", "wk-000777").status, 200);
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
 }
 
-static struct tmx_buf many_names(int n) {
-  struct tmx_buf list = {0};
+static struct tmx_buffer many_names(int n) {
+  struct tmx_buffer list = {0};
   char id[TMX_ID_MAX];
-  tmx_w_list(&list, (size_t)n);
+  tmx_cbor_put_list(&list, (size_t)n);
   for (int i = 0; i < n; i++) {
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
-    tmx_w_str(&list, id);
+    tmx_cbor_put_text(&list, id);
   }
   return list;
 }
@@ -431,23 +431,23 @@
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
     char id[TMX_ID_MAX], key[TMX_KEY_MAX];
     struct tmx_spec s = {.tasks = 1, .cpus = 2, .mem = 1, .deadline_s = -1};
-    struct tmx_buf job = {0};
+    struct tmx_buffer job = {0};
     strcpy(s.team, "t");
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
     snprintf(key, sizeof key, TMX_K_JOB "%s", id);
     tmx_job_encode(&job, id, &s, 5, TMX_OPEN);
     fake_put(key, &job);
-    tmx_buf_free(&job);
+    tmx_buffer_free(&job);
   }
   pump_for(0.5);
-  struct tmx_buf list = many_names(FAR_TOO_MANY);
+  struct tmx_buffer list = many_names(FAR_TOO_MANY);
   assert_int_equal(submit_list(&list), 422);
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
   list = many_names(SOME);
   a->set.write_rps = 4; /* fewer puts at hand than it needs: it goes out whole all the same */
   assert_int_equal(submit_list(&list), 201);
   a->set.write_rps = 1000;
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
   const struct tmx_job *j = tmx_job_find(&a->rep, "wk-000009");
   assert_int_equal(j->deps.n_unfinished, SOME);
   tmx_fold_above(a->fold, 0);
@@ -504,17 +504,17 @@
   char type[TMX_ID_MAX];
   unsigned answered = 0;
   up();
-  struct tmx_client *client = to(a);
+  struct tmx_http_client *client = to(a);
   for (int i = 1; i <= TYPED_JOBS; i++) { /* so many at once go with a batch */
-    struct tmx_buf body = {0};
+    struct tmx_buffer body = {0};
     char id[TMX_ID_MAX];
     snprintf(id, sizeof id, "wk-%06d", i);
     submission_with_types(&body, id, 30);
-    assert_true(tmx_client_call(client, "POST", WP_JOBS, &body, 5, on_accepted, &answered));
-    tmx_buf_free(&body);
+    assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_accepted, &answered));
+    tmx_buffer_free(&body);
   }
   assert_true(pump(all_accepted, &answered));
-  tmx_client_free(client);
+  tmx_http_client_free(client);
   assert_null(fake_get(TMX_K_JOB "wk-000001")); /* it has no key of its own to be read from */
   a->set.value_kb = 1;
   state.value_max = 1024;
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -39,7 +39,7 @@
   if (a) controller_end(a);
   if (b) controller_end(b);
   a = b = NULL;
-  tmx_server_free(w.srv);
+  tmx_http_server_free(w.srv);
   fake_close();
   return 0;
 }
@@ -249,17 +249,17 @@
 /* Two that both take themselves for the leader: every batch was planned on all before it. */
 static void two_leaders(void **st) {
   (void)st;
-  struct tmx_buf v = {0};
+  struct tmx_buffer value = {0};
   char id[32];
   up_at_either();
   struct tmx_ctl *old = tmx_link_leading(a->link) ? a : b, *other = old == a ? b : a;
   assert_true(tmx_link_leading(old->link));
   state.doors[old == a ? 0 : 1].freeze_watch = true;
-  tmx_w_map(&v, 2);
-  tmx_w_kstr(&v, "name", other->set.node);
-  tmx_w_ku64(&v, "inc", tmx_link_inc(other->link));
-  fake_put(TMX_K_LEADER, &v);
-  tmx_buf_free(&v);
+  tmx_cbor_put_map(&value, 2);
+  tmx_cbor_put_text_field(&value, "name", other->set.node);
+  tmx_cbor_put_u64_field(&value, "inc", tmx_link_inc(other->link));
+  fake_put(TMX_K_LEADER, &value);
+  tmx_buffer_free(&value);
   for (int i = 0; i < 300 && !tmx_link_leading(other->link); i++) pump_for(0.02);
   assert_true(tmx_link_leading(other->link) && tmx_link_leading(old->link));
   for (int i = 0; i < 6; i++) {
@@ -360,7 +360,7 @@
   pump_for(0.2);
   worker_report(&w, a);
   assert_int_equal(w.status, 200); /* fresh enough: running work goes on */
-  tmx_clock_shift(a->set.cancel_s - a->set.lease_s - TMX_FRESH_MARGIN_S + 0.1);
+  tmx_clock_advance(a->set.cancel_s - a->set.lease_s - TMX_FRESH_MARGIN_S + 0.1);
   worker_report(&w, a);
   assert_int_equal(w.status, 503);
   struct fake_answer r = call(a, "GET", WP_READY, NULL);
@@ -392,7 +392,7 @@
   pump_for(0.3);
   worker_report(&w, inside);
   assert_int_equal(w.status, 421); /* the owner may be back in a moment */
-  tmx_clock_shift(TMX_STATE_LOST_S);
+  tmx_clock_advance(TMX_STATE_LOST_S);
   worker_set(&w, "wk-000002/0", 1, WV_RUNNING, NULL); /* it has not heard of the cancellation */
   uint64_t token = w.token;
   worker_report(&w, inside);
@@ -400,7 +400,7 @@
   assert_int_equal(w.answer_token, token);
   assert_int_equal(w.n_orders, 1);
   assert_true(worker_has(&w, WV_STOP, "wk-000002/0", 1));
-  tmx_clock_shift(inside->set.cancel_s - inside->set.lease_s - TMX_FRESH_MARGIN_S);
+  tmx_clock_advance(inside->set.cancel_s - inside->set.lease_s - TMX_FRESH_MARGIN_S);
   worker_report(&w, inside);
   assert_int_equal(w.status, 503);
 }
@@ -418,9 +418,9 @@
   assert_int_equal(cancel_job(a, "wk-000001").status, 503);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   state.doors[0].lose_next_txn = state.doors[0].hold = true;
-  double t = tmx_now();
+  double t = tmx_clock_steady();
   assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 200);
-  assert_true(tmx_now() - t < TMX_STATE_TIMEOUT_S / 2);
+  assert_true(tmx_clock_steady() - t < TMX_STATE_TIMEOUT_S / 2);
   pump_for(TMX_STATE_TIMEOUT_S +
            0.2); /* the commit's own answer is given up on, and changes nothing */
   assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 200);
@@ -464,9 +464,9 @@
   assert_true(pump(running, NULL));
   cloud.refuse_delete = true;
   w.silent = true;
-  tmx_clock_shift(12);
+  tmx_clock_advance(12);
   pump_for(3.5);
-  tmx_clock_shift(12);
+  tmx_clock_advance(12);
   pump_for(1.5);
   assert_int_equal(fake_placed(), 1);
   assert_false(fake_logged("x n-000001"));
@@ -485,7 +485,7 @@
   uint64_t seq = w.seq, token = w.token;
   cloud.refuse_delete = false;
   w.silent = true;
-  tmx_clock_shift(12);
+  tmx_clock_advance(12);
   for (int i = 0; i < 800 && !fake_logged("x n-000001"); i++) pump_for(0.02);
   assert_true(fake_logged("x n-000001"));
   for (int i = 0; i < 2; i++) {
@@ -525,7 +525,7 @@
   submit(a, "wk-000002", "batch", 1, 2, "t");
   pump_for(0.4);
   assert_int_equal(fake_placed(), 1);
-  tmx_clock_shift(a->set.lease_s);
+  tmx_clock_advance(a->set.lease_s);
   cloud.refuse_delete = false;
   for (int i = 0; i < 800 && !fake_logged("x n-000001"); i++) {
     if (i % 20 == 0) {
@@ -574,10 +574,10 @@
   assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
   state.doors[0].refuse = true;
   pump_for(1.5);
-  double t = tmx_now();
+  double t = tmx_clock_steady();
   assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 503);
   assert_int_equal(poll_job(a, "wk-000001").status, 503);
-  assert_true(tmx_now() - t < 0.5);
+  assert_true(tmx_clock_steady() - t < 0.5);
   state.doors[0].refuse = false;
   pump_for(1.0);
   assert_int_equal(poll_job(a, "wk-000001").status, 200);
@@ -603,17 +603,18 @@
   assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
   assert_int_equal(poll_job(a, "wk-000001").status, 200);
   char addr[32];
-  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_server_port(a->server));
-  struct tmx_client *cl = tmx_client_new(loop, addr, 300);
-  assert_non_null(cl);
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(a->server));
+  struct tmx_http_client *client = tmx_http_client_new(loop, addr, 300);
+  assert_non_null(client);
   state.doors[0].freeze_watch = true;
   assert_int_equal(submit(a, "wk-000003", "batch", 1, 2, "t"), 201); /* the copy is behind now */
   for (int i = 0; i < TMX_USER_QUEUE / 2; i++)
-    assert_true(tmx_client_call(cl, "GET", WP_JOBS "/wk-000001", NULL, 5, counted, &often));
+    assert_true(
+        tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, counted, &often));
   pump_for(0.3);
   assert_int_equal(often.refused, 0);
-  assert_true(tmx_client_call(cl, "GET", WP_JOBS "/wk-000001", NULL, 5, counted, &more));
-  assert_true(tmx_client_call(cl, "GET", WP_JOBS "/wk-000002", NULL, 5, counted, &late));
+  assert_true(tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, counted, &more));
+  assert_true(tmx_http_client_call(client, "GET", WP_JOBS "/wk-000002", NULL, 5, counted, &late));
   pump_for(0.3);
   assert_int_equal(more.refused, 1);
   assert_int_equal(late.refused, 0);
@@ -621,7 +622,7 @@
   fake_free_watches();
   for (int i = 0; i < 100 && !late.answered; i++) pump_for(0.02);
   assert_int_equal(late.answered, 1);
-  tmx_client_free(cl);
+  tmx_http_client_free(client);
 }
 
 static bool folded(void *arg) {
@@ -679,7 +680,7 @@
 
 static void answers_to_submissions(void **st) {
   (void)st;
-  struct tmx_buf body = {0};
+  struct tmx_buffer body = {0};
   assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 200);
   /* known ids are answered before any validation */
@@ -693,12 +694,12 @@
   assert_int_equal(submit(a, "wk-000002", "batch", 1, 9, "t"), 422);   /* over the team's limit */
   assert_int_equal(submit(a, "wk-000002", "service", 5, 2, "t"), 422); /* all of a service count */
   assert_int_equal(submit(a, "wk-000002", "batch", 5, 2, "t"), 201);
-  tmx_buf_add(&body, "\xa1\x62", 2);
+  tmx_buffer_append(&body, "\xa1\x62", 2);
   assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 400);
-  tmx_buf_free(&body);
-  tmx_w_list(&body, 0);
+  tmx_buffer_free(&body);
+  tmx_cbor_put_list(&body, 0);
   assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 400);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
   assert_int_equal(call(a, "GET", WP_JOBS "/nothing", NULL).status, 404);
   assert_int_equal(call(a, "GET", "/elsewhere", NULL).status, 404);
   assert_int_equal(cancel_job(a, "wk-777777").status, 404);
@@ -707,7 +708,7 @@
 /* Bytes that are no HTTP, and bodies past the limit, close their connection and nothing else. */
 static int raw(const char *head, size_t fill) {
   struct sockaddr_in to_a = {.sin_family = AF_INET,
-                             .sin_port = htons((uint16_t)tmx_server_port(a->server))};
+                             .sin_port = htons((uint16_t)tmx_http_server_port(a->server))};
   char buf[512] = "";
   to_a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   int fd = socket(AF_INET, SOCK_STREAM, 0), status = 0;
@@ -744,12 +745,12 @@
   up(a);
   submit(a, "wk-000001", "batch", 1, 2, "t");
   assert_true(pump(running, NULL));
-  struct tmx_buf v = {0}, list = {0};
-  tmx_w_str(&list, "d n-000001 1");
-  tmx_lines_encode(&v, NULL, 0, &list, 1);
-  fake_put(TMX_K_BATCH "hand-9/1", &v);
-  tmx_buf_free(&v);
-  tmx_buf_free(&list);
+  struct tmx_buffer value = {0}, list = {0};
+  tmx_cbor_put_text(&list, "d n-000001 1");
+  tmx_lines_encode(&value, NULL, 0, &list, 1);
+  fake_put(TMX_K_BATCH "hand-9/1", &value);
+  tmx_buffer_free(&value);
+  tmx_buffer_free(&list);
   for (int i = 0; i < 100 && !tmx_machine_find(&a->rep, w.id)->drain; i++) pump_for(0.02);
   assert_true(tmx_machine_find(&a->rep, w.id)->drain);
   submit(a, "wk-000002", "batch", 3, 2, "t");
@@ -790,18 +791,18 @@
   assert_true(tmx_workers_suspect(other->workers, m, &x));
 }
 
-static void on_any(void *arg, struct tmx_req *r) {
+static void on_any(void *arg, struct tmx_http_request *request) {
   (void)arg;
-  tmx_req_reply(r, 200, NULL, 0);
+  tmx_http_reply(request, 200, NULL, 0);
 }
 static void on_status(void *arg, int status, const uint8_t *body, size_t len) {
   (void)body;
   (void)len;
   *(int *)arg = status;
 }
-static int ask_once(struct tmx_client *c) {
+static int ask_once(struct tmx_http_client *client) {
   int status = -2;
-  assert_true(tmx_client_call(c, "GET", "/", NULL, 1, on_status, &status));
+  assert_true(tmx_http_client_call(client, "GET", "/", NULL, 1, on_status, &status));
   for (int i = 0; i < 100 && status == -2; i++) pump_for(0.01);
   return status;
 }
@@ -810,11 +811,11 @@
  * longest makes room for a newcomer, and none that was just used does. */
 static void idle_connections_make_room(void **st) {
   (void)st;
-  struct tmx_server *s = tmx_server_new(loop, "127.0.0.1:0", 2, 60, on_any, NULL);
+  struct tmx_http_server *server = tmx_http_server_new(loop, "127.0.0.1:0", 2, 60, on_any, NULL);
   char addr[32];
-  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_server_port(s));
-  struct tmx_client *c[3];
-  for (int i = 0; i < 3; i++) c[i] = tmx_client_new(loop, addr, 1);
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(server));
+  struct tmx_http_client *c[3];
+  for (int i = 0; i < 3; i++) c[i] = tmx_http_client_new(loop, addr, 1);
   assert_int_equal(ask_once(c[0]), 200);
   assert_int_equal(ask_once(c[1]), 200);
   assert_int_not_equal(ask_once(c[2]), 200);
@@ -822,8 +823,8 @@
   assert_int_equal(ask_once(c[0]), 200); /* so the other one is the longest unused */
   assert_int_equal(ask_once(c[2]), 200);
   assert_int_equal(ask_once(c[0]), 200);
-  for (int i = 0; i < 3; i++) tmx_client_free(c[i]);
-  tmx_server_free(s);
+  for (int i = 0; i < 3; i++) tmx_http_client_free(c[i]);
+  tmx_http_server_free(server);
 }
 
 /* Many submissions at once go into values as large as the state service takes. It counts them as
@@ -833,20 +834,20 @@
   (void)st;
   enum { MANY = 150 };
   static int status[MANY];
-  struct tmx_client *c[MANY];
+  struct tmx_http_client *c[MANY];
   char addr[32], id[32];
   a->set.value_kb = 4;
   state.value_max = 4096;
   tmx_fold_above(a->fold, 3);
-  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_server_port(a->server));
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(a->server));
   for (int i = 0; i < MANY; i++) {
-    struct tmx_buf b = {0};
+    struct tmx_buffer buffer = {0};
     snprintf(id, sizeof id, "wk-%06d", i);
-    submission(&b, id, "batch", 3, 1.0 / 3, "t");
-    c[i] = tmx_client_new(loop, addr, 1);
+    submission(&buffer, id, "batch", 3, 1.0 / 3, "t");
+    c[i] = tmx_http_client_new(loop, addr, 1);
     status[i] = -2;
-    assert_true(tmx_client_call(c[i], "POST", WP_JOBS, &b, 5, on_status, &status[i]));
-    tmx_buf_free(&b);
+    assert_true(tmx_http_client_call(c[i], "POST", WP_JOBS, &buffer, 5, on_status, &status[i]));
+    tmx_buffer_free(&buffer);
   }
   for (int i = 0, busy = 1; i < 400 && busy; i++) {
     pump_for(0.01);
@@ -855,7 +856,7 @@
   }
   for (int i = 0; i < MANY; i++) {
     assert_int_equal(status[i], 201);
-    tmx_client_free(c[i]);
+    tmx_http_client_free(c[i]);
   }
   for (int i = 0; i < 400 && !fake_get(TMX_K_FOLD); i++) pump_for(0.02);
   assert_non_null(fake_get(TMX_K_FOLD));
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -24,7 +24,7 @@
   (void)st;
   if (a) controller_end(a);
   if (b) controller_end(b);
-  tmx_server_free(w.srv);
+  tmx_http_server_free(w.srv);
   fake_close();
   return 0;
 }
@@ -36,16 +36,16 @@
   char key[64], line[TMX_LINE_MAX];
   for (size_t at = 0; at < n; at += A_BATCH) {
     size_t part = n - at < A_BATCH ? n - at : A_BATCH;
-    struct tmx_buf list = {0}, value = {0};
+    struct tmx_buffer list = {0}, value = {0};
     for (size_t i = 0; i < part; i++) {
       snprintf(line, sizeof line, form, from + at + i);
-      tmx_w_str(&list, line);
+      tmx_cbor_put_text(&list, line);
     }
     tmx_lines_encode(&value, NULL, 0, &list, part);
     snprintf(key, sizeof key, TMX_K_BATCH "other/%06x", batches++);
     fake_put(key, &value);
-    tmx_buf_free(&list);
-    tmx_buf_free(&value);
+    tmx_buffer_free(&list);
+    tmx_buffer_free(&value);
   }
 }
 
@@ -96,7 +96,7 @@
 static void more_workers_than_before(void **st) {
   (void)st;
   enum { MACHINES = 9000 };
-  struct tmx_buf body = {0};
+  struct tmx_buffer body = {0};
   a = controller(0, 1);
   assert_true(pump(fake_ready, a));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
@@ -104,7 +104,7 @@
   assert_int_equal(HASH_COUNT(a->rep.machines), MACHINES);
   worker_report(&w, a);
   assert_int_equal(w.status, 200);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
 }
 
 static size_t listed(void) { return HASH_COUNT(a->cloud->listed); }
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -49,39 +49,39 @@
   return 0;
 }
 
-static void put(const char *key, uint64_t stamp, struct tmx_buf *b) {
-  cbor_item_t *v = tmx_cbor_parse(b->p, b->n);
-  assert_non_null(v);
-  tmx_replica_apply(&rep, key, stamp, v);
-  tmx_cbor_free(v);
-  tmx_buf_free(b);
+static void put(const char *key, uint64_t stamp, struct tmx_buffer *buffer) {
+  cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
+  assert_non_null(value);
+  tmx_replica_apply(&rep, key, stamp, value);
+  tmx_cbor_free(value);
+  tmx_buffer_free(buffer);
 }
 static void put_job(uint64_t stamp, int fin) {
   struct tmx_spec s = {.tasks = 3, .cpus = 2, .mem = 1, .deadline_s = -1};
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   strcpy(s.class, "c");
   strcpy(s.team, "t");
   strcpy(s.image, "i");
-  tmx_job_encode(&b, "wk-1", &s, 5, fin);
-  put(TMX_K_JOB "wk-1", stamp, &b);
+  tmx_job_encode(&buffer, "wk-1", &s, 5, fin);
+  put(TMX_K_JOB "wk-1", stamp, &buffer);
 }
 static void put_machine(uint64_t stamp) {
-  struct tmx_buf b = {0};
-  tmx_w_map(&b, 1);
-  tmx_w_str(&b, "ops");
-  tmx_w_list(&b, 1);
-  tmx_w_str(&b, "m n-1 127.0.0.1:1 big a 0 0");
-  put(TMX_K_BATCH "h/m", stamp, &b);
+  struct tmx_buffer buffer = {0};
+  tmx_cbor_put_map(&buffer, 1);
+  tmx_cbor_put_text(&buffer, "ops");
+  tmx_cbor_put_list(&buffer, 1);
+  tmx_cbor_put_text(&buffer, "m n-1 127.0.0.1:1 big a 0 0");
+  put(TMX_K_BATCH "h/m", stamp, &buffer);
 }
 static void put_batch(const char *seq, uint64_t stamp, const char *op) {
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   char key[64];
-  tmx_w_map(&b, 1);
-  tmx_w_str(&b, "ops");
-  tmx_w_list(&b, 1);
-  tmx_w_str(&b, op);
+  tmx_cbor_put_map(&buffer, 1);
+  tmx_cbor_put_text(&buffer, "ops");
+  tmx_cbor_put_list(&buffer, 1);
+  tmx_cbor_put_text(&buffer, op);
   snprintf(key, sizeof key, TMX_K_BATCH "h/%s", seq);
-  put(key, stamp, &b);
+  put(key, stamp, &buffer);
 }
 static struct tmx_task *task(uint32_t i) { return &tmx_job_find(&rep, "wk-1")->tasks[i]; }
 
@@ -167,11 +167,11 @@
 }
 
 static void put_fold(uint64_t stamp, uint64_t mark) {
-  struct tmx_buf b = {0};
-  tmx_w_map(&b, 2);
-  tmx_w_ku64(&b, "mark", mark);
-  tmx_w_ku64(&b, "gen", mark);
-  put(TMX_K_FOLD, stamp, &b);
+  struct tmx_buffer buffer = {0};
+  tmx_cbor_put_map(&buffer, 2);
+  tmx_cbor_put_u64_field(&buffer, "mark", mark);
+  tmx_cbor_put_u64_field(&buffer, "gen", mark);
+  put(TMX_K_FOLD, stamp, &buffer);
 }
 
 /* Log keys are written over after a fold, in any order: what is left of the old batches is no
@@ -196,21 +196,21 @@
 static void pages(void **st) {
   (void)st;
   struct tmx_spec s = {.tasks = 9, .cpus = 2, .mem = 1, .deadline_s = -1};
-  struct tmx_buf jobs = {0}, lines = {0}, v = {0};
+  struct tmx_buffer jobs = {0}, lines = {0}, value = {0};
   strcpy(s.class, "c");
   strcpy(s.team, "t");
   strcpy(s.image, "i");
   rep.load_until = 9;
   tmx_job_encode(&jobs, "wk-1", &s, 5, 0);
-  tmx_w_str(&lines, "m n-1 127.0.0.1:1 big a 1 1");
-  tmx_w_str(&lines, "t wk-1/0 4 2 d -");
-  tmx_w_str(&lines, "t wk-1/4 2 3 w -");
-  tmx_w_str(&lines, "t wk-1/6 1 1 2 n-1");
-  tmx_lines_encode(&v, &jobs, 1, &lines, 4);
-  tmx_buf_free(&jobs);
-  tmx_buf_free(&lines);
+  tmx_cbor_put_text(&lines, "m n-1 127.0.0.1:1 big a 1 1");
+  tmx_cbor_put_text(&lines, "t wk-1/0 4 2 d -");
+  tmx_cbor_put_text(&lines, "t wk-1/4 2 3 w -");
+  tmx_cbor_put_text(&lines, "t wk-1/6 1 1 2 n-1");
+  tmx_lines_encode(&value, &jobs, 1, &lines, 4);
+  tmx_buffer_free(&jobs);
+  tmx_buffer_free(&lines);
   put_fold(6, 4); /* its key is read first */
-  put(TMX_K_PAGE "0000000000000004/00000", 5, &v);
+  put(TMX_K_PAGE "0000000000000004/00000", 5, &value);
   put_batch("9", 8, "p wk-1/7 1 n-1");
   tmx_replica_reached(&rep, 9);
   struct tmx_job *j = tmx_job_find(&rep, "wk-1");
@@ -233,20 +233,20 @@
  * would stay booked, and its team nearer to its limit, for as long as this copy lives. */
 static void pages_of_a_fold_given_up(void **st) {
   (void)st;
-  struct tmx_buf jobs = {0}, lines = {0}, v = {0};
+  struct tmx_buffer jobs = {0}, lines = {0}, value = {0};
   rep.load_until = 30;
   put_fold(20, 12);
   put_job(10, TMX_FIN_DONE);
-  tmx_w_str(&lines, "m n-1 127.0.0.1:1 big a 0 0");
-  tmx_w_str(&lines, "t wk-1/0 1 1 p n-1");
-  tmx_lines_encode(&v, &jobs, 0, &lines, 2);
-  put(TMX_K_PAGE "0000000000000005/00000", 7, &v); /* of the one given up */
+  tmx_cbor_put_text(&lines, "m n-1 127.0.0.1:1 big a 0 0");
+  tmx_cbor_put_text(&lines, "t wk-1/0 1 1 p n-1");
+  tmx_lines_encode(&value, &jobs, 0, &lines, 2);
+  put(TMX_K_PAGE "0000000000000005/00000", 7, &value); /* of the one given up */
   put_batch("1", 9, "e wk-1/0 1 d");
-  v.n = lines.n = 0;
-  tmx_w_str(&lines, "m n-1 127.0.0.1:1 big a 0 0");
-  tmx_lines_encode(&v, &jobs, 0, &lines, 1);
-  put(TMX_K_PAGE "000000000000000c/00000", 14, &v);
-  tmx_buf_free(&lines);
+  value.length = lines.length = 0;
+  tmx_cbor_put_text(&lines, "m n-1 127.0.0.1:1 big a 0 0");
+  tmx_lines_encode(&value, &jobs, 0, &lines, 1);
+  put(TMX_K_PAGE "000000000000000c/00000", 14, &value);
+  tmx_buffer_free(&lines);
   tmx_replica_reached(&rep, 30);
   assert_true(tmx_machine_find(&rep, "n-1")->known);
   assert_true(tmx_machine_find(&rep, "n-1")->cpus == 0);
@@ -324,7 +324,7 @@
 static void put_view(uint64_t stamp, size_t n, const char *taken_by) {
   struct tmx_exception e;
   struct tmx_view v = {.term = stamp, .n_members = n};
-  struct tmx_buf b = {0};
+  struct tmx_buffer buffer = {0};
   for (size_t i = 0; i < n; i++) {
     snprintf(v.members[i].name, TMX_NAME_MAX, "hand-%zu", i);
     v.members[i].inc = i + 1;
@@ -335,8 +335,8 @@
     v.exceptions = &e;
     v.n_exceptions = 1;
   }
-  tmx_view_encode(&b, &v);
-  put(TMX_K_VIEW, stamp, &b);
+  tmx_view_encode(&buffer, &v);
+  put(TMX_K_VIEW, stamp, &buffer);
 }
 
 static void ownership(void **st) {
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -23,7 +23,7 @@
 static int teardown(void **st) {
   (void)st;
   if (a) controller_end(a);
-  tmx_server_free(w.srv);
+  tmx_http_server_free(w.srv);
   fake_close();
   return 0;
 }
@@ -63,9 +63,9 @@
     if (line[0] == '#') continue;
     assert_int_equal(sscanf(line, "%200s %llu %16000s", key, &version, hex), 3);
     size_t n = from_hex(hex, bytes, sizeof bytes);
-    struct tmx_buf b = {.p = bytes, .n = n};
+    struct tmx_buffer buffer = {.data = bytes, .length = n};
     state.rev = version - 1; /* which the put counts up */
-    fake_put(key, &b);
+    fake_put(key, &buffer);
     if (version > last) last = version;
   }
   fclose(f);
@@ -133,10 +133,10 @@
   assert_string_equal(poll_job(a, "wk-000003").state, WV_DONE);
   assert_string_equal(poll_job(a, "wk-000004").state, WV_CANCELLED);
   /* and jobs may await those that production accepted */
-  struct tmx_buf list = {0}, body = {0};
-  tmx_w_list(&list, 2);
-  tmx_w_str(&list, "wk-000003");
-  tmx_w_str(&list, "wk-000001");
+  struct tmx_buffer list = {0}, body = {0};
+  tmx_cbor_put_list(&list, 2);
+  tmx_cbor_put_text(&list, "wk-000003");
+  tmx_cbor_put_text(&list, "wk-000001");
   submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
   assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 201);
   pump_for(0.5);
@@ -146,8 +146,8 @@
   worker_report(&w, a);
   assert_true(pump(job_done, "wk-000001"));
   assert_false(tmx_job_blocked(tmx_job_find(&a->rep, "wk-000007")));
-  tmx_buf_free(&list);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&list);
+  tmx_buffer_free(&body);
 }
 
 /* ------------------------------------------------------------ what production reads */
@@ -155,7 +155,7 @@
 enum { PRODUCTION_RECORD = 19 }; /* entries of a job's record */
 
 static void record_as_production_reads(const cbor_item_t *job) {
-  assert_int_equal(tmx_r_len(job), PRODUCTION_RECORD);
+  assert_int_equal(tmx_cbor_list_length(job), PRODUCTION_RECORD);
 }
 
 static void line_as_production_reads(const char *line) {
@@ -168,10 +168,11 @@
 
 static void lines_as_production_reads(const cbor_item_t *value) {
   char line[TMX_LINE_MAX];
-  const cbor_item_t *ops = tmx_r_get(value, "ops"), *jobs = tmx_r_get(value, "jobs");
-  for (size_t i = 0; i < tmx_r_len(jobs); i++) record_as_production_reads(tmx_r_at(jobs, i));
-  for (size_t i = 0; i < tmx_r_len(ops); i++) {
-    assert_true(tmx_r_str(tmx_r_at(ops, i), line, sizeof line));
+  const cbor_item_t *ops = tmx_cbor_get(value, "ops"), *jobs = tmx_cbor_get(value, "jobs");
+  for (size_t i = 0; i < tmx_cbor_list_length(jobs); i++)
+    record_as_production_reads(tmx_cbor_list_at(jobs, i));
+  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++) {
+    assert_true(tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line));
     line_as_production_reads(line);
   }
   assert_int_equal(cbor_map_size(value), (jobs != NULL) + (ops != NULL));
