--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -249,7 +249,7 @@
     else
       block_of(k, h->type, h->zone, h->spot)->wait = 0;
     drop_hire(h);
-  } else if ((status == 0 || status == 429) && ++h->tries < 4 && tmx_link_leading(k->c->link)) {
+  } else if ((status == 0 || status == 429) && ++h->tries < 4 && tmx_store_is_leader(k->c->link)) {
     send_hire(h); /* the same name rents nothing twice */
   } else {
     tmx_log(TMX_LOG_INFO, "cloud: %s in %s%s refused (%d)", h->type, k->c->set.zones[h->zone],
@@ -287,7 +287,8 @@
     h->started = tmx_clock_steady();
     snprintf(h->type, sizeof h->type, "%s", o->type->name);
     snprintf(h->name, sizeof h->name, "%s-%llu-%llu", k->c->set.node,
-             (unsigned long long)tmx_link_inc(k->c->link), (unsigned long long)++k->hire_seq);
+             (unsigned long long)tmx_store_incarnation(k->c->link),
+             (unsigned long long)++k->hire_seq);
     k->hires_busy++;
     send_hire(h);
   }
@@ -425,7 +426,8 @@
   }
   tmx_cloud_note_demand(k, now);
   /* a leader that lost the state service may have been replaced: it gives nothing up */
-  if (!tmx_link_leading(k->c->link) || now - tmx_link_confirmed(k->c->link) > TMX_STATE_LOST_S) {
+  if (!tmx_store_is_leader(k->c->link) ||
+      now - tmx_store_fresh_as_of(k->c->link) > TMX_STATE_LOST_S) {
     k->led_since = now;
     k->from[0] = 0;
     return;
--- a/src/cloud/returns.c
+++ b/src/cloud/returns.c
@@ -53,7 +53,7 @@
 void tmx_cloud_note_demand(struct tmx_cloud *k, double now) {
   const struct tmx_ctl *c = k->c;
   int sec = (int)now;
-  if (!c->rep.loaded || now - tmx_link_confirmed(c->link) > TMX_STATE_LOST_S) return;
+  if (!c->rep.loaded || now - tmx_store_fresh_as_of(c->link) > TMX_STATE_LOST_S) return;
   if (sec - k->booked_at > TMX_DEMAND_GAP_S) { /* it did not see what came in between */
     memset(k->booked, 0, sizeof k->booked);
     k->demand_since = now;
--- a/src/controller.c
+++ b/src/controller.c
@@ -35,27 +35,28 @@
 /* ------------------------------------------------------------ entitlement */
 
 bool tmx_ctl_fresh(const struct tmx_ctl *c) {
-  double at = tmx_link_confirmed(c->link);
+  double at = tmx_store_fresh_as_of(c->link);
   return c->rep.loaded && at > 0 && tmx_clock_steady() - at < tmx_fresh_bound(&c->set);
 }
 
 /* Work that runs goes on without the state for as long as a cancellation allows. Nothing is
  * started, though: another controller may have cancelled it since, and told its user. */
 bool tmx_ctl_may_start(const struct tmx_ctl *c) {
-  return tmx_ctl_fresh(c) && tmx_clock_steady() - tmx_link_confirmed(c->link) < TMX_START_FRESH_S;
+  return tmx_ctl_fresh(c) &&
+         tmx_clock_steady() - tmx_store_fresh_as_of(c->link) < TMX_START_FRESH_S;
 }
 
 /* The state service answers others but not this controller: others should do the work. When it
  * answers nobody, everybody stays at work as far as freshness allows. */
 bool tmx_ctl_cut_off(const struct tmx_ctl *c) {
-  double at = tmx_link_confirmed(c->link);
+  double at = tmx_store_fresh_as_of(c->link);
   if (c->rep.loaded && tmx_clock_steady() - at < TMX_STATE_LOST_S) return false;
   return tmx_peers_state_age(c->peers) < TMX_STATE_LOST_S / 2;
 }
 
 /* Users are sent elsewhere sooner than workers: nothing runs on for them here. */
 static bool ready(const struct tmx_ctl *c) {
-  double at = tmx_link_confirmed(c->link);
+  double at = tmx_store_fresh_as_of(c->link);
   if (!tmx_ctl_fresh(c) || tmx_ctl_cut_off(c)) return false;
   return tmx_clock_steady() - at < TMX_STATE_LOST_S || tmx_peers_any(c->peers);
 }
@@ -76,10 +77,10 @@
 }
 
 static void commit_view(struct tmx_ctl *c, const struct tmx_view *new_view) {
-  struct tmx_txn t = {0};
+  struct tmx_transaction transaction = {0};
   struct tmx_buffer buffer = {0};
   struct tmx_view copy = *new_view, *v = &copy;
-  tmx_txn_if(&t, TMX_K_VIEW, c->rep.view.stamp);
+  tmx_transaction_require_version(&transaction, TMX_K_VIEW, c->rep.view.stamp);
   tmx_view_encode(&buffer, v);
   /* a value is bounded: the oldest exceptions go, their machines fall back to the hash */
   while (tmx_json_length(&buffer) > tmx_value_room(&c->set) && v->n_exceptions) {
@@ -89,15 +90,15 @@
     buffer.length = 0;
     tmx_view_encode(&buffer, v);
   }
-  tmx_txn_put(&t, TMX_K_VIEW, &buffer, 0);
-  tmx_txn_head(&t, c->set.node);
+  tmx_transaction_put(&transaction, TMX_K_VIEW, &buffer, 0);
+  tmx_transaction_advance_head(&transaction, c->set.node);
   tmx_buffer_free(&buffer);
   c->view_at = tmx_clock_steady();
-  c->view_busy = tmx_link_commit(c->link, &t, true, on_view_sent, c);
+  c->view_busy = tmx_store_commit(c->link, &transaction, true, on_view_sent, c);
 }
 
 void tmx_ctl_take(struct tmx_ctl *c, const char *const *machines, size_t n) {
-  if (c->view_busy || !tmx_link_member(c->link) ||
+  if (c->view_busy || !tmx_store_is_member(c->link) ||
       tmx_clock_steady() - c->view_at < TMX_VIEW_SPACING_S)
     return;
   struct tmx_view v = c->rep.view;
@@ -156,9 +157,10 @@
   struct tmx_replica *r = &c->rep;
   double now = tmx_clock_steady();
   bool leads = r->loaded && r->leader_stamp && !strcmp(r->leader, c->set.node) &&
-               r->leader_inc == tmx_link_inc(c->link);
+               r->leader_inc == tmx_store_incarnation(c->link);
   if (!leads) c->led_at = now;
-  if (!tmx_link_inc(c->link) || !leads || c->view_busy || now - c->view_at < TMX_VIEW_SPACING_S)
+  if (!tmx_store_incarnation(c->link) || !leads || c->view_busy ||
+      now - c->view_at < TMX_VIEW_SPACING_S)
     return;
   struct tmx_view v = {.term = r->view.term + 1};
   struct tmx_outlook o = look_around(c);
@@ -254,13 +256,13 @@
   }
   c->tick_at = now;
   /* coming back from a cut it hears the others one after the other: the last one is not lost */
-  if (c->late_at == now || now - tmx_link_confirmed(c->link) > TMX_STATE_LOST_S ||
+  if (c->late_at == now || now - tmx_store_fresh_as_of(c->link) > TMX_STATE_LOST_S ||
       !tmx_peers_any(c->peers))
     c->trouble_at = now;
   tmx_peers_tick(c->peers);
-  tmx_link_suspect(c->link, leader_lost(c) ? c->rep.leader : "");
-  tmx_link_stand_back(c->link, tmx_ctl_no_workers(c) && tmx_peers_any(c->peers));
-  tmx_link_tick(c->link);
+  tmx_store_suspect_leader(c->link, leader_lost(c) ? c->rep.leader : "");
+  tmx_store_abstain_from_election(c->link, tmx_ctl_no_workers(c) && tmx_peers_any(c->peers));
+  tmx_store_tick(c->link);
   view_step(c);
   tmx_fold_tick(c->fold);
   tmx_cloud_tick(c->cloud);
@@ -315,7 +317,7 @@
     return NULL;
   }
   c->rounds = tmx_rounds_new(c);
-  c->link = tmx_link_new(loop, &c->set, &c->rep);
+  c->link = tmx_store_new(loop, &c->set, &c->rep);
   c->cloud = tmx_cloud_new(c);
   c->fold = tmx_fold_new(c);
   ev_timer_init(&c->tick, on_tick, 0, TMX_TICK_S);
@@ -333,7 +335,7 @@
   tmx_http_server_free(c->server);
   tmx_cloud_free(c->cloud);
   tmx_fold_free(c->fold);
-  tmx_link_free(c->link);
+  tmx_store_free(c->link);
   tmx_peers_free(c->peers);
   tmx_users_free(c->users);
   tmx_workers_free(c->workers);
--- a/src/controller.h
+++ b/src/controller.h
@@ -22,7 +22,7 @@
   struct ev_loop *loop;
   struct tmx_settings set;
   struct tmx_replica rep;
-  struct tmx_link *link;
+  struct tmx_store *link;
   struct tmx_workers *workers;
   struct tmx_users *users;
   struct tmx_cloud *cloud;
@@ -69,7 +69,7 @@
 void tmx_rounds_line(struct tmx_rounds *p, const char *line);
 /* A submission for the log; cb(arg, TMX_TXN_*): committed, known already, refused or unknown;
  * or TMX_ARRIVAL_OVERLOAD: not sent, as its team or class had no room by then. */
-enum { TMX_ARRIVAL_OVERLOAD = TMX_TXN_UNKNOWN + 1 };
+enum { TMX_ARRIVAL_OVERLOAD = TMX_TRANSACTION_UNKNOWN + 1 };
 typedef void (*tmx_arrival_cb)(void *arg, int result);
 enum tmx_arrival_result {
   TMX_ARRIVAL_TAKEN,
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -75,7 +75,7 @@
   q->refusals = 0;
   q->state_age = b->state_age_ms / 1000.0;
   q->term = b->term;
-  if (b->revision > p->c->rep.rev) tmx_link_behind(p->c->link);
+  if (b->revision > p->c->rep.rev) tmx_store_note_peer_ahead(p->c->link);
   q->no_workers = b->no_workers;
   memset(q->zones, 0, sizeof q->zones);
   for (u_int i = 0; i < b->zones.zones_len; i++) {
@@ -269,7 +269,7 @@
   struct tmx_buffer out = {0};
   tmx_workers_suspects(c->workers, gather_one, &g);
   for (size_t i = 0; i < g.n; i++) g.v[i].id = g.ids[i];
-  double age = tmx_clock_steady() - tmx_link_confirmed(c->link);
+  double age = tmx_clock_steady() - tmx_store_fresh_as_of(c->link);
   const struct tmx_zone_signs *signs = tmx_workers_zones(c->workers);
   tmx_beat_zone zones[TMX_ZONES_MAX];
   for (size_t i = 0; i < c->set.n_zones; i++)
--- a/src/rounds/batch.c
+++ b/src/rounds/batch.c
@@ -36,7 +36,7 @@
   b->v.length = 0;
   tmx_lines_encode(&b->v, &b->jobs, b->n_jobs, &b->list, b->lines);
   next_key(b->p, key, sizeof key);
-  tmx_txn_put(&b->t, key, &b->v, 0);
+  tmx_transaction_put(&b->t, key, &b->v, 0);
   b->list.length = b->jobs.length = 0;
   b->lines = b->n_jobs = 0;
   b->txn += b->value + TMX_JSON_FRAME;
@@ -47,7 +47,7 @@
 /* Room for n more bytes in a value that is not full; false: the batch is full. Limits are counted
  * as JSON: a value that is larger would be refused again and again, and hold up the log. */
 bool tmx_batch_fits(struct tmx_batch *b, size_t n, int more_puts) {
-  size_t all = b->txn + b->value + n + (size_t)b->t.n_conds * TMX_JSON_FRAME;
+  size_t all = b->txn + b->value + n + (size_t)b->t.n_conditions * TMX_JSON_FRAME;
   if (all > TMX_TXN_BYTES) return false;
   if (b->value + n > b->value_max) tmx_batch_flush(b);
   return b->spare - more_puts >= 1;
--- a/src/rounds/batch.h
+++ b/src/rounds/batch.h
@@ -5,7 +5,7 @@
 
 struct tmx_batch {
   struct tmx_rounds *p;
-  struct tmx_txn t;
+  struct tmx_transaction t;
   struct tmx_buffer list, jobs, v;
   size_t lines, n_jobs;
   bool grouped;                 /* operations of one job share lines */
--- a/src/rounds/commit.c
+++ b/src/rounds/commit.c
@@ -14,12 +14,12 @@
   if (rev > p->wait_rev) p->wait_rev = rev;
   p->wait_rev_at = tmx_clock_steady();
   tmx_submissions_answer(p, res);
-  if (res == TMX_TXN_CONFLICT && ++p->resent <= TMX_RESENDS) {
+  if (res == TMX_TRANSACTION_CONFLICT && ++p->resent <= TMX_RESENDS) {
     /* what was planned is checked again on the state that won, and sent anew */
     tmx_rounds_kick_in(c, 0.05);
     return;
   }
-  if (res == TMX_TXN_OK) {
+  if (res == TMX_TRANSACTION_COMMITTED) {
     size_t n = 0;
     for (size_t i = 0; i < p->n_lines; i++) /* those that came meanwhile stay */
       if (!p->lines[i].sent) p->lines[n++] = p->lines[i];
@@ -29,7 +29,8 @@
   }
   bool cut = p->plan.cut;
   tmx_round_over(p);
-  tmx_rounds_kick_in(c, res == TMX_TXN_OK ? (cut ? 0 : TMX_ROUND_SPACING_S) : TMX_STATE_RETRY_S);
+  tmx_rounds_kick_in(
+      c, res == TMX_TRANSACTION_COMMITTED ? (cut ? 0 : TMX_ROUND_SPACING_S) : TMX_STATE_RETRY_S);
 }
 
 static int by_group(const void *a, const void *b) {
@@ -70,12 +71,12 @@
 /* How many puts the batch may take, beside the one of head. */
 static int spare_puts(struct tmx_rounds *p) {
   struct tmx_ctl *c = p->c;
-  double budget = tmx_link_budget(c->link);
+  double budget = tmx_store_write_budget(c->link);
   int most = c->set.txn_ops - 1, spare = most;
   if (budget < spare + 1) spare = (int)floor(budget) - 1;
   if (spare < 1) spare = 1; /* begin() saw to it that this much may be sent */
   int for_ends = (int)fmin(most - spare, last_ends(p));
-  return for_ends > 0 ? spare + tmx_link_extra(c->link, for_ends) : spare;
+  return for_ends > 0 ? spare + tmx_store_reserve_unused_writes(c->link, for_ends) : spare;
 }
 
 /* false: the batch is full. The last task's end and the job's final state are one transaction. A
@@ -145,10 +146,10 @@
                             int fin, double ended) {
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_K_JOB "%s", j->id);
-  tmx_txn_if(&b->t, key, j->stamp);
+  tmx_transaction_require_version(&b->t, key, j->stamp);
   b->v.length = 0;
   tmx_job_encode_final(&b->v, j, fin, ended, tmx_value_room(&p->c->set));
-  tmx_txn_put(&b->t, key, &b->v, 0);
+  tmx_transaction_put(&b->t, key, &b->v, 0);
 }
 
 /* Jobs that were cancelled through others get a final state of their own while puts are to spare:
@@ -156,7 +157,7 @@
 static void add_derived_ends(struct tmx_rounds *p, struct tmx_batch *b) {
   struct tmx_ctl *c = p->c;
   tmx_replica_tidy_unstored(&c->rep);
-  if (!tmx_link_leading(c->link) || !tmx_link_spare(c->link)) return;
+  if (!tmx_store_is_leader(c->link) || !tmx_store_has_housekeeping_budget(c->link)) return;
   for (size_t i = 0; i < c->rep.n_unstored && b->spare >= 1; i++, b->spare--)
     put_final_state(p, b, c->rep.unstored[i], TMX_FIN_CANCELLED, 0);
 }
@@ -177,22 +178,22 @@
 
 static void nothing_to_send(struct tmx_rounds *p, struct draft *d) {
   bool cut = p->plan.cut;
-  tmx_buffer_free(&d->b.t.conds);
-  tmx_buffer_free(&d->b.t.ops);
+  tmx_buffer_free(&d->b.t.conditions);
+  tmx_buffer_free(&d->b.t.operations);
   tmx_round_over(p);
   if (cut) tmx_rounds_kick_in(p->c, TMX_ROUND_EMPTY_S);
 }
 
 static void send_batch(struct tmx_rounds *p, struct draft *d) {
   struct tmx_ctl *c = p->c;
-  tmx_txn_head(&d->b.t, c->set.node);
+  tmx_transaction_advance_head(&d->b.t, c->set.node);
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "round: %zu ends, %zu of %zu planned, %zu looked at, %d keys, resent %d",
-            p->n_ends, d->placed, p->plan.n_ops, p->plan.visits, d->b.t.n_ops, p->resent);
+            p->n_ends, d->placed, p->plan.n_ops, p->plan.visits, d->b.t.n_operations, p->resent);
   p->sent_head = c->rep.head;
-  p->sending = tmx_link_commit(c->link, &d->b.t, true, on_batch, p);
+  p->sending = tmx_store_commit(c->link, &d->b.t, true, on_batch, p);
   if (p->sending) return;
-  tmx_submissions_answer(p, TMX_TXN_CONFLICT); /* not sent: as if something else had won */
+  tmx_submissions_answer(p, TMX_TRANSACTION_CONFLICT); /* not sent: as if something else had won */
   tmx_round_over(p);
   tmx_rounds_kick_in(c, TMX_STATE_RETRY_S);
 }
@@ -206,7 +207,7 @@
                           .grouped = c->rep.pipelines,
                           .spare = spare_puts(p)}};
   p->puts = TMX_ROUND_PUTS;
-  tmx_txn_if(&d.b.t, TMX_K_HEAD, c->rep.head);
+  tmx_transaction_require_version(&d.b.t, TMX_K_HEAD, c->rep.head);
   tmx_check_begin(&d.check, &c->rep);
   tmx_submissions_add(p, &d.b);
   add_ends(p, &d);
@@ -216,7 +217,7 @@
   add_final_states(p, &d);
   free_draft(&d);
   p->plan.cut |= d.full || d.later;
-  if (d.b.t.n_ops)
+  if (d.b.t.n_operations)
     send_batch(p, &d);
   else
     nothing_to_send(p, &d);
--- a/src/rounds/feed.c
+++ b/src/rounds/feed.c
@@ -150,10 +150,11 @@
   in->now = tmx_clock_steady();
   in->wall = tmx_clock_wall();
   in->self = tmx_ctl_self(c);
-  in->leading = tmx_link_leading(c->link);
+  in->leading = tmx_store_is_leader(c->link);
   in->n_zones = c->set.n_zones;
   in->grace = TMX_LEADER_GRACE_S;
-  if (!tmx_link_rich(c->link)) in->grace += tmx_turn_length(c) * (double)(r->view.n_members + 1);
+  if (!tmx_store_is_write_load_low(c->link))
+    in->grace += tmx_turn_length(c) * (double)(r->view.n_members + 1);
   tmx_turns_fill(&in->turns, r->backlog, &c->set, in->now);
   in->n_teams = c->set.n_teams;
   memcpy(in->teams, c->set.teams, sizeof in->teams);
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -117,10 +117,10 @@
   struct tmx_ctl *c = p->c;
   size_t n = c->rep.view.n_members;
   int self = tmx_ctl_self(c);
-  if (n < 2 || self < 0 || tmx_link_rich(c->link)) return 0;
+  if (n < 2 || self < 0 || tmx_store_is_write_load_low(c->link)) return 0;
   double slot = tmx_turn_length(c), period = slot * (double)(n + 1);
   double at = fmod(tmx_clock_wall(), period), wait = period;
-  for (int k = 0; k < 1 + tmx_link_leading(c->link); k++) {
+  for (int k = 0; k < 1 + tmx_store_is_leader(c->link); k++) {
     double into = at - slot * (k ? (double)n : self);
     if (into >= 0 && into < slot * TMX_TURN_BEGIN) return 0;
     wait = fmin(wait, into < 0 ? -into : period - into);
@@ -140,7 +140,7 @@
   pthread_mutex_unlock(&p->lock);
   if (!ready || p->step != TMX_ROUND_PLANNING) return;
   p->step = TMX_ROUND_READY;
-  if (!tmx_link_member(c->link) || !tmx_ctl_fresh(c)) {
+  if (!tmx_store_is_member(c->link) || !tmx_ctl_fresh(c)) {
     tmx_round_over(p);
     tmx_rounds_kick_in(c, TMX_STATE_RETRY_S);
     return;
@@ -150,11 +150,11 @@
 
 static void begin(struct tmx_rounds *p) {
   struct tmx_ctl *c = p->c;
-  double now = tmx_clock_steady(), budget = tmx_link_budget(c->link);
+  double now = tmx_clock_steady(), budget = tmx_store_write_budget(c->link);
   /* Rounds are paced by this member's share of the puts. Submissions draw on it too; a round a
    * second goes out in any case, or nothing accepted would ever start. */
   if (budget < p->puts && now - p->round_at < 1.0) {
-    tmx_rounds_kick_in(c, fmin(tmx_link_budget_in(c->link, p->puts), 1.0));
+    tmx_rounds_kick_in(c, fmin(tmx_store_write_budget_delay(c->link, p->puts), 1.0));
     return;
   }
   double wait = turn(p);
@@ -184,7 +184,7 @@
   struct tmx_ctl *c = p->c;
   if (p->step == TMX_ROUND_PLANNING || p->sending) return; /* its end kicks the next one */
   timer(p, TMX_ROUND_IDLE_S);
-  bool may = tmx_link_member(c->link) && tmx_ctl_fresh(c);
+  bool may = tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
   if (!may) {
     if (p->step == TMX_ROUND_READY) tmx_round_over(p);
     return;
--- a/src/rounds/submissions.c
+++ b/src/rounds/submissions.c
@@ -32,9 +32,9 @@
     size_t n = p->n_arrivals;
     if (!a->answered && (!busy || now - a->sent_at > TMX_STATE_SLOW_S) &&
         tmx_job_find(&p->c->rep, a->id))
-      settle_arrival(p, i, TMX_TXN_CONFLICT);
+      settle_arrival(p, i, TMX_TRANSACTION_CONFLICT);
     else if (!busy && now > a->until)
-      settle_arrival(p, i, TMX_TXN_REFUSED);
+      settle_arrival(p, i, TMX_TRANSACTION_NOT_EXECUTED);
     i += p->n_arrivals == n;
   }
 }
@@ -42,17 +42,17 @@
 /* Submissions go out with a batch or each by itself. Either is on the condition that head is what
  * the replica saw, which rules out the batches it does not know, and that the job has no key, which
  * rules out the single ones: a name is taken once. */
-static void condition(struct tmx_txn *t, const char *id) {
+static void condition(struct tmx_transaction *transaction, const char *id) {
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_K_JOB "%s", id);
-  tmx_txn_if(t, key, 0);
+  tmx_transaction_require_version(transaction, key, 0);
 }
 
 /* A submission goes into one transaction or into none: no reader takes a part for the whole. One
  * that needs several values comes first in its batch, which is made as large as it needs. */
 static bool has_room(struct tmx_batch *b, const struct tmx_arrival *a) {
   if (a->values == 1) return tmx_batch_fits(b, a->json, 0);
-  if (b->lines || b->n_jobs || b->t.n_ops) return false;
+  if (b->lines || b->n_jobs || b->t.n_operations) return false;
   if (b->spare < a->values) b->spare = a->values;
   return tmx_batch_fits(b, a->json, 0);
 }
@@ -94,7 +94,7 @@
   for (size_t i = 0; i < p->n_arrivals; i++) {
     struct tmx_arrival *a = p->arrivals[i];
     if (a->direct || a->answered) continue;
-    full = full || b->t.n_conds >= conds || !has_room(b, a);
+    full = full || b->t.n_conditions >= conds || !has_room(b, a);
     a->sent = !full && admitted(p, a);
     a->sent_at = tmx_clock_steady();
     if (!a->sent) continue;
@@ -110,7 +110,7 @@
     bool sent = a->sent;
     a->sent = false;
     if (sent) tmx_gate_release(p->c->gate, &a->candidate);
-    if (sent && res != TMX_TXN_CONFLICT)
+    if (sent && res != TMX_TRANSACTION_CONFLICT)
       settle_arrival(p, i, res);
     else
       i++;
@@ -122,7 +122,7 @@
   struct tmx_rounds *p = a->p;
   a->direct = false;
   tmx_gate_release(p->c->gate, &a->candidate);
-  if (res == TMX_TXN_CONFLICT && !a->answered) { /* again once the replica has what won */
+  if (res == TMX_TRANSACTION_CONFLICT && !a->answered) { /* again once the replica has what won */
     a->tries++;
     if (rev > p->wait_rev) p->wait_rev = rev;
     p->wait_rev_at = tmx_clock_steady();
@@ -195,21 +195,21 @@
 
 static void send_alone(struct tmx_rounds *p, struct tmx_arrival *a) {
   struct tmx_ctl *c = p->c;
-  struct tmx_txn t = {0};
+  struct tmx_transaction transaction = {0};
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_K_JOB "%s", a->id);
-  tmx_txn_if(&t, TMX_K_HEAD, c->rep.head);
-  condition(&t, a->id);
-  tmx_txn_put(&t, key, &a->value, 0);
+  tmx_transaction_require_version(&transaction, TMX_K_HEAD, c->rep.head);
+  condition(&transaction, a->id);
+  tmx_transaction_put(&transaction, key, &a->value, 0);
   a->sent_at = tmx_clock_steady();
-  a->direct = tmx_link_commit(c->link, &t, true, on_direct, a);
+  a->direct = tmx_store_commit(c->link, &transaction, true, on_direct, a);
   if (a->direct) tmx_gate_hold(c->gate, &a->candidate);
 }
 
 static bool may_go_alone(const struct tmx_rounds *p, struct tmx_arrival *a) {
   if (a->direct || a->sent || a->values > 1 || a->tries >= TMX_DIRECT_TRIES) return false;
   if (!tmx_gate_may_go_alone(p->c->gate, &a->candidate, &a->awaits)) return false;
-  return tmx_link_submit(p->c->link);
+  return tmx_store_reserve_submission_write(p->c->link);
 }
 
 /* A few submissions go out at once, each as a put; when there are many, or puts are short, they
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -124,21 +124,21 @@
   struct tmx_fold *f = arg;
   (void)rev;
   f->busy = false;
-  if (res == TMX_TXN_OK) f->at = f->sent;
+  if (res == TMX_TRANSACTION_COMMITTED) f->at = f->sent;
 }
 
 static void write_pages(struct tmx_fold *f) {
   struct tmx_ctl *c = f->c;
-  struct tmx_txn t = {0};
+  struct tmx_transaction transaction = {0};
   struct tmx_buffer list = {0}, jobs = {0}, one = {0}, value = {0};
   size_t max = tmx_value_room(&c->set), n = 0, n_jobs = 0, len = 0, all = 0;
-  int puts = (int)tmx_link_budget(c->link);
+  int puts = (int)tmx_store_write_budget(c->link);
   char line[TMX_LINE_MAX], key[TMX_KEY_MAX + 1];
   struct place at = f->at;
   if (puts > c->set.txn_ops) puts = c->set.txn_ops;
   bool more = true;
-  tmx_txn_if(&t, TMX_K_HEAD, c->rep.head);
-  while (more && t.n_ops < puts && all + max + TMX_JSON_FRAME < TMX_TXN_BYTES) {
+  tmx_transaction_require_version(&transaction, TMX_K_HEAD, c->rep.head);
+  while (more && transaction.n_operations < puts && all + max + TMX_JSON_FRAME < TMX_TXN_BYTES) {
     list.length = jobs.length = n = n_jobs = len = 0;
     for (;;) {
       struct place before = at;
@@ -165,19 +165,19 @@
     value.length = 0;
     tmx_lines_encode(&value, &jobs, n_jobs, &list, n);
     snprintf(key, sizeof key, TMX_K_PAGE "%016llx/%05u", (unsigned long long)f->mark, f->page++);
-    tmx_txn_put(&t, key, &value, 0);
+    tmx_transaction_put(&transaction, key, &value, 0);
   }
   f->sent = at;
   tmx_buffer_free(&list);
   tmx_buffer_free(&jobs);
   tmx_buffer_free(&one);
   tmx_buffer_free(&value);
-  if (t.n_ops) {
-    f->busy = tmx_link_commit(c->link, &t, true, on_pages, f);
+  if (transaction.n_operations) {
+    f->busy = tmx_store_commit(c->link, &transaction, true, on_pages, f);
     return;
   }
-  tmx_buffer_free(&t.conds);
-  tmx_buffer_free(&t.ops);
+  tmx_buffer_free(&transaction.conditions);
+  tmx_buffer_free(&transaction.operations);
   if (!more) {
     f->step = MARK;
   } else if (puts > 0 && all == 0) {
@@ -191,19 +191,19 @@
   (void)rev;
   f->busy = false;
   /* another leader's mark, or an answer that does not tell: the next fold begins anew */
-  f->step = res == TMX_TXN_OK ? DROPS : IDLE;
+  f->step = res == TMX_TRANSACTION_COMMITTED ? DROPS : IDLE;
 }
 
 static void write_mark(struct tmx_fold *f) {
-  struct tmx_txn t = {0};
+  struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
-  tmx_txn_if(&t, TMX_K_FOLD, f->stamp);
+  tmx_transaction_require_version(&transaction, TMX_K_FOLD, f->stamp);
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_u64_field(&value, "mark", f->mark);
   tmx_cbor_put_u64_field(&value, "gen", f->mark);
-  tmx_txn_put(&t, TMX_K_FOLD, &value, 0);
+  tmx_transaction_put(&transaction, TMX_K_FOLD, &value, 0);
   tmx_buffer_free(&value);
-  f->busy = tmx_link_commit(f->c->link, &t, true, on_mark, f);
+  f->busy = tmx_store_commit(f->c->link, &transaction, true, on_mark, f);
 }
 
 static void on_drops(void *arg, int res, uint64_t rev) {
@@ -216,22 +216,23 @@
 /* Drops the pages of other folds; false: nothing is left to drop. */
 static bool drop_some(struct tmx_fold *f) {
   struct tmx_ctl *c = f->c;
-  struct tmx_txn t = {0};
+  struct tmx_transaction transaction = {0};
   struct tmx_log_key *k, *tmp;
-  int max = (int)tmx_link_budget(c->link);
+  int max = (int)tmx_store_write_budget(c->link);
   if (max > c->set.txn_ops) max = c->set.txn_ops;
   /* on the condition that the mark still stands: these pages might else be the newer ones */
-  tmx_txn_if(&t, TMX_K_FOLD, c->rep.fold_stamp);
+  tmx_transaction_require_version(&transaction, TMX_K_FOLD, c->rep.fold_stamp);
   HASH_ITER(hh, c->rep.pages, k, tmp) {
     unsigned long long gen;
-    if (t.n_ops >= max || sscanf(k->key + strlen(TMX_K_PAGE), "%llx", &gen) != 1) continue;
-    if (gen != c->rep.fold_gen) tmx_txn_drop(&t, k->key);
+    if (transaction.n_operations >= max || sscanf(k->key + strlen(TMX_K_PAGE), "%llx", &gen) != 1)
+      continue;
+    if (gen != c->rep.fold_gen) tmx_transaction_delete(&transaction, k->key);
   }
-  if (!t.n_ops) {
-    tmx_buffer_free(&t.conds);
+  if (!transaction.n_operations) {
+    tmx_buffer_free(&transaction.conditions);
     return false;
   }
-  f->busy = tmx_link_commit(c->link, &t, true, on_drops, f);
+  f->busy = tmx_store_commit(c->link, &transaction, true, on_drops, f);
   return true;
 }
 
@@ -239,11 +240,11 @@
   struct tmx_ctl *c = f->c;
   double now = tmx_clock_steady();
   if (f->busy) return;
-  if (!tmx_link_leading(c->link) || !c->rep.loaded) {
+  if (!tmx_store_is_leader(c->link) || !c->rep.loaded) {
     f->step = IDLE;
     return;
   }
-  if (!tmx_link_spare(c->link)) return;
+  if (!tmx_store_has_housekeeping_budget(c->link)) return;
   if (f->step == IDLE) {
     if (now - f->looked_at < 1) return;
     f->looked_at = now;
--- a/src/user/user.c
+++ b/src/user/user.c
@@ -124,11 +124,11 @@
   bool late =
       what->kind != ASK_POLL || (j && tmx_clock_steady() - j->answered_at > TMX_POLL_FAIR_S);
   struct ask *a = calloc(1, sizeof *a);
-  if (!a || !tmx_link_served(u->c->link) ||
+  if (!a || !tmx_store_is_reachable(u->c->link) ||
       u->waiting >= (late ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2)) {
     free(a);
     free_submission(what->submission);
-    refuse(request, tmx_link_served(u->c->link) ? "too many wait" : "no state");
+    refuse(request, tmx_store_is_reachable(u->c->link) ? "too many wait" : "no state");
     return;
   }
   double within = what->kind == ASK_POLL ? TMX_USER_WAIT_S : TMX_SUBMIT_WAIT_S;
@@ -138,7 +138,7 @@
   a->since = tmx_clock_steady();
   a->until = tmx_clock_steady() + within;
   u->waiting++;
-  if (!tmx_link_confirm(u->c->link, within, on_confirm, a)) {
+  if (!tmx_store_read_index(u->c->link, within, on_confirm, a)) {
     refuse(request, "too many wait for the state");
     done(a);
   }
@@ -149,13 +149,13 @@
 static void on_cancelled(void *arg, int res, uint64_t rev) {
   struct ask *a = arg;
   (void)rev;
-  if (res == TMX_TXN_OK) {
+  if (res == TMX_TRANSACTION_COMMITTED) {
     answer_named(a->req, 200, a->id, WV_CANCELLED, NULL);
     done(a);
     return;
   }
-  if (res == TMX_TXN_CONFLICT && ++a->tries < 8 && tmx_clock_steady() < a->until &&
-      tmx_link_confirm(a->u->c->link, a->until - tmx_clock_steady(), on_confirm, a))
+  if (res == TMX_TRANSACTION_CONFLICT && ++a->tries < 8 && tmx_clock_steady() < a->until &&
+      tmx_store_read_index(a->u->c->link, a->until - tmx_clock_steady(), on_confirm, a))
     return;
   refuse(a->req, "not known whether it is cancelled"); /* the user asks again and is told then */
   done(a);
@@ -164,18 +164,18 @@
 static void cancel_step(struct ask *a) {
   struct tmx_ctl *c = a->u->c;
   struct tmx_job *j = tmx_job_find(&c->rep, a->id);
-  struct tmx_txn t = {0};
+  struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_K_JOB "%s", a->id);
   /* Conditional on the job's own key, which also its completion rewrites; head is rewritten,
    * so that no batch planned before this can start one of its tasks. */
-  tmx_txn_if(&t, key, j->stamp);
+  tmx_transaction_require_version(&transaction, key, j->stamp);
   tmx_job_encode_final(&value, j, TMX_FIN_CANCELLED, 0, tmx_value_room(&c->set));
-  tmx_txn_put(&t, key, &value, 0);
-  tmx_txn_head(&t, c->set.node);
+  tmx_transaction_put(&transaction, key, &value, 0);
+  tmx_transaction_advance_head(&transaction, c->set.node);
   tmx_buffer_free(&value);
-  if (!tmx_link_commit(c->link, &t, true, on_cancelled, a)) {
+  if (!tmx_store_commit(c->link, &transaction, true, on_cancelled, a)) {
     refuse(a->req, "no connection to the state");
     done(a);
   }
@@ -189,14 +189,14 @@
   static const struct tmx_awaits none;
   a->ruling = tmx_gate_judge(a->u->c->gate, &a->candidate, &none);
   a->overload = true;
-  if (tmx_link_confirm(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
+  if (tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
   refuse_overload(a);
   done(a);
 }
 
 static void on_submitted(void *arg, int res) {
   struct ask *a = arg;
-  if (res == TMX_TXN_OK) {
+  if (res == TMX_TRANSACTION_COMMITTED) {
     if (tmx_log_enabled(TMX_LOG_DEBUG))
       tmx_log(TMX_LOG_DEBUG, "job: %s accepted in %.0f ms", a->id,
               (tmx_clock_steady() - a->since) * 1000);
@@ -205,13 +205,13 @@
     done(a);
   } else if (res == TMX_ARRIVAL_OVERLOAD) {
     look_up_or_refuse(a);
-  } else if (res == TMX_TXN_CONFLICT && /* known already: its state is read first */
-             tmx_link_confirm(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) {
+  } else if (res == TMX_TRANSACTION_CONFLICT && /* known already: its state is read first */
+             tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) {
     a->otherwise = 503;
-    tmx_link_hurry(a->u->c->link);
+    tmx_store_expedite_read_index(a->u->c->link);
   } else {
-    refuse(a->req,
-           res == TMX_TXN_REFUSED ? "not committed in time" : "not known whether committed");
+    refuse(a->req, res == TMX_TRANSACTION_NOT_EXECUTED ? "not committed in time"
+                                                       : "not known whether committed");
     done(a);
   }
 }
@@ -289,7 +289,7 @@
   if (result == TMX_ARRIVAL_TOO_LARGE) {
     /* it may be known, by another body, to the others */
     a->otherwise = 422;
-    if (tmx_link_confirm(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
+    if (tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
   }
   refuse(a->req, "too many submissions");
   done(a);
@@ -344,7 +344,7 @@
     tmx_http_reply(request, 400, NULL, 0);
     return;
   }
-  if (!c->rep.loaded || !tmx_link_served(c->link)) {
+  if (!c->rep.loaded || !tmx_store_is_reachable(c->link)) {
     free_submission(s);
     refuse(request, "no state");
     return;
--- a/src/worker/health.c
+++ b/src/worker/health.c
@@ -154,7 +154,7 @@
   w->probe_tokens = fmin(w->probe_tokens + rate * (now - w->sweep_at), rate * 2 * TMX_SWEEP_S);
   w->sweep_at = now;
   int self = tmx_ctl_self(c);
-  bool member = tmx_link_member(c->link) && tmx_ctl_fresh(c);
+  bool member = tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
   double heard_s = c->set.report_s * 1.25 + TMX_REPORT_LATE_S;
   struct tmx_reach reach = {.report_age = w->report_at ? now - w->report_at : 1e9};
   unsigned unreported = 0; /* two reports are missing: it may reach no controller */
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -123,7 +123,7 @@
 }
 
 static bool own(struct tmx_workers *w, const struct worker *r) {
-  if (!tmx_link_member(w->c->link)) return false;
+  if (!tmx_store_is_member(w->c->link)) return false;
   if (r->m && r->m->known) return r->m->owner >= 0 && r->m->owner == tmx_ctl_self(w->c);
   const char *o = tmx_owner_of(&w->c->rep, r->id);
   return o && !strcmp(o, w->c->set.node);
@@ -553,7 +553,7 @@
 static bool keeps_for_owner(struct tmx_workers *w, const struct worker *r, const char *owner,
                             double now) {
   const struct tmx_ctl *c = w->c;
-  if (!tmx_link_member(c->link) || now - tmx_link_confirmed(c->link) < TMX_STATE_LOST_S)
+  if (!tmx_store_is_member(c->link) || now - tmx_store_fresh_as_of(c->link) < TMX_STATE_LOST_S)
     return false;
   if (r->seen > tmx_ctl_token(c, TMX_BUMP_MAX) || starts_in_doubt(r, now)) return false;
   return tmx_peers_silence(c->peers, owner) > TMX_BEAT_LOST_S ||
@@ -622,7 +622,7 @@
       answer_for_owner(w, r, request);
       return;
     }
-    if (owner && latest && !r->held && tmx_link_member(c->link) &&
+    if (owner && latest && !r->held && tmx_store_is_member(c->link) &&
         cut_from_owner(w, r, owner, now)) {
       r->held = request;
       r->held_at = now;
--- a/tests/fake.c
+++ b/tests/fake.c
@@ -219,7 +219,7 @@
   struct tmx_ctl *c = controller;
   size_t n;
   tmx_cloud_types(c->cloud, &n);
-  return n > 0 && tmx_link_member(c->link) && tmx_ctl_fresh(c);
+  return n > 0 && tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
 }
 
 bool fake_planning(void) {
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -388,7 +388,7 @@
 static void late_put_of_the_node_key(void **st) {
   (void)st;
   up(&w);
-  uint64_t run = tmx_link_inc(a->link);
+  uint64_t run = tmx_store_incarnation(a->link);
   struct tmx_buffer value = {0};
   tmx_cbor_put_map(&value, 1);
   tmx_cbor_put_text_field(&value, "listen", a->set.listen);
@@ -396,7 +396,7 @@
   tmx_buffer_free(&value);
   pump_for(0.1);
   assert_true(pump(fake_ready, a));
-  assert_true(tmx_link_inc(a->link) > run);
+  assert_true(tmx_store_incarnation(a->link) > run);
   assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
   for (int i = 0; i < 100 && !w.executed_starts; i++) {
     worker_report(&w, a);
@@ -410,12 +410,12 @@
  * lease is over: it does not try again with it until a renewal says so. */
 static void lapsed_lease_of_a_controller(void **st) {
   (void)st;
-  uint64_t run = tmx_link_inc(a->link);
+  uint64_t run = tmx_store_incarnation(a->link);
   state.lapsed = state.leases;
   fake_drop(TMX_K_NODE "hand-0");
   pump_for(0.3);
   assert_true(pump(fake_ready, a));
-  assert_true(tmx_link_inc(a->link) > run);
+  assert_true(tmx_store_incarnation(a->link) > run);
   assert_int_equal(state.lapsed_puts, 1);
 }
 
@@ -463,7 +463,7 @@
   struct tmx_buffer value = {0};
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", next->set.node);
-  tmx_cbor_put_u64_field(&value, "inc", tmx_link_inc(next->link));
+  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(next->link));
   fake_put(TMX_K_LEADER, &value);
   tmx_buffer_free(&value);
 }
@@ -557,7 +557,7 @@
   (void)st;
   up(&w);
   for (int i = 0; i < 2; i++) up(&others[i]);
-  struct tmx_ctl *old = tmx_link_leading(a->link) ? a : b, *next = old == a ? b : a;
+  struct tmx_ctl *old = tmx_store_is_leader(a->link) ? a : b, *next = old == a ? b : a;
   struct fake_worker *all[] = {&w, &others[0], &others[1]};
   /* one task more than the limit of the team: while it waits nothing is returned */
   assert_int_equal(submit(a, "wk-000001", "batch", 5, 2, "t"), 201);
@@ -584,7 +584,7 @@
     }
     pump_for(0.5);
   }
-  assert_true(tmx_link_leading(next->link));
+  assert_true(tmx_store_is_leader(next->link));
   assert_true(drained);
 }
 
@@ -811,7 +811,7 @@
     strcpy(state.doors[i].lose_key, TMX_K_BATCH);
   }
   up(x);
-  bool first = tmx_link_leading(a->link);
+  bool first = tmx_store_is_leader(a->link);
   fake_drop(first ? TMX_K_NODE "hand-0" : TMX_K_NODE "hand-1");
   fake_drop(TMX_K_LEADER);
   controller_end(first ? a : b);
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -252,16 +252,16 @@
   struct tmx_buffer value = {0};
   char id[32];
   up_at_either();
-  struct tmx_ctl *old = tmx_link_leading(a->link) ? a : b, *other = old == a ? b : a;
-  assert_true(tmx_link_leading(old->link));
+  struct tmx_ctl *old = tmx_store_is_leader(a->link) ? a : b, *other = old == a ? b : a;
+  assert_true(tmx_store_is_leader(old->link));
   state.doors[old == a ? 0 : 1].freeze_watch = true;
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", other->set.node);
-  tmx_cbor_put_u64_field(&value, "inc", tmx_link_inc(other->link));
+  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(other->link));
   fake_put(TMX_K_LEADER, &value);
   tmx_buffer_free(&value);
-  for (int i = 0; i < 300 && !tmx_link_leading(other->link); i++) pump_for(0.02);
-  assert_true(tmx_link_leading(other->link) && tmx_link_leading(old->link));
+  for (int i = 0; i < 300 && !tmx_store_is_leader(other->link); i++) pump_for(0.02);
+  assert_true(tmx_store_is_leader(other->link) && tmx_store_is_leader(old->link));
   for (int i = 0; i < 6; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     submit(i % 2 ? a : b, id, "batch", 1, 2, "t");
