--- a/src/admission/backlog.c
+++ b/src/admission/backlog.c
@@ -32,14 +32,14 @@
   return (int64_t)llround(fmin(fmax(amount, 0), TMX_LOAD_MAX));
 }
 
-struct tmx_load tmx_load_of(const struct tmx_spec *spec, uint32_t tasks_left) {
+struct tmx_load tmx_load_of(const struct tmx_job_spec *spec, uint32_t tasks_left) {
   struct tmx_load load = {{0}};
   if (!tasks_left) return load;
   double run_s = spec->service ? TMX_ADMISSION_SERVICE_S : fmax(spec->estimate_s, TMX_RUN_LEAST_S);
   double task_seconds = tasks_left * run_s;
   load.amount[TMX_ADMISSION_CPU] = bounded(task_seconds * spec->cpus * TMX_MILLI);
   load.amount[TMX_ADMISSION_GPU] = bounded(task_seconds * spec->gpus * TMX_MILLI);
-  load.amount[TMX_ADMISSION_MEMORY] = bounded(task_seconds * spec->mem * TMX_MB_PER_GB);
+  load.amount[TMX_ADMISSION_MEMORY] = bounded(task_seconds * spec->mem_gb * TMX_MB_PER_GB);
   load.amount[TMX_ADMISSION_LOG] = TMX_LOG_JOB_BYTES + (int64_t)tasks_left * TMX_LOG_TASK_BYTES;
   load.amount[TMX_ADMISSION_PUTS] = 1;
   load.amount[TMX_ADMISSION_HELD] =
@@ -54,20 +54,20 @@
 /* Replicas that are placed are served, and no longer a backlog; tasks of arrays are so once they
  * are done. Only facts of the log enter: no learned run times, no clocks. */
 static uint32_t tasks_left(const struct tmx_job *job) {
-  if (job->fin) return 0;
+  if (job->outcome) return 0;
   uint32_t served = job->spec.service ? job->n_placed : job->n_done;
   return job->spec.tasks - served;
 }
 
 void tmx_backlog_update(struct tmx_backlog *backlog, struct tmx_job *job) {
   if (job->team < 0) return;
-  if (!job->charged) job->account = (int)tmx_backlog_account(backlog, job->spec.class);
+  if (!job->in_account) job->account = (int)tmx_backlog_account(backlog, job->spec.class);
   struct tmx_account *account = &backlog->accounts[job->team][job->account];
   struct tmx_load load = tmx_load_of(&job->spec, tasks_left(job));
-  tmx_load_add(&account->load, &job->load, -1);
+  tmx_load_add(&account->load, &job->remaining_load, -1);
   tmx_load_add(&account->load, &load, 1);
-  job->load = load;
-  bool open = !job->fin;
-  account->jobs += (uint32_t)open - (uint32_t)job->charged;
-  job->charged = open;
+  job->remaining_load = load;
+  bool open = !job->outcome;
+  account->jobs += (uint32_t)open - (uint32_t)job->in_account;
+  job->in_account = open;
 }
--- a/src/admission/backlog.h
+++ b/src/admission/backlog.h
@@ -9,7 +9,7 @@
 #include "config/settings.h"
 
 struct tmx_job;
-struct tmx_spec;
+struct tmx_job_spec;
 
 /* What admitted work uses up until it is done. */
 enum tmx_admission_resource {
@@ -48,7 +48,7 @@
 size_t tmx_backlog_account(const struct tmx_backlog *backlog, const char *class_name);
 size_t tmx_backlog_accounts(const struct tmx_backlog *backlog); /* in each team */
 /* What is left to do of a job of which so many tasks are waiting or under way. */
-struct tmx_load tmx_load_of(const struct tmx_spec *spec, uint32_t tasks_left);
+struct tmx_load tmx_load_of(const struct tmx_job_spec *spec, uint32_t tasks_left);
 void tmx_load_add(struct tmx_load *sum, const struct tmx_load *load, int sign);
 /* To be called whenever a job of the replica has changed, and once more when it is over. */
 void tmx_backlog_update(struct tmx_backlog *backlog, struct tmx_job *job);
--- a/src/admission/gate.c
+++ b/src/admission/gate.c
@@ -19,9 +19,9 @@
 
 static void on_begin(void *arg, struct tmx_job *job) {
   struct tmx_ctl *controller = arg;
-  if (job->team < 0 || !job->charged) return;
+  if (job->team < 0 || !job->in_account) return;
   tmx_statistics_start(controller->gate->statistics, (size_t)job->team, (size_t)job->account,
-                       tmx_clock_wall() - job->released);
+                       tmx_clock_wall() - job->released_at);
 }
 
 struct tmx_gate *tmx_gate_new(struct tmx_ctl *controller) {
@@ -34,7 +34,7 @@
   tmx_backlog_init(&gate->backlog, &controller->set);
   tmx_backlog_init(&gate->on_its_way, &controller->set);
   controller->rep.backlog = &gate->backlog;
-  controller->rep.on_begin = on_begin;
+  controller->rep.on_job_started = on_begin;
   return gate;
 }
 
@@ -48,8 +48,8 @@
 
 static struct tmx_machine_size present_machines(const struct tmx_ctl *c) {
   struct tmx_machine_size sum = {0};
-  for (size_t i = 0; i < c->rep.n_types; i++) {
-    const struct tmx_type_count *count = &c->rep.types[i];
+  for (size_t i = 0; i < c->rep.n_type_counts; i++) {
+    const struct tmx_type_count *count = &c->rep.type_counts[i];
     const struct tmx_type *type = tmx_cloud_type(c->cloud, count->type);
     if (!type) continue;
     sum.cpus += count->machines * type->cpus;
@@ -79,8 +79,8 @@
 
 /* ------------------------------------------------------------ judgement */
 
-struct tmx_candidate tmx_gate_candidate(const struct tmx_gate *gate, const struct tmx_spec *spec,
-                                        int team) {
+struct tmx_candidate tmx_gate_candidate(const struct tmx_gate *gate,
+                                        const struct tmx_job_spec *spec, int team) {
   struct tmx_candidate candidate = {.team = team};
   if (!gate || team < 0) return candidate;
   candidate.account = tmx_backlog_account(&gate->backlog, spec->class);
@@ -88,16 +88,16 @@
   return candidate;
 }
 
-static bool any_open(const struct tmx_replica *r, const struct tmx_awaits *awaits) {
-  for (uint32_t i = 0; i < awaits->n; i++) {
-    const struct tmx_job *job = tmx_job_find(r, awaits->ids[i]);
-    if (job && !job->fin) return true;
+static bool any_open(const struct tmx_replica *replica, const struct tmx_job_ids *awaits) {
+  for (uint32_t i = 0; i < awaits->count; i++) {
+    const struct tmx_job *job = tmx_job_find(replica, awaits->ids[i]);
+    if (job && !job->outcome) return true;
   }
   return false;
 }
 
 struct tmx_ruling tmx_gate_judge(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                                 const struct tmx_awaits *awaits) {
+                                 const struct tmx_job_ids *awaits) {
   if (!gate || candidate->team < 0) return (struct tmx_ruling){.verdict = TMX_ADMITTED};
   struct tmx_rates rates = rates_now(gate);
   candidate->awaits_open = any_open(&gate->controller->rep, awaits);
@@ -106,7 +106,7 @@
 }
 
 bool tmx_gate_may_go_alone(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                           const struct tmx_awaits *awaits) {
+                           const struct tmx_job_ids *awaits) {
   if (!gate || candidate->team < 0) return true;
   struct tmx_ruling ruling = tmx_gate_judge(gate, candidate, awaits);
   if (ruling.verdict != TMX_ADMITTED) return false;
@@ -151,13 +151,13 @@
   double wait_s[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX];
 };
 
-static void find_oldest(const struct tmx_replica *r, struct oldest *oldest) {
+static void find_oldest(const struct tmx_replica *replica, struct oldest *oldest) {
   struct tmx_job *job, *next;
   double now = tmx_clock_wall();
-  HASH_ITER(hh, r->jobs, job, next) {
-    if (!job->charged || job->n_placed || job->n_done || tmx_job_blocked(job)) continue;
+  HASH_ITER(hh, replica->jobs, job, next) {
+    if (!job->in_account || job->n_placed || job->n_done || tmx_job_is_blocked(job)) continue;
     double *wait = &oldest->wait_s[job->team][job->account];
-    *wait = fmax(*wait, now - job->released);
+    *wait = fmax(*wait, now - job->released_at);
   }
 }
 
--- a/src/admission/gate.h
+++ b/src/admission/gate.h
@@ -12,15 +12,15 @@
 struct tmx_gate *tmx_gate_new(struct tmx_ctl *controller);
 void tmx_gate_free(struct tmx_gate *gate);
 
-struct tmx_candidate tmx_gate_candidate(const struct tmx_gate *gate, const struct tmx_spec *spec,
-                                        int team);
+struct tmx_candidate tmx_gate_candidate(const struct tmx_gate *gate,
+                                        const struct tmx_job_spec *spec, int team);
 /* Judges on the replica as it stands, and on what this controller is committing. */
 struct tmx_ruling tmx_gate_judge(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                                 const struct tmx_awaits *awaits);
+                                 const struct tmx_job_ids *awaits);
 /* Is it admitted even if it is committed by itself, without head being rewritten. Near a ceiling
  * two such commits could both take the last room. */
 bool tmx_gate_may_go_alone(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                           const struct tmx_awaits *awaits);
+                           const struct tmx_job_ids *awaits);
 /* A commit of it is under way; it has been answered. */
 void tmx_gate_hold(struct tmx_gate *gate, const struct tmx_candidate *candidate);
 void tmx_gate_release(struct tmx_gate *gate, const struct tmx_candidate *candidate);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -107,8 +107,9 @@
               t[i].gpus != k->types[i].gpus || t[i].mem != k->types[i].mem;
     memcpy(k->types, t, sizeof t);
     k->n_types = n;
-    struct tmx_machine *x, *xt;
-    if (sizes) HASH_ITER(hh, k->c->rep.machines, x, xt) tmx_rounds_machine(k->c->rounds, x);
+    struct tmx_machine *other, *next_other;
+    if (sizes)
+      HASH_ITER(hh, k->c->rep.machines, other, next_other) tmx_rounds_machine(k->c->rounds, other);
     tmx_rounds_kick(k->c);
   }
   tmx_cbor_free(map);
@@ -299,17 +300,20 @@
   size_t n, cap;
 };
 
-static bool alike(const struct tmx_spec *a, const struct tmx_spec *b) {
-  return a->service == b->service && a->cpus == b->cpus && a->gpus == b->gpus && a->mem == b->mem &&
-         a->spot == b->spot && a->n_types == b->n_types && a->spread == b->spread &&
-         !memcmp(a->types, b->types, a->n_types * sizeof a->types[0]);
+static bool alike(const struct tmx_job_spec *left, const struct tmx_job_spec *right) {
+  return left->service == right->service && left->cpus == right->cpus &&
+         left->gpus == right->gpus && left->mem_gb == right->mem_gb &&
+         left->spot_allowed == right->spot_allowed && left->n_types == right->n_types &&
+         left->spread == right->spread &&
+         !memcmp(left->types, right->types, left->n_types * sizeof left->types[0]);
 }
 
 /* Jobs of one shape count as one demand: what is rented for them is the same. */
-static void need(struct needs *d, const struct tmx_spec *s, int zone, uint32_t tasks, double run) {
+static void need(struct needs *d, const struct tmx_job_spec *spec, int zone, uint32_t tasks,
+                 double run) {
   if (!tasks) return;
   for (size_t i = 0; i < d->n; i++)
-    if (d->v[i].zone == zone && alike(d->v[i].spec, s) && d->v[i].run_s <= 2 * run &&
+    if (d->v[i].zone == zone && alike(d->v[i].spec, spec) && d->v[i].run_s <= 2 * run &&
         run <= 2 * d->v[i].run_s) {
       d->v[i].tasks += tasks;
       return;
@@ -319,77 +323,84 @@
     d->v = realloc(d->v, d->cap * sizeof *d->v);
     if (!d->v) abort();
   }
-  d->v[d->n++] = (struct tmx_demand){s, tasks, zone, run};
+  d->v[d->n++] = (struct tmx_demand){spec, tasks, zone, run};
 }
 
 /* A service's waiting tasks by the zones that its cap leaves open, the emptiest first. */
-static void need_service(const struct tmx_ctl *c, struct needs *d, const struct tmx_job *j,
+static void need_service(const struct tmx_ctl *c, struct needs *d, const struct tmx_job *job,
                          uint32_t w) {
-  const struct tmx_spec *s = &j->spec;
-  uint32_t cap = tmx_zone_cap(s, c->set.n_zones), add[TMX_ZONES_MAX] = {0};
-  if (s->zone[0] || s->one_zone || c->set.n_zones < 2) {
-    int zone = s->zone[0] ? tmx_zone_index(&c->set, s->zone) : -1;
-    for (size_t z = 0; zone < 0 && s->one_zone && z < c->set.n_zones; z++)
-      if (j->zone_live[z]) zone = (int)z;
-    need(d, s, zone, w, 0);
+  const struct tmx_job_spec *spec = &job->spec;
+  uint32_t cap = tmx_zone_cap(spec, c->set.n_zones), add[TMX_ZONES_MAX] = {0};
+  if (spec->zone[0] || spec->same_zone || c->set.n_zones < 2) {
+    int zone = spec->zone[0] ? tmx_zone_index(&c->set, spec->zone) : -1;
+    for (size_t z = 0; zone < 0 && spec->same_zone && z < c->set.n_zones; z++)
+      if (job->placed_in_zone[z]) zone = (int)z;
+    need(d, spec, zone, w, 0);
     return;
   }
   for (; w; w--) {
     size_t best = c->set.n_zones;
     for (size_t z = 0; z < c->set.n_zones; z++) {
-      if (j->zone_live[z] + add[z] >= cap) continue;
-      if (best == c->set.n_zones || j->zone_live[z] + add[z] < j->zone_live[best] + add[best])
+      if (job->placed_in_zone[z] + add[z] >= cap) continue;
+      if (best == c->set.n_zones ||
+          job->placed_in_zone[z] + add[z] < job->placed_in_zone[best] + add[best])
         best = z;
     }
     if (best == c->set.n_zones) break;
     add[best]++;
   }
-  for (size_t z = 0; z < c->set.n_zones; z++) need(d, s, (int)z, add[z], 0);
+  for (size_t z = 0; z < c->set.n_zones; z++) need(d, spec, (int)z, add[z], 0);
 }
 
 static void weigh(struct tmx_cloud *k) {
   struct tmx_ctl *c = k->c;
-  struct tmx_replica *r = &c->rep;
+  struct tmx_replica *replica = &c->rep;
   double now = tmx_clock_steady(), have = 0;
   struct needs d = {0};
   struct tmx_offer o[TMX_TYPES_MAX * TMX_ZONES_MAX * 2];
   size_t n_o = 0, n_c = 0;
   double team[TMX_TEAMS_MAX];
   for (size_t i = 0; i < c->set.n_teams; i++)
-    team[i] = c->set.teams[i].cpus_max > 0 ? c->set.teams[i].cpus_max - r->usage[i].cpus : 1e9;
-  struct tmx_job *j, *jt;
-  HASH_ITER(hh, r->jobs, j, jt) {
-    if (j->fin || j->team < 0 || tmx_job_blocked(j)) continue;
-    uint32_t w = j->spec.tasks - j->n_done - j->n_placed;
-    if (!w || now - j->loaded_at < 0.5) continue;
-    if (j->spec.cpus > 0 && team[j->team] < w * j->spec.cpus) /* its limit holds it */
-      w = team[j->team] > 0 ? (uint32_t)(team[j->team] / j->spec.cpus) : 0;
+    team[i] =
+        c->set.teams[i].cpus_max > 0 ? c->set.teams[i].cpus_max - replica->team_usage[i].cpus : 1e9;
+  struct tmx_job *job, *next_job;
+  HASH_ITER(hh, replica->jobs, job, next_job) {
+    if (job->outcome || job->team < 0 || tmx_job_is_blocked(job)) continue;
+    uint32_t w = job->spec.tasks - job->n_done - job->n_placed;
+    if (!w || now - job->loaded_at < 0.5) continue;
+    if (job->spec.cpus > 0 && team[job->team] < w * job->spec.cpus) /* its limit holds it */
+      w = team[job->team] > 0 ? (uint32_t)(team[job->team] / job->spec.cpus) : 0;
     if (!w) continue;
-    team[j->team] -= w * j->spec.cpus;
-    if (j->spec.service)
-      need_service(c, &d, j, w);
+    team[job->team] -= w * job->spec.cpus;
+    if (job->spec.service)
+      need_service(c, &d, job, w);
     else
-      need(&d, &j->spec, j->spec.zone[0] ? tmx_zone_index(&c->set, j->spec.zone) : -1, w,
-           tmx_expected_run(r, &j->spec));
+      need(&d, &job->spec, job->spec.zone[0] ? tmx_zone_index(&c->set, job->spec.zone) : -1, w,
+           tmx_run_estimate_expected(replica, &job->spec));
   }
   if (!d.n) return;
   /* room that is there or on its way */
-  struct tmx_coming *cm = calloc(HASH_COUNT(r->machines) + HASH_COUNT(k->listed) + 1, sizeof *cm);
+  struct tmx_coming *cm =
+      calloc(HASH_COUNT(replica->machines) + HASH_COUNT(k->listed) + 1, sizeof *cm);
   if (!cm) abort();
-  struct tmx_machine *m, *mt;
-  HASH_ITER(hh, r->machines, m, mt) {
-    const struct tmx_type *t = tmx_cloud_type(k, m->type);
-    if (!t || !m->known || m->drain) continue;
+  struct tmx_machine *machine, *next_machine;
+  HASH_ITER(hh, replica->machines, machine, next_machine) {
+    const struct tmx_type *t = tmx_cloud_type(k, machine->type);
+    if (!t || !machine->registered || machine->draining) continue;
     have += t->cpus;
-    if (m->usable && t->cpus > m->cpus && t->mem > m->mem)
-      cm[n_c++] = (struct tmx_coming){
-          t, m->zone, m->spot, t->cpus - m->cpus, t->gpus - m->gpus, t->mem - m->mem};
+    if (machine->usable && t->cpus > machine->booked_cpus && t->mem > machine->booked_mem_gb)
+      cm[n_c++] = (struct tmx_coming){t,
+                                      machine->zone,
+                                      machine->spot,
+                                      t->cpus - machine->booked_cpus,
+                                      t->gpus - machine->booked_gpus,
+                                      t->mem - machine->booked_mem_gb};
   }
   struct listed *l, *lt;
   HASH_ITER(hh, k->listed, l, lt) {
     const struct tmx_type *t = tmx_cloud_type(k, l->type);
-    m = tmx_machine_find(r, l->id);
-    if (!t || l->state == LS_FAILED || l->deleting || (m && m->known)) continue;
+    machine = tmx_machine_find(replica, l->id);
+    if (!t || l->state == LS_FAILED || l->deleting || (machine && machine->registered)) continue;
     have += t->cpus;
     cm[n_c++] = (struct tmx_coming){t, l->zone, l->spot, t->cpus, t->gpus, t->mem};
   }
--- a/src/cloud/returns.c
+++ b/src/cloud/returns.c
@@ -27,7 +27,7 @@
       /* lists lag: it stays marked until none has shown it for long, and is not deleted again */
       tmx_cloud_listed(k, d->ids[i])->deleting = true;
       if (!tmx_machine_find(&k->c->rep, d->ids[i])) continue;
-      snprintf(line, sizeof line, "%c %s", TMX_LINE_GONE, d->ids[i]);
+      snprintf(line, sizeof line, "%c %s", TMX_LINE_MACHINE_REMOVED, d->ids[i]);
       tmx_rounds_line(k->c->rounds, line);
     }
   } else {
@@ -41,10 +41,10 @@
 }
 
 /* A machine marked so gets no new work, and is returned when it is empty. */
-static void drain(struct tmx_cloud *k, struct tmx_machine *m, bool on) {
+static void drain(struct tmx_cloud *k, struct tmx_machine *machine, bool on) {
   char line[TMX_LINE_MAX];
-  snprintf(line, sizeof line, "%c %s %d", TMX_LINE_DRAIN, m->id, on);
-  tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", m->id, on ? "no longer" : "again");
+  snprintf(line, sizeof line, "%c %s %d", TMX_LINE_MACHINE_DRAINING, machine->id, on);
+  tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", machine->id, on ? "no longer" : "again");
   tmx_rounds_line(k->c->rounds, line);
 }
 
@@ -61,7 +61,7 @@
   }
   while (k->booked_at < sec) k->booked[++k->booked_at % TMX_PEAK_S] = 0;
   double *b = &k->booked[sec % TMX_PEAK_S];
-  *b = fmax(*b, c->rep.booked + c->rep.asked);
+  *b = fmax(*b, c->rep.booked_cpus + c->rep.waiting_cpus);
 }
 
 static double peak_booked(const struct tmx_cloud *k) {
@@ -84,28 +84,30 @@
  * same zone. */
 static void shrink(struct tmx_cloud *k, bool waiting) {
   struct tmx_ctl *c = k->c;
-  struct tmx_replica *r = &c->rep;
+  struct tmx_replica *replica = &c->rep;
   double now = tmx_clock_steady(), peak = peak_booked(k), have = 0;
   double zone_free[TMX_ZONES_MAX] = {0};
-  struct tmx_machine *m, *mt;
+  struct tmx_machine *machine, *next_machine;
   size_t n = 0, known = 0;
   double draining = 0, returning = 0;
   if (now - k->drain_at < TMX_DRAIN_SPACING_S) return;
   k->drain_at = now;
-  HASH_ITER(hh, r->machines, m, mt) {
-    const struct tmx_type *t = tmx_cloud_type(k, m->type);
-    if (!m->known || !t) continue;
+  HASH_ITER(hh, replica->machines, machine, next_machine) {
+    const struct tmx_type *t = tmx_cloud_type(k, machine->type);
+    if (!machine->registered || !t) continue;
     known++;
-    if (m->drain) {
+    if (machine->draining) {
       /* work waits: what is about to be returned is nearer than anything that must boot */
-      if (waiting && m->tasks && !(m->errors >= TMX_SICK_ERRORS && m->error_two))
-        drain(k, m, false);
-      else if (m->services > 0) /* arrays that run out hold up nothing else */
+      if (waiting && machine->tasks &&
+          !(machine->consecutive_errors >= TMX_SICK_ERRORS && machine->errors_of_several_jobs))
+        drain(k, machine, false);
+      else if (machine->service_cpus > 0) /* arrays that run out hold up nothing else */
         draining += t->cpus;
       continue;
     }
     have += t->cpus;
-    if (m->zone >= 0 && !m->spot) zone_free[m->zone] += t->cpus - m->cpus;
+    if (machine->zone >= 0 && !machine->spot)
+      zone_free[machine->zone] += t->cpus - machine->booked_cpus;
   }
   double step = TMX_DRAIN_SHARE * have;
   /* the more machines, the less a chance arrival is beside the rest */
@@ -116,29 +118,30 @@
   if (waiting || now - k->led_since < TMX_SETTLE_S || now - k->demand_since < TMX_PEAK_S) return;
   struct choice *v = calloc(known + 1, sizeof *v);
   if (!v) abort();
-  HASH_ITER(hh, r->machines, m, mt) {
-    const struct tmx_type *t = tmx_cloud_type(k, m->type);
-    if (!m->known || !t || m->drain || m->zone < 0) continue;
-    double services = m->services;
-    double spare = zone_free[m->zone] - (t->cpus - m->cpus);
+  HASH_ITER(hh, replica->machines, machine, next_machine) {
+    const struct tmx_type *t = tmx_cloud_type(k, machine->type);
+    if (!machine->registered || !t || machine->draining || machine->zone < 0) continue;
+    double services = machine->service_cpus;
+    double spare = zone_free[machine->zone] - (t->cpus - machine->booked_cpus);
     if (services > 0 && spare < TMX_ROOM_TO_MOVE * services + after * peak / (double)c->set.n_zones)
       continue;
     /* price of a CPU, less for work under way and for replicas that must move */
-    v[n++] = (struct choice){m, (m->spot ? t->spot_price : t->price) / t->cpus *
-                                    (1.2 - m->cpus / t->cpus) * (1 - 0.8 * services / t->cpus)};
+    v[n++] = (struct choice){machine, (machine->spot ? t->spot_price : t->price) / t->cpus *
+                                          (1.2 - machine->booked_cpus / t->cpus) *
+                                          (1 - 0.8 * services / t->cpus)};
   }
   qsort(v, n, sizeof *v, dearest);
   /* Machines with replicas go a few at a time: every one of them is a restart for somebody. */
   for (size_t i = 0; i < n && returning < step; i++) {
-    struct tmx_machine *x = v[i].m;
-    double cpus = tmx_cloud_type(k, x->type)->cpus;
-    bool holds = x->services > 0;
+    struct tmx_machine *other = v[i].m;
+    double cpus = tmx_cloud_type(k, other->type)->cpus;
+    bool holds = other->service_cpus > 0;
     if (have - cpus < peak * (1 + over)) continue;
     if (holds && draining > 0 && draining + cpus > TMX_DRAIN_HELD * have) continue;
     if (holds) draining += cpus;
     have -= cpus;
     returning += cpus;
-    drain(k, x, true);
+    drain(k, other, true);
   }
   free(v);
 }
@@ -147,29 +150,29 @@
 void tmx_cloud_log_use(struct tmx_cloud *k, double now) {
   double cpus[2] = {0, 0}, booked[2] = {0, 0}, drain = 0, services = 0;
   size_t n = 0, unusable = 0;
-  struct tmx_machine *m, *mt;
+  struct tmx_machine *machine, *next_machine;
   if (!tmx_log_enabled(TMX_LOG_INFO) || now - k->use_at < TMX_USE_LOG_S) return;
   k->use_at = now;
-  HASH_ITER(hh, k->c->rep.machines, m, mt) {
-    const struct tmx_type *t = tmx_cloud_type(k, m->type);
-    if (!m->known || !t) continue;
+  HASH_ITER(hh, k->c->rep.machines, machine, next_machine) {
+    const struct tmx_type *t = tmx_cloud_type(k, machine->type);
+    if (!machine->registered || !t) continue;
     n++;
-    unusable += !m->usable;
-    cpus[m->spot] += t->cpus;
-    booked[m->spot] += m->cpus;
-    if (m->drain) drain += t->cpus;
-    services += m->services;
+    unusable += !machine->usable;
+    cpus[machine->spot] += t->cpus;
+    booked[machine->spot] += machine->booked_cpus;
+    if (machine->draining) drain += t->cpus;
+    services += machine->service_cpus;
   }
   tmx_log(
       TMX_LOG_INFO,
       "use: %zu machines (%zu not usable), CPUs booked %.0f of %.0f, spot %.0f of %.0f, services "
       "%.0f, being returned %.0f, waiting %.0f",
-      n, unusable, booked[0], cpus[0], booked[1], cpus[1], services, drain, k->c->rep.asked);
+      n, unusable, booked[0], cpus[0], booked[1], cpus[1], services, drain, k->c->rep.waiting_cpus);
 }
 
 void tmx_cloud_sweep(struct tmx_cloud *k) {
   struct tmx_ctl *c = k->c;
-  struct tmx_replica *r = &c->rep;
+  struct tmx_replica *replica = &c->rep;
   double now = tmx_clock_steady();
   if (k->delete_busy) return;
   struct delete_call *d = calloc(1, sizeof *d);
@@ -178,13 +181,13 @@
   size_t max = TMX_DELETE_MAX;
   double silent = c->set.op.silent_s > 0 ? c->set.op.silent_s : TMX_SILENT_S;
   bool settled = now - k->led_since > TMX_SETTLE_S;
-  struct tmx_machine *m, *mt;
+  struct tmx_machine *machine, *next_machine;
   struct tmx_zone_signs signs[TMX_ZONES_MAX] = {{0}};
   double room = 0, services = 0;
   bool heard[TMX_MEMBERS_MAX];
   unsigned n_heard = 0;
-  for (size_t i = 0; i < r->view.n_members; i++) {
-    const char *n = r->view.members[i].name;
+  for (size_t i = 0; i < replica->view.n_members; i++) {
+    const char *n = replica->view.members[i].name;
     bool self = !strcmp(n, c->set.node);
     heard[i] =
         self ? !tmx_ctl_no_workers(c)
@@ -198,14 +201,14 @@
       signs[z].alive += said[z].alive;
     }
   }
-  HASH_ITER(hh, r->machines, m, mt) {
-    if (!m->known) continue;
-    const struct tmx_type *t = tmx_cloud_type(k, m->type);
-    if (t && !m->drain) room += t->cpus - m->cpus;
-    services += m->services;
+  HASH_ITER(hh, replica->machines, machine, next_machine) {
+    if (!machine->registered) continue;
+    const struct tmx_type *t = tmx_cloud_type(k, machine->type);
+    if (t && !machine->draining) room += t->cpus - machine->booked_cpus;
+    services += machine->service_cpus;
   }
   /* among thousands of tasks some always wait for a moment */
-  bool waiting = r->asked > TMX_WAITING_SHARE * (room + r->booked);
+  bool waiting = replica->waiting_cpus > TMX_WAITING_SHARE * (room + replica->booked_cpus);
   /* A zone that is silent as a whole is cut off from us, or we from it, and its work may go on.
    * Machines that died show as failed in the list soon; the others come back with what they have,
    * and what they hold could hardly run elsewhere. So nothing of it is given up for silence before
@@ -224,54 +227,57 @@
     cut |= k->cut_until[z] > now;
   }
   double given_up = c->set.cancel_s + c->set.lease_s; /* twice, where replicas would only wait */
-  HASH_ITER(hh, r->machines, m, mt) {
-    if (!m->known || d->n == max) continue;
+  HASH_ITER(hh, replica->machines, machine, next_machine) {
+    if (!machine->registered || d->n == max) continue;
     struct listed *l;
-    HASH_FIND_STR(k->listed, m->id, l);
-    const struct tmx_type *t = tmx_cloud_type(k, m->type);
+    HASH_FIND_STR(k->listed, machine->id, l);
+    const struct tmx_type *t = tmx_cloud_type(k, machine->type);
     struct tmx_suspect x = {.silence = 0};
     /* its owner's word, if that reaches its other machines */
-    bool doubt = m->owner >= 0 && heard[m->owner] && tmx_workers_suspect(c->workers, m, &x);
+    bool doubt = machine->owner >= 0 && heard[machine->owner] &&
+                 tmx_workers_suspect(c->workers, machine, &x);
     bool lost = doubt && x.lost >= TMX_PROBES_LOST;
     /* The leader before would have given up what was silent for so long, unless it spared it: a new
      * one does as much, as it cannot know of a cut that has just ended. */
     double led = now - k->led_since;
-    bool spared = m->zone >= 0 && (now < k->spared_until[m->zone] ||
-                                   (led < spare[m->zone] && x.silence > led + TMX_INHERIT_S));
+    bool spared =
+        machine->zone >= 0 && (now < k->spared_until[machine->zone] ||
+                               (led < spare[machine->zone] && x.silence > led + TMX_INHERIT_S));
     const char *why = NULL;
     if (l && l->state == LS_FAILED)
       why = "failed";
     else if (settled && lost && x.silence > silent &&
-             (!spared || x.silence > given_up * (m->services > 0 ? 2 : 1)))
+             (!spared || x.silence > given_up * (machine->service_cpus > 0 ? 2 : 1)))
       why = "silent";
     else if (settled && doubt && !spared &&
              x.silence < c->set.report_s * 1.25 + TMX_REPORT_LATE_S &&
              x.unreached > c->set.lease_s * TMX_UNREACHED_LEASES)
       why = "not both heard and reached";
-    else if (m->drain && !m->tasks)
+    else if (machine->draining && !machine->tasks)
       why = "drained";
-    else if (m->errors >= TMX_SICK_ERRORS && m->error_two && !m->tasks)
+    else if (machine->consecutive_errors >= TMX_SICK_ERRORS && machine->errors_of_several_jobs &&
+             !machine->tasks)
       why = "faulty";
     if (why) {
-      tmx_log(TMX_LOG_INFO, "cloud: deleting %s: %s", m->id, why);
-      snprintf(d->ids[d->n++], TMX_ID_MAX, "%s", m->id);
+      tmx_log(TMX_LOG_INFO, "cloud: deleting %s: %s", machine->id, why);
+      snprintf(d->ids[d->n++], TMX_ID_MAX, "%s", machine->id);
       continue;
     }
     struct empty *e;
-    HASH_FIND_STR(k->empties, m->id, e);
+    HASH_FIND_STR(k->empties, machine->id, e);
     if (!e) {
       e = calloc(1, sizeof *e);
       if (!e) abort();
-      snprintf(e->id, sizeof e->id, "%s", m->id);
+      snprintf(e->id, sizeof e->id, "%s", machine->id);
       e->since = now;
       HASH_ADD_STR(k->empties, id, e);
     }
     e->pass = k->pass;
-    if (m->tasks || waiting || cut) e->since = now;
-    if (t && !m->drain && !m->tasks && now - e->since > c->set.op.idle_return_s &&
+    if (machine->tasks || waiting || cut) e->since = now;
+    if (t && !machine->draining && !machine->tasks && now - e->since > c->set.op.idle_return_s &&
         room - t->cpus > services * c->set.op.headroom) {
       room -= t->cpus;
-      drain(k, m, true);
+      drain(k, machine, true);
       e->since = now;
     }
   }
@@ -279,7 +285,7 @@
   shrink(k, waiting || cut);
   struct empty *e, *et;
   HASH_ITER(hh, k->empties, e, et) {
-    if (tmx_machine_find(r, e->id)) continue;
+    if (tmx_machine_find(replica, e->id)) continue;
     HASH_DEL(k->empties, e);
     free(e);
   }
@@ -287,8 +293,8 @@
   HASH_ITER(hh, k->listed, l, lt) {
     if (d->n == max || l->deleting) continue;
     if (!l->type[0]) continue;
-    m = tmx_machine_find(r, l->id);
-    if (m && m->known) {
+    machine = tmx_machine_find(replica, l->id);
+    if (machine && machine->registered) {
       l->unheard_since = 0;
       continue;
     }
--- a/src/controller.c
+++ b/src/controller.c
@@ -69,28 +69,28 @@
 
 /* ------------------------------------------------------------ view */
 
-static void on_view_sent(void *arg, int res, uint64_t rev) {
+static void on_view_sent(void *arg, int res, uint64_t revision) {
   struct tmx_ctl *c = arg;
   (void)res;
-  (void)rev;
+  (void)revision;
   c->view_busy = false;
 }
 
 static void commit_view(struct tmx_ctl *c, const struct tmx_view *new_view) {
   struct tmx_transaction transaction = {0};
   struct tmx_buffer buffer = {0};
-  struct tmx_view copy = *new_view, *v = &copy;
-  tmx_transaction_require_version(&transaction, TMX_K_VIEW, c->rep.view.stamp);
-  tmx_view_encode(&buffer, v);
+  struct tmx_view copy = *new_view, *view = &copy;
+  tmx_transaction_require_version(&transaction, TMX_KEY_VIEW, c->rep.view.version);
+  tmx_view_encode(&buffer, view);
   /* a value is bounded: the oldest exceptions go, their machines fall back to the hash */
-  while (tmx_json_length(&buffer) > tmx_value_room(&c->set) && v->n_exceptions) {
-    size_t cut = v->n_exceptions / 4 + 1;
-    v->exceptions += cut;
-    v->n_exceptions -= cut;
+  while (tmx_json_length(&buffer) > tmx_value_room(&c->set) && view->n_overrides) {
+    size_t cut = view->n_overrides / 4 + 1;
+    view->overrides += cut;
+    view->n_overrides -= cut;
     buffer.length = 0;
-    tmx_view_encode(&buffer, v);
+    tmx_view_encode(&buffer, view);
   }
-  tmx_transaction_put(&transaction, TMX_K_VIEW, &buffer, 0);
+  tmx_transaction_put(&transaction, TMX_KEY_VIEW, &buffer, 0);
   tmx_transaction_advance_head(&transaction, c->set.node);
   tmx_buffer_free(&buffer);
   c->view_at = tmx_clock_steady();
@@ -101,33 +101,33 @@
   if (c->view_busy || !tmx_store_is_member(c->link) ||
       tmx_clock_steady() - c->view_at < TMX_VIEW_SPACING_S)
     return;
-  struct tmx_view v = c->rep.view;
-  struct tmx_exception *e = calloc(v.n_exceptions + n, sizeof *e);
-  if (!e) abort();
+  struct tmx_view view = c->rep.view;
+  struct tmx_owner_override *override = calloc(view.n_overrides + n, sizeof *override);
+  if (!override) abort();
   size_t at = 0;
-  for (size_t i = 0; i < v.n_exceptions; i++) {
-    const char *m = v.exceptions[i].machine;
+  for (size_t i = 0; i < view.n_overrides; i++) {
+    const char *m = view.overrides[i].machine;
     bool stays = tmx_machine_find(&c->rep, m) != NULL;
     for (size_t k = 0; stays && k < n; k++) stays = strcmp(m, machines[k]) != 0;
-    if (stays) e[at++] = v.exceptions[i];
+    if (stays) override[at++] = view.overrides[i];
   }
   for (size_t k = 0; k < n; k++, at++) {
-    snprintf(e[at].machine, sizeof e[at].machine, "%s", machines[k]);
-    snprintf(e[at].node, sizeof e[at].node, "%s", c->set.node);
+    snprintf(override[at].machine, sizeof override[at].machine, "%s", machines[k]);
+    snprintf(override[at].node, sizeof override[at].node, "%s", c->set.node);
     tmx_log(TMX_LOG_INFO, "view: taking %s, which cannot reach its owner", machines[k]);
   }
-  v.exceptions = e;
-  v.n_exceptions = at;
-  v.term++;
-  commit_view(c, &v);
-  free(e);
+  view.overrides = override;
+  view.n_overrides = at;
+  view.term++;
+  commit_view(c, &view);
+  free(override);
 }
 
 static struct tmx_outlook look_around(const struct tmx_ctl *c) {
   struct tmx_outlook o = {0};
   int zone = tmx_zone_index(&c->set, c->set.zone);
-  for (size_t i = 0; i < c->rep.n_nodes; i++) {
-    const char *n = c->rep.nodes[i].name;
+  for (size_t i = 0; i < c->rep.n_registered_members; i++) {
+    const char *n = c->rep.registered_members[i].name;
     if (!strcmp(n, c->set.node)) continue;
     bool heard = tmx_peers_silence(c->peers, n) < TMX_BEAT_LOST_S;
     bool near = tmx_node_zone(&c->set, n) == zone;
@@ -147,45 +147,48 @@
   struct tmx_sign s = {.refused = tmx_peers_refused(c->peers, name),
                        .cut = tmx_peers_cut(c->peers, name),
                        .silence = tmx_peers_silence(c->peers, name),
-                       .wrote = now - tmx_replica_wrote(&c->rep, name),
+                       .wrote = now - tmx_replica_last_batch_at(&c->rep, name),
                        .watched = now - fmax(since, c->trouble_at)};
   return strcmp(name, c->set.node) && tmx_seems_lost(o, &s);
 }
 
 /* The leader keeps the members equal to the registered runs, without those that seem lost. */
 static void view_step(struct tmx_ctl *c) {
-  struct tmx_replica *r = &c->rep;
+  struct tmx_replica *replica = &c->rep;
   double now = tmx_clock_steady();
-  bool leads = r->loaded && r->leader_stamp && !strcmp(r->leader, c->set.node) &&
-               r->leader_inc == tmx_store_incarnation(c->link);
+  bool leads = replica->loaded && replica->leader_version &&
+               !strcmp(replica->leader, c->set.node) &&
+               replica->leader_incarnation == tmx_store_incarnation(c->link);
   if (!leads) c->led_at = now;
   if (!tmx_store_incarnation(c->link) || !leads || c->view_busy ||
       now - c->view_at < TMX_VIEW_SPACING_S)
     return;
-  struct tmx_view v = {.term = r->view.term + 1};
+  struct tmx_view view = {.term = replica->view.term + 1};
   struct tmx_outlook o = look_around(c);
   /* back to the hash only when both have been heard for a while */
   if (tmx_zones_apart(&o)) c->split_at = now;
-  v.local = c->split_at && now - c->split_at < TMX_SPLIT_HOLD_S;
-  for (size_t i = 0; i < r->n_nodes; i++)
-    if (!seems_lost(c, r->nodes[i].name, &o, c->led_at)) v.members[v.n_members++] = r->nodes[i];
-  bool same = v.n_members == r->view.n_members && v.local == r->view.local;
-  for (size_t i = 0; same && i < v.n_members; i++) {
-    const struct tmx_member *m = tmx_member_find(r, v.members[i].name);
-    same = m && m->inc == v.members[i].inc;
+  view.zones_partitioned = c->split_at && now - c->split_at < TMX_SPLIT_HOLD_S;
+  for (size_t i = 0; i < replica->n_registered_members; i++)
+    if (!seems_lost(c, replica->registered_members[i].name, &o, c->led_at))
+      view.members[view.n_members++] = replica->registered_members[i];
+  bool same = view.n_members == replica->view.n_members &&
+              view.zones_partitioned == replica->view.zones_partitioned;
+  for (size_t i = 0; same && i < view.n_members; i++) {
+    const struct tmx_member *member = tmx_member_find(replica, view.members[i].name);
+    same = member && member->incarnation == view.members[i].incarnation;
   }
   if (same) return;
-  v.exceptions = calloc(r->view.n_exceptions + 1, sizeof *v.exceptions);
-  if (!v.exceptions) abort();
-  for (size_t i = 0; i < r->view.n_exceptions; i++)
-    for (size_t k = 0; k < v.n_members; k++)
-      if (!strcmp(v.members[k].name, r->view.exceptions[i].node) &&
-          tmx_machine_find(r, r->view.exceptions[i].machine))
-        v.exceptions[v.n_exceptions++] = r->view.exceptions[i];
-  tmx_log(TMX_LOG_INFO, "view: term %llu with %zu members%s", (unsigned long long)v.term,
-          v.n_members, v.local ? ", each zone by itself" : "");
-  commit_view(c, &v);
-  free(v.exceptions);
+  view.overrides = calloc(replica->view.n_overrides + 1, sizeof *view.overrides);
+  if (!view.overrides) abort();
+  for (size_t i = 0; i < replica->view.n_overrides; i++)
+    for (size_t k = 0; k < view.n_members; k++)
+      if (!strcmp(view.members[k].name, replica->view.overrides[i].node) &&
+          tmx_machine_find(replica, replica->view.overrides[i].machine))
+        view.overrides[view.n_overrides++] = replica->view.overrides[i];
+  tmx_log(TMX_LOG_INFO, "view: term %llu with %zu members%s", (unsigned long long)view.term,
+          view.n_members, view.zones_partitioned ? ", each zone by itself" : "");
+  commit_view(c, &view);
+  free(view.overrides);
 }
 
 /* Whether this controller reaches hardly any of its workers: others should drive them. */
@@ -196,24 +199,24 @@
 
 /* ------------------------------------------------------------ events of the replica */
 
-static void on_machine(void *arg, struct tmx_machine *m) {
+static void on_machine(void *arg, struct tmx_machine *machine) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_machine(c->rounds, m);
-  tmx_workers_changed(c->workers, m);
+  tmx_rounds_machine(c->rounds, machine);
+  tmx_workers_changed(c->workers, machine);
 }
-static void on_gone(void *arg, struct tmx_machine *m) {
+static void on_gone(void *arg, struct tmx_machine *machine) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_gone(c->rounds, m);
-  tmx_workers_gone(c->workers, m);
+  tmx_rounds_gone(c->rounds, machine);
+  tmx_workers_gone(c->workers, machine);
 }
-static void on_job(void *arg, struct tmx_job *j) {
+static void on_job(void *arg, struct tmx_job *job) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_job(c->rounds, j);
+  tmx_rounds_job(c->rounds, job);
 }
 static void on_view(void *arg) {
   struct tmx_ctl *c = arg;
-  struct tmx_job *j, *t;
-  HASH_ITER(hh, c->rep.jobs, j, t) if (!j->fin) tmx_rounds_job(c->rounds, j);
+  struct tmx_job *job, *t;
+  HASH_ITER(hh, c->rep.jobs, job, t) if (!job->outcome) tmx_rounds_job(c->rounds, job);
   tmx_workers_viewed(c->workers);
 }
 static void on_clear(void *arg) {
@@ -239,7 +242,7 @@
  * alone is silent, or says that it reaches no workers. */
 static bool leader_lost(const struct tmx_ctl *c) {
   const char *l = c->rep.leader;
-  if (!c->rep.leader_stamp || !strcmp(l, c->set.node) || tmx_ctl_no_workers(c)) return false;
+  if (!c->rep.leader_version || !strcmp(l, c->set.node) || tmx_ctl_no_workers(c)) return false;
   struct tmx_outlook o = look_around(c);
   return seems_lost(c, l, &o, c->started_at);
 }
@@ -264,7 +267,7 @@
   tmx_store_abstain_from_election(c->link, tmx_ctl_no_workers(c) && tmx_peers_any(c->peers));
   tmx_store_tick(c->link);
   view_step(c);
-  tmx_fold_tick(c->fold);
+  tmx_compaction_tick(c->fold);
   tmx_cloud_tick(c->cloud);
   tmx_workers_tick(c->workers);
   tmx_gate_tick(c->gate);
@@ -293,13 +296,13 @@
   c->loop = loop;
   c->set = *s;
   tmx_replica_init(&c->rep, &c->set);
-  c->rep.arg = c;
-  c->rep.on_machine = on_machine;
-  c->rep.on_gone = on_gone;
-  c->rep.on_change = on_change;
-  c->rep.on_job = on_job;
-  c->rep.on_view = on_view;
-  c->rep.on_clear = on_clear;
+  c->rep.observer = c;
+  c->rep.on_machine_changed = on_machine;
+  c->rep.on_machine_removed = on_gone;
+  c->rep.on_schedulable_change = on_change;
+  c->rep.on_job_changed = on_job;
+  c->rep.on_view_changed = on_view;
+  c->rep.on_cleared = on_clear;
   c->started_at = tmx_clock_steady();
   c->gate = tmx_gate_new(c);
   c->workers = tmx_workers_new(c);
@@ -319,7 +322,7 @@
   c->rounds = tmx_rounds_new(c);
   c->link = tmx_store_new(loop, &c->set, &c->rep);
   c->cloud = tmx_cloud_new(c);
-  c->fold = tmx_fold_new(c);
+  c->fold = tmx_compaction_new(c);
   ev_timer_init(&c->tick, on_tick, 0, TMX_TICK_S);
   c->tick.data = c;
   ev_timer_start(loop, &c->tick);
@@ -334,12 +337,12 @@
   ev_timer_stop(c->loop, &c->tick);
   tmx_http_server_free(c->server);
   tmx_cloud_free(c->cloud);
-  tmx_fold_free(c->fold);
+  tmx_compaction_free(c->fold);
   tmx_store_free(c->link);
   tmx_peers_free(c->peers);
   tmx_users_free(c->users);
   tmx_workers_free(c->workers);
-  c->rep.on_clear = NULL;
+  c->rep.on_cleared = NULL;
   tmx_replica_clear(&c->rep);
   tmx_rounds_free(c->rounds);
   tmx_gate_free(c->gate);
--- a/src/controller.h
+++ b/src/controller.h
@@ -16,7 +16,7 @@
 struct tmx_cloud;
 struct tmx_peers;
 struct tmx_rounds;
-struct tmx_fold;
+struct tmx_compaction;
 
 struct tmx_ctl {
   struct ev_loop *loop;
@@ -29,7 +29,7 @@
   struct tmx_peers *peers;
   struct tmx_http_server *server;
   struct tmx_rounds *rounds;
-  struct tmx_fold *fold;
+  struct tmx_compaction *fold;
   struct tmx_gate *gate; /* NULL: every submission that can run is admitted */
   ev_timer tick;
   ev_prepare prepare;
@@ -61,9 +61,9 @@
 bool tmx_rounds_planning(const struct tmx_rounds *p); /* for the tests: the planner has work */
 void tmx_rounds_kick(struct tmx_ctl *c);              /* something is worth a round now */
 void tmx_rounds_kick_in(struct tmx_ctl *c, double s); /* ... within this time */
-void tmx_rounds_machine(struct tmx_rounds *p, struct tmx_machine *m); /* it changed */
-void tmx_rounds_job(struct tmx_rounds *p, struct tmx_job *j);
-void tmx_rounds_gone(struct tmx_rounds *p, struct tmx_machine *m);
+void tmx_rounds_machine(struct tmx_rounds *p, struct tmx_machine *machine); /* it changed */
+void tmx_rounds_job(struct tmx_rounds *p, struct tmx_job *job);
+void tmx_rounds_gone(struct tmx_rounds *p, struct tmx_machine *machine);
 void tmx_rounds_reset(struct tmx_rounds *p);
 /* A line for the log, kept until it is committed: a machine to be returned, or gone by proof. */
 void tmx_rounds_line(struct tmx_rounds *p, const char *line);
@@ -78,8 +78,8 @@
 };
 struct tmx_submission {
   char id[TMX_ID_MAX];
-  struct tmx_spec spec;
-  struct tmx_awaits awaits;
+  struct tmx_job_spec spec;
+  struct tmx_job_ids awaits;
   double submitted; /* time of day, s */
 };
 enum tmx_arrival_result tmx_rounds_arrival(struct tmx_ctl *c, const struct tmx_submission *s,
@@ -87,21 +87,23 @@
 void tmx_rounds_flush(struct tmx_rounds *p); /* after each turn of the loop */
 
 /* src/state: folding of old batches, by the leader */
-struct tmx_fold *tmx_fold_new(struct tmx_ctl *c);
-void tmx_fold_free(struct tmx_fold *f);
-void tmx_fold_tick(struct tmx_fold *f);
-void tmx_fold_above(struct tmx_fold *f, size_t keys); /* for the tests: another threshold */
+struct tmx_compaction *tmx_compaction_new(struct tmx_ctl *c);
+void tmx_compaction_free(struct tmx_compaction *compaction);
+void tmx_compaction_tick(struct tmx_compaction *compaction);
+void tmx_compaction_set_threshold(struct tmx_compaction *compaction,
+                                  size_t keys); /* for the tests: another threshold */
 
 /* src/worker */
 struct tmx_workers *tmx_workers_new(struct tmx_ctl *c);
 void tmx_workers_free(struct tmx_workers *w);
 void tmx_workers_report(struct tmx_workers *w, struct tmx_http_request *request);
-void tmx_workers_changed(struct tmx_workers *w, struct tmx_machine *m); /* its orders may differ */
-void tmx_workers_gone(struct tmx_workers *w, struct tmx_machine *m);
+void tmx_workers_changed(struct tmx_workers *w,
+                         struct tmx_machine *machine); /* its orders may differ */
+void tmx_workers_gone(struct tmx_workers *w, struct tmx_machine *machine);
 void tmx_workers_flush(struct tmx_workers *w); /* sends what the latest events made due */
 void tmx_workers_tick(struct tmx_workers *w);  /* health and probes */
 /* Ends that reports prove, at most max of them, and machines not registered yet. */
-size_t tmx_workers_ends(struct tmx_workers *w, struct tmx_op *ops, size_t max);
+size_t tmx_workers_ends(struct tmx_workers *w, struct tmx_operation *ops, size_t max);
 struct tmx_worker_facts {
   char id[TMX_ID_MAX], addr[TMX_NAME_MAX], type[TMX_ID_MAX], zone[TMX_NAME_MAX];
   bool spot;
@@ -131,7 +133,7 @@
 /* Signs of life of the machines that this controller owns, by zone. */
 const struct tmx_zone_signs *tmx_workers_zones(const struct tmx_workers *w);
 /* What its owner says of a machine; false: nothing is wrong, or the owner is not heard. */
-bool tmx_workers_suspect(const struct tmx_workers *w, const struct tmx_machine *m,
+bool tmx_workers_suspect(const struct tmx_workers *w, const struct tmx_machine *machine,
                          struct tmx_suspect *out);
 
 /* src/user */
--- a/src/core/capacity.c
+++ b/src/core/capacity.c
@@ -11,10 +11,11 @@
   bool spot;
 };
 
-static bool suits(const struct tmx_spec *s, const struct tmx_type *t, int zone, bool spot,
+static bool suits(const struct tmx_job_spec *spec, const struct tmx_type *t, int zone, bool spot,
                   const struct tmx_demand *d) {
-  return (!spot || s->spot) && tmx_type_allowed(s, t->name) && s->cpus <= t->cpus &&
-         s->gpus <= t->gpus && s->mem <= t->mem && (d->zone < 0 || zone == d->zone);
+  return (!spot || spec->spot_allowed) && tmx_type_allowed(spec, t->name) &&
+         spec->cpus <= t->cpus && spec->gpus <= t->gpus && spec->mem_gb <= t->mem &&
+         (d->zone < 0 || zone == d->zone);
 }
 
 static uint32_t asked_of(const struct tmx_hire *h, size_t n, size_t offer) {
@@ -23,11 +24,11 @@
   return 0;
 }
 
-static uint32_t fits(const struct tmx_spec *s, double cpus, double gpus, double mem) {
+static uint32_t fits(const struct tmx_job_spec *spec, double cpus, double gpus, double mem) {
   double n = 1e6;
-  if (s->cpus > 0) n = fmin(n, cpus / s->cpus + 1e-9);
-  if (s->gpus > 0) n = fmin(n, gpus / s->gpus + 1e-9);
-  if (s->mem > 0) n = fmin(n, mem / s->mem + 1e-9);
+  if (spec->cpus > 0) n = fmin(n, cpus / spec->cpus + 1e-9);
+  if (spec->gpus > 0) n = fmin(n, gpus / spec->gpus + 1e-9);
+  if (spec->mem_gb > 0) n = fmin(n, mem / spec->mem_gb + 1e-9);
   return n < 0 ? 0 : (uint32_t)n;
 }
 
@@ -44,31 +45,31 @@
   for (size_t i = 0; i < n_d; i++)
     if (!d[i].spec->service) backlog += d[i].tasks * d[i].spec->cpus * fmax(d[i].run_s, 5);
   for (size_t i = 0; i < n_d; i++) {
-    const struct tmx_spec *s = d[i].spec;
+    const struct tmx_job_spec *spec = d[i].spec;
     uint32_t left = d[i].tasks;
-    if (!s->service) {
+    if (!spec->service) {
       if (have > 0 && backlog / have < TMX_CLEAR_S) continue; /* cleared soon as it stands */
       /* enough to be done in one more run time, rather than a machine for every task */
       left = (uint32_t)ceil(left * fmin(1.0, fmax(d[i].run_s, 5) / 45.0));
     }
     for (size_t b = 0; b < n_bins && left; b++) {
-      if (!suits(s, bins[b].type, bins[b].zone, bins[b].spot, &d[i])) continue;
-      uint32_t k = fits(s, bins[b].cpus, bins[b].gpus, bins[b].mem);
+      if (!suits(spec, bins[b].type, bins[b].zone, bins[b].spot, &d[i])) continue;
+      uint32_t k = fits(spec, bins[b].cpus, bins[b].gpus, bins[b].mem);
       if (k > left) k = left;
-      bins[b].cpus -= k * s->cpus;
-      bins[b].gpus -= k * s->gpus;
-      bins[b].mem -= k * s->mem;
+      bins[b].cpus -= k * spec->cpus;
+      bins[b].gpus -= k * spec->gpus;
+      bins[b].mem -= k * spec->mem_gb;
       left -= k;
     }
     while (left && n_bins < cap) {
       int best = -1;
       double best_v = 0;
       for (size_t k = 0; k < n_o; k++) {
-        if (!suits(s, o[k].type, o[k].zone, o[k].spot, &d[i])) continue;
+        if (!suits(spec, o[k].type, o[k].zone, o[k].spot, &d[i])) continue;
         /* how many there are is not published: a large demand asks several offers at once, rather
          * than all of it of the cheapest, round after round, until that one is exhausted */
         if (asked_of(out, n_out, k) >= TMX_HIRE_OFFER_MAX) continue;
-        uint32_t in = fits(s, o[k].type->cpus, o[k].type->gpus, o[k].type->mem);
+        uint32_t in = fits(spec, o[k].type->cpus, o[k].type->gpus, o[k].type->mem);
         if (!in) continue;
         /* price of a task's room, counting only the room that is wanted now by half */
         double wanted = in < left ? in : (left + in) / 2.0;
@@ -80,11 +81,14 @@
       }
       if (best < 0) break;
       const struct tmx_type *t = o[best].type;
-      uint32_t k = fits(s, t->cpus, t->gpus, t->mem);
+      uint32_t k = fits(spec, t->cpus, t->gpus, t->mem);
       if (k > left) k = left;
-      bins[n_bins++] =
-          (struct bin){t->cpus - k * s->cpus, t->gpus - k * s->gpus, t->mem - k * s->mem, t,
-                       o[best].zone,          o[best].spot};
+      bins[n_bins++] = (struct bin){t->cpus - k * spec->cpus,
+                                    t->gpus - k * spec->gpus,
+                                    t->mem - k * spec->mem_gb,
+                                    t,
+                                    o[best].zone,
+                                    o[best].spot};
       left -= k;
       size_t h;
       for (h = 0; h < n_out; h++)
--- a/src/core/capacity.h
+++ b/src/core/capacity.h
@@ -4,7 +4,7 @@
 #include "controller.h"
 
 struct tmx_demand { /* waiting tasks of one job that found no room */
-  const struct tmx_spec *spec;
+  const struct tmx_job_spec *spec;
   uint32_t tasks;
   int zone;     /* the only one that helps; -1: any */
   double run_s; /* expected of a task */
--- a/src/core/fit.c
+++ b/src/core/fit.c
@@ -5,9 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-bool tmx_fit_suits(const struct group *g, const struct tmx_spec *s) {
-  return (!g->spot || s->spot) && s->cpus <= g->cpus + EPS && s->gpus <= g->gpus + EPS &&
-         s->mem <= g->mem + EPS && tmx_type_allowed(s, g->type);
+bool tmx_fit_suits(const struct group *g, const struct tmx_job_spec *spec) {
+  return (!g->spot || spec->spot_allowed) && spec->cpus <= g->cpus + EPS &&
+         spec->gpus <= g->gpus + EPS && spec->mem_gb <= g->mem + EPS &&
+         tmx_type_allowed(spec, g->type);
 }
 
 static bool avoided(const struct pj *j, const struct pm *p) {
@@ -16,52 +17,55 @@
   return false;
 }
 
-static bool room(const struct pm *p, const struct tmx_spec *s, bool soon) {
+static bool room(const struct pm *p, const struct tmx_job_spec *spec, bool soon) {
   double k = soon ? 1 : 0;
-  return p->r.ucpus - k * p->r.scpus + s->cpus <= p->r.cpus + EPS &&
-         p->r.ugpus - k * p->r.sgpus + s->gpus <= p->r.gpus + EPS &&
-         p->r.umem - k * p->r.smem + s->mem <= p->r.mem + EPS;
+  return p->r.ucpus - k * p->r.scpus + spec->cpus <= p->r.cpus + EPS &&
+         p->r.ugpus - k * p->r.sgpus + spec->gpus <= p->r.gpus + EPS &&
+         p->r.umem - k * p->r.smem + spec->mem_gb <= p->r.mem + EPS;
 }
 
 /* How long the image still takes to be there; one that is being fetched is not there yet. */
-static double fetch_time(const struct tmx_plan_machine *m, const struct tmx_spec *s, double now) {
-  double whole = m->fetch > 0 ? s->image_gb / m->fetch : 0;
+static double fetch_time(const struct tmx_plan_machine *m, const struct tmx_job_spec *spec,
+                         double now) {
+  double whole = m->fetch > 0 ? spec->image_gb / m->fetch : 0;
   for (size_t i = 0; i < m->n_images; i++)
-    if (m->images[i].id == s->image_id) return fmax(0, whole - (now - m->images[i].since));
+    if (m->images[i].id == spec->image_id)
+      return fmax(0, whole - (now - m->images[i].fetch_started_at));
   return whole;
 }
 
 /* The booked share of the most-asked resource; an image that must still be fetched counts as
  * room booked, the more of it the less time the job's class has to start (ours: the measure is
  * open in the design). */
-double tmx_booked_measure(const struct tmx_plan_machine *m, const struct tmx_spec *s, double now) {
-  double ask[3] = {m->cpus > 0 ? s->cpus / m->cpus : 0, m->gpus > 0 ? s->gpus / m->gpus : 0,
-                   m->mem > 0 ? s->mem / m->mem : 0};
+double tmx_booked_measure(const struct tmx_plan_machine *m, const struct tmx_job_spec *spec,
+                          double now) {
+  double ask[3] = {m->cpus > 0 ? spec->cpus / m->cpus : 0, m->gpus > 0 ? spec->gpus / m->gpus : 0,
+                   m->mem > 0 ? spec->mem_gb / m->mem : 0};
   double used[3] = {m->cpus > 0 ? m->ucpus / m->cpus : 0, m->gpus > 0 ? m->ugpus / m->gpus : 0,
                     m->mem > 0 ? m->umem / m->mem : 0};
   int top = 0;
   for (int i = 1; i < 3; i++)
     if (ask[i] > ask[top]) top = i;
-  return used[top] + fmin(fetch_time(m, s, now) / s->patience_s, 3.0);
+  return used[top] + fmin(fetch_time(m, spec, now) / spec->fetch_tolerance_s, 3.0);
 }
 
 /* Spot machines are taken back, and what runs there is lost. A task that could not make that good
  * before its job's next aim goes elsewhere if there is room; the others leave that room to it, and
  * to services. */
 static bool second_choice(const struct round *r, const struct pj *j, bool spot) {
-  const struct tmx_spec *s = j->r.spec;
-  if (s->service || !s->spot) return false;
+  const struct tmx_job_spec *spec = j->r.spec;
+  if (spec->service || !spec->spot_allowed) return false;
   double left = j->r.next_aim_s - (r->in->wall - j->r.released);
-  double lost = s->checkpoint_s > 0 ? fmin(s->checkpoint_s, j->r.run_s) : j->r.run_s;
+  double lost = spec->checkpoint_s > 0 ? fmin(spec->checkpoint_s, j->r.run_s) : j->r.run_s;
   return spot == (left < j->r.run_s + lost + TMX_PATIENCE_S);
 }
 
 static double value(const struct round *r, const struct pj *j, const struct pm *p) {
-  const struct tmx_spec *s = j->r.spec;
-  double v = tmx_booked_measure(&p->r, s, r->in->now);
+  const struct tmx_job_spec *spec = j->r.spec;
+  double v = tmx_booked_measure(&p->r, spec, r->in->now);
   if (second_choice(r, j, p->r.spot)) v += SECOND;
   /* the fetch alone would use up the time that the class has to start */
-  if (fetch_time(&p->r, s, r->in->now) > s->patience_s * 0.6) v += COLD;
+  if (fetch_time(&p->r, spec, r->in->now) > spec->fetch_tolerance_s * 0.6) v += COLD;
   return avoided(j, p) ? v + AVOIDED : v;
 }
 
@@ -72,9 +76,9 @@
 }
 
 static bool zone_ok(const struct round *r, const struct pj *j, int zone) {
-  const struct tmx_spec *s = j->r.spec;
-  if (j->r.zone_live[zone] >= tmx_zone_cap(s, r->in->n_zones)) return false;
-  if (s->one_zone)
+  const struct tmx_job_spec *spec = j->r.spec;
+  if (j->r.zone_live[zone] >= tmx_zone_cap(spec, r->in->n_zones)) return false;
+  if (spec->same_zone)
     for (size_t z = 0; z < r->in->n_zones; z++)
       if ((int)z != zone && j->r.zone_live[z]) return false;
   return true;
@@ -83,15 +87,15 @@
 bool tmx_fit_quota(const struct round *r, const struct pj *j) {
   if (j->r.team < 0) return false;
   const struct tmx_team_conf *t = &r->in->teams[j->r.team];
-  const struct tmx_usage *u = &r->usage[j->r.team];
-  if (t->cpus_max > 0 && u->cpus + j->r.spec->cpus > t->cpus_max + EPS) return false;
-  if (t->gpus_max > 0 && u->gpus + j->r.spec->gpus > t->gpus_max + EPS) return false;
+  const struct tmx_usage *usage = &r->usage[j->r.team];
+  if (t->cpus_max > 0 && usage->cpus + j->r.spec->cpus > t->cpus_max + EPS) return false;
+  if (t->gpus_max > 0 && usage->gpus + j->r.spec->gpus > t->gpus_max + EPS) return false;
   return true;
 }
 
 /* Services to people come first, then what teams are guaranteed, then the rest. */
 int tmx_fit_standing(const struct pj *j) {
-  return j->r.priority == TMX_PRIO_PROD ? 2 : j->guaranteed;
+  return j->r.priority == TMX_PRIORITY_PROD ? 2 : j->guaranteed;
 }
 
 /* Only work that also stands behind in the order of placing is stopped: anything else would be
@@ -108,21 +112,21 @@
 }
 
 static double lost_work(const struct round *r, const struct tmx_plan_task *t) {
-  const struct tmx_spec *s = r->md->j[t->job]->r.spec;
-  if (s->checkpoint_s > 0) return s->save_s + 1; /* it saves before it goes */
+  const struct tmx_job_spec *spec = r->md->j[t->job]->r.spec;
+  if (spec->checkpoint_s > 0) return spec->checkpoint_save_s + 1; /* it saves before it goes */
   return r->in->now - t->lost_since;
 }
 
 /* Stops the cheapest tasks of one machine until the task fits. do_it: marks and emits them.
  * Returns their cost; <0: it cannot be. */
 double tmx_fit_victims(struct round *r, const struct pj *j, struct pm *p, bool do_it) {
-  const struct tmx_spec *s = j->r.spec;
+  const struct tmx_job_spec *spec = j->r.spec;
   double c = p->r.cpus - p->r.ucpus + p->r.scpus, g = p->r.gpus - p->r.ugpus + p->r.sgpus,
          e = p->r.mem - p->r.umem + p->r.smem, cost = 0;
   size_t n = p->r.n_tasks, chosen = 0;
   r->visits += n;
   bool *taken = NULL;
-  while (c + EPS < s->cpus || g + EPS < s->gpus || e + EPS < s->mem) {
+  while (c + EPS < spec->cpus || g + EPS < spec->gpus || e + EPS < spec->mem_gb) {
     struct tmx_plan_task *best = NULL;
     double best_lost = 0;
     int best_prio = 0;
@@ -148,16 +152,16 @@
     const struct pj *o = r->md->j[best->job];
     c += o->r.spec->cpus;
     g += o->r.spec->gpus;
-    e += o->r.spec->mem;
+    e += o->r.spec->mem_gb;
     cost += best_lost + 1 + 20.0 * best_prio;
     if (do_it) {
-      tmx_step_emit(r, TMX_OP_STOP, o, best->task, best->attempt)->how =
-          o->r.spec->checkpoint_s > 0 && !s->service ? '2' : '1';
+      tmx_step_emit(r, TMX_OPERATION_STOP, o, best->task, best->attempt)->reason =
+          o->r.spec->checkpoint_s > 0 && !spec->service ? '2' : '1';
       tmx_step_touch(r, p);
       tmx_step_mark(r, p, (size_t)(best - p->r.tasks));
       p->r.scpus += o->r.spec->cpus;
       p->r.sgpus += o->r.spec->gpus;
-      p->r.smem += o->r.spec->mem;
+      p->r.smem += o->r.spec->mem_gb;
     }
   }
   free(taken);
@@ -206,11 +210,12 @@
   return true;
 }
 
-static bool as_large(const struct tmx_spec *s, const struct tmx_spec *t) {
-  if (s->cpus + EPS < t->cpus || s->gpus + EPS < t->gpus || s->mem + EPS < t->mem) return false;
-  if (s->spot && !t->spot) return false;
-  if (strcmp(s->zone, t->zone) || s->n_types != t->n_types) return false;
-  return !s->n_types || !memcmp(s->types, t->types, sizeof s->types[0] * s->n_types);
+static bool as_large(const struct tmx_job_spec *spec, const struct tmx_job_spec *t) {
+  if (spec->cpus + EPS < t->cpus || spec->gpus + EPS < t->gpus || spec->mem_gb + EPS < t->mem_gb)
+    return false;
+  if (spec->spot_allowed && !t->spot_allowed) return false;
+  if (strcmp(spec->zone, t->zone) || spec->n_types != t->n_types) return false;
+  return !spec->n_types || !memcmp(spec->types, t->types, sizeof spec->types[0] * spec->n_types);
 }
 
 /* Whether what one of them finds says something of the other: by its own part only those of one
@@ -243,7 +248,7 @@
 
 static void build(struct round *r, const struct pj *j, int what) {
   struct set *set = &r->sets[what];
-  const struct tmx_spec *s = j->r.spec;
+  const struct tmx_job_spec *spec = j->r.spec;
   size_t n = 0;
   set->built = true;
   for (size_t z = 0; z < TMX_ZONES_MAX; z++) set->zone[z].n = 0;
@@ -252,7 +257,7 @@
   r->in_the_way = false;
   for (size_t k = 0; k < r->md->n_groups; k++) {
     const struct group *g = &r->md->groups[k];
-    if (what == SOON || !g->n_usable || !tmx_fit_suits(g, s)) continue;
+    if (what == SOON || !g->n_usable || !tmx_fit_suits(g, spec)) continue;
     if (j->r.zone >= 0 && g->zone != j->r.zone) continue;
     r->visits += g->n;
     for (size_t i = 0; i < g->n; i++) {
@@ -266,7 +271,7 @@
     struct pm *p = r->md->m[r->stopping[i]];
     double v;
     r->visits++;
-    if (p->group < 0 || !tmx_fit_suits(&r->md->groups[p->group], s)) continue;
+    if (p->group < 0 || !tmx_fit_suits(&r->md->groups[p->group], spec)) continue;
     if ((j->r.zone >= 0 && p->r.zone != j->r.zone) || !judge(r, j, p, what, &v)) continue;
     add(&set->zone[p->r.zone], v, p->r.slot);
     n++;
@@ -312,10 +317,10 @@
   return m;
 }
 
-static uint32_t eligible(const struct round *r, const struct tmx_spec *s) {
+static uint32_t eligible(const struct round *r, const struct tmx_job_spec *spec) {
   uint32_t n = 0;
   for (size_t k = 0; k < r->md->n_groups; k++)
-    if (tmx_fit_suits(&r->md->groups[k], s)) n += r->md->groups[k].n_usable;
+    if (tmx_fit_suits(&r->md->groups[k], spec)) n += r->md->groups[k].n_usable;
   return n;
 }
 
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -71,9 +71,10 @@
     if (m < 0 && in->leading) m = tmx_fit_best(r, j, ANY, false);
     if (m >= 0) {
       struct tmx_plan_wait *w = &j->r.waits[j->next_wait++];
-      struct tmx_op *o = tmx_step_emit(r, TMX_OP_PLACE, j, w->task, w->attempt);
-      memcpy(o->machine, r->md->m[m]->r.id, sizeof o->machine);
-      o->cap = r->cap;
+      struct tmx_operation *operation =
+          tmx_step_emit(r, TMX_OPERATION_PLACE, j, w->task, w->attempt);
+      memcpy(operation->machine, r->md->m[m]->r.id, sizeof operation->machine);
+      operation->machine_cap = r->cap;
       tmx_step_take(r, j, m, true);
       placed++;
       continue;
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -8,25 +8,25 @@
 
 #include "core/round.h"
 
-uint32_t tmx_zone_cap(const struct tmx_spec *s, size_t zones) {
-  if (s->one_zone || s->zone[0] || zones < 2) {
-    return s->spread ? (s->tasks + 1) / 2 : s->tasks;
+uint32_t tmx_zone_cap(const struct tmx_job_spec *spec, size_t zones) {
+  if (spec->same_zone || spec->zone[0] || zones < 2) {
+    return spec->spread ? (spec->tasks + 1) / 2 : spec->tasks;
   }
-  uint32_t cap = s->service ? (uint32_t)((s->tasks + zones - 1) / zones) : s->tasks;
-  uint32_t half = (s->tasks + 1) / 2; /* PROTOCOL: at most half, rounded up, in one zone */
-  return s->spread && half < cap ? half : cap;
+  uint32_t cap = spec->service ? (uint32_t)((spec->tasks + zones - 1) / zones) : spec->tasks;
+  uint32_t half = (spec->tasks + 1) / 2; /* PROTOCOL: at most half, rounded up, in one zone */
+  return spec->spread && half < cap ? half : cap;
 }
 
-uint32_t tmx_machine_cap(const struct tmx_spec *s, uint32_t eligible) {
-  if (!s->service) return UINT32_MAX;
-  if (eligible == 0 || eligible >= s->tasks) return 1;
-  return (s->tasks + eligible - 1) / eligible;
+uint32_t tmx_machine_cap(const struct tmx_job_spec *spec, uint32_t eligible) {
+  if (!spec->service) return UINT32_MAX;
+  if (eligible == 0 || eligible >= spec->tasks) return 1;
+  return (spec->tasks + eligible - 1) / eligible;
 }
 
-bool tmx_type_allowed(const struct tmx_spec *s, const char *type) {
-  if (!s->n_types) return true;
-  for (size_t i = 0; i < s->n_types; i++)
-    if (!strcmp(s->types[i], type)) return true;
+bool tmx_type_allowed(const struct tmx_job_spec *spec, const char *type) {
+  if (!spec->n_types) return true;
+  for (size_t i = 0; i < spec->n_types; i++)
+    if (!strcmp(spec->types[i], type)) return true;
   return false;
 }
 
@@ -35,10 +35,10 @@
 /* The place of an array in the order, lower first. What can still meet an aim comes before what
  * cannot, the least remaining work first, since that brings the most jobs home in time. */
 static double order_of(const struct tmx_round *in, const struct tmx_plan_job *j) {
-  const struct tmx_spec *s = j->spec;
+  const struct tmx_job_spec *spec = j->spec;
   double waited = in->wall - j->released, run = fmax(j->run_s, 1);
-  uint32_t left = s->tasks - j->n_done, waiting = left - j->n_placed;
-  double work = (waiting + 0.5 * j->n_placed) * fmax(s->cpus, 0.1) * run;
+  uint32_t left = spec->tasks - j->n_done, waiting = left - j->n_placed;
+  double work = (waiting + 0.5 * j->n_placed) * fmax(spec->cpus, 0.1) * run;
   return waited + run > j->aim_s ? 1e9 + work : work;
 }
 
@@ -84,7 +84,7 @@
         if (to < 0) continue;
         tmx_step_take(r, j, to, false);
         t = &p->r.tasks[k];
-        tmx_step_emit(r, TMX_OP_STOP, j, t->task, t->attempt)->how = '1';
+        tmx_step_emit(r, TMX_OPERATION_STOP, j, t->task, t->attempt)->reason = '1';
         moves++;
       }
     }
@@ -117,17 +117,17 @@
   struct tmx_usage asked[TMX_TEAMS_MAX] = {{0, 0}};
   for (size_t i = 0; i < n; i++) {
     struct pj *j = by_age[i];
-    const struct tmx_spec *s = j->r.spec;
+    const struct tmx_job_spec *spec = j->r.spec;
     j->next_wait = 0;
     j->order = order_of(in, &j->r);
     j->guaranteed = false;
     if (j->r.team < 0) continue;
     const struct tmx_team_conf *t = &in->teams[j->r.team];
-    struct tmx_usage *u = &asked[j->r.team];
-    uint32_t left = s->tasks - j->r.n_done;
-    u->cpus += left * s->cpus;
-    u->gpus += left * s->gpus;
-    j->guaranteed = t->cpus > 0 && u->cpus <= t->cpus + EPS && u->gpus <= t->gpus + EPS;
+    struct tmx_usage *usage = &asked[j->r.team];
+    uint32_t left = spec->tasks - j->r.n_done;
+    usage->cpus += left * spec->cpus;
+    usage->gpus += left * spec->gpus;
+    j->guaranteed = t->cpus > 0 && usage->cpus <= t->cpus + EPS && usage->gpus <= t->gpus + EPS;
   }
 }
 
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -34,16 +34,16 @@
 struct tmx_plan_job { /* one job as it stands, by its slot */
   int slot;
   char id[TMX_ID_MAX];
-  struct tmx_spec *spec; /* taken over; NULL: as before */
-  int team, planner;     /* index among the teams; member index */
-  int account;           /* of its class within the team, see src/admission */
-  int priority;          /* its own, or that of a job that needs it */
-  int zone;              /* the only one allowed; -1: any */
-  double released;       /* time of day, s: it could have begun since; its waits count from here */
-  double stuck_since;    /* steady clock, s: no task of it was placed since; 0: none waits */
-  double retry_at;       /* steady clock, s: not before */
-  double aim_s, run_s;   /* when it should be done, from its release; how long a task should run */
-  double next_aim_s;     /* the first of its aims that is still ahead; as aim_s if none is */
+  struct tmx_job_spec *spec; /* taken over; NULL: as before */
+  int team, planner;         /* index among the teams; member index */
+  int account;               /* of its class within the team, see src/admission */
+  int priority;              /* its own, or that of a job that needs it */
+  int zone;                  /* the only one allowed; -1: any */
+  double released;     /* time of day, s: it could have begun since; its waits count from here */
+  double stuck_since;  /* steady clock, s: no task of it was placed since; 0: none waits */
+  double retry_at;     /* steady clock, s: not before */
+  double aim_s, run_s; /* when it should be done, from its release; how long a task should run */
+  double next_aim_s;   /* the first of its aims that is still ahead; as aim_s if none is */
   uint32_t n_done, n_placed;
   bool open;                   /* else only its placed tasks count */
   struct tmx_plan_wait *waits; /* the first of those that wait; taken over */
@@ -73,7 +73,7 @@
   struct tmx_turns turns;
 };
 struct tmx_plan_output {
-  struct tmx_op *ops;
+  struct tmx_operation *ops;
   size_t n_ops, cap;
   uint32_t unplaced; /* tasks that found no room, or were not looked at */
   bool cut;          /* the round's bound was reached: the next one is due at once */
@@ -93,9 +93,10 @@
 void tmx_plan(struct tmx_model *md, const struct tmx_round *in, struct tmx_plan_output *out);
 
 /* the caps, apart for the tests and for the check before a commit */
-uint32_t tmx_zone_cap(const struct tmx_spec *s, size_t zones);
-uint32_t tmx_machine_cap(const struct tmx_spec *s, uint32_t eligible);
+uint32_t tmx_zone_cap(const struct tmx_job_spec *spec, size_t zones);
+uint32_t tmx_machine_cap(const struct tmx_job_spec *spec, uint32_t eligible);
 /* may this kind of machine ever run the job */
-bool tmx_type_allowed(const struct tmx_spec *s, const char *type);
-double tmx_booked_measure(const struct tmx_plan_machine *m, const struct tmx_spec *s, double now);
+bool tmx_type_allowed(const struct tmx_job_spec *spec, const char *type);
+double tmx_booked_measure(const struct tmx_plan_machine *m, const struct tmx_job_spec *spec,
+                          double now);
 #endif
--- a/src/core/round.h
+++ b/src/core/round.h
@@ -59,13 +59,13 @@
 void tmx_step_touch_job(struct round *r, struct pj *j);
 void tmx_step_mark(struct round *r, struct pm *p, size_t task);
 void tmx_step_take_back(struct round *r);
-struct tmx_op *tmx_step_emit(struct round *r, char op, const struct pj *j, uint32_t task,
-                             uint32_t attempt);
+struct tmx_operation *tmx_step_emit(struct round *r, char op, const struct pj *j, uint32_t task,
+                                    uint32_t attempt);
 /* real: placed; else room is held for it until the stopped tasks are gone */
 void tmx_step_take(struct round *r, struct pj *j, int m, bool real);
 
 /* fit.c: which machines may take a job's task, and which is the best */
-bool tmx_fit_suits(const struct group *g, const struct tmx_spec *s);
+bool tmx_fit_suits(const struct group *g, const struct tmx_job_spec *spec);
 bool tmx_fit_quota(const struct round *r, const struct pj *j);
 /* Services to people come first, then what teams are guaranteed, then the rest. */
 int tmx_fit_standing(const struct pj *j);
--- a/src/core/steps.c
+++ b/src/core/steps.c
@@ -45,30 +45,30 @@
     memcpy(r->undo_j[i]->r.zone_live, r->undo_j[i]->saved_zone, sizeof r->undo_j[i]->saved_zone);
 }
 
-struct tmx_op *tmx_step_emit(struct round *r, char op, const struct pj *j, uint32_t task,
-                             uint32_t attempt) {
+struct tmx_operation *tmx_step_emit(struct round *r, char op, const struct pj *j, uint32_t task,
+                                    uint32_t attempt) {
   struct tmx_plan_output *out = r->out;
   out->ops = tmx_grow(out->ops, &out->cap, out->n_ops + 1, sizeof *out->ops);
-  struct tmx_op *o = &out->ops[out->n_ops++];
-  memset(o, 0, sizeof *o);
-  o->op = op;
-  o->task = task;
-  o->attempt = attempt;
-  memcpy(o->job, j->r.id, sizeof o->job);
-  return o;
+  struct tmx_operation *operation = &out->ops[out->n_ops++];
+  memset(operation, 0, sizeof *operation);
+  operation->kind = op;
+  operation->task = task;
+  operation->attempt = attempt;
+  memcpy(operation->job, j->r.id, sizeof operation->job);
+  return operation;
 }
 void tmx_step_take(struct round *r, struct pj *j, int m, bool real) {
   struct pm *p = r->md->m[m];
-  const struct tmx_spec *s = j->r.spec;
+  const struct tmx_job_spec *spec = j->r.spec;
   tmx_step_touch(r, p);
-  p->r.ucpus += s->cpus;
-  p->r.ugpus += s->gpus;
-  p->r.umem += s->mem;
+  p->r.ucpus += spec->cpus;
+  p->r.ugpus += spec->gpus;
+  p->r.umem += spec->mem_gb;
   p->r.tasks = tmx_grow(p->r.tasks, &p->cap_tasks, p->r.n_tasks + 1, sizeof *p->r.tasks);
   p->r.tasks[p->r.n_tasks++] = (struct tmx_plan_task){.job = j->r.slot, .stopping = true};
   tmx_step_touch_job(r, j);
   j->r.zone_live[p->r.zone]++;
   if (!real) return;
-  r->usage[j->r.team].cpus += s->cpus;
-  r->usage[j->r.team].gpus += s->gpus;
+  r->usage[j->r.team].cpus += spec->cpus;
+  r->usage[j->r.team].gpus += spec->gpus;
 }
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -75,7 +75,7 @@
   q->refusals = 0;
   q->state_age = b->state_age_ms / 1000.0;
   q->term = b->term;
-  if (b->revision > p->c->rep.rev) tmx_store_note_peer_ahead(p->c->link);
+  if (b->revision > p->c->rep.revision) tmx_store_note_peer_ahead(p->c->link);
   q->no_workers = b->no_workers;
   memset(q->zones, 0, sizeof q->zones);
   for (u_int i = 0; i < b->zones.zones_len; i++) {
@@ -275,7 +275,7 @@
   for (size_t i = 0; i < c->set.n_zones; i++)
     zones[i] = (tmx_beat_zone){c->set.zones[i], signs[i].machines, signs[i].lost, signs[i].alive};
   tmx_beat b = {.node = c->set.node,
-                .revision = c->rep.rev,
+                .revision = c->rep.revision,
                 .term = c->rep.view.term,
                 .state_age_ms = age > 1e6 ? UINT32_MAX : (u_int)(age * 1000),
                 .no_workers = tmx_ctl_no_workers(c),
--- a/src/rounds/batch.c
+++ b/src/rounds/batch.c
@@ -9,16 +9,16 @@
 /* Keys are written over once a fold has taken their batches into its pages: nothing has to be
  * dropped, which would cost as much as a put. */
 static void next_key(struct tmx_rounds *p, char *key, size_t cap) {
-  const struct tmx_replica *r = &p->c->rep;
+  const struct tmx_replica *replica = &p->c->rep;
   struct tmx_log_key *k;
-  if (p->key_mark != r->fold_mark) {
-    p->key_mark = r->fold_mark;
+  if (p->key_mark != replica->compaction_point) {
+    p->key_mark = replica->compaction_point;
     p->key_seq = 0;
   }
   do {
-    snprintf(key, cap, TMX_K_BATCH "%s/%06llx", p->c->set.node, (unsigned long long)p->key_seq++);
-    HASH_FIND_STR(r->batches, key, k);
-  } while (k && k->stamp > r->fold_mark);
+    snprintf(key, cap, TMX_KEY_BATCH "%s/%06llx", p->c->set.node, (unsigned long long)p->key_seq++);
+    HASH_FIND_STR(replica->batch_keys, key, k);
+  } while (k && k->version > replica->compaction_point);
 }
 
 static void end_group(struct tmx_batch *b) {
@@ -34,7 +34,7 @@
   end_group(b);
   if (!b->lines && !b->n_jobs) return;
   b->v.length = 0;
-  tmx_lines_encode(&b->v, &b->jobs, b->n_jobs, &b->list, b->lines);
+  tmx_log_value_encode(&b->v, &b->jobs, b->n_jobs, &b->list, b->lines);
   next_key(b->p, key, sizeof key);
   tmx_transaction_put(&b->t, key, &b->v, 0);
   b->list.length = b->jobs.length = 0;
@@ -65,10 +65,10 @@
 }
 
 /* The operation joins the line before it; false: it begins another. */
-static bool join_group(struct tmx_batch *b, const struct tmx_op *o, const char *item,
+static bool join_group(struct tmx_batch *b, const struct tmx_operation *operation, const char *item,
                        int more_puts) {
   size_t len = tmx_json_text_length(item, strlen(item)), used = strlen(b->group);
-  if (!used || !tmx_op_same_group(&b->group_op, o)) return false;
+  if (!used || !tmx_operation_same_group(&b->group_op, operation)) return false;
   if (used + strlen(item) >= sizeof b->group || b->value + len > b->value_max) return false;
   if (!tmx_batch_fits(b, len, more_puts)) return false;
   strcpy(b->group + used, item);
@@ -76,21 +76,21 @@
   return true;
 }
 
-bool tmx_batch_op(struct tmx_batch *b, const struct tmx_op *o, int more_puts) {
+bool tmx_batch_op(struct tmx_batch *b, const struct tmx_operation *operation, int more_puts) {
   char line[TMX_LINE_MAX], item[TMX_LINE_MAX];
-  if (!b->grouped || !tmx_op_groups(o)) {
-    tmx_op_print(line, sizeof line, o);
+  if (!b->grouped || !tmx_operation_can_group(operation)) {
+    tmx_operation_print(line, sizeof line, operation);
     return tmx_batch_line(b, line, more_puts);
   }
-  tmx_group_item_print(item, sizeof item, o);
-  if (join_group(b, o, item, more_puts)) return true;
+  tmx_operation_group_item_print(item, sizeof item, operation);
+  if (join_group(b, operation, item, more_puts)) return true;
   end_group(b);
-  int head = tmx_group_head_print(line, sizeof line, o);
+  int head = tmx_operation_group_head_print(line, sizeof line, operation);
   snprintf(line + head, sizeof line - (size_t)head, "%s", item);
   size_t len = tmx_json_text_length(line, strlen(line)) + 1;
   if (!tmx_batch_fits(b, len, more_puts)) return false;
   strcpy(b->group, line);
-  b->group_op = *o;
+  b->group_op = *operation;
   b->value += len;
   return true;
 }
--- a/src/rounds/commit.c
+++ b/src/rounds/commit.c
@@ -7,11 +7,11 @@
 #include "net/log.h"
 #include "rounds/batch.h"
 
-static void on_batch(void *arg, int res, uint64_t rev) {
+static void on_batch(void *arg, int res, uint64_t revision) {
   struct tmx_rounds *p = arg;
   struct tmx_ctl *c = p->c;
   p->sending = false;
-  if (rev > p->wait_rev) p->wait_rev = rev;
+  if (revision > p->wait_rev) p->wait_rev = revision;
   p->wait_rev_at = tmx_clock_steady();
   tmx_submissions_answer(p, res);
   if (res == TMX_TRANSACTION_CONFLICT && ++p->resent <= TMX_RESENDS) {
@@ -34,26 +34,26 @@
 }
 
 static int by_group(const void *a, const void *b) {
-  const struct tmx_op *x = a, *y = b;
-  int order = strcmp(x->job, y->job);
-  if (!order) order = (x->attempt > y->attempt) - (x->attempt < y->attempt);
-  if (!order) order = x->how - y->how;
-  return order ? order : (x->task > y->task) - (x->task < y->task);
+  const struct tmx_operation *left = a, *right = b;
+  int order = strcmp(left->job, right->job);
+  if (!order) order = (left->attempt > right->attempt) - (left->attempt < right->attempt);
+  if (!order) order = left->reason - right->reason;
+  return order ? order : (left->task > right->task) - (left->task < right->task);
 }
 
 /* Jobs whose last task's end is among those at hand. Their final states need a put each, and users
  * and the jobs after them wait for these. */
 static int last_ends(const struct tmx_rounds *p) {
-  const struct tmx_replica *r = &p->c->rep;
+  const struct tmx_replica *replica = &p->c->rep;
   int n = 0;
   for (size_t i = 0; i < p->n_ends; i++) {
-    struct tmx_task *t = tmx_round_task(r, &p->ends[i]);
-    if (!t || p->ends[i].how != TMX_END_DONE || t->job->fin) continue;
-    if (t->job->n_done + ++t->job->n_ending == t->job->spec.tasks) n++;
+    struct tmx_task *task = tmx_round_task(replica, &p->ends[i]);
+    if (!task || p->ends[i].reason != TMX_END_DONE || task->job->outcome) continue;
+    if (task->job->n_done + ++task->job->n_completions_in_batch == task->job->spec.tasks) n++;
   }
   for (size_t i = 0; i < p->n_ends; i++) {
-    struct tmx_task *t = tmx_round_task(r, &p->ends[i]);
-    if (t) t->job->n_ending = 0;
+    struct tmx_task *task = tmx_round_task(replica, &p->ends[i]);
+    if (task) task->job->n_completions_in_batch = 0;
   }
   return n;
 }
@@ -61,7 +61,7 @@
 /* A batch while it is put together. */
 struct draft {
   struct tmx_batch b;
-  struct tmx_check check;
+  struct tmx_operation_check check;
   struct tmx_job *finished[TMX_FINISHED_MAX]; /* jobs whose last end is in it */
   size_t n_finished, placed;
   bool full;  /* something found no room */
@@ -82,23 +82,24 @@
 /* false: the batch is full. The last task's end and the job's final state are one transaction. A
  * job's last end needs a put more. When there is none for it the others go on without it, and the
  * next round waits for enough: or one such end would hold the whole log up for good. */
-static bool add_end(struct tmx_rounds *p, struct draft *d, const struct tmx_op *o) {
-  struct tmx_task *t = tmx_round_task(&p->c->rep, o);
-  if (!t || t->state != TMX_PLACED || t->attempt != o->attempt) return true;
-  bool counts = o->how == TMX_END_DONE && !t->job->fin;
-  bool last = counts && t->job->n_done + t->job->n_ending + 1 == t->job->spec.tasks;
+static bool add_end(struct tmx_rounds *p, struct draft *d, const struct tmx_operation *operation) {
+  struct tmx_task *task = tmx_round_task(&p->c->rep, operation);
+  if (!task || task->state != TMX_TASK_PLACED || task->attempt != operation->attempt) return true;
+  bool counts = operation->reason == TMX_END_DONE && !task->job->outcome;
+  bool last =
+      counts && task->job->n_done + task->job->n_completions_in_batch + 1 == task->job->spec.tasks;
   if (last && (d->n_finished == TMX_FINISHED_MAX || d->b.spare < 2)) {
     p->puts = TMX_ROUND_PUTS + 1;
     d->later = true;
     if (tmx_log_enabled(TMX_LOG_DEBUG))
-      tmx_log(TMX_LOG_DEBUG, "job: %s is done, and waits for a put", o->job);
+      tmx_log(TMX_LOG_DEBUG, "job: %s is done, and waits for a put", operation->job);
     return true;
   }
-  if (!tmx_batch_op(&d->b, o, last)) return false;
-  tmx_check_op(&d->check, o);
-  if (counts) t->job->n_ending++;
+  if (!tmx_batch_op(&d->b, operation, last)) return false;
+  tmx_operation_check_apply(&d->check, operation);
+  if (counts) task->job->n_completions_in_batch++;
   if (!last) return true;
-  d->finished[d->n_finished++] = t->job;
+  d->finished[d->n_finished++] = task->job;
   d->b.spare--;
   return true;
 }
@@ -107,8 +108,8 @@
   if (d->b.grouped) qsort(p->ends, p->n_ends, sizeof *p->ends, by_group);
   for (size_t i = 0; i < p->n_ends && !d->full; i++) d->full = !add_end(p, d, &p->ends[i]);
   for (size_t i = 0; i < p->n_ends; i++) {
-    struct tmx_task *t = tmx_round_task(&p->c->rep, &p->ends[i]);
-    if (t) t->job->n_ending = 0;
+    struct tmx_task *task = tmx_round_task(&p->c->rep, &p->ends[i]);
+    if (task) task->job->n_completions_in_batch = 0;
   }
 }
 
@@ -135,20 +136,20 @@
 /* Room whose end did not fit into the batch is not free in the log: the check sees that. */
 static void add_planned(struct tmx_rounds *p, struct draft *d) {
   for (size_t i = 0; i < p->plan.n_ops && !d->full; i++) {
-    const struct tmx_op *o = &p->plan.ops[i];
-    if (!tmx_check_op(&d->check, o)) continue;
-    d->full = !tmx_batch_op(&d->b, o, 0);
+    const struct tmx_operation *operation = &p->plan.ops[i];
+    if (!tmx_operation_check_apply(&d->check, operation)) continue;
+    d->full = !tmx_batch_op(&d->b, operation, 0);
     d->placed += !d->full;
   }
 }
 
-static void put_final_state(struct tmx_rounds *p, struct tmx_batch *b, const struct tmx_job *j,
+static void put_final_state(struct tmx_rounds *p, struct tmx_batch *b, const struct tmx_job *job,
                             int fin, double ended) {
   char key[TMX_KEY_MAX + 1];
-  snprintf(key, sizeof key, TMX_K_JOB "%s", j->id);
-  tmx_transaction_require_version(&b->t, key, j->stamp);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", job->id);
+  tmx_transaction_require_version(&b->t, key, job->version);
   b->v.length = 0;
-  tmx_job_encode_final(&b->v, j, fin, ended, tmx_value_room(&p->c->set));
+  tmx_job_encode_final(&b->v, job, fin, ended, tmx_value_room(&p->c->set));
   tmx_transaction_put(&b->t, key, &b->v, 0);
 }
 
@@ -156,17 +157,17 @@
  * until then every copy, and every fold, keeps what they were derived from. */
 static void add_derived_ends(struct tmx_rounds *p, struct tmx_batch *b) {
   struct tmx_ctl *c = p->c;
-  tmx_replica_tidy_unstored(&c->rep);
+  tmx_replica_prune_unstored(&c->rep);
   if (!tmx_store_is_leader(c->link) || !tmx_store_has_housekeeping_budget(c->link)) return;
-  for (size_t i = 0; i < c->rep.n_unstored && b->spare >= 1; i++, b->spare--)
-    put_final_state(p, b, c->rep.unstored[i], TMX_FIN_CANCELLED, 0);
+  for (size_t i = 0; i < c->rep.n_unstored_outcomes && b->spare >= 1; i++, b->spare--)
+    put_final_state(p, b, c->rep.unstored_outcomes[i], TMX_JOB_CANCELLED, 0);
 }
 
 static void add_final_states(struct tmx_rounds *p, struct draft *d) {
-  double ended = p->c->rep.pipelines ? tmx_clock_wall() : 0;
+  double ended = p->c->rep.dependencies_in_use ? tmx_clock_wall() : 0;
   tmx_batch_flush(&d->b);
   for (size_t i = 0; i < d->n_finished; i++)
-    put_final_state(p, &d->b, d->finished[i], TMX_FIN_DONE, ended);
+    put_final_state(p, &d->b, d->finished[i], TMX_JOB_DONE, ended);
   add_derived_ends(p, &d->b);
 }
 
@@ -190,7 +191,7 @@
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "round: %zu ends, %zu of %zu planned, %zu looked at, %d keys, resent %d",
             p->n_ends, d->placed, p->plan.n_ops, p->plan.visits, d->b.t.n_operations, p->resent);
-  p->sent_head = c->rep.head;
+  p->sent_head = c->rep.head_version;
   p->sending = tmx_store_commit(c->link, &d->b.t, true, on_batch, p);
   if (p->sending) return;
   tmx_submissions_answer(p, TMX_TRANSACTION_CONFLICT); /* not sent: as if something else had won */
@@ -204,11 +205,11 @@
   struct tmx_ctl *c = p->c;
   struct draft d = {.b = {.p = p,
                           .value_max = tmx_value_room(&c->set),
-                          .grouped = c->rep.pipelines,
+                          .grouped = c->rep.dependencies_in_use,
                           .spare = spare_puts(p)}};
   p->puts = TMX_ROUND_PUTS;
-  tmx_transaction_require_version(&d.b.t, TMX_K_HEAD, c->rep.head);
-  tmx_check_begin(&d.check, &c->rep);
+  tmx_transaction_require_version(&d.b.t, TMX_KEY_HEAD, c->rep.head_version);
+  tmx_operation_check_begin(&d.check, &c->rep);
   tmx_submissions_add(p, &d.b);
   add_ends(p, &d);
   add_pending_lines(p, &d);
--- a/src/rounds/internal.h
+++ b/src/rounds/internal.h
@@ -21,7 +21,7 @@
 struct tmx_arrival {
   char id[TMX_ID_MAX];
   struct tmx_buffer value; /* the job's record ... */
-  struct tmx_awaits
+  struct tmx_job_ids
       awaits;         /* ... and of the ids that it names, those that have no room in it ... */
   uint32_t in_record; /* ... follow from here on */
   size_t json;        /* length of the record as JSON */
@@ -57,7 +57,7 @@
   size_t n_machines, cap_machines;
   struct tmx_job **jobs;
   size_t n_jobs, cap_jobs;
-  struct tmx_op ends[TMX_ENDS_ROUND];
+  struct tmx_operation ends[TMX_ENDS_ROUND];
   size_t n_ends;
   struct tmx_plan_output plan;
   struct tmx_pending_line *lines;
@@ -74,7 +74,8 @@
 };
 
 /* The task that an operation speaks of; NULL: not known. */
-struct tmx_task *tmx_round_task(const struct tmx_replica *r, const struct tmx_op *o);
+struct tmx_task *tmx_round_task(const struct tmx_replica *replica,
+                                const struct tmx_operation *operation);
 /* Of the time of day, for one batch: s. */
 double tmx_turn_length(const struct tmx_ctl *c);
 /* Does the replica hold the latest revision that a commit told of: the next step needs it. */
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -52,22 +52,22 @@
 
 /* ------------------------------------------------------------ what changed */
 
-void tmx_rounds_machine(struct tmx_rounds *p, struct tmx_machine *m) {
-  if (m->dirty) return;
-  m->dirty = true;
+void tmx_rounds_machine(struct tmx_rounds *p, struct tmx_machine *machine) {
+  if (machine->planner_update_due) return;
+  machine->planner_update_due = true;
   p->machines = tmx_grow(p->machines, &p->cap_machines, p->n_machines + 1, sizeof *p->machines);
-  p->machines[p->n_machines++] = m;
+  p->machines[p->n_machines++] = machine;
 }
-void tmx_rounds_job(struct tmx_rounds *p, struct tmx_job *j) {
-  if (j->dirty) return;
-  j->dirty = true;
+void tmx_rounds_job(struct tmx_rounds *p, struct tmx_job *job) {
+  if (job->planner_update_due) return;
+  job->planner_update_due = true;
   p->jobs = tmx_grow(p->jobs, &p->cap_jobs, p->n_jobs + 1, sizeof *p->jobs);
-  p->jobs[p->n_jobs++] = j;
+  p->jobs[p->n_jobs++] = job;
 }
-void tmx_rounds_gone(struct tmx_rounds *p, struct tmx_machine *m) {
-  tmx_feed_gone(&p->feed, m->slot);
-  for (size_t i = 0; m->dirty && i < p->n_machines; i++)
-    if (p->machines[i] == m) {
+void tmx_rounds_gone(struct tmx_rounds *p, struct tmx_machine *machine) {
+  tmx_feed_gone(&p->feed, machine->planner_slot);
+  for (size_t i = 0; machine->planner_update_due && i < p->n_machines; i++)
+    if (p->machines[i] == machine) {
       p->machines[i] = p->machines[--p->n_machines];
       break;
     }
@@ -89,9 +89,11 @@
 
 /* ------------------------------------------------------------ steps */
 
-struct tmx_task *tmx_round_task(const struct tmx_replica *r, const struct tmx_op *o) {
-  struct tmx_job *j = tmx_job_find(r, o->job);
-  return j && j->tasks && o->task < j->spec.tasks ? &j->tasks[o->task] : NULL;
+struct tmx_task *tmx_round_task(const struct tmx_replica *replica,
+                                const struct tmx_operation *operation) {
+  struct tmx_job *job = tmx_job_find(replica, operation->job);
+  return job && job->tasks && operation->task < job->spec.tasks ? &job->tasks[operation->task]
+                                                                : NULL;
 }
 
 /* Of the time of day, for one batch. */
@@ -101,7 +103,8 @@
 
 /* The next step needs the replica to hold the latest revision that a commit told of. */
 bool tmx_rounds_caught_up(const struct tmx_rounds *p) {
-  return p->wait_rev <= p->c->rep.rev || tmx_clock_steady() - p->wait_rev_at > TMX_STATE_TIMEOUT_S;
+  return p->wait_rev <= p->c->rep.revision ||
+         tmx_clock_steady() - p->wait_rev_at > TMX_STATE_TIMEOUT_S;
 }
 
 void tmx_round_over(struct tmx_rounds *p) {
--- a/src/rounds/submissions.c
+++ b/src/rounds/submissions.c
@@ -8,7 +8,7 @@
 
 void tmx_submission_free(struct tmx_arrival *a) {
   tmx_buffer_free(&a->value);
-  tmx_awaits_free(&a->awaits);
+  tmx_job_ids_free(&a->awaits);
   free(a);
 }
 
@@ -44,7 +44,7 @@
  * rules out the single ones: a name is taken once. */
 static void condition(struct tmx_transaction *transaction, const char *id) {
   char key[TMX_KEY_MAX + 1];
-  snprintf(key, sizeof key, TMX_K_JOB "%s", id);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
   tmx_transaction_require_version(transaction, key, 0);
 }
 
@@ -62,8 +62,8 @@
   tmx_buffer_append(&b->jobs, a->value.data, a->value.length);
   b->value += a->json;
   b->n_jobs++;
-  for (uint32_t at = a->in_record; at < a->awaits.n;) {
-    tmx_awaits_print(line, sizeof line, a->id, &a->awaits, &at);
+  for (uint32_t at = a->in_record; at < a->awaits.count;) {
+    tmx_dependency_line_print(line, sizeof line, a->id, &a->awaits, &at);
     tmx_batch_line(b, line, 0);
   }
 }
@@ -117,14 +117,14 @@
   }
 }
 
-static void on_direct(void *arg, int res, uint64_t rev) {
+static void on_direct(void *arg, int res, uint64_t revision) {
   struct tmx_arrival *a = arg;
   struct tmx_rounds *p = a->p;
   a->direct = false;
   tmx_gate_release(p->c->gate, &a->candidate);
   if (res == TMX_TRANSACTION_CONFLICT && !a->answered) { /* again once the replica has what won */
     a->tries++;
-    if (rev > p->wait_rev) p->wait_rev = rev;
+    if (revision > p->wait_rev) p->wait_rev = revision;
     p->wait_rev_at = tmx_clock_steady();
     return;
   }
@@ -140,8 +140,8 @@
   size_t room = tmx_value_room(set), used = room; /* lines begin in a value of their own */
   int values = 1;
   char line[TMX_LINE_MAX];
-  for (uint32_t at = a->in_record; at < a->awaits.n;) {
-    tmx_awaits_print(line, sizeof line, a->id, &a->awaits, &at);
+  for (uint32_t at = a->in_record; at < a->awaits.count;) {
+    tmx_dependency_line_print(line, sizeof line, a->id, &a->awaits, &at);
     size_t len = tmx_json_text_length(line, strlen(line)) + 1;
     values += used + len > room;
     used = used + len > room ? len : used + len;
@@ -162,10 +162,11 @@
   a->in_record = tmx_job_encode_open(&a->value, s->id, &s->spec, s->submitted, &s->awaits,
                                      tmx_value_room(&p->c->set));
   a->json = tmx_json_length(&a->value);
-  a->awaits.n = s->awaits.n;
-  a->awaits.ids = calloc(s->awaits.n + 1, sizeof *a->awaits.ids);
+  a->awaits.count = s->awaits.count;
+  a->awaits.ids = calloc(s->awaits.count + 1, sizeof *a->awaits.ids);
   if (!a->awaits.ids) abort();
-  if (s->awaits.n) memcpy(a->awaits.ids, s->awaits.ids, s->awaits.n * sizeof *s->awaits.ids);
+  if (s->awaits.count)
+    memcpy(a->awaits.ids, s->awaits.ids, s->awaits.count * sizeof *s->awaits.ids);
   a->values = values_of(&p->c->set, a);
   a->candidate = tmx_gate_candidate(p->c->gate, &s->spec, tmx_team_index(&p->c->set, s->spec.team));
   a->p = p;
@@ -182,7 +183,7 @@
   if (too_large(&c->set, a)) {
     tmx_log(TMX_LOG_INFO,
             "job: %s refused: %zu bytes and %u awaited jobs take more than a transaction", s->id,
-            a->json, s->awaits.n);
+            a->json, s->awaits.count);
     tmx_submission_free(a);
     return TMX_ARRIVAL_TOO_LARGE;
   }
@@ -197,8 +198,8 @@
   struct tmx_ctl *c = p->c;
   struct tmx_transaction transaction = {0};
   char key[TMX_KEY_MAX + 1];
-  snprintf(key, sizeof key, TMX_K_JOB "%s", a->id);
-  tmx_transaction_require_version(&transaction, TMX_K_HEAD, c->rep.head);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", a->id);
+  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, c->rep.head_version);
   condition(&transaction, a->id);
   tmx_transaction_put(&transaction, key, &a->value, 0);
   a->sent_at = tmx_clock_steady();
@@ -223,7 +224,7 @@
     idle += !p->arrivals[i]->direct && !p->arrivals[i]->sent;
   if (!idle) return;
   /* a batch under way is decided once head has moved, whenever its answer comes */
-  bool decided = !p->sending || c->rep.head != p->sent_head;
+  bool decided = !p->sending || c->rep.head_version != p->sent_head;
   if (idle <= TMX_DIRECT_MAX && c->rep.loaded && decided && tmx_rounds_caught_up(p)) {
     for (size_t i = 0; i < p->n_arrivals; i++) {
       struct tmx_arrival *a = p->arrivals[i];
--- a/src/state/check.c
+++ b/src/state/check.c
@@ -8,79 +8,87 @@
 
 static uint64_t checks;
 
-void tmx_check_begin(struct tmx_check *c, struct tmx_replica *r) {
-  c->r = r;
-  c->no = ++checks;
-  memcpy(c->usage, r->usage, sizeof c->usage);
+void tmx_operation_check_begin(struct tmx_operation_check *check, struct tmx_replica *replica) {
+  check->replica = replica;
+  check->id = ++checks;
+  memcpy(check->usage, replica->team_usage, sizeof check->usage);
 }
 
-static void look_at(struct tmx_check *c, struct tmx_job *j, struct tmx_machine *m) {
-  if (j->check != c->no) {
-    j->check = c->no;
-    memcpy(j->check_zone, j->zone_live, sizeof j->check_zone);
+static void start_job_check(struct tmx_operation_check *check, struct tmx_job *job,
+                            struct tmx_machine *machine) {
+  if (job->check_id != check->id) {
+    job->check_id = check->id;
+    memcpy(job->check_placed_in_zone, job->placed_in_zone, sizeof job->check_placed_in_zone);
   }
-  if (m->check != c->no) {
-    m->check = c->no;
-    m->check_cpus = m->cpus;
-    m->check_gpus = m->gpus;
-    m->check_mem = m->mem;
+  if (machine->check_id != check->id) {
+    machine->check_id = check->id;
+    machine->check_cpus = machine->booked_cpus;
+    machine->check_gpus = machine->booked_gpus;
+    machine->check_mem_gb = machine->booked_mem_gb;
   }
 }
 
-static void count(struct tmx_check *c, struct tmx_job *j, struct tmx_machine *m, int sign) {
-  const struct tmx_spec *s = &j->spec;
-  m->check_cpus += sign * s->cpus;
-  m->check_gpus += sign * s->gpus;
-  m->check_mem += sign * s->mem;
-  if (m->zone >= 0) j->check_zone[m->zone] += (uint32_t)sign;
-  if (j->team < 0) return;
-  c->usage[j->team].cpus += sign * s->cpus;
-  c->usage[j->team].gpus += sign * s->gpus;
+static void count_placement(struct tmx_operation_check *check, struct tmx_job *job,
+                            struct tmx_machine *machine, int sign) {
+  const struct tmx_job_spec *spec = &job->spec;
+  machine->check_cpus += sign * spec->cpus;
+  machine->check_gpus += sign * spec->gpus;
+  machine->check_mem_gb += sign * spec->mem_gb;
+  if (machine->zone >= 0) job->check_placed_in_zone[machine->zone] += (uint32_t)sign;
+  if (job->team < 0) return;
+  check->usage[job->team].cpus += sign * spec->cpus;
+  check->usage[job->team].gpus += sign * spec->gpus;
 }
 
-static bool may_place(const struct tmx_check *c, const struct tmx_job *j,
-                      const struct tmx_machine *m, uint32_t cap) {
-  const struct tmx_spec *s = &j->spec;
-  const struct tmx_settings *set = c->r->set;
-  if (!m->known || m->drain || m->zone < 0 || j->team < 0 || (m->spot && !s->spot)) return false;
-  if (!tmx_type_allowed(s, m->type)) return false;
-  if (s->zone[0] && tmx_zone_index(set, s->zone) != m->zone) return false;
-  if (m->check_cpus + s->cpus > m->size_cpus + EPS ||
-      m->check_gpus + s->gpus > m->size_gpus + EPS || m->check_mem + s->mem > m->size_mem + EPS)
+static bool placement_is_allowed(const struct tmx_operation_check *check, const struct tmx_job *job,
+                                 const struct tmx_machine *machine, uint32_t cap) {
+  const struct tmx_job_spec *spec = &job->spec;
+  const struct tmx_settings *set = check->replica->settings;
+  if (!machine->registered || machine->draining || machine->zone < 0 || job->team < 0 ||
+      (machine->spot && !spec->spot_allowed))
     return false;
-  const struct tmx_team_conf *t = &set->teams[j->team];
-  const struct tmx_usage *u = &c->usage[j->team];
-  if (t->cpus_max > 0 && u->cpus + s->cpus > t->cpus_max + EPS) return false;
-  if (t->gpus_max > 0 && u->gpus + s->gpus > t->gpus_max + EPS) return false;
-  if (j->check_zone[m->zone] >= tmx_zone_cap(s, set->n_zones)) return false;
-  if (s->one_zone)
+  if (!tmx_type_allowed(spec, machine->type)) return false;
+  if (spec->zone[0] && tmx_zone_index(set, spec->zone) != machine->zone) return false;
+  if (machine->check_cpus + spec->cpus > machine->size_cpus + EPS ||
+      machine->check_gpus + spec->gpus > machine->size_gpus + EPS ||
+      machine->check_mem_gb + spec->mem_gb > machine->size_mem_gb + EPS)
+    return false;
+  const struct tmx_team_conf *t = &set->teams[job->team];
+  const struct tmx_usage *usage = &check->usage[job->team];
+  if (t->cpus_max > 0 && usage->cpus + spec->cpus > t->cpus_max + EPS) return false;
+  if (t->gpus_max > 0 && usage->gpus + spec->gpus > t->gpus_max + EPS) return false;
+  if (job->check_placed_in_zone[machine->zone] >= tmx_zone_cap(spec, set->n_zones)) return false;
+  if (spec->same_zone)
     for (size_t z = 0; z < set->n_zones; z++)
-      if ((int)z != m->zone && j->check_zone[z]) return false;
-  if (s->service && cap) {
+      if ((int)z != machine->zone && job->check_placed_in_zone[z]) return false;
+  if (spec->service && cap) {
     uint32_t on = 0;
-    for (const struct tmx_task *t2 = m->tasks; t2; t2 = t2->next) on += t2->job == j;
+    for (const struct tmx_task *other_task = machine->tasks; other_task;
+         other_task = other_task->next)
+      on += other_task->job == job;
     if (on >= cap) return false;
   }
   return true;
 }
 
-bool tmx_check_op(struct tmx_check *c, const struct tmx_op *o) {
-  struct tmx_job *j = tmx_job_find(c->r, o->job);
-  if (!j || !j->tasks || o->task >= j->spec.tasks) return false;
-  const struct tmx_task *t = &j->tasks[o->task];
-  if (o->op == TMX_OP_PLACE) {
-    struct tmx_machine *m = tmx_machine_find(c->r, o->machine);
-    if (!m || j->fin || tmx_job_blocked(j) || t->state != TMX_WAITING ||
-        o->attempt != t->attempt + 1)
+bool tmx_operation_check_apply(struct tmx_operation_check *check,
+                               const struct tmx_operation *operation) {
+  struct tmx_job *job = tmx_job_find(check->replica, operation->job);
+  if (!job || !job->tasks || operation->task >= job->spec.tasks) return false;
+  const struct tmx_task *task = &job->tasks[operation->task];
+  if (operation->kind == TMX_OPERATION_PLACE) {
+    struct tmx_machine *machine = tmx_machine_find(check->replica, operation->machine);
+    if (!machine || job->outcome || tmx_job_is_blocked(job) || task->state != TMX_TASK_WAITING ||
+        operation->attempt != task->attempt + 1)
       return false;
-    look_at(c, j, m);
-    if (!may_place(c, j, m, o->cap)) return false;
-    count(c, j, m, 1);
+    start_job_check(check, job, machine);
+    if (!placement_is_allowed(check, job, machine, operation->machine_cap)) return false;
+    count_placement(check, job, machine, 1);
     return true;
   }
-  if (t->state != TMX_PLACED || t->attempt != o->attempt) return false;
-  if (o->op == TMX_OP_STOP) return !t->stop && !j->fin;
-  look_at(c, j, t->machine);
-  count(c, j, t->machine, -1);
+  if (task->state != TMX_TASK_PLACED || task->attempt != operation->attempt) return false;
+  if (operation->kind == TMX_OPERATION_STOP) return !task->stop_mode && !job->outcome;
+  start_job_check(check, job, task->machine);
+  count_placement(check, job, task->machine, -1);
   return true;
 }
--- a/src/state/check.h
+++ b/src/state/check.h
@@ -4,12 +4,13 @@
 #define TMX_CHECK_H
 #include "state/replica.h"
 
-struct tmx_check {
-  struct tmx_replica *r;
-  uint64_t no;
+struct tmx_operation_check {
+  struct tmx_replica *replica;
+  uint64_t id;
   struct tmx_usage usage[TMX_TEAMS_MAX];
 };
-void tmx_check_begin(struct tmx_check *c, struct tmx_replica *r);
+void tmx_operation_check_begin(struct tmx_operation_check *check, struct tmx_replica *replica);
 /* true: right, and counted for the lines after it */
-bool tmx_check_op(struct tmx_check *c, const struct tmx_op *o);
+bool tmx_operation_check_apply(struct tmx_operation_check *check,
+                               const struct tmx_operation *operation);
 #endif
--- a/src/state/fold.c
+++ b/src/state/fold.c
@@ -10,14 +10,20 @@
 #include "controller.h"
 #include "net/log.h"
 
-enum { IDLE, PAGES, MARK, DROPS };
-struct tmx_fold {
-  struct tmx_ctl *c;
-  size_t above;
+enum {
+  COMPACTION_IDLE,
+  COMPACTION_WRITING_PAGES,
+  COMPACTION_MOVING_POINT,
+  COMPACTION_DELETING_PAGES
+};
+struct tmx_compaction {
+  struct tmx_ctl *controller;
+  size_t key_threshold;
   int step;
-  bool busy;
-  double looked_at;
-  uint64_t mark, stamp; /* batches up to this version go; version of the mark that stands */
+  bool transaction_in_flight;
+  double checked_at;
+  uint64_t compaction_point,
+      compaction_version; /* batches up to this version go; version of the mark that stands */
   unsigned page;
   char (*machines)[TMX_ID_MAX], (*jobs)[TMX_ID_MAX]; /* to be written */
   size_t n_machines, n_jobs;
@@ -30,125 +36,134 @@
   } at, sent;
 };
 
-struct tmx_fold *tmx_fold_new(struct tmx_ctl *c) {
-  struct tmx_fold *f = calloc(1, sizeof *f);
-  if (!f) abort();
-  f->c = c;
-  f->above = TMX_FOLD_KEYS;
-  return f;
+struct tmx_compaction *tmx_compaction_new(struct tmx_ctl *c) {
+  struct tmx_compaction *compaction = calloc(1, sizeof *compaction);
+  if (!compaction) abort();
+  compaction->controller = c;
+  compaction->key_threshold = TMX_FOLD_KEYS;
+  return compaction;
+}
+void tmx_compaction_free(struct tmx_compaction *compaction) {
+  free(compaction->machines);
+  free(compaction->jobs);
+  free(compaction);
 }
-void tmx_fold_free(struct tmx_fold *f) {
-  free(f->machines);
-  free(f->jobs);
-  free(f);
+void tmx_compaction_set_threshold(struct tmx_compaction *compaction, size_t keys) {
+  compaction->key_threshold = keys;
 }
-void tmx_fold_above(struct tmx_fold *f, size_t keys) { f->above = keys; }
 
 /* Jobs that are over need no page, unless their end was derived and nothing else tells of them. */
-static bool counts(const struct tmx_job *j) { return j->tasks || (j->fin && !j->stored); }
+static bool is_compacted(const struct tmx_job *job) {
+  return job->tasks || (job->outcome && !job->outcome_stored);
+}
 
-static void begin(struct tmx_fold *f) {
-  struct tmx_replica *r = &f->c->rep;
-  struct tmx_job *j, *jt;
-  struct tmx_machine *m, *mt;
-  free(f->machines);
-  free(f->jobs);
-  f->machines = calloc(HASH_COUNT(r->machines) + 1, sizeof *f->machines);
-  f->jobs = calloc(HASH_COUNT(r->jobs) + 1, sizeof *f->jobs);
-  if (!f->machines || !f->jobs) abort();
-  f->n_machines = f->n_jobs = 0;
-  HASH_ITER(hh, r->machines, m, mt) memcpy(f->machines[f->n_machines++], m->id, TMX_ID_MAX);
-  HASH_ITER(hh, r->jobs, j, jt) if (counts(j)) memcpy(f->jobs[f->n_jobs++], j->id, TMX_ID_MAX);
-  memset(&f->at, 0, sizeof f->at);
-  f->mark = r->rev;
-  f->stamp = r->fold_stamp;
-  f->page = 0;
-  f->step = PAGES;
+static void begin_compaction(struct tmx_compaction *compaction) {
+  struct tmx_replica *replica = &compaction->controller->rep;
+  struct tmx_job *job, *next_job;
+  struct tmx_machine *machine, *next_machine;
+  free(compaction->machines);
+  free(compaction->jobs);
+  compaction->machines = calloc(HASH_COUNT(replica->machines) + 1, sizeof *compaction->machines);
+  compaction->jobs = calloc(HASH_COUNT(replica->jobs) + 1, sizeof *compaction->jobs);
+  if (!compaction->machines || !compaction->jobs) abort();
+  compaction->n_machines = compaction->n_jobs = 0;
+  HASH_ITER(hh, replica->machines, machine, next_machine)
+  memcpy(compaction->machines[compaction->n_machines++], machine->id, TMX_ID_MAX);
+  HASH_ITER(hh, replica->jobs, job, next_job)
+  if (is_compacted(job)) memcpy(compaction->jobs[compaction->n_jobs++], job->id, TMX_ID_MAX);
+  memset(&compaction->at, 0, sizeof compaction->at);
+  compaction->compaction_point = replica->revision;
+  compaction->compaction_version = replica->compaction_version;
+  compaction->page = 0;
+  compaction->step = COMPACTION_WRITING_PAGES;
 }
 
-static void next_job(struct place *at) {
-  at->job++;
-  at->task = at->awaits = 0;
-  at->types = 0;
-  at->recorded = false;
+static void next_job(struct place *position) {
+  position->job++;
+  position->task = position->awaits = 0;
+  position->types = 0;
+  position->recorded = false;
 }
 
 /* A record that was accepted under larger limits may exceed the present ones: types that have no
  * room in it follow in lines. */
-static void write_record(const struct tmx_fold *f, struct place *at, const struct tmx_job *j,
-                         struct tmx_buffer *job) {
-  size_t room = tmx_value_room(&f->c->set);
-  struct tmx_spec part = j->spec;
-  part.n_types = tmx_job_types_within(j->id, &j->spec, j->submitted, &j->deps.named, room);
-  at->awaits = tmx_job_encode_open(job, j->id, &part, j->submitted, &j->deps.named, room);
-  at->types = part.n_types;
-  at->recorded = true;
+static void write_record(const struct tmx_compaction *compaction, struct place *position,
+                         const struct tmx_job *j, struct tmx_buffer *job) {
+  size_t room = tmx_value_room(&compaction->controller->set);
+  struct tmx_job_spec part = j->spec;
+  part.n_types =
+      tmx_job_types_within(j->id, &j->spec, j->submitted_at, &j->dependencies.named, room);
+  position->awaits =
+      tmx_job_encode_open(job, j->id, &part, j->submitted_at, &j->dependencies.named, room);
+  position->types = part.n_types;
+  position->recorded = true;
 }
 
 /* What comes next in the pages, a line or an encoded job; false: nothing. */
-static bool next_line(struct tmx_fold *f, struct place *at, char *line, size_t cap,
-                      struct tmx_buffer *job) {
-  struct tmx_replica *r = &f->c->rep;
-  for (; at->machine < f->n_machines; at->machine++) {
-    const struct tmx_machine *m = tmx_machine_find(r, f->machines[at->machine]);
-    if (!m || !m->known) continue;
-    tmx_machine_print(line, cap, r, m);
-    at->machine++;
+static bool next_line(struct tmx_compaction *compaction, struct place *position, char *line,
+                      size_t cap, struct tmx_buffer *job) {
+  struct tmx_replica *replica = &compaction->controller->rep;
+  for (; position->machine < compaction->n_machines; position->machine++) {
+    const struct tmx_machine *machine =
+        tmx_machine_find(replica, compaction->machines[position->machine]);
+    if (!machine || !machine->registered) continue;
+    tmx_machine_print(line, cap, replica, machine);
+    position->machine++;
     return true;
   }
-  for (; at->job < f->n_jobs; next_job(at)) {
-    const struct tmx_job *j = tmx_job_find(r, f->jobs[at->job]);
-    if (!j || !counts(j)) continue;
-    if (!at->recorded) {
-      write_record(f, at, j, job);
+  for (; position->job < compaction->n_jobs; next_job(position)) {
+    const struct tmx_job *j = tmx_job_find(replica, compaction->jobs[position->job]);
+    if (!j || !is_compacted(j)) continue;
+    if (!position->recorded) {
+      write_record(compaction, position, j, job);
       return true;
     }
-    if (at->types < j->spec.n_types) {
-      tmx_type_print(line, cap, j->id, j->spec.types[at->types++]);
+    if (position->types < j->spec.n_types) {
+      tmx_type_print(line, cap, j->id, j->spec.types[position->types++]);
       return true;
     }
-    if (at->awaits < j->deps.named.n) {
-      tmx_awaits_print(line, cap, j->id, &j->deps.named, &at->awaits);
+    if (position->awaits < j->dependencies.named.count) {
+      tmx_dependency_line_print(line, cap, j->id, &j->dependencies.named, &position->awaits);
       return true;
     }
-    while (j->tasks && at->task < j->spec.tasks) {
+    while (j->tasks && position->task < j->spec.tasks) {
       int len;
-      at->task += tmx_run_print(line, cap, j, at->task, &len);
+      position->task += tmx_task_run_print(line, cap, j, position->task, &len);
       if (len) return true;
     }
   }
   return false;
 }
 
-static void on_pages(void *arg, int res, uint64_t rev) {
-  struct tmx_fold *f = arg;
-  (void)rev;
-  f->busy = false;
-  if (res == TMX_TRANSACTION_COMMITTED) f->at = f->sent;
+static void on_pages(void *arg, int res, uint64_t revision) {
+  struct tmx_compaction *compaction = arg;
+  (void)revision;
+  compaction->transaction_in_flight = false;
+  if (res == TMX_TRANSACTION_COMMITTED) compaction->at = compaction->sent;
 }
 
-static void write_pages(struct tmx_fold *f) {
-  struct tmx_ctl *c = f->c;
+static void write_pages(struct tmx_compaction *compaction) {
+  struct tmx_ctl *c = compaction->controller;
   struct tmx_transaction transaction = {0};
   struct tmx_buffer list = {0}, jobs = {0}, one = {0}, value = {0};
   size_t max = tmx_value_room(&c->set), n = 0, n_jobs = 0, len = 0, all = 0;
   int puts = (int)tmx_store_write_budget(c->link);
   char line[TMX_LINE_MAX], key[TMX_KEY_MAX + 1];
-  struct place at = f->at;
+  struct place position = compaction->at;
   if (puts > c->set.txn_ops) puts = c->set.txn_ops;
   bool more = true;
-  tmx_transaction_require_version(&transaction, TMX_K_HEAD, c->rep.head);
+  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, c->rep.head_version);
   while (more && transaction.n_operations < puts && all + max + TMX_JSON_FRAME < TMX_TXN_BYTES) {
     list.length = jobs.length = n = n_jobs = len = 0;
     for (;;) {
-      struct place before = at;
+      struct place before = position;
       one.length = 0;
-      more = next_line(f, &at, line, sizeof line, &one);
+      more = next_line(compaction, &position, line, sizeof line, &one);
       if (!more) break;
       size_t next =
           one.length ? tmx_json_length(&one) : tmx_json_text_length(line, strlen(line)) + 1;
       if (len + next > max) {
-        at = before; /* it begins the next page */
+        position = before; /* it begins the next page */
         break;
       }
       len += next;
@@ -163,102 +178,108 @@
     if (!n && !n_jobs) break;
     all += len + TMX_JSON_FRAME;
     value.length = 0;
-    tmx_lines_encode(&value, &jobs, n_jobs, &list, n);
-    snprintf(key, sizeof key, TMX_K_PAGE "%016llx/%05u", (unsigned long long)f->mark, f->page++);
+    tmx_log_value_encode(&value, &jobs, n_jobs, &list, n);
+    snprintf(key, sizeof key, TMX_KEY_PAGE "%016llx/%05u",
+             (unsigned long long)compaction->compaction_point, compaction->page++);
     tmx_transaction_put(&transaction, key, &value, 0);
   }
-  f->sent = at;
+  compaction->sent = position;
   tmx_buffer_free(&list);
   tmx_buffer_free(&jobs);
   tmx_buffer_free(&one);
   tmx_buffer_free(&value);
   if (transaction.n_operations) {
-    f->busy = tmx_store_commit(c->link, &transaction, true, on_pages, f);
+    compaction->transaction_in_flight =
+        tmx_store_commit(c->link, &transaction, true, on_pages, compaction);
     return;
   }
   tmx_buffer_free(&transaction.conditions);
   tmx_buffer_free(&transaction.operations);
   if (!more) {
-    f->step = MARK;
+    compaction->step = COMPACTION_MOVING_POINT;
   } else if (puts > 0 && all == 0) {
-    tmx_log(TMX_LOG_ERROR, "fold: given up, %s exceeds a value", f->jobs[at.job]);
-    f->step = IDLE;
+    tmx_log(TMX_LOG_ERROR, "fold: given up, %s exceeds a value", compaction->jobs[position.job]);
+    compaction->step = COMPACTION_IDLE;
   }
 }
 
-static void on_mark(void *arg, int res, uint64_t rev) {
-  struct tmx_fold *f = arg;
-  (void)rev;
-  f->busy = false;
+static void on_mark(void *arg, int res, uint64_t revision) {
+  struct tmx_compaction *compaction = arg;
+  (void)revision;
+  compaction->transaction_in_flight = false;
   /* another leader's mark, or an answer that does not tell: the next fold begins anew */
-  f->step = res == TMX_TRANSACTION_COMMITTED ? DROPS : IDLE;
+  compaction->step = res == TMX_TRANSACTION_COMMITTED ? COMPACTION_DELETING_PAGES : COMPACTION_IDLE;
 }
 
-static void write_mark(struct tmx_fold *f) {
+static void write_mark(struct tmx_compaction *compaction) {
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
-  tmx_transaction_require_version(&transaction, TMX_K_FOLD, f->stamp);
+  tmx_transaction_require_version(&transaction, TMX_KEY_COMPACTION, compaction->compaction_version);
   tmx_cbor_put_map(&value, 2);
-  tmx_cbor_put_u64_field(&value, "mark", f->mark);
-  tmx_cbor_put_u64_field(&value, "gen", f->mark);
-  tmx_transaction_put(&transaction, TMX_K_FOLD, &value, 0);
+  tmx_cbor_put_u64_field(&value, "mark", compaction->compaction_point);
+  tmx_cbor_put_u64_field(&value, "gen", compaction->compaction_point);
+  tmx_transaction_put(&transaction, TMX_KEY_COMPACTION, &value, 0);
   tmx_buffer_free(&value);
-  f->busy = tmx_store_commit(f->c->link, &transaction, true, on_mark, f);
+  compaction->transaction_in_flight =
+      tmx_store_commit(compaction->controller->link, &transaction, true, on_mark, compaction);
 }
 
-static void on_drops(void *arg, int res, uint64_t rev) {
-  struct tmx_fold *f = arg;
+static void on_drops(void *arg, int res, uint64_t revision) {
+  struct tmx_compaction *compaction = arg;
   (void)res;
-  (void)rev;
-  f->busy = false;
+  (void)revision;
+  compaction->transaction_in_flight = false;
 }
 
 /* Drops the pages of other folds; false: nothing is left to drop. */
-static bool drop_some(struct tmx_fold *f) {
-  struct tmx_ctl *c = f->c;
+static bool drop_some(struct tmx_compaction *compaction) {
+  struct tmx_ctl *c = compaction->controller;
   struct tmx_transaction transaction = {0};
-  struct tmx_log_key *k, *tmp;
+  struct tmx_log_key *key, *next_key;
   int max = (int)tmx_store_write_budget(c->link);
   if (max > c->set.txn_ops) max = c->set.txn_ops;
   /* on the condition that the mark still stands: these pages might else be the newer ones */
-  tmx_transaction_require_version(&transaction, TMX_K_FOLD, c->rep.fold_stamp);
-  HASH_ITER(hh, c->rep.pages, k, tmp) {
+  tmx_transaction_require_version(&transaction, TMX_KEY_COMPACTION, c->rep.compaction_version);
+  HASH_ITER(hh, c->rep.page_keys, key, next_key) {
     unsigned long long gen;
-    if (transaction.n_operations >= max || sscanf(k->key + strlen(TMX_K_PAGE), "%llx", &gen) != 1)
+    if (transaction.n_operations >= max ||
+        sscanf(key->key + strlen(TMX_KEY_PAGE), "%llx", &gen) != 1)
       continue;
-    if (gen != c->rep.fold_gen) tmx_transaction_delete(&transaction, k->key);
+    if (gen != c->rep.compaction_generation) tmx_transaction_delete(&transaction, key->key);
   }
   if (!transaction.n_operations) {
     tmx_buffer_free(&transaction.conditions);
     return false;
   }
-  f->busy = tmx_store_commit(c->link, &transaction, true, on_drops, f);
+  compaction->transaction_in_flight =
+      tmx_store_commit(c->link, &transaction, true, on_drops, compaction);
   return true;
 }
 
-void tmx_fold_tick(struct tmx_fold *f) {
-  struct tmx_ctl *c = f->c;
+void tmx_compaction_tick(struct tmx_compaction *compaction) {
+  struct tmx_ctl *c = compaction->controller;
   double now = tmx_clock_steady();
-  if (f->busy) return;
+  if (compaction->transaction_in_flight) return;
   if (!tmx_store_is_leader(c->link) || !c->rep.loaded) {
-    f->step = IDLE;
+    compaction->step = COMPACTION_IDLE;
     return;
   }
   if (!tmx_store_has_housekeeping_budget(c->link)) return;
-  if (f->step == IDLE) {
-    if (now - f->looked_at < 1) return;
-    f->looked_at = now;
-    struct tmx_log_key *k, *t;
+  if (compaction->step == COMPACTION_IDLE) {
+    if (now - compaction->checked_at < 1) return;
+    compaction->checked_at = now;
+    struct tmx_log_key *key, *next_key;
     size_t n = 0;
-    HASH_ITER(hh, c->rep.batches, k, t) n += k->stamp > c->rep.fold_mark;
-    if (n <= f->above) return;
-    begin(f);
-    tmx_log(TMX_LOG_INFO, "fold: %zu machines, %zu jobs, %zu batches", f->n_machines, f->n_jobs, n);
+    HASH_ITER(hh, c->rep.batch_keys, key, next_key) n += key->version > c->rep.compaction_point;
+    if (n <= compaction->key_threshold) return;
+    begin_compaction(compaction);
+    tmx_log(TMX_LOG_INFO, "fold: %zu machines, %zu jobs, %zu batches", compaction->n_machines,
+            compaction->n_jobs, n);
   }
-  if (f->step == PAGES)
-    write_pages(f);
-  else if (f->step == MARK)
-    write_mark(f);
-  else if (c->rep.fold_gen == f->mark && !drop_some(f))
-    f->step = IDLE;
+  if (compaction->step == COMPACTION_WRITING_PAGES)
+    write_pages(compaction);
+  else if (compaction->step == COMPACTION_MOVING_POINT)
+    write_mark(compaction);
+  else if (c->rep.compaction_generation == compaction->compaction_point && !drop_some(compaction))
+    compaction->step = COMPACTION_IDLE;
 }
--- a/src/state/internal.h
+++ b/src/state/internal.h
@@ -3,14 +3,15 @@
 #define TMX_STATE_INTERNAL_H
 #include "state/replica.h"
 
-void *tmx_replica_alloc(size_t n); /* zeroed; ends the process when memory is out */
+void *tmx_replica_allocate(size_t n); /* zeroed; ends the process when memory is out */
 /* The machine's tasks, orders or owner changed; something worth a round happened. */
-void tmx_replica_touched(struct tmx_replica *r, struct tmx_machine *m);
-void tmx_replica_changed(struct tmx_replica *r);
+void tmx_replica_notify_machine(struct tmx_replica *replica, struct tmx_machine *machine);
+void tmx_replica_notify_schedulable(struct tmx_replica *replica);
 
 /* members.c */
-int tmx_replica_owner_index(const struct tmx_replica *r, const char *machine, int zone);
-void tmx_replica_apply_node(struct tmx_replica *r, const char *name, uint64_t stamp,
+int tmx_replica_owner_index(const struct tmx_replica *replica, const char *machine, int zone);
+void tmx_replica_apply_node(struct tmx_replica *replica, const char *name, uint64_t version,
+                            const cbor_item_t *value);
+void tmx_replica_apply_view(struct tmx_replica *replica, uint64_t version,
                             const cbor_item_t *value);
-void tmx_replica_apply_view(struct tmx_replica *r, uint64_t stamp, const cbor_item_t *value);
 #endif
--- a/src/state/learn.c
+++ b/src/state/learn.c
@@ -5,30 +5,33 @@
 
 #include "state/replica.h"
 
-static const struct tmx_class *class_of(const struct tmx_replica *r, const char *name) {
-  for (size_t i = 0; i < r->n_classes; i++)
-    if (!strcmp(r->classes[i].name, name)) return &r->classes[i];
+static const struct tmx_run_estimate *class_of(const struct tmx_replica *replica,
+                                               const char *name) {
+  for (size_t i = 0; i < replica->n_run_estimates; i++)
+    if (!strcmp(replica->run_estimates[i].name, name)) return &replica->run_estimates[i];
   return NULL;
 }
 
-double tmx_expected_run(const struct tmx_replica *r, const struct tmx_spec *s) {
-  const struct tmx_class *c = class_of(r, s->class);
-  if (!c || c->n < TMX_LEARN_LEAST) return s->estimate_s;
-  return s->estimate_s * exp(c->log_ratio);
+double tmx_run_estimate_expected(const struct tmx_replica *replica,
+                                 const struct tmx_job_spec *spec) {
+  const struct tmx_run_estimate *estimate = class_of(replica, spec->class);
+  if (!estimate || estimate->samples < TMX_LEARN_LEAST) return spec->estimate_s;
+  return spec->estimate_s * exp(estimate->log_ratio);
 }
 
-void tmx_learn_run(struct tmx_replica *r, const struct tmx_spec *s, double ran) {
-  if (s->estimate_s <= 0 || ran <= 0) return;
-  struct tmx_class *c = (struct tmx_class *)class_of(r, s->class);
-  if (!c) {
-    if (r->n_classes == TMX_CLASSES_MAX) return;
-    c = &r->classes[r->n_classes++];
-    memset(c, 0, sizeof *c);
-    snprintf(c->name, sizeof c->name, "%s", s->class);
+void tmx_run_estimate_observe(struct tmx_replica *replica, const struct tmx_job_spec *spec,
+                              double ran) {
+  if (spec->estimate_s <= 0 || ran <= 0) return;
+  struct tmx_run_estimate *estimate = (struct tmx_run_estimate *)class_of(replica, spec->class);
+  if (!estimate) {
+    if (replica->n_run_estimates == TMX_CLASSES_MAX) return;
+    estimate = &replica->run_estimates[replica->n_run_estimates++];
+    memset(estimate, 0, sizeof *estimate);
+    snprintf(estimate->name, sizeof estimate->name, "%s", spec->class);
   }
-  double x = log(ran / s->estimate_s);
+  double x = log(ran / spec->estimate_s);
   x = fmax(-TMX_LEARN_BOUND,
            fmin(TMX_LEARN_BOUND, x)); /* a hung machine tells nothing of the class */
-  if (c->n < TMX_LEARN_LAST) c->n++;
-  c->log_ratio += (x - c->log_ratio) / c->n;
+  if (estimate->samples < TMX_LEARN_LAST) estimate->samples++;
+  estimate->log_ratio += (x - estimate->log_ratio) / estimate->samples;
 }
--- a/src/state/link.c
+++ b/src/state/link.c
@@ -37,7 +37,7 @@
   char member_key[TMX_NAME_MAX + 16];
   /* loading */
   bool load_in_flight;
-  struct tmx_item *items;
+  struct tmx_store_entry *items;
   size_t n_items, cap_items;
   cbor_item_t **pages;
   size_t n_pages;
@@ -93,14 +93,14 @@
   struct tmx_store *store = arg;
   store->load_in_flight = false;
   cbor_item_t *map = status == 200 ? tmx_cbor_parse(body, len) : NULL;
-  uint64_t rev;
-  if (!map || !tmx_cbor_get_u64(map, W_REVISION, &rev)) {
+  uint64_t revision;
+  if (!map || !tmx_cbor_get_u64(map, W_REVISION, &revision)) {
     tmx_cbor_free(map);
     load_reset(store);
     schedule_watch(store, TMX_STATE_RETRY_S);
     return;
   }
-  if (!store->first_page_revision) store->first_page_revision = rev;
+  if (!store->first_page_revision) store->first_page_revision = revision;
   store->pages = realloc(store->pages, (store->n_pages + 1) * sizeof *store->pages);
   if (!store->pages) abort();
   store->pages[store->n_pages++] = map;
@@ -108,17 +108,17 @@
   for (size_t i = 0; i < tmx_cbor_list_length(items); i++) {
     const cbor_item_t *item = tmx_cbor_list_at(items, i);
     char key[TMX_PATH_MAX];
-    uint64_t stamp;
+    uint64_t version;
     if (!tmx_cbor_get_text(item, W_KEY, key, sizeof key) ||
-        !tmx_cbor_get_u64(item, W_VERSION, &stamp))
+        !tmx_cbor_get_u64(item, W_VERSION, &version))
       continue;
     if (store->n_items == store->cap_items) {
       store->cap_items = store->cap_items ? store->cap_items * 2 : 1024;
       store->items = realloc(store->items, store->cap_items * sizeof *store->items);
       if (!store->items) abort();
     }
-    store->items[store->n_items++] =
-        (struct tmx_item){.key = strdup(key), .stamp = stamp, .value = tmx_cbor_get(item, W_VALUE)};
+    store->items[store->n_items++] = (struct tmx_store_entry){
+        .key = strdup(key), .version = version, .value = tmx_cbor_get(item, W_VALUE)};
     snprintf(store->load_cursor, sizeof store->load_cursor, "%s", key);
   }
   bool more = false;
@@ -127,18 +127,18 @@
     start_load(store);
     return;
   }
-  struct tmx_replica *r = store->replica;
-  tmx_replica_clear(r);
-  r->now = tmx_clock_steady();
+  struct tmx_replica *replica = store->replica;
+  tmx_replica_clear(replica);
+  replica->now = tmx_clock_steady();
   /* Pages are read at different revisions: the events since the first page's are applied
    * again on top, and only at the last page's revision is the copy consistent. */
-  r->load_until = rev;
-  tmx_replica_load(r, store->items, store->n_items);
+  replica->load_revision = revision;
+  tmx_replica_load(replica, store->items, store->n_items);
   tmx_log(TMX_LOG_INFO, "state: %zu keys read at revision %llu", store->n_items,
-          (unsigned long long)rev);
+          (unsigned long long)revision);
   uint64_t first = store->first_page_revision;
   load_reset(store);
-  tmx_replica_reached(r, first);
+  tmx_replica_advance_to(replica, first);
   start_watch(store);
 }
 
@@ -151,7 +151,7 @@
 static void start_load(struct tmx_store *store) {
   char path[TMX_PATH_MAX + 64];
   if (store->load_in_flight) return;
-  snprintf(path, sizeof path, WP_KV "?prefix=" TMX_KEYS "%s%s&page=1000",
+  snprintf(path, sizeof path, WP_KV "?prefix=" TMX_KEY_PREFIX "%s%s&page=1000",
            store->load_cursor[0] ? "&from=" : "", store->load_cursor);
   store->load_in_flight = tmx_http_client_call(store->request_connections, "GET", path, NULL,
                                                TMX_STATE_TIMEOUT_S * 2, on_page, store);
@@ -166,14 +166,14 @@
 static void complete_read_waiters(struct tmx_store *store) {
   struct read_waiter *waiter, *next;
   if (store->pending_revision && store->replica->loaded &&
-      store->replica->rev >= store->pending_revision) {
+      store->replica->revision >= store->pending_revision) {
     if (store->pending_read_started_at > store->fresh_as_of)
-      store->fresh_as_of = store->replica->sure_at = store->pending_read_started_at;
+      store->fresh_as_of = store->replica->fresh_as_of = store->pending_read_started_at;
     store->pending_revision = 0;
   }
   DL_FOREACH_SAFE(store->waiters, waiter, next) {
     bool ok = waiter->required_revision && store->replica->loaded &&
-              store->replica->rev >= waiter->required_revision;
+              store->replica->revision >= waiter->required_revision;
     if (!ok && tmx_clock_steady() < waiter->deadline) continue;
     DL_DELETE(store->waiters, waiter);
     store->n_waiters--;
@@ -189,18 +189,18 @@
     tmx_log(TMX_LOG_INFO, "state: the watch fell behind, all keys are read again");
     schedule_watch(store, 0);
     store->replica->loaded = false;
-    store->replica->rev = 0;
+    store->replica->revision = 0;
     return;
   }
   cbor_item_t *map = status == 200 ? tmx_cbor_parse(body, len) : NULL;
-  uint64_t rev;
-  if (!map || !tmx_cbor_get_u64(map, W_REVISION, &rev)) {
+  uint64_t revision;
+  if (!map || !tmx_cbor_get_u64(map, W_REVISION, &revision)) {
     tmx_cbor_free(map);
     schedule_watch(store, TMX_STATE_RETRY_S);
     return;
   }
   const cbor_item_t *events = tmx_cbor_get(map, W_EVENTS);
-  uint64_t fold = store->replica->fold_stamp;
+  uint64_t fold = store->replica->compaction_version;
   bool was_loaded = store->replica->loaded;
   store->replica->now = tmx_clock_steady();
   refill_write_budget(store);
@@ -209,23 +209,23 @@
   for (size_t i = 0; i < tmx_cbor_list_length(events); i++) {
     const cbor_item_t *entry = tmx_cbor_list_at(events, i);
     char key[TMX_PATH_MAX];
-    uint64_t stamp = 0;
-    tmx_cbor_get_u64(entry, W_VERSION, &stamp);
+    uint64_t version = 0;
+    tmx_cbor_get_u64(entry, W_VERSION, &version);
     if (tmx_cbor_get_text(entry, W_PUT, key, sizeof key))
-      tmx_replica_apply(store->replica, key, stamp, tmx_cbor_get(entry, W_VALUE));
+      tmx_replica_apply(store->replica, key, version, tmx_cbor_get(entry, W_VALUE));
     else if (tmx_cbor_get_text(entry, W_DROP, key, sizeof key))
-      tmx_replica_apply(store->replica, key, stamp, NULL);
+      tmx_replica_apply(store->replica, key, version, NULL);
   }
   tmx_cbor_free(map);
-  if (!was_loaded && store->replica->fold_stamp != fold) {
+  if (!was_loaded && store->replica->compaction_version != fold) {
     /* The mark moved while keys were read: its pages were passed over, and those of the mark before
      * it may have been dropped already. */
     tmx_log(TMX_LOG_INFO, "state: a fold ended meanwhile, all keys are read again");
-    store->replica->rev = 0;
+    store->replica->revision = 0;
     schedule_watch(store, 0);
     return;
   }
-  tmx_replica_reached(store->replica, rev);
+  tmx_replica_advance_to(store->replica, revision);
   complete_read_waiters(store);
   /* Watches are opened at once while there is room for it in this controller's share of requests:
    * whoever lags behind the log loses the race for head. */
@@ -241,8 +241,8 @@
 static void start_watch(struct tmx_store *store) {
   char path[256];
   if (store->watch_in_flight) return;
-  snprintf(path, sizeof path, WP_WATCH "?prefix=" TMX_KEYS "&from=%llu&wait_ms=%d",
-           (unsigned long long)store->replica->rev, TMX_WATCH_WAIT_MS);
+  snprintf(path, sizeof path, WP_WATCH "?prefix=" TMX_KEY_PREFIX "&from=%llu&wait_ms=%d",
+           (unsigned long long)store->replica->revision, TMX_WATCH_WAIT_MS);
   store->watch_in_flight = tmx_http_client_call(store->watch_connection, "GET", path, NULL,
                                                 TMX_WATCH_WAIT_MS / 1000.0 + 3, on_watch, store);
   if (!store->watch_in_flight) schedule_watch(store, TMX_STATE_RETRY_S);
@@ -252,7 +252,7 @@
   (void)l;
   (void)ev;
   struct tmx_store *store = w->data;
-  if (store->replica->rev)
+  if (store->replica->revision)
     start_watch(store);
   else
     start_load(store);
@@ -264,15 +264,15 @@
   struct tmx_store *store = arg;
   store->read_in_flight = false;
   cbor_item_t *map = status == 200 ? tmx_cbor_parse(body, len) : NULL;
-  uint64_t rev;
+  uint64_t revision;
   store->last_read_failed = status != 200 && status != 429;
-  if (map && tmx_cbor_get_u64(map, W_REVISION, &rev)) {
+  if (map && tmx_cbor_get_u64(map, W_REVISION, &revision)) {
     struct read_waiter *waiter;
     DL_FOREACH(store->waiters, waiter)
     if (!waiter->required_revision && waiter->requested_at <= store->read_started_at)
-        waiter->required_revision = rev;
+      waiter->required_revision = revision;
     if (!store->pending_revision) {
-      store->pending_revision = rev;
+      store->pending_revision = revision;
       store->pending_read_started_at = store->read_started_at;
       store->pending_since = tmx_clock_steady();
     }
@@ -281,7 +281,7 @@
   complete_read_waiters(store);
   /* a watch that was cut off without a word shows here: the service is ahead of the replica */
   if (store->pending_revision && tmx_clock_steady() - store->pending_since > TMX_WATCH_LAG_S &&
-      store->replica->rev && store->watch_in_flight) {
+      store->replica->revision && store->watch_in_flight) {
     tmx_log(TMX_LOG_INFO, "state: the watch lags behind revision %llu, opened anew",
             (unsigned long long)store->pending_revision);
     tmx_http_client_free(store->watch_connection);
@@ -310,9 +310,9 @@
   }
   store->read_expedited = false;
   store->read_started_at = store->last_read_at = tmx_clock_steady();
-  store->read_in_flight =
-      tmx_http_client_call(store->request_connections, "GET", WP_KV "?prefix=" TMX_K_HEAD "&page=1",
-                           NULL, TMX_STATE_TIMEOUT_S, on_revision_read, store);
+  store->read_in_flight = tmx_http_client_call(store->request_connections, "GET",
+                                               WP_KV "?prefix=" TMX_KEY_HEAD "&page=1", NULL,
+                                               TMX_STATE_TIMEOUT_S, on_revision_read, store);
 }
 
 static void on_read_index_timer(struct ev_loop *l, ev_timer *w, int ev) {
@@ -353,13 +353,14 @@
 bool tmx_store_is_reachable(const struct tmx_store *store) { return !store->last_read_failed; }
 uint64_t tmx_store_incarnation(const struct tmx_store *store) { return store->incarnation; }
 bool tmx_store_is_member(const struct tmx_store *store) {
-  const struct tmx_member *m = tmx_member_find(store->replica, store->settings->node);
-  return store->replica->loaded && store->incarnation && m && m->inc == store->incarnation;
+  const struct tmx_member *member = tmx_member_find(store->replica, store->settings->node);
+  return store->replica->loaded && store->incarnation && member &&
+         member->incarnation == store->incarnation;
 }
 bool tmx_store_is_leader(const struct tmx_store *store) {
-  return tmx_store_is_member(store) && store->replica->leader_stamp &&
+  return tmx_store_is_member(store) && store->replica->leader_version &&
          !strcmp(store->replica->leader, store->settings->node) &&
-         store->replica->leader_inc == store->incarnation;
+         store->replica->leader_incarnation == store->incarnation;
 }
 
 /* ------------------------------------------------------------ transactions */
@@ -389,7 +390,7 @@
   struct tmx_buffer value = {0};
   tmx_cbor_put_map(&value, 1);
   tmx_cbor_put_text_field(&value, "by", by);
-  tmx_transaction_put(transaction, TMX_K_HEAD, &value, 0);
+  tmx_transaction_put(transaction, TMX_KEY_HEAD, &value, 0);
   tmx_buffer_free(&value);
 }
 
@@ -465,13 +466,13 @@
 static void on_transaction_response(void *arg, int status, const uint8_t *body, size_t len) {
   struct pending_transaction *pending = arg;
   int res = TMX_TRANSACTION_UNKNOWN;
-  uint64_t rev = 0;
+  uint64_t revision = 0;
   cbor_item_t *map = tmx_cbor_parse(body, len);
   char why[128] = "?";
-  if (map) tmx_cbor_get_u64(map, W_REVISION, &rev);
+  if (map) tmx_cbor_get_u64(map, W_REVISION, &revision);
   if (map) tmx_cbor_get_text(map, "error", why, sizeof why);
   tmx_cbor_free(map);
-  if (status == 200 && rev)
+  if (status == 200 && revision)
     res = TMX_TRANSACTION_COMMITTED;
   else if (status == 409)
     res = TMX_TRANSACTION_CONFLICT;
@@ -491,7 +492,7 @@
     pending->store->shared_write_tokens = 0;
     tmx_log(TMX_LOG_INFO, "state: too many puts");
   }
-  if (pending->cb) pending->cb(pending->arg, res, rev);
+  if (pending->cb) pending->cb(pending->arg, res, revision);
   free(pending);
 }
 
@@ -528,12 +529,12 @@
 
 /* ------------------------------------------------------------ lease, node key, leader */
 
-static void on_registered(void *arg, int res, uint64_t rev) {
+static void on_registered(void *arg, int res, uint64_t revision) {
   struct tmx_store *store = arg;
   store->registration_in_flight = false;
   if (res == TMX_TRANSACTION_COMMITTED) {
-    store->incarnation = rev;
-    tmx_log(TMX_LOG_INFO, "state: registered as run %llu", (unsigned long long)rev);
+    store->incarnation = revision;
+    tmx_log(TMX_LOG_INFO, "state: registered as run %llu", (unsigned long long)revision);
   } else if (res == TMX_TRANSACTION_NOT_EXECUTED) {
     store->registration_attempted_at = tmx_clock_steady();
   }
@@ -566,9 +567,9 @@
   }
 }
 
-static void on_election_result(void *arg, int res, uint64_t rev) {
+static void on_election_result(void *arg, int res, uint64_t revision) {
   struct tmx_store *store = arg;
-  (void)rev;
+  (void)revision;
   store->election_in_flight = false;
   if (res == TMX_TRANSACTION_COMMITTED) tmx_log(TMX_LOG_INFO, "state: leading now");
 }
@@ -602,11 +603,12 @@
  * the one that counts: the key then shows another run, or goes with the other's lease, and no view
  * would ever name this one. */
 static bool registration_was_overwritten(const struct tmx_store *store) {
-  const struct tmx_replica *r = store->replica;
-  if (!store->incarnation || !r->loaded || r->rev < store->incarnation) return false;
-  for (size_t i = 0; i < r->n_nodes; i++)
-    if (!strcmp(r->nodes[i].name, store->settings->node))
-      return r->nodes[i].inc != store->incarnation;
+  const struct tmx_replica *replica = store->replica;
+  if (!store->incarnation || !replica->loaded || replica->revision < store->incarnation)
+    return false;
+  for (size_t i = 0; i < replica->n_registered_members; i++)
+    if (!strcmp(replica->registered_members[i].name, store->settings->node))
+      return replica->registered_members[i].incarnation != store->incarnation;
   return true;
 }
 
@@ -629,22 +631,24 @@
 }
 
 static void run_for_leader(struct tmx_store *store, double now) {
-  struct tmx_replica *r = store->replica;
-  if (!r->loaded || !store->incarnation || store->election_in_flight ||
+  struct tmx_replica *replica = store->replica;
+  if (!replica->loaded || !store->incarnation || store->election_in_flight ||
       now - store->election_attempted_at < TMX_STATE_RETRY_S)
     return;
   if (store->abstains_from_election) return;
-  bool mine = !strcmp(r->leader, store->settings->node) && r->leader_inc == store->incarnation;
-  bool stale = !strcmp(r->leader, store->settings->node) && r->leader_inc != store->incarnation;
-  bool suspect = r->leader_stamp && !strcmp(r->leader, store->suspected_leader);
-  if (mine || (r->leader_stamp && !stale && !suspect)) return;
+  bool mine = !strcmp(replica->leader, store->settings->node) &&
+              replica->leader_incarnation == store->incarnation;
+  bool stale = !strcmp(replica->leader, store->settings->node) &&
+               replica->leader_incarnation != store->incarnation;
+  bool suspect = replica->leader_version && !strcmp(replica->leader, store->suspected_leader);
+  if (mine || (replica->leader_version && !stale && !suspect)) return;
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
-  tmx_transaction_require_version(&transaction, TMX_K_LEADER, r->leader_stamp);
+  tmx_transaction_require_version(&transaction, TMX_KEY_LEADER, replica->leader_version);
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", store->settings->node);
   tmx_cbor_put_u64_field(&value, "inc", store->incarnation);
-  tmx_transaction_put(&transaction, TMX_K_LEADER, &value, store->lease_id);
+  tmx_transaction_put(&transaction, TMX_KEY_LEADER, &value, store->lease_id);
   tmx_buffer_free(&value);
   store->election_attempted_at = now;
   store->election_in_flight =
@@ -675,12 +679,12 @@
 }
 
 struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *s,
-                                struct tmx_replica *r) {
+                                struct tmx_replica *replica) {
   struct tmx_store *store = calloc(1, sizeof *store);
   if (!store) abort();
   store->loop = loop;
   store->settings = s;
-  store->replica = r;
+  store->replica = replica;
   store->watch_connection = tmx_http_client_new(loop, s->state, 2);
   store->request_connections = tmx_http_client_new(loop, s->state, 24);
   store->write_tokens_at = store->watch_tokens_at = store->shared_write_tokens_at =
@@ -689,7 +693,7 @@
   store->last_read_at = -TMX_CONFIRM_IDLE_S;
   store->lease_attempted_at = -TMX_LEASE_RENEW_S;
   store->registration_attempted_at = store->election_attempted_at = -TMX_STATE_RETRY_S;
-  snprintf(store->member_key, sizeof store->member_key, TMX_K_NODE "%s", s->node);
+  snprintf(store->member_key, sizeof store->member_key, TMX_KEY_MEMBER "%s", s->node);
   ev_timer_init(&store->watch_timer, on_watch_timer, 0, 0);
   ev_timer_init(&store->read_index_timer, on_read_index_timer, 0, 0);
   ev_timer_init(&store->waiter_timer, on_waiters_timer, 0.1, 0.1);
--- a/src/state/link.h
+++ b/src/state/link.h
@@ -7,7 +7,7 @@
 
 struct tmx_store;
 struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *s,
-                                struct tmx_replica *r);
+                                struct tmx_replica *replica);
 void tmx_store_free(struct tmx_store *store);
 
 /* When state was last known to be complete here: the time at which a revision read began that
@@ -46,7 +46,7 @@
 void tmx_transaction_delete(struct tmx_transaction *transaction, const char *key);
 void tmx_transaction_advance_head(struct tmx_transaction *transaction,
                                   const char *by); /* rewrites head */
-typedef void (*tmx_transaction_cb)(void *arg, int result, uint64_t rev);
+typedef void (*tmx_transaction_cb)(void *arg, int result, uint64_t revision);
 /* Frees the transaction's buffers. cost-limited: false when the write budget is used up,
  * unless urgent (then the share kept for leases and views is used). */
 bool tmx_store_commit(struct tmx_store *store, struct tmx_transaction *transaction, bool urgent,
--- a/src/user/user.c
+++ b/src/user/user.c
@@ -47,31 +47,31 @@
 }
 
 static void answer_named(struct tmx_http_request *request, int status, const char *id,
-                         const char *state, const struct tmx_job *j) {
+                         const char *state, const struct tmx_job *job) {
   struct tmx_buffer buffer = {0};
-  tmx_cbor_put_map(&buffer, j ? 4 : 2);
+  tmx_cbor_put_map(&buffer, job ? 4 : 2);
   tmx_cbor_put_text_field(&buffer, W_ID, id);
   tmx_cbor_put_text_field(&buffer, W_STATE, state);
-  if (j) {
-    tmx_cbor_put_u64_field(&buffer, W_DONE, j->n_done);
-    tmx_cbor_put_u64_field(&buffer, W_RUNNING, j->fin ? 0 : j->n_placed);
+  if (job) {
+    tmx_cbor_put_u64_field(&buffer, W_DONE, job->n_done);
+    tmx_cbor_put_u64_field(&buffer, W_RUNNING, job->outcome ? 0 : job->n_placed);
   }
   tmx_http_reply(request, status, &buffer, 0);
   tmx_buffer_free(&buffer);
 }
 
-static void answer_job(struct tmx_http_request *request, struct tmx_job *j) {
-  j->answered_at = tmx_clock_steady();
-  const char *s = j->fin == TMX_FIN_DONE        ? WV_DONE
-                  : j->fin == TMX_FIN_CANCELLED ? WV_CANCELLED
-                  : j->n_placed                 ? WV_RUNNING
-                                                : WV_PENDING;
-  answer_named(request, 200, j->id, s, j);
+static void answer_job(struct tmx_http_request *request, struct tmx_job *job) {
+  job->answered_at = tmx_clock_steady();
+  const char *s = job->outcome == TMX_JOB_DONE        ? WV_DONE
+                  : job->outcome == TMX_JOB_CANCELLED ? WV_CANCELLED
+                  : job->n_placed                     ? WV_RUNNING
+                                                      : WV_PENDING;
+  answer_named(request, 200, job->id, s, job);
 }
 
 static void free_submission(struct tmx_submission *s) {
   if (!s) return;
-  tmx_awaits_free(&s->awaits);
+  tmx_job_ids_free(&s->awaits);
   free(s);
 }
 
@@ -94,23 +94,23 @@
 
 static void on_confirm(void *arg, bool ok) {
   struct ask *a = arg;
-  struct tmx_job *j = ok ? tmx_job_find(&a->u->c->rep, a->id) : NULL;
+  struct tmx_job *job = ok ? tmx_job_find(&a->u->c->rep, a->id) : NULL;
   if (!ok)
     refuse(a->req, "the state was not read in time");
-  else if (!j && a->submission) {
+  else if (!job && a->submission) {
     submit_step(a);
     return;
-  } else if (!j && a->overload)
+  } else if (!job && a->overload)
     refuse_overload(a);
-  else if (!j)
+  else if (!job)
     tmx_http_reply(a->req, a->otherwise, NULL, a->otherwise == 503 ? tmx_retry_after() : 0);
-  else if (a->kind == ASK_CANCEL && !j->fin) {
+  else if (a->kind == ASK_CANCEL && !job->outcome) {
     cancel_step(a);
     return;
   } else if (a->kind == ASK_CANCEL)
-    answer_named(a->req, 200, a->id, j->fin == TMX_FIN_DONE ? WV_DONE : WV_CANCELLED, NULL);
+    answer_named(a->req, 200, a->id, job->outcome == TMX_JOB_DONE ? WV_DONE : WV_CANCELLED, NULL);
   else
-    answer_job(a->req, j);
+    answer_job(a->req, job);
   done(a);
 }
 
@@ -120,9 +120,9 @@
   /* Where the state is out of reach nothing can be decided: the sender goes elsewhere at once. When
    * more ask than can be answered, those go first of whose job nobody was told here of late, so
    * that none stays without an answer however many others ask. */
-  const struct tmx_job *j = tmx_job_find(&u->c->rep, what->id);
+  const struct tmx_job *job = tmx_job_find(&u->c->rep, what->id);
   bool late =
-      what->kind != ASK_POLL || (j && tmx_clock_steady() - j->answered_at > TMX_POLL_FAIR_S);
+      what->kind != ASK_POLL || (job && tmx_clock_steady() - job->answered_at > TMX_POLL_FAIR_S);
   struct ask *a = calloc(1, sizeof *a);
   if (!a || !tmx_store_is_reachable(u->c->link) ||
       u->waiting >= (late ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2)) {
@@ -146,9 +146,9 @@
 
 /* ------------------------------------------------------------ cancellations */
 
-static void on_cancelled(void *arg, int res, uint64_t rev) {
+static void on_cancelled(void *arg, int res, uint64_t revision) {
   struct ask *a = arg;
-  (void)rev;
+  (void)revision;
   if (res == TMX_TRANSACTION_COMMITTED) {
     answer_named(a->req, 200, a->id, WV_CANCELLED, NULL);
     done(a);
@@ -163,15 +163,15 @@
 
 static void cancel_step(struct ask *a) {
   struct tmx_ctl *c = a->u->c;
-  struct tmx_job *j = tmx_job_find(&c->rep, a->id);
+  struct tmx_job *job = tmx_job_find(&c->rep, a->id);
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
   char key[TMX_KEY_MAX + 1];
-  snprintf(key, sizeof key, TMX_K_JOB "%s", a->id);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", a->id);
   /* Conditional on the job's own key, which also its completion rewrites; head is rewritten,
    * so that no batch planned before this can start one of its tasks. */
-  tmx_transaction_require_version(&transaction, key, j->stamp);
-  tmx_job_encode_final(&value, j, TMX_FIN_CANCELLED, 0, tmx_value_room(&c->set));
+  tmx_transaction_require_version(&transaction, key, job->version);
+  tmx_job_encode_final(&value, job, TMX_JOB_CANCELLED, 0, tmx_value_room(&c->set));
   tmx_transaction_put(&transaction, key, &value, 0);
   tmx_transaction_advance_head(&transaction, c->set.node);
   tmx_buffer_free(&value);
@@ -186,7 +186,7 @@
 /* Its team or class has no room. One that was accepted elsewhere is answered as such all the same:
  * the state is read before it is refused. */
 static void look_up_or_refuse(struct ask *a) {
-  static const struct tmx_awaits none;
+  static const struct tmx_job_ids none;
   a->ruling = tmx_gate_judge(a->u->c->gate, &a->candidate, &none);
   a->overload = true;
   if (tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
@@ -217,22 +217,23 @@
 }
 
 /* 0: may run; 422: never; 503: cannot be told yet */
-static int judge(struct tmx_ctl *c, const struct tmx_spec *s) {
+static int judge(struct tmx_ctl *c, const struct tmx_job_spec *spec) {
   size_t n;
   const struct tmx_type *ty = tmx_cloud_types(c->cloud, &n);
-  int team = tmx_team_index(&c->set, s->team);
+  int team = tmx_team_index(&c->set, spec->team);
   if (team < 0) return 422;
   const struct tmx_team_conf *t = &c->set.teams[team];
-  double k = s->service ? s->tasks : 1;
-  if (t->cpus_max > 0 && k * s->cpus > t->cpus_max + 1e-6) return 422;
-  if (t->gpus_max > 0 && k * s->gpus > t->gpus_max + 1e-6) return 422;
+  double k = spec->service ? spec->tasks : 1;
+  if (t->cpus_max > 0 && k * spec->cpus > t->cpus_max + 1e-6) return 422;
+  if (t->gpus_max > 0 && k * spec->gpus > t->gpus_max + 1e-6) return 422;
   if (!n) return 503;
-  int zone = s->zone[0] ? tmx_zone_index(&c->set, s->zone) : -1;
-  if (s->zone[0] && zone < 0) return 422;
+  int zone = spec->zone[0] ? tmx_zone_index(&c->set, spec->zone) : -1;
+  if (spec->zone[0] && zone < 0) return 422;
   for (size_t i = 0; i < n; i++) {
-    if (!tmx_type_allowed(s, ty[i].name)) continue;
+    if (!tmx_type_allowed(spec, ty[i].name)) continue;
     if (zone >= 0 && !ty[i].zones[zone]) continue;
-    if (s->cpus <= ty[i].cpus + 1e-6 && s->gpus <= ty[i].gpus + 1e-6 && s->mem <= ty[i].mem + 1e-6)
+    if (spec->cpus <= ty[i].cpus + 1e-6 && spec->gpus <= ty[i].gpus + 1e-6 &&
+        spec->mem_gb <= ty[i].mem + 1e-6)
       return 0;
   }
   return 422;
@@ -242,34 +243,34 @@
 
 /* May the job wait for these. Jobs are never forgotten, so a name once known stays known; that one
  * is unknown can be said only after a read that began after the request. */
-static enum awaits_verdict judge_awaits(const struct tmx_replica *r,
+static enum awaits_verdict judge_awaits(const struct tmx_replica *replica,
                                         const struct tmx_submission *s) {
   enum awaits_verdict verdict = AWAITS_OK;
-  for (uint32_t i = 0; i < s->awaits.n; i++) {
-    const struct tmx_job *j = tmx_job_find(r, s->awaits.ids[i]);
+  for (uint32_t i = 0; i < s->awaits.count; i++) {
+    const struct tmx_job *job = tmx_job_find(replica, s->awaits.ids[i]);
     if (!strcmp(s->awaits.ids[i], s->id)) return AWAITS_NEVER;
-    if (j && j->spec.service) return AWAITS_NEVER; /* it runs until it is cancelled */
-    if (!j) verdict = AWAITS_UNKNOWN;
+    if (job && job->spec.service) return AWAITS_NEVER; /* it runs until it is cancelled */
+    if (!job) verdict = AWAITS_UNKNOWN;
   }
   return verdict;
 }
 
 /* A job that is done stays done: only the others need to be stored. */
-static void drop_done(const struct tmx_replica *r, struct tmx_awaits *a) {
+static void drop_done(const struct tmx_replica *replica, struct tmx_job_ids *ids) {
   uint32_t n = 0;
-  for (uint32_t i = 0; i < a->n; i++) {
-    const struct tmx_job *j = tmx_job_find(r, a->ids[i]);
-    if (j && j->fin == TMX_FIN_DONE) continue;
-    if (n != i) memcpy(a->ids[n], a->ids[i], TMX_ID_MAX);
+  for (uint32_t i = 0; i < ids->count; i++) {
+    const struct tmx_job *job = tmx_job_find(replica, ids->ids[i]);
+    if (job && job->outcome == TMX_JOB_DONE) continue;
+    if (n != i) memcpy(ids->ids[n], ids->ids[i], TMX_ID_MAX);
     n++;
   }
-  a->n = n;
+  ids->count = n;
 }
 
-static bool names_cancelled(const struct tmx_replica *r, const struct tmx_awaits *a) {
-  for (uint32_t i = 0; i < a->n; i++) {
-    const struct tmx_job *j = tmx_job_find(r, a->ids[i]);
-    if (j && j->fin == TMX_FIN_CANCELLED) return true;
+static bool names_cancelled(const struct tmx_replica *replica, const struct tmx_job_ids *ids) {
+  for (uint32_t i = 0; i < ids->count; i++) {
+    const struct tmx_job *job = tmx_job_find(replica, ids->ids[i]);
+    if (job && job->outcome == TMX_JOB_CANCELLED) return true;
   }
   return false;
 }
@@ -309,9 +310,10 @@
 static bool read_submission(const struct tmx_http_request *request, struct tmx_submission *s,
                             bool *whole) {
   cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
-  bool named = map && tmx_cbor_get_text(map, W_ID, s->id, sizeof s->id) && tmx_job_id_ok(s->id);
-  *whole = named && tmx_spec_parse(map, &s->spec, s->id, sizeof s->id) &&
-           tmx_awaits_parse(map, &s->awaits);
+  bool named =
+      map && tmx_cbor_get_text(map, W_ID, s->id, sizeof s->id) && tmx_job_id_is_valid(s->id);
+  *whole = named && tmx_job_spec_parse(map, &s->spec, s->id, sizeof s->id) &&
+           tmx_job_ids_parse(map, &s->awaits);
   tmx_cbor_free(map);
   return named;
 }
@@ -350,14 +352,14 @@
     return;
   }
   /* A known job is answered before any validation: what was accepted stays accepted. */
-  struct tmx_job *j = tmx_job_find(&c->rep, s->id);
-  if (j && j->fin) {
+  struct tmx_job *job = tmx_job_find(&c->rep, s->id);
+  if (job && job->outcome) {
     free_submission(s);
-    answer_job(request, j);
+    answer_job(request, job);
     return;
   }
   s->submitted = tmx_clock_wall();
-  struct ask look = first_look(c, s, whole, j);
+  struct ask look = first_look(c, s, whole, job);
   if (look.otherwise) {
     free_submission(s);
     look.submission = NULL;
@@ -407,7 +409,7 @@
     tmx_http_reply(request, 405, NULL, 0);
     return true;
   }
-  if (!tmx_job_id_ok(id)) {
+  if (!tmx_job_id_is_valid(id)) {
     tmx_http_reply(request, 404, NULL, 0);
     return true;
   }
@@ -415,11 +417,11 @@
     refuse(request, "no state");
     return true;
   }
-  struct tmx_job *j = tmx_job_find(&u->c->rep, id);
-  if (j && j->fin && cancel)
-    answer_named(request, 200, id, j->fin == TMX_FIN_DONE ? WV_DONE : WV_CANCELLED, NULL);
-  else if (j && j->fin)
-    answer_job(request, j); /* a final state never changes: no read is needed */
+  struct tmx_job *job = tmx_job_find(&u->c->rep, id);
+  if (job && job->outcome && cancel)
+    answer_named(request, 200, id, job->outcome == TMX_JOB_DONE ? WV_DONE : WV_CANCELLED, NULL);
+  else if (job && job->outcome)
+    answer_job(request, job); /* a final state never changes: no read is needed */
   else
     ask_about(u, request, cancel ? ASK_CANCEL : ASK_POLL, id);
   return true;
--- a/src/worker/health.c
+++ b/src/worker/health.c
@@ -102,7 +102,7 @@
   size_t turns = HASH_COUNT(w->all);
   struct worker *r = from ? from : w->all;
   for (; r && turns-- && w->probe_tokens >= 1 + keep; r = r->hh.next ? r->hh.next : w->all) {
-    if (!r->m || !r->m->known || (member && !r->owned)) continue;
+    if (!r->m || !r->m->registered || (member && !r->owned)) continue;
     bool due = doubtful ? doubt_due(r, now)
                         : !r->probes_lost && now - fmax(r->reached_at, r->probe_at) >= period;
     if (due) probe(w, r, r->m->addr, now);
@@ -114,7 +114,7 @@
 static void ask_a_few(struct tmx_workers *w, struct tmx_reach *reach, double now) {
   struct worker *r, *t;
   HASH_ITER(hh, w->all, r, t) {
-    if (!r->m || !r->m->known) continue;
+    if (!r->m || !r->m->registered) continue;
     if (reach->owned >= TMX_REACH_LEAST) return;
     reach->owned++;
     reach->reached += now - r->reached_at < 3;
@@ -158,14 +158,14 @@
   double heard_s = c->set.report_s * 1.25 + TMX_REPORT_LATE_S;
   struct tmx_reach reach = {.report_age = w->report_at ? now - w->report_at : 1e9};
   unsigned unreported = 0; /* two reports are missing: it may reach no controller */
-  struct tmx_machine *m, *t;
+  struct tmx_machine *machine, *t;
   memset(w->zones, 0, sizeof w->zones);
-  HASH_ITER(hh, c->rep.machines, m, t) {
-    if (!m->known) continue;
-    bool mine = member && m->owner == self && self >= 0, usable;
-    struct worker *r = m->worker;
+  HASH_ITER(hh, c->rep.machines, machine, t) {
+    if (!machine->registered) continue;
+    bool mine = member && machine->owner == self && self >= 0, usable;
+    struct worker *r = machine->worker;
     if (mine && !r) {
-      r = tmx_worker_make(w, m->id);
+      r = tmx_worker_make(w, machine->id);
       if (!r) continue;
     }
     if (mine) {
@@ -179,11 +179,11 @@
                sign_age(r, now) < heard_s;
     } else {
       struct tmx_suspect s;
-      usable = !tmx_workers_suspect(w, m, &s);
+      usable = !tmx_workers_suspect(w, machine, &s);
     }
-    if (usable != m->usable) {
-      m->usable = usable;
-      tmx_rounds_machine(c->rounds, m);
+    if (usable != machine->usable) {
+      machine->usable = usable;
+      tmx_rounds_machine(c->rounds, machine);
       if (usable) tmx_rounds_kick(c);
     }
   }
@@ -233,7 +233,7 @@
   struct worker *r, *t;
   HASH_ITER(hh, w->all, r, t) {
     struct tmx_suspect s;
-    if (r->owned && r->m && r->m->known && suspect(r, now, heard_s, &s)) f(arg, &s);
+    if (r->owned && r->m && r->m->registered && suspect(r, now, heard_s, &s)) f(arg, &s);
   }
 }
 
@@ -252,14 +252,14 @@
   snprintf(r->said_by, sizeof r->said_by, "%s", node);
 }
 
-bool tmx_workers_suspect(const struct tmx_workers *w, const struct tmx_machine *m,
+bool tmx_workers_suspect(const struct tmx_workers *w, const struct tmx_machine *machine,
                          struct tmx_suspect *out) {
-  const struct worker *r = m->worker;
+  const struct worker *r = machine->worker;
   double now = tmx_clock_steady();
-  if (!r || m->owner < 0) return false;
-  if (m->owner == tmx_ctl_self(w->c))
+  if (!r || machine->owner < 0) return false;
+  if (machine->owner == tmx_ctl_self(w->c))
     return suspect(r, now, w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S, out);
-  const char *owner = w->c->rep.view.members[m->owner].name;
+  const char *owner = w->c->rep.view.members[machine->owner].name;
   /* In its latest heartbeat, or not at all, and by the view that stands: a controller that was cut
    * off still tells of what it owned before, none of which it could reach. */
   if (!r->said_at || r->said_term < w->c->rep.view.term || strcmp(r->said_by, owner) ||
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -124,8 +124,8 @@
 
 static bool own(struct tmx_workers *w, const struct worker *r) {
   if (!tmx_store_is_member(w->c->link)) return false;
-  if (r->m && r->m->known) return r->m->owner >= 0 && r->m->owner == tmx_ctl_self(w->c);
-  const char *o = tmx_owner_of(&w->c->rep, r->id);
+  if (r->m && r->m->registered) return r->m->owner >= 0 && r->m->owner == tmx_ctl_self(w->c);
+  const char *o = tmx_machine_owner(&w->c->rep, r->id);
   return o && !strcmp(o, w->c->set.node);
 }
 
@@ -210,42 +210,44 @@
 
 /* Compares the latest report with the log: each is marked with what the other says. */
 static void resolve(struct worker *r) {
-  const struct tmx_replica *rep = &r->w->c->rep;
-  if (!r->m || (r->resolved_report == r->report && r->resolved_changes == r->m->changes)) return;
+  const struct tmx_replica *replica = &r->w->c->rep;
+  if (!r->m || (r->resolved_report == r->report && r->resolved_changes == r->m->change_count))
+    return;
   r->resolved_report = r->report;
-  r->resolved_changes = r->m->changes;
+  r->resolved_changes = r->m->change_count;
   for (size_t i = 0; i < r->n_loads; i++) {
     struct load *l = &r->loads[i];
-    struct tmx_job *j = tmx_job_find(rep, l->job);
+    struct tmx_job *job = tmx_job_find(replica, l->job);
     l->current = false;
-    if (!j || !j->tasks || l->task >= j->spec.tasks) continue;
-    struct tmx_task *t = &j->tasks[l->task];
-    if (t->state != TMX_PLACED || t->attempt != l->attempt || t->machine != r->m) continue;
+    if (!job || !job->tasks || l->task >= job->spec.tasks) continue;
+    struct tmx_task *task = &job->tasks[l->task];
+    if (task->state != TMX_TASK_PLACED || task->attempt != l->attempt || task->machine != r->m)
+      continue;
     l->current = true;
-    t->report = r->report;
-    t->report_state = l->state;
-    t->report_how = l->how;
+    task->reported_in = r->report;
+    task->reported_state = l->state;
+    task->reported_end = l->how;
   }
 }
-static bool reported(const struct worker *r, const struct tmx_task *t) {
-  return t->report == r->report;
+static bool reported(const struct worker *r, const struct tmx_task *task) {
+  return task->reported_in == r->report;
 }
 
 /* What the report of a registered machine tells that is worth a round. */
 static void note_report(struct tmx_workers *w, struct worker *r) {
   resolve(r);
-  for (struct tmx_task *t = r->m->tasks; t; t = t->next) {
-    bool listed = reported(r, t), leaving = t->stop || t->job->fin;
-    if (listed && t->report_state == LD_RUNNING && !t->seen_at) {
-      t->seen_at = (float)tmx_clock_steady();
+  for (struct tmx_task *task = r->m->tasks; task; task = task->next) {
+    bool listed = reported(r, task), leaving = task->stop_mode || task->job->outcome;
+    if (listed && task->reported_state == LD_RUNNING && !task->running_since) {
+      task->running_since = (float)tmx_clock_steady();
       if (tmx_log_enabled(TMX_LOG_DEBUG))
-        tmx_log(TMX_LOG_DEBUG, "task: %s/%u %u runs on %s, image %s, placed %.2f s ago", t->job->id,
-                tmx_task_index(t), t->attempt, r->id, t->job->spec.image,
-                tmx_clock_steady() - t->placed_at);
+        tmx_log(TMX_LOG_DEBUG, "task: %s/%u %u runs on %s, image %s, placed %.2f s ago",
+                task->job->id, tmx_task_index(task), task->attempt, r->id, task->job->spec.image,
+                tmx_clock_steady() - task->placed_at);
     }
-    if (!(listed && t->report_state == LD_EXITED) && !leaving) continue;
+    if (!(listed && task->reported_state == LD_EXITED) && !leaving) continue;
     may_end(r);
-    if (listed && t->report_state == LD_EXITED && t->stop)
+    if (listed && task->reported_state == LD_EXITED && task->stop_mode)
       tmx_rounds_kick(w->c); /* somebody waits for this room */
     else
       tmx_rounds_kick_in(w->c, TMX_ENDS_DELAY_S);
@@ -286,7 +288,7 @@
   tmx_cbor_get_u64(map, W_TOKEN, &seen);
   tmx_cbor_get_number(map, W_NOTICE, &notice);
   *in_session = session;
-  if (tmx_machine_gone(&w->c->rep, f.id)) return true; /* a late copy */
+  if (tmx_machine_was_removed(&w->c->rep, f.id)) return true; /* a late copy */
   struct worker *r = tmx_worker_make(w, f.id);
   if (!r) return false;
   /* late copies of older reports say nothing new */
@@ -330,7 +332,7 @@
   r->n_loads = n;
   if (!++w->reports) w->reports = 1;
   r->report = w->reports;
-  if (!r->m || !r->m->known) {
+  if (!r->m || !r->m->registered) {
     w->unknown_at = now;
     tmx_rounds_kick(w->c);
   } else
@@ -352,18 +354,20 @@
 /* Appends orders; returns their number. Stops alone may go at any time, and more than once. */
 static size_t orders(struct worker *r, struct tmx_buffer *buffer, bool stops_only, bool *starts) {
   bool may_start = tmx_ctl_may_start(r->w->c);
-  struct tmx_machine *m = r->m;
+  struct tmx_machine *machine = r->m;
   size_t n = 0;
   *starts = false;
-  if (!m || !m->known) return 0;
+  if (!machine || !machine->registered) return 0;
   resolve(r);
   /* stops first: they make the room that starts need */
-  for (struct tmx_task *t = m->tasks; t && n < TMX_ORDERS_MAX; t = t->next) {
-    if (!reported(r, t) || t->report_state == LD_EXITED || (!t->stop && !t->job->fin)) continue;
-    bool save = t->stop == 2 && !t->job->fin;
-    if (save && t->report_state == LD_SAVING) continue;
-    w_order(buffer, WV_STOP, t->job->id, tmx_task_index(t), t->attempt,
-            save ? t->job->spec.save_s + 1.0 : 0.0);
+  for (struct tmx_task *task = machine->tasks; task && n < TMX_ORDERS_MAX; task = task->next) {
+    if (!reported(r, task) || task->reported_state == LD_EXITED ||
+        (!task->stop_mode && !task->job->outcome))
+      continue;
+    bool save = task->stop_mode == 2 && !task->job->outcome;
+    if (save && task->reported_state == LD_SAVING) continue;
+    w_order(buffer, WV_STOP, task->job->id, tmx_task_index(task), task->attempt,
+            save ? task->job->spec.checkpoint_save_s + 1.0 : 0.0);
     n++;
   }
   for (size_t i = 0; i < r->n_loads && n < TMX_ORDERS_MAX; i++) {
@@ -376,9 +380,9 @@
     n++;
   }
   if (stops_only || !may_start) return n;
-  for (struct tmx_task *t = m->tasks; t && n < TMX_ORDERS_MAX; t = t->next) {
-    if (t->stop || t->job->fin || reported(r, t)) continue;
-    w_order(buffer, WV_START, t->job->id, tmx_task_index(t), t->attempt, -1);
+  for (struct tmx_task *task = machine->tasks; task && n < TMX_ORDERS_MAX; task = task->next) {
+    if (task->stop_mode || task->job->outcome || reported(r, task)) continue;
+    w_order(buffer, WV_START, task->job->id, tmx_task_index(task), task->attempt, -1);
     *starts = true;
     n++;
   }
@@ -462,21 +466,21 @@
   tmx_buffer_free(&buffer);
 }
 
-void tmx_workers_changed(struct tmx_workers *w, struct tmx_machine *m) {
-  struct worker *r = m->worker;
+void tmx_workers_changed(struct tmx_workers *w, struct tmx_machine *machine) {
+  struct worker *r = machine->worker;
   if (!r) {
-    r = m->worker = find(w, m->id);
+    r = machine->worker = find(w, machine->id);
     if (!r) return;
-    r->m = m;
+    r->m = machine;
   }
   r->dirty = true;
   may_end(r);
   queue(r);
 }
 
-void tmx_workers_gone(struct tmx_workers *w, struct tmx_machine *m) {
-  struct worker *r = m->worker ? m->worker : find(w, m->id);
-  m->worker = NULL;
+void tmx_workers_gone(struct tmx_workers *w, struct tmx_machine *machine) {
+  struct worker *r = machine->worker ? machine->worker : find(w, machine->id);
+  machine->worker = NULL;
   if (!r) return;
   r->m = NULL;
   worker_free(w, r);
@@ -541,8 +545,10 @@
  * cancellation. */
 static bool starts_in_doubt(const struct worker *r, double now) {
   const struct tmx_settings *s = &r->w->c->set;
-  for (const struct tmx_task *t = r->m ? r->m->tasks : NULL; t; t = t->next)
-    if (t->job->fin && !reported(r, t) && now - t->job->fin_after > tmx_fresh_bound(s)) return true;
+  for (const struct tmx_task *task = r->m ? r->m->tasks : NULL; task; task = task->next)
+    if (task->job->outcome && !reported(r, task) &&
+        now - task->job->outcome_after > tmx_fresh_bound(s))
+      return true;
   return false;
 }
 
@@ -580,8 +586,8 @@
   size_t n = 0;
   for (size_t i = 0; i < r->n_loads && n < TMX_ORDERS_MAX; i++) {
     const struct load *l = &r->loads[i];
-    const struct tmx_job *j = tmx_job_find(&w->c->rep, l->job);
-    if (l->state == LD_EXITED || !j || !j->fin) continue;
+    const struct tmx_job *job = tmx_job_find(&w->c->rep, l->job);
+    if (l->state == LD_EXITED || !job || !job->outcome) continue;
     w_order(&commands, WV_STOP, l->job, l->task, l->attempt, 0.0);
     n++;
   }
@@ -616,7 +622,7 @@
     return;
   }
   if (!tmx_worker_own(w, r)) {
-    const char *owner = tmx_owner_of(&c->rep, r->id);
+    const char *owner = tmx_machine_owner(&c->rep, r->id);
     if (owner && !strcmp(owner, c->set.node)) owner = NULL; /* this run is not in the view yet */
     if (owner && latest && keeps_for_owner(w, r, owner, now)) {
       answer_for_owner(w, r, request);
@@ -661,7 +667,7 @@
 
 /* ------------------------------------------------------------ for the rounds */
 
-size_t tmx_workers_ends(struct tmx_workers *w, struct tmx_op *ops, size_t max) {
+size_t tmx_workers_ends(struct tmx_workers *w, struct tmx_operation *ops, size_t max) {
   size_t n = 0, left = 0;
   for (size_t i = 0; i < w->n_ending; i++) {
     struct worker *r = w->ending[i];
@@ -670,29 +676,29 @@
       w->ending[left++] = r;
       continue;
     }
-    if (!r->m || !r->m->known || !r->m->tasks || !r->session || !tmx_worker_own(w, r)) {
+    if (!r->m || !r->m->registered || !r->m->tasks || !r->session || !tmx_worker_own(w, r)) {
       r->may_end = false; /* set again by whatever changes this */
       continue;
     }
     resolve(r);
     bool later = false;
-    for (struct tmx_task *t = r->m->tasks; t && n < max; t = t->next) {
+    for (struct tmx_task *task = r->m->tasks; task && n < max; task = task->next) {
       char how = 0;
-      bool listed = reported(r, t), leaving = t->stop || t->job->fin;
+      bool listed = reported(r, task), leaving = task->stop_mode || task->job->outcome;
       later |= leaving;
-      if (listed && t->report_state == LD_EXITED && end_counts(r, t->report_how))
-        how = t->report_how;
+      if (listed && task->reported_state == LD_EXITED && end_counts(r, task->reported_end))
+        how = task->reported_end;
       else if (!listed && leaving && absence_counts(r))
         how = TMX_END_STOPPED;
       if (!how) continue;
       later = true;
-      struct tmx_op *o = &ops[n++];
-      memset(o, 0, sizeof *o);
-      o->op = TMX_OP_END;
-      o->task = tmx_task_index(t);
-      o->attempt = t->attempt;
-      o->how = how;
-      snprintf(o->job, sizeof o->job, "%s", t->job->id);
+      struct tmx_operation *operation = &ops[n++];
+      memset(operation, 0, sizeof *operation);
+      operation->kind = TMX_OPERATION_END;
+      operation->task = tmx_task_index(task);
+      operation->attempt = task->attempt;
+      operation->reason = how;
+      snprintf(operation->job, sizeof operation->job, "%s", task->job->id);
     }
     r->may_end = later;
     if (later) w->ending[left++] = r;
@@ -710,7 +716,7 @@
   if (!w->unknown_at || now - w->unknown_at > 2 * w->c->set.report_s) return 0;
   HASH_ITER(hh, w->all, r, tmp) {
     if (n == max) break;
-    if ((r->m && r->m->known) || !r->session || !r->heard_at) continue;
+    if ((r->m && r->m->registered) || !r->session || !r->heard_at) continue;
     if (now - r->heard_at > 2 * w->c->set.report_s || !tmx_worker_own(w, r)) continue;
     if (!tmx_worker_hears(r)) continue;
     out[n++] = r->facts;
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -55,16 +55,16 @@
   struct tmx_buffer list = {0};
   char key[64];
   tmx_cbor_put_text(&list, line);
-  snprintf(key, sizeof key, TMX_K_BATCH "h/%zu", h->n_entries);
-  tmx_lines_encode(&append(h, key)->value, NULL, 0, &list, 1);
+  snprintf(key, sizeof key, TMX_KEY_BATCH "h/%zu", h->n_entries);
+  tmx_log_value_encode(&append(h, key)->value, NULL, 0, &list, 1);
   tmx_buffer_free(&list);
   committed(h);
 }
 
 /* ------------------------------------------------------------ steps */
 
-static struct tmx_spec make_spec(uint32_t step) {
-  struct tmx_spec spec = {.cpus = 1 + step % 4, .mem = 1, .priority = TMX_PRIO_NORMAL};
+static struct tmx_job_spec make_spec(uint32_t step) {
+  struct tmx_job_spec spec = {.cpus = 1 + step % 4, .mem_gb = 1, .priority = TMX_PRIORITY_NORMAL};
   uint32_t class_number = step / 7 % CLASSES;
   spec.tasks = step % 11 ? 1 + step / 13 % 12 : 1 + step % 3000;
   spec.estimate_s = step / 17 % 60;
@@ -86,7 +86,7 @@
   return own->backlog_s * pow(own->reserve, 3) / TEAMS / parties / TMX_HASHED_ACCOUNTS;
 }
 
-static void judge(struct history *h, const struct tmx_spec *spec, const char *id) {
+static void judge(struct history *h, const struct tmx_job_spec *spec, const char *id) {
   struct tmx_candidate x = {.team = tmx_team_index(&h->settings, spec->team),
                             .account = tmx_backlog_account(&h->live.backlog, spec->class),
                             .load = tmx_load_of(spec, spec->tasks)};
@@ -103,8 +103,8 @@
   }
   if (newcomer) h->allowance += charge;
   char key[64];
-  snprintf(key, sizeof key, TMX_K_JOB "%s", id);
-  tmx_job_encode(&append(h, key)->value, id, spec, 100, TMX_OPEN);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
+  tmx_job_encode(&append(h, key)->value, id, spec, 100, TMX_JOB_OPEN);
   committed(h);
   h->n_jobs++;
   double limit = h->settings.op.admission.backlog_s + h->allowance;
@@ -120,28 +120,29 @@
 
 static void move_task(struct history *h, struct tmx_job *job, uint32_t step) {
   char line[TMX_LINE_MAX];
-  if (!job || job->fin || !job->tasks) return;
+  if (!job || job->outcome || !job->tasks) return;
   uint32_t index = step / 3 % job->spec.tasks;
   const struct tmx_task *task = &job->tasks[index];
-  struct tmx_op op = {.op = TMX_OP_PLACE, .task = index, .attempt = task->attempt + 1};
+  struct tmx_operation op = {
+      .kind = TMX_OPERATION_PLACE, .task = index, .attempt = task->attempt + 1};
   if (task->state == TMX_TASK_DONE) return;
-  if (task->state == TMX_PLACED) {
-    op.op = TMX_OP_END;
+  if (task->state == TMX_TASK_PLACED) {
+    op.kind = TMX_OPERATION_END;
     op.attempt = task->attempt;
-    op.how = step % 5 && !job->spec.service ? TMX_END_DONE : TMX_END_LOST;
+    op.reason = step % 5 && !job->spec.service ? TMX_END_DONE : TMX_END_LOST;
   }
-  if (op.how == TMX_END_DONE && job->n_done + 1 == job->spec.tasks) return;
+  if (op.reason == TMX_END_DONE && job->n_done + 1 == job->spec.tasks) return;
   memcpy(op.job, job->id, sizeof op.job);
   strcpy(op.machine, "n-1");
-  tmx_op_print(line, sizeof line, &op);
+  tmx_operation_print(line, sizeof line, &op);
   commit_line(h, line);
 }
 
 static void cancel(struct history *h, struct tmx_job *job) {
   char key[64];
-  if (!job || job->fin) return;
-  snprintf(key, sizeof key, TMX_K_JOB "%s", job->id);
-  tmx_job_encode_final(&append(h, key)->value, job, TMX_FIN_CANCELLED, 0, 4000);
+  if (!job || job->outcome) return;
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", job->id);
+  tmx_job_encode_final(&append(h, key)->value, job, TMX_JOB_CANCELLED, 0, 4000);
   committed(h);
 }
 
@@ -150,7 +151,7 @@
   uint32_t kind = step % 16, rest = step / 16;
   if (h->n_entries + 1 >= ENTRIES_MAX) return;
   if (kind < 9 && h->n_jobs < JOBS_MAX) {
-    struct tmx_spec spec = make_spec(rest);
+    struct tmx_job_spec spec = make_spec(rest);
     snprintf(id, sizeof id, "wk-%06u", h->n_jobs);
     judge(h, &spec, id);
   } else if (kind < 15) {
@@ -175,7 +176,7 @@
 
 /* Reads the latest value of every key, in the order of a load; ends as of that revision. */
 static void load(const struct history *h, struct copy *copy, size_t n) {
-  struct tmx_item *items = calloc(n + 1, sizeof *items);
+  struct tmx_store_entry *items = calloc(n + 1, sizeof *items);
   cbor_item_t **values = calloc(n + 1, sizeof(cbor_item_t *));
   size_t n_items = 0;
   if (!items || !values) abort();
@@ -185,13 +186,13 @@
       latest = strcmp(h->entries[i].key, h->entries[k].key) != 0;
     if (!latest) continue;
     values[n_items] = tmx_cbor_parse(h->entries[i].value.data, h->entries[i].value.length);
-    items[n_items] = (struct tmx_item){(char *)h->entries[i].key, i + 1, values[n_items]};
+    items[n_items] = (struct tmx_store_entry){(char *)h->entries[i].key, i + 1, values[n_items]};
     n_items++;
   }
   open_copy(copy, &h->settings);
-  copy->replica.load_until = n;
+  copy->replica.load_revision = n;
   tmx_replica_load(&copy->replica, items, n_items);
-  tmx_replica_reached(&copy->replica, n);
+  tmx_replica_advance_to(&copy->replica, n);
   for (size_t i = 0; i < n_items; i++) tmx_cbor_free(values[i]);
   free(items);
   free(values);
@@ -212,22 +213,22 @@
   tmx_machine_print(line, sizeof line, &h->live.replica, machine);
   add_page_line(&list, &n, line);
   HASH_ITER(hh, h->live.replica.jobs, job, next) {
-    if (job->fin) continue;
-    tmx_job_encode(&jobs, job->id, &job->spec, job->submitted, TMX_OPEN);
+    if (job->outcome) continue;
+    tmx_job_encode(&jobs, job->id, &job->spec, job->submitted_at, TMX_JOB_OPEN);
     n_jobs++;
     for (uint32_t at = 0; at < job->spec.tasks;) {
       int len;
-      at += tmx_run_print(line, sizeof line, job, at, &len);
+      at += tmx_task_run_print(line, sizeof line, job, at, &len);
       if (len) add_page_line(&list, &n, line);
     }
   }
-  tmx_lines_encode(&page, &jobs, n_jobs, &list, n);
+  tmx_log_value_encode(&page, &jobs, n_jobs, &list, n);
   cbor_item_t *value = tmx_cbor_parse(page.data, page.length);
-  struct tmx_item item = {TMX_K_PAGE "0000000000000000/00000", 1, value};
+  struct tmx_store_entry item = {TMX_KEY_PAGE "0000000000000000/00000", 1, value};
   open_copy(copy, &h->settings);
-  copy->replica.load_until = 1;
+  copy->replica.load_revision = 1;
   tmx_replica_load(&copy->replica, &item, 1);
-  tmx_replica_reached(&copy->replica, 1);
+  tmx_replica_advance_to(&copy->replica, 1);
   tmx_cbor_free(value);
   tmx_buffer_free(&jobs);
   tmx_buffer_free(&list);
@@ -251,7 +252,7 @@
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
   h->rates = tmx_admission_rates(s, &machines, &machines);
   open_copy(&h->live, s);
-  tmx_replica_reached(&h->live.replica, 0);
+  tmx_replica_advance_to(&h->live.replica, 0);
   commit_line(h, "m n-1 127.0.0.1:1 big a 0 0");
 }
 
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -79,22 +79,22 @@
 
 /* ------------------------------------------------------------ history of commits */
 
-static void on_op(void *arg, const struct tmx_op *op) {
+static void on_op(void *arg, const struct tmx_operation *op) {
   char task[TMX_LINE_MAX];
   (void)arg;
-  if (op->op != TMX_OP_PLACE) return;
+  if (op->kind != TMX_OPERATION_PLACE) return;
   snprintf(task, sizeof task, "%s/%u", op->job, op->task);
   history_placed(task, op->attempt, op->machine);
 }
 
 static void on_written(const char *key, const uint8_t *value, size_t len) {
   char line[TMX_LINE_MAX];
-  if (strncmp(key, TMX_K_BATCH, strlen(TMX_K_BATCH))) return;
+  if (strncmp(key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) return;
   cbor_item_t *map = tmx_cbor_parse(value, len);
   const cbor_item_t *ops = tmx_cbor_get(map, "ops");
   for (size_t i = 0; i < tmx_cbor_list_length(ops); i++)
     if (tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line))
-      tmx_ops_each(line, on_op, NULL);
+      tmx_log_line_each_operation(line, on_op, NULL);
   tmx_cbor_free(map);
 }
 
--- a/tests/fake_state.c
+++ b/tests/fake_state.c
@@ -63,14 +63,14 @@
 }
 
 static void w_entry(struct tmx_buffer *buffer, const char *name, const char *key, const uint8_t *v,
-                    size_t len, uint64_t stamp) {
+                    size_t len, uint64_t version) {
   tmx_cbor_put_map(buffer, v ? 3 : 2);
   tmx_cbor_put_text_field(buffer, name, key);
   if (v) {
     tmx_cbor_put_text(buffer, W_VALUE);
     tmx_buffer_append(buffer, v, len);
   }
-  tmx_cbor_put_u64_field(buffer, W_VERSION, stamp);
+  tmx_cbor_put_u64_field(buffer, W_VERSION, version);
 }
 
 static void serve_watches(void) {
@@ -418,7 +418,7 @@
 static void each_line(void (*f)(void *arg, const char *line), void *arg) {
   char s[TMX_LINE_MAX];
   for (size_t i = 0; i < state.n_e; i++) {
-    if (strncmp(state.e[i].key, TMX_K_BATCH, strlen(TMX_K_BATCH))) continue;
+    if (strncmp(state.e[i].key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) continue;
     cbor_item_t *map = tmx_cbor_parse(state.e[i].value, state.e[i].len);
     const cbor_item_t *ops = tmx_cbor_get(map, "ops");
     for (size_t k = 0; k < tmx_cbor_list_length(ops); k++)
@@ -431,16 +431,16 @@
   const char *line;
   bool found;
 };
-static void look_for(void *arg, const struct tmx_op *o) {
+static void look_for(void *arg, const struct tmx_operation *operation) {
   struct wanted *w = arg;
   char line[TMX_LINE_MAX];
-  tmx_op_print(line, sizeof line, o);
+  tmx_operation_print(line, sizeof line, operation);
   w->found |= !strcmp(line, w->line);
 }
 static void look_in(void *arg, const char *line) {
   struct wanted *w = arg;
   w->found |= !strcmp(line, w->line);
-  tmx_ops_each(line, look_for, w); /* operations of one job may share a line */
+  tmx_log_line_each_operation(line, look_for, w); /* operations of one job may share a line */
 }
 bool fake_logged(const char *line) {
   struct wanted w = {.line = line};
@@ -448,11 +448,13 @@
   return w.found;
 }
 
-static void count_placed(void *arg, const struct tmx_op *o) {
+static void count_placed(void *arg, const struct tmx_operation *operation) {
   unsigned *n = arg;
-  *n += o->op == TMX_OP_PLACE ? 1 : o->op == TMX_OP_END ? -1 : 0;
+  *n += operation->kind == TMX_OPERATION_PLACE ? 1 : operation->kind == TMX_OPERATION_END ? -1 : 0;
+}
+static void count_in(void *arg, const char *line) {
+  tmx_log_line_each_operation(line, count_placed, arg);
 }
-static void count_in(void *arg, const char *line) { tmx_ops_each(line, count_placed, arg); }
 unsigned fake_placed(void) {
   unsigned n = 0;
   each_line(count_in, &n);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -64,7 +64,7 @@
 
 static void absurd_numbers_do_not_overflow(void **st) {
   (void)st;
-  struct tmx_spec huge = {.cpus = 1e300, .gpus = 1e308, .mem = 1e308, .estimate_s = 1e308};
+  struct tmx_job_spec huge = {.cpus = 1e300, .gpus = 1e308, .mem_gb = 1e308, .estimate_s = 1e308};
   struct tmx_load sum = {{0}};
   huge.tasks = TMX_TASKS_MAX;
   struct tmx_load one = tmx_load_of(&huge, huge.tasks);
@@ -95,7 +95,7 @@
 
 static struct tmx_candidate candidate(const struct tmx_backlog *b, int team, const char *class_name,
                                       uint32_t tasks) {
-  struct tmx_spec spec = {.cpus = 1, .mem = 1, .estimate_s = 10, .tasks = tasks};
+  struct tmx_job_spec spec = {.cpus = 1, .mem_gb = 1, .estimate_s = 10, .tasks = tasks};
   return (struct tmx_candidate){.team = team,
                                 .account = tmx_backlog_account(b, class_name),
                                 .load = tmx_load_of(&spec, tasks)};
@@ -451,9 +451,9 @@
   a = NULL;
   pump_for(8);
   assert_int_equal(submit_some(b, "t", "c"), 503);
-  tmx_fold_above(b->fold, 0);
+  tmx_compaction_set_threshold(b->fold, 0);
   pump_for(5);
-  tmx_fold_above(b->fold, 1000);
+  tmx_compaction_set_threshold(b->fold, 1000);
   assert_int_equal(submit_some(b, "t", "c"), 503);
   controller_end(b);
   b = NULL;
@@ -545,9 +545,9 @@
   j->spec = calloc(1, sizeof *j->spec);
   j->spec->tasks = flooder ? 1 : 30;
   j->spec->cpus = 1;
-  j->spec->mem = 1;
-  j->spec->patience_s = 10;
-  j->spec->priority = j->priority = TMX_PRIO_NORMAL;
+  j->spec->mem_gb = 1;
+  j->spec->fetch_tolerance_s = 10;
+  j->spec->priority = j->priority = TMX_PRIORITY_NORMAL;
   j->account = flooder ? 0 : 1;
   j->zone = -1;
   j->released = released;
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -47,18 +47,19 @@
   return p;
 }
 
-static struct tmx_spec *job(struct paper *p, size_t k, bool service, uint32_t tasks, double cpus) {
+static struct tmx_job_spec *job(struct paper *p, size_t k, bool service, uint32_t tasks,
+                                double cpus) {
   struct tmx_plan_job *j = &p->jobs[k];
-  struct tmx_spec *s = calloc(1, sizeof *s);
+  struct tmx_job_spec *spec = calloc(1, sizeof *spec);
   snprintf(j->id, sizeof j->id, "wk-%06zu", k);
-  s->service = service;
-  s->tasks = tasks;
-  s->cpus = cpus;
-  s->mem = 1;
-  s->patience_s = 10;
-  s->priority = service ? TMX_PRIO_PROD : TMX_PRIO_NORMAL;
+  spec->service = service;
+  spec->tasks = tasks;
+  spec->cpus = cpus;
+  spec->mem_gb = 1;
+  spec->fetch_tolerance_s = 10;
+  spec->priority = service ? TMX_PRIORITY_PROD : TMX_PRIORITY_NORMAL;
   j->slot = (int)k;
-  j->spec = s;
+  j->spec = spec;
   j->zone = -1;
   j->open = true;
   j->released = 95;
@@ -67,7 +68,7 @@
   j->run_s = 50;
   j->waits = calloc(tasks, sizeof *j->waits);
   for (uint32_t i = 0; i < tasks; i++) j->waits[j->n_waits++] = (struct tmx_plan_wait){i, 1};
-  return s;
+  return spec;
 }
 
 static void runs(struct paper *p, size_t m, size_t k, uint32_t task, double since, bool stopping) {
@@ -113,7 +114,7 @@
 
 static void caps(void **st) {
   (void)st;
-  struct tmx_spec s = {.service = true, .tasks = 5};
+  struct tmx_job_spec s = {.service = true, .tasks = 5};
   assert_int_equal(tmx_zone_cap(&s, 2), 3);
   assert_int_equal(tmx_zone_cap(&s, 3), 2);
   assert_int_equal(tmx_zone_cap(&s, 1), 5);
@@ -152,12 +153,13 @@
 static void image_under_way(void **st) {
   (void)st;
   struct tmx_plan_machine m = {.cpus = 16, .mem = 64, .fetch = 1, .n_images = 1};
-  struct tmx_spec s = {.cpus = 2, .mem = 1, .image_gb = 4, .patience_s = 10, .image_id = 1};
+  struct tmx_job_spec s = {
+      .cpus = 2, .mem_gb = 1, .image_gb = 4, .fetch_tolerance_s = 10, .image_id = 1};
   assert_float_equal(tmx_booked_measure(&m, &s, 100), 0.4, 1e-9); /* 4 s of 10 */
   m.images[0].id = 1;
-  m.images[0].since = 99;
+  m.images[0].fetch_started_at = 99;
   assert_float_equal(tmx_booked_measure(&m, &s, 100), 0.3, 1e-9);
-  m.images[0].since = 90;
+  m.images[0].fetch_started_at = 90;
   assert_float_equal(tmx_booked_measure(&m, &s, 100), 0, 1e-9);
 }
 
@@ -215,7 +217,7 @@
   for (uint32_t i = 0; i < 4; i++) runs(in, 0, 1, i, 90.0 - i, false);
   plan(in, &out);
   assert_int_equal(out.n_ops, 1);
-  assert_int_equal(out.ops[0].op, TMX_OP_STOP);
+  assert_int_equal(out.ops[0].kind, TMX_OPERATION_STOP);
   assert_int_equal(out.ops[0].task, 0); /* the least work is lost */
   free(out.ops);
   /* while that one is on its way out nothing more is stopped */
@@ -262,35 +264,35 @@
       in->machines[i].owner = (int)gsl_rng_uniform_int(g, 3);
     }
     for (size_t k = 0; k < n_j; k++) {
-      struct tmx_spec *s =
+      struct tmx_job_spec *spec =
           job(in, k, gsl_rng_uniform_int(g, 2), 1 + (uint32_t)gsl_rng_uniform_int(g, 9),
               1 + (double)gsl_rng_uniform_int(g, 4));
-      s->spread = gsl_rng_uniform_int(g, 2);
-      s->one_zone = gsl_rng_uniform_int(g, 4) == 0;
-      s->spot = !s->service && gsl_rng_uniform_int(g, 2);
+      spec->spread = gsl_rng_uniform_int(g, 2);
+      spec->same_zone = gsl_rng_uniform_int(g, 4) == 0;
+      spec->spot_allowed = !spec->service && gsl_rng_uniform_int(g, 2);
       in->jobs[k].planner = (int)gsl_rng_uniform_int(g, 3);
     }
     plan(in, &out);
     double total = 0;
     for (size_t k = 0; k < n_j; k++) {
-      const struct tmx_spec *s = in->jobs[k].spec;
+      const struct tmx_job_spec *spec = in->jobs[k].spec;
       uint32_t in_zone[3] = {0}, on[16] = {0};
       for (size_t o = 0; o < out.n_ops; o++) {
         if (strcmp(out.ops[o].job, in->jobs[k].id)) continue;
         size_t m = (size_t)atoi(out.ops[o].machine + 2);
-        used[m] += s->cpus;
-        total += s->cpus;
+        used[m] += spec->cpus;
+        total += spec->cpus;
         in_zone[in->machines[m].zone]++;
         on[m]++;
-        assert_true(s->spot || !in->machines[m].spot);
+        assert_true(spec->spot_allowed || !in->machines[m].spot);
       }
       uint32_t zones_used = 0;
       for (size_t z = 0; z < zones; z++) {
-        assert_true(in_zone[z] <= tmx_zone_cap(s, zones));
+        assert_true(in_zone[z] <= tmx_zone_cap(spec, zones));
         zones_used += in_zone[z] > 0;
       }
-      if (s->one_zone) assert_true(zones_used <= 1);
-      if (s->service && n_m >= s->tasks + 12)
+      if (spec->same_zone) assert_true(zones_used <= 1);
+      if (spec->service && n_m >= spec->tasks + 12)
         for (size_t m = 0; m < n_m; m++) assert_true(on[m] <= 1);
     }
     for (size_t m = 0; m < n_m; m++) assert_true(used[m] <= 16 + 1e-6);
@@ -364,9 +366,9 @@
     struct paper *in = paper(64, 16, 1);
     for (size_t m = 0; m < 64; m++) in->machines[m].ucpus = 15;
     for (size_t k = 0; k < 15; k++)
-      job(in, k, service, 2, 2 + 0.1 * (double)k)->mem = 60 - (double)k;
-    struct tmx_spec *s = job(in, 15, service, 2, 1);
-    s->priority--; /* the last */
+      job(in, k, service, 2, 2 + 0.1 * (double)k)->mem_gb = 60 - (double)k;
+    struct tmx_job_spec *spec = job(in, 15, service, 2, 1);
+    spec->priority--; /* the last */
     in->in.max_visits = 600;
     struct tmx_model *md = tell(in);
     struct tmx_plan_output out;
@@ -520,7 +522,7 @@
   (void)st;
   struct tmx_type small = {.name = "small", .cpus = 4, .mem = 16, .price = 0.2, .boot_s = 30};
   struct tmx_type big = {.name = "big", .cpus = 16, .mem = 64, .price = 1.0, .boot_s = 30};
-  struct tmx_spec s = {.service = true, .tasks = 1, .cpus = 2, .mem = 4};
+  struct tmx_job_spec s = {.service = true, .tasks = 1, .cpus = 2, .mem_gb = 4};
   struct tmx_demand d = {&s, 1, -1, 0};
   struct tmx_offer o[2] = {{&small, 0, false, 0.2}, {&big, 0, false, 1.0}};
   struct tmx_hire h[4];
@@ -547,7 +549,7 @@
   for (int k = 0; k < 3; k++) {
     struct paper *p = paper(2, 1, 1);
     p->machines[1].spot = true;
-    job(p, 0, k == 2, 1, 2)->spot = k < 2;
+    job(p, 0, k == 2, 1, 2)->spot_allowed = k < 2;
     p->jobs[0].next_aim_s = 250;
     p->jobs[0].run_s = k ? 150 : 40;
     struct tmx_plan_output out;
