--- a/tests/test_depend.c
+++ b/tests/test_depend.c
@@ -43,9 +43,9 @@
   tmx_buffer_free(buffer);
 }
 
-static struct tmx_spec spec(void) {
-  struct tmx_spec s = {.tasks = 1, .cpus = 2, .mem = 1, .deadline_s = -1, .estimate_s = 10};
-  s.priority = TMX_PRIO_LOW;
+static struct tmx_job_spec spec(void) {
+  struct tmx_job_spec s = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1, .estimate_s = 10};
+  s.priority = TMX_PRIORITY_IDLE;
   strcpy(s.class, "c");
   strcpy(s.team, "t");
   strcpy(s.image, "i");
@@ -54,32 +54,32 @@
 
 static const char *job_key(const char *id) {
   static char key[TMX_KEY_MAX];
-  snprintf(key, sizeof key, TMX_K_JOB "%s", id);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
   return key;
 }
 
 /* A job that names the given ids, set apart by spaces. */
-static void put_spec(const char *id, const struct tmx_spec *s, double submitted,
+static void put_spec(const char *id, const struct tmx_job_spec *spec, double submitted,
                      const char *names) {
-  struct tmx_awaits awaits = {.ids = calloc(8, TMX_ID_MAX)};
+  struct tmx_job_ids awaits = {.ids = calloc(8, TMX_ID_MAX)};
   struct tmx_buffer buffer = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
-  awaits.n = (uint32_t)tmx_line_fields(copy, name, 8);
-  for (uint32_t i = 0; i < awaits.n; i++) snprintf(awaits.ids[i], TMX_ID_MAX, "%s", name[i]);
-  assert_int_equal(tmx_job_encode_open(&buffer, id, s, submitted, &awaits, 2000), awaits.n);
-  tmx_awaits_free(&awaits);
+  awaits.count = (uint32_t)tmx_log_line_split(copy, name, 8);
+  for (uint32_t i = 0; i < awaits.count; i++) snprintf(awaits.ids[i], TMX_ID_MAX, "%s", name[i]);
+  assert_int_equal(tmx_job_encode_open(&buffer, id, spec, submitted, &awaits, 2000), awaits.count);
+  tmx_job_ids_free(&awaits);
   apply(job_key(id), &buffer);
 }
 static void put(const char *id, const char *names) {
-  struct tmx_spec s = spec();
+  struct tmx_job_spec s = spec();
   put_spec(id, &s, 100, names);
 }
 
 static struct tmx_job *job(const char *id) {
-  struct tmx_job *j = tmx_job_find(&rep, id);
-  assert_non_null(j);
-  return j;
+  struct tmx_job *job = tmx_job_find(&rep, id);
+  assert_non_null(job);
+  return job;
 }
 
 static void end(const char *id, int fin, double at) {
@@ -91,21 +91,21 @@
 static void put_lines(const char *line) {
   struct tmx_buffer buffer = {0}, list = {0};
   tmx_cbor_put_text(&list, line);
-  tmx_lines_encode(&buffer, NULL, 0, &list, 1);
+  tmx_log_value_encode(&buffer, NULL, 0, &list, 1);
   tmx_buffer_free(&list);
-  apply(TMX_K_BATCH "h/1", &buffer);
+  apply(TMX_KEY_BATCH "h/1", &buffer);
 }
 
 static bool placeable(const char *id) {
-  struct tmx_op o = {.op = TMX_OP_PLACE, .attempt = 1};
-  struct tmx_check check;
-  snprintf(o.job, sizeof o.job, "%s", id);
-  strcpy(o.machine, "n-1");
+  struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .attempt = 1};
+  struct tmx_operation_check check;
+  snprintf(operation.job, sizeof operation.job, "%s", id);
+  strcpy(operation.machine, "n-1");
   put_lines("m n-1 127.0.0.1:1 big a 0 0");
-  struct tmx_machine *m = tmx_machine_find(&rep, "n-1");
-  m->size_cpus = m->size_mem = 64;
-  tmx_check_begin(&check, &rep);
-  return tmx_check_op(&check, &o);
+  struct tmx_machine *machine = tmx_machine_find(&rep, "n-1");
+  machine->size_cpus = machine->size_mem_gb = 64;
+  tmx_operation_check_begin(&check, &rep);
+  return tmx_operation_check_apply(&check, &operation);
 }
 
 /* too_early: no line that places a blocked job passes the check, whoever planned it. */
@@ -114,15 +114,15 @@
   put("wk-a", "");
   put("wk-b", "");
   put("wk-c", "wk-a wk-b");
-  assert_true(tmx_job_blocked(job("wk-c")));
-  assert_true(rep.asked == 4); /* of a and b: c asks for nothing yet */
+  assert_true(tmx_job_is_blocked(job("wk-c")));
+  assert_true(rep.waiting_cpus == 4); /* of a and b: c asks for nothing yet */
   assert_false(placeable("wk-c"));
-  end("wk-a", TMX_FIN_DONE, 150);
+  end("wk-a", TMX_JOB_DONE, 150);
   assert_false(placeable("wk-c"));
-  end("wk-b", TMX_FIN_DONE, 170);
-  assert_false(tmx_job_blocked(job("wk-c")));
-  assert_true(job("wk-c")->released == 170);
-  assert_true(rep.asked == 2);
+  end("wk-b", TMX_JOB_DONE, 170);
+  assert_false(tmx_job_is_blocked(job("wk-c")));
+  assert_true(job("wk-c")->released_at == 170);
+  assert_true(rep.waiting_cpus == 2);
   assert_true(placeable("wk-c"));
 }
 
@@ -134,28 +134,28 @@
   put("wk-c", "wk-b");
   put("wk-d", "");
   put("wk-e", "wk-c wk-d");
-  end("wk-a", TMX_FIN_CANCELLED, 0);
+  end("wk-a", TMX_JOB_CANCELLED, 0);
   for (const char **id = (const char *[]){"wk-b", "wk-c", "wk-e", NULL}; *id; id++)
-    assert_int_equal(job(*id)->fin, TMX_FIN_CANCELLED);
-  assert_int_equal(job("wk-d")->fin, TMX_OPEN);
-  assert_true(rep.asked == 2);
-  assert_int_equal(rep.n_unstored, 3);
-  end("wk-b", TMX_FIN_CANCELLED, 0);
-  tmx_replica_tidy_unstored(&rep);
-  assert_int_equal(rep.n_unstored, 2);
-  end("wk-d", TMX_FIN_DONE, 160); /* comes too late for the others */
-  assert_int_equal(job("wk-e")->fin, TMX_FIN_CANCELLED);
+    assert_int_equal(job(*id)->outcome, TMX_JOB_CANCELLED);
+  assert_int_equal(job("wk-d")->outcome, TMX_JOB_OPEN);
+  assert_true(rep.waiting_cpus == 2);
+  assert_int_equal(rep.n_unstored_outcomes, 3);
+  end("wk-b", TMX_JOB_CANCELLED, 0);
+  tmx_replica_prune_unstored(&rep);
+  assert_int_equal(rep.n_unstored_outcomes, 2);
+  end("wk-d", TMX_JOB_DONE, 160); /* comes too late for the others */
+  assert_int_equal(job("wk-e")->outcome, TMX_JOB_CANCELLED);
 }
 
 static void names_a_cancelled_job(void **st) {
   (void)st;
   put("wk-a", "");
   put("wk-b", "");
-  end("wk-a", TMX_FIN_CANCELLED, 0);
+  end("wk-a", TMX_JOB_CANCELLED, 0);
   put("wk-c", "wk-a wk-b");
-  assert_int_equal(job("wk-c")->fin, TMX_FIN_CANCELLED);
+  assert_int_equal(job("wk-c")->outcome, TMX_JOB_CANCELLED);
   put("wk-d", "wk-c");
-  assert_int_equal(job("wk-d")->fin, TMX_FIN_CANCELLED);
+  assert_int_equal(job("wk-d")->outcome, TMX_JOB_CANCELLED);
 }
 
 /* A cancellation at the last end: the job's key lets one of the two win, and all follow it. */
@@ -163,24 +163,24 @@
   (void)st;
   put("wk-a", "");
   put("wk-b", "wk-a");
-  end("wk-a", TMX_FIN_DONE, 150);
-  assert_int_equal(job("wk-b")->fin, TMX_OPEN);
-  assert_false(tmx_job_blocked(job("wk-b")));
+  end("wk-a", TMX_JOB_DONE, 150);
+  assert_int_equal(job("wk-b")->outcome, TMX_JOB_OPEN);
+  assert_false(tmx_job_is_blocked(job("wk-b")));
 }
 
-static void load_all(struct tmx_item *items, size_t n) {
+static void load_all(struct tmx_store_entry *items, size_t n) {
   tmx_replica_clear(&rep);
-  rep.load_until = 100;
+  rep.load_revision = 100;
   tmx_replica_load(&rep, items, n);
-  tmx_replica_reached(&rep, 100);
+  tmx_replica_advance_to(&rep, 100);
   assert_true(rep.loaded);
 }
 
 static cbor_item_t *encoded(const char *id, const char *names, int fin, double ended) {
-  struct tmx_awaits awaits = {.ids = calloc(1, TMX_ID_MAX), .n = names[0] != 0};
-  struct tmx_spec s = spec();
+  struct tmx_job_ids awaits = {.ids = calloc(1, TMX_ID_MAX), .count = names[0] != 0};
+  struct tmx_job_spec s = spec();
   struct tmx_buffer buffer = {0};
-  struct tmx_job j = {.spec = s, .submitted = 100};
+  struct tmx_job j = {.spec = s, .submitted_at = 100};
   snprintf(j.id, sizeof j.id, "%s", id);
   snprintf(awaits.ids[0], TMX_ID_MAX, "%s", names);
   if (fin)
@@ -188,7 +188,7 @@
   else
     tmx_job_encode_open(&buffer, id, &s, 100, &awaits, 2000);
   cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
-  tmx_awaits_free(&awaits);
+  tmx_job_ids_free(&awaits);
   tmx_buffer_free(&buffer);
   return value;
 }
@@ -197,20 +197,20 @@
  * cancellation are the same as on those that saw it happen, the time of the release too. */
 static void derived_again_after_a_load(void **st) {
   (void)st;
-  struct tmx_item items[] = {
-      {TMX_K_JOB "wk-a", 9, encoded("wk-a", "", TMX_FIN_DONE, 180)},
-      {TMX_K_JOB "wk-b", 2, encoded("wk-b", "wk-a", 0, 0)},
-      {TMX_K_JOB "wk-c", 1, encoded("wk-c", "wk-d", 0, 0)},
-      {TMX_K_JOB "wk-d", 3, encoded("wk-d", "wk-e", 0, 0)},
-      {TMX_K_JOB "wk-e", 8, encoded("wk-e", "", TMX_FIN_CANCELLED, 0)},
+  struct tmx_store_entry items[] = {
+      {TMX_KEY_JOB "wk-a", 9, encoded("wk-a", "", TMX_JOB_DONE, 180)},
+      {TMX_KEY_JOB "wk-b", 2, encoded("wk-b", "wk-a", 0, 0)},
+      {TMX_KEY_JOB "wk-c", 1, encoded("wk-c", "wk-d", 0, 0)},
+      {TMX_KEY_JOB "wk-d", 3, encoded("wk-d", "wk-e", 0, 0)},
+      {TMX_KEY_JOB "wk-e", 8, encoded("wk-e", "", TMX_JOB_CANCELLED, 0)},
   };
   size_t n = sizeof items / sizeof items[0];
   load_all(items, n);
-  assert_false(tmx_job_blocked(job("wk-b")));
-  assert_true(job("wk-b")->released == 180);
-  assert_int_equal(job("wk-c")->fin, TMX_FIN_CANCELLED);
-  assert_int_equal(job("wk-d")->fin, TMX_FIN_CANCELLED);
-  assert_int_equal(rep.n_unstored, 2);
+  assert_false(tmx_job_is_blocked(job("wk-b")));
+  assert_true(job("wk-b")->released_at == 180);
+  assert_int_equal(job("wk-c")->outcome, TMX_JOB_CANCELLED);
+  assert_int_equal(job("wk-d")->outcome, TMX_JOB_CANCELLED);
+  assert_int_equal(rep.n_unstored_outcomes, 2);
   for (size_t i = 0; i < n; i++) tmx_cbor_free((cbor_item_t *)items[i].value);
 }
 
@@ -218,8 +218,8 @@
  * that are applied again change nothing. */
 static void names_in_lines(void **st) {
   (void)st;
-  struct tmx_spec s = spec();
-  struct tmx_awaits awaits = {.ids = calloc(400, TMX_ID_MAX), .n = 400};
+  struct tmx_job_spec s = spec();
+  struct tmx_job_ids awaits = {.ids = calloc(400, TMX_ID_MAX), .count = 400};
   struct tmx_buffer buffer = {0};
   char line[TMX_LINE_MAX];
   for (uint32_t i = 0; i < 400; i++) {
@@ -231,48 +231,48 @@
   assert_in_range(at, 50, 399);
   apply(job_key("wk-last"), &buffer);
   uint32_t second = at;
-  tmx_awaits_print(line, sizeof line, "wk-last", &awaits, &second);
-  while (at < awaits.n) {
-    assert_true(tmx_job_blocked(job("wk-last")));
-    assert_null(job("wk-last")->deps.needs);
-    tmx_awaits_print(line, sizeof line, "wk-last", &awaits, &at);
+  tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &second);
+  while (at < awaits.count) {
+    assert_true(tmx_job_is_blocked(job("wk-last")));
+    assert_null(job("wk-last")->dependencies.needs);
+    tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &at);
     assert_true(strlen(line) < TMX_LINE_MAX);
     put_lines(line);
     put_lines(line);
   }
-  assert_int_equal(job("wk-last")->deps.n_unfinished, 400);
+  assert_int_equal(job("wk-last")->dependencies.n_unfinished, 400);
   for (uint32_t i = 0; i < 400; i++) {
-    assert_true(tmx_job_blocked(job("wk-last")));
-    end(awaits.ids[i], TMX_FIN_DONE, 110);
+    assert_true(tmx_job_is_blocked(job("wk-last")));
+    end(awaits.ids[i], TMX_JOB_DONE, 110);
   }
-  assert_false(tmx_job_blocked(job("wk-last")));
-  tmx_awaits_free(&awaits);
+  assert_false(tmx_job_is_blocked(job("wk-last")));
+  tmx_job_ids_free(&awaits);
 }
 
 /* The last job's priority and deadline count for all before it, less the runs in between, and no
  * more once it is gone. */
 static void urgency_of_the_last_job(void **st) {
   (void)st;
-  struct tmx_spec s = spec();
+  struct tmx_job_spec s = spec();
   put("wk-a", "");
   put("wk-b", "wk-a");
-  s.priority = TMX_PRIO_HIGH;
+  s.priority = TMX_PRIORITY_HIGH;
   s.deadline_s = 90;
   put_spec("wk-c", &s, 100, "wk-b");
-  assert_int_equal(job("wk-b")->urgency.priority, TMX_PRIO_HIGH);
-  assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIO_HIGH);
+  assert_int_equal(job("wk-b")->urgency.priority, TMX_PRIORITY_HIGH);
+  assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIORITY_HIGH);
   assert_true(job("wk-c")->urgency.due_at == 190);
   assert_true(job("wk-b")->urgency.due_at == 180);
   assert_true(job("wk-a")->urgency.due_at == 170);
-  s.priority = TMX_PRIO_NORMAL;
+  s.priority = TMX_PRIORITY_NORMAL;
   s.deadline_s = 120;
   put_spec("wk-d", &s, 100, "wk-b");
-  end("wk-c", TMX_FIN_CANCELLED, 0);
-  assert_int_equal(job("wk-b")->urgency.priority, TMX_PRIO_NORMAL);
-  assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIO_NORMAL);
+  end("wk-c", TMX_JOB_CANCELLED, 0);
+  assert_int_equal(job("wk-b")->urgency.priority, TMX_PRIORITY_NORMAL);
+  assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIORITY_NORMAL);
   assert_true(job("wk-a")->urgency.due_at == 200);
-  end("wk-d", TMX_FIN_CANCELLED, 0);
-  assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIO_LOW);
+  end("wk-d", TMX_JOB_CANCELLED, 0);
+  assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIORITY_IDLE);
   assert_true(isinf(job("wk-a")->urgency.due_at));
 }
 
@@ -290,29 +290,29 @@
     snprintf(id, sizeof id, "wk-f%d", i);
     put(id, before);
   }
-  end("wk-c0", TMX_FIN_CANCELLED, 0);
-  assert_int_equal(rep.n_unstored, CHAIN - 1 + FAN);
-  assert_int_equal(job("wk-f4999")->fin, TMX_FIN_CANCELLED);
+  end("wk-c0", TMX_JOB_CANCELLED, 0);
+  assert_int_equal(rep.n_unstored_outcomes, CHAIN - 1 + FAN);
+  assert_int_equal(job("wk-f4999")->outcome, TMX_JOB_CANCELLED);
 }
 
 /* The version in production reads records of 19 entries: those of jobs that await nothing and are
  * awaited by none must have just these. */
 static void form_without_dependencies(void **st) {
   (void)st;
-  struct tmx_spec s = spec();
-  struct tmx_awaits none = {0};
+  struct tmx_job_spec s = spec();
+  struct tmx_job_ids none = {0};
   struct tmx_buffer before = {0}, now = {0};
-  tmx_job_encode(&before, "wk-a", &s, 100, TMX_OPEN);
+  tmx_job_encode(&before, "wk-a", &s, 100, TMX_JOB_OPEN);
   tmx_job_encode_open(&now, "wk-a", &s, 100, &none, 2000);
   assert_int_equal(now.length, before.length);
   assert_memory_equal(now.data, before.data, now.length);
   put("wk-a", "");
   before.length = now.length = 0;
-  tmx_job_encode(&before, "wk-a", &s, 100, TMX_FIN_DONE);
-  tmx_job_encode_final(&now, job("wk-a"), TMX_FIN_DONE, 0, 2000);
+  tmx_job_encode(&before, "wk-a", &s, 100, TMX_JOB_DONE);
+  tmx_job_encode_final(&now, job("wk-a"), TMX_JOB_DONE, 0, 2000);
   assert_int_equal(now.length, before.length);
   assert_memory_equal(now.data, before.data, now.length);
-  assert_false(rep.pipelines);
+  assert_false(rep.dependencies_in_use);
   tmx_buffer_free(&before);
   tmx_buffer_free(&now);
 }
@@ -320,7 +320,7 @@
 /* A job that was accepted under a larger limit must still come to its final state. */
 static void final_state_fits_the_smallest_value(void **st) {
   (void)st;
-  struct tmx_job j = {.spec = spec(), .submitted = 1.7e9 + 0.123456};
+  struct tmx_job j = {.spec = spec(), .submitted_at = 1.7e9 + 0.123456};
   struct tmx_buffer buffer = {0};
   set.value_kb = 1;
   memset(j.id, 'x', sizeof j.id - 1);
@@ -330,13 +330,13 @@
   memset(j.spec.zone, 'z', TMX_NAME_MAX - 1);
   j.spec.n_types = TMX_TYPES_MAX;
   for (size_t i = 0; i < TMX_TYPES_MAX; i++) memset(j.spec.types[i], 'y', TMX_ID_MAX - 1);
-  j.spec.cpus = j.spec.mem = j.spec.image_gb = 1.0 / 3;
-  tmx_job_encode_final(&buffer, &j, TMX_FIN_DONE, 1.7e9 + 0.654321, tmx_value_room(&set));
+  j.spec.cpus = j.spec.mem_gb = j.spec.image_gb = 1.0 / 3;
+  tmx_job_encode_final(&buffer, &j, TMX_JOB_DONE, 1.7e9 + 0.654321, tmx_value_room(&set));
   assert_true(tmx_json_length(&buffer) <= tmx_value_room(&set));
   struct tmx_job_record record;
   cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
   assert_true(tmx_job_decode(value, &record));
-  assert_int_equal(record.fin, TMX_FIN_DONE);
+  assert_int_equal(record.outcome, TMX_JOB_DONE);
   assert_string_equal(record.spec.team, j.spec.team);
   assert_true(record.spec.cpus == j.spec.cpus);
   tmx_cbor_free(value);
@@ -344,34 +344,34 @@
 }
 
 /* Operations of one job that share a line mean what they mean each in a line of its own. */
-static void count_op(void *arg, const struct tmx_op *o) {
+static void count_op(void *arg, const struct tmx_operation *operation) {
   char line[TMX_LINE_MAX], *all = arg;
-  tmx_op_print(line, sizeof line, o);
+  tmx_operation_print(line, sizeof line, operation);
   snprintf(all + strlen(all), 512 - strlen(all), "%s;", line);
 }
 static void lines_of_several_operations(void **st) {
   (void)st;
   char all[512] = "";
-  tmx_ops_each("P wk-1 2 0:n-1 7:n-2", count_op, all);
-  tmx_ops_each("E wk-1 2 d 0 3", count_op, all);
-  tmx_ops_each("e wk-1/4 1 l", count_op, all);
+  tmx_log_line_each_operation("P wk-1 2 0:n-1 7:n-2", count_op, all);
+  tmx_log_line_each_operation("E wk-1 2 d 0 3", count_op, all);
+  tmx_log_line_each_operation("e wk-1/4 1 l", count_op, all);
   assert_string_equal(all, "p wk-1/0 2 n-1;p wk-1/7 2 n-2;e wk-1/0 2 d;e wk-1/3 2 d;e wk-1/4 1 l;");
   all[0] = 0; /* what is malformed tells of nothing */
   static const char *const malformed[] = {
       "P wk-1 2",     "P wk-1 2 0",  "P wk-1 x 0:n-1", "PP wk-1 2 0:n-1",
       "E wk-1 2 d x", "P wk-1 2 0:", "E wk-1 2 d 1:n"};
   for (size_t i = 0; i < sizeof malformed / sizeof *malformed; i++)
-    tmx_ops_each(malformed[i], count_op, all);
+    tmx_log_line_each_operation(malformed[i], count_op, all);
   assert_string_equal(all, "");
-  struct tmx_op o = {.op = TMX_OP_PLACE, .task = 7, .attempt = 2}, other;
-  strcpy(o.job, "wk-1");
-  strcpy(o.machine, "n-2");
-  int n = tmx_group_head_print(all, sizeof all, &o);
-  tmx_group_item_print(all + n, sizeof all - (size_t)n, &o);
+  struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 7, .attempt = 2}, other;
+  strcpy(operation.job, "wk-1");
+  strcpy(operation.machine, "n-2");
+  int n = tmx_operation_group_head_print(all, sizeof all, &operation);
+  tmx_operation_group_item_print(all + n, sizeof all - (size_t)n, &operation);
   assert_string_equal(all, "P wk-1 2 7:n-2");
-  other = o;
+  other = operation;
   other.attempt = 3;
-  assert_false(tmx_op_same_group(&o, &other));
+  assert_false(tmx_operation_same_group(&operation, &other));
 }
 
 int main(void) {
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -48,8 +48,8 @@
 }
 
 static bool registered(const struct tmx_ctl *c, const struct fake_worker *x) {
-  struct tmx_machine *m = tmx_machine_find(&c->rep, x->id);
-  return m && m->known;
+  struct tmx_machine *machine = tmx_machine_find(&c->rep, x->id);
+  return machine && machine->registered;
 }
 static void up(struct fake_worker *x) {
   for (int i = 0; i < 20 && !(registered(a, x) && (!b || registered(b, x))); i++) {
@@ -100,7 +100,7 @@
   up(&w);
   assert_int_equal(submit(a, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_starts(2);
-  bool first = !strcmp(tmx_owner_of(&a->rep, w.id), a->set.node);
+  bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
   struct tmx_ctl *owner = first ? a : b, *other = first ? b : a;
   struct fake_door *door = &state.doors[first ? 0 : 1];
   double lease = a->set.lease_s, cancel = a->set.cancel_s;
@@ -158,7 +158,7 @@
   assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_placed(1);
   wait_command(0);
-  bool first = !strcmp(tmx_owner_of(&a->rep, w.id), a->set.node);
+  bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
   struct tmx_ctl *keeper = first ? b : a;
   assert_string_equal(cancel_job(keeper, "wk-000001").state, WV_CANCELLED);
   double confirmed = tmx_clock_steady();
@@ -226,7 +226,7 @@
     assert_int_equal(submit(a, ids[late], "batch", 1, 2, "t"), 201);
     wait_starts(late + 1);
     char key[64];
-    snprintf(key, sizeof key, TMX_K_JOB "%s", ids[late]);
+    snprintf(key, sizeof key, TMX_KEY_JOB "%s", ids[late]);
     strcpy(late ? d->late_key : d->lose_key, key);
     if (late)
       d->late_next_txn = true;
@@ -364,7 +364,7 @@
   (void)st;
   up(&w);
   struct fake_door *d = &state.doors[0];
-  strcpy(d->late_key, TMX_K_BATCH);
+  strcpy(d->late_key, TMX_KEY_BATCH);
   d->late_next_txn = true;
   assert_int_equal(submit(a, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_starts(2);
@@ -372,7 +372,7 @@
   assert_int_equal(fake_late(d), 409);
   stays_placed(2, 0.3);
   /* ... and so is a cancellation of a job that ended in the meantime */
-  strcpy(d->late_key, TMX_K_JOB "wk-000001");
+  strcpy(d->late_key, TMX_KEY_JOB "wk-000001");
   d->late_next_txn = true;
   assert_int_equal(cancel_job(a, "wk-000001").status, 503);
   worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
@@ -392,7 +392,7 @@
   struct tmx_buffer value = {0};
   tmx_cbor_put_map(&value, 1);
   tmx_cbor_put_text_field(&value, "listen", a->set.listen);
-  fake_put(TMX_K_NODE "hand-0", &value);
+  fake_put(TMX_KEY_MEMBER "hand-0", &value);
   tmx_buffer_free(&value);
   pump_for(0.1);
   assert_true(pump(fake_ready, a));
@@ -412,7 +412,7 @@
   (void)st;
   uint64_t run = tmx_store_incarnation(a->link);
   state.lapsed = state.leases;
-  fake_drop(TMX_K_NODE "hand-0");
+  fake_drop(TMX_KEY_MEMBER "hand-0");
   pump_for(0.3);
   assert_true(pump(fake_ready, a));
   assert_true(tmx_store_incarnation(a->link) > run);
@@ -431,9 +431,9 @@
   worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   worker_report(&w, a);
   wait_placed(1);
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 300 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 300 && !a->rep.compaction_point; i++) pump_for(0.02);
+  assert_true(a->rep.compaction_point > 0);
   restart();
   assert_string_equal(poll_job(a, "wk-000001").state, WV_RUNNING);
   controller_end(a);
@@ -464,7 +464,7 @@
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", next->set.node);
   tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(next->link));
-  fake_put(TMX_K_LEADER, &value);
+  fake_put(TMX_KEY_LEADER, &value);
   tmx_buffer_free(&value);
 }
 
@@ -510,8 +510,8 @@
     done = 0;
     for (int k = 0; k < 10; k++) {
       snprintf(id, sizeof id, "wk-%06d", k);
-      struct tmx_job *j = tmx_job_find(&a->rep, id);
-      done += j && j->fin == TMX_FIN_DONE;
+      struct tmx_job *job = tmx_job_find(&a->rep, id);
+      done += job && job->outcome == TMX_JOB_DONE;
     }
   }
   assert_int_equal(done, 9);
@@ -571,7 +571,7 @@
   }
   lead(next);
   bool drained = false;
-  for (int k = 0; k < 3; k++) assert_false(tmx_machine_find(&next->rep, all[k]->id)->drain);
+  for (int k = 0; k < 3; k++) assert_false(tmx_machine_find(&next->rep, all[k]->id)->draining);
   assert_int_equal(cloud.deletes, 0);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   double since = tmx_clock_steady();
@@ -579,8 +579,8 @@
     for (int k = 0; k < 3; k++) {
       worker_report(all[k], a);
       if (all[k]->status != 200) worker_report(all[k], b);
-      struct tmx_machine *m = tmx_machine_find(&next->rep, all[k]->id);
-      drained |= !m || m->drain;
+      struct tmx_machine *machine = tmx_machine_find(&next->rep, all[k]->id);
+      drained |= !machine || machine->draining;
     }
     pump_for(0.5);
   }
@@ -627,33 +627,33 @@
   up(&w);
   assert_int_equal(submit(a, "wk-000001", "service", 1, 2, "t"), 201);
   wait_starts(1);
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
-  uint64_t mark = a->rep.fold_mark;
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  uint64_t mark = a->rep.compaction_point;
   assert_true(mark > 0);
-  tmx_fold_above(a->fold, 1000);
+  tmx_compaction_set_threshold(a->fold, 1000);
   pump_for(3); /* what the first fold leaves is dropped */
   struct fake_door *d = &state.doors[1];
   d->page_max = 1;
-  strcpy(d->hold_from, TMX_K_FOLD);
+  strcpy(d->hold_from, TMX_KEY_COMPACTION);
   b = controller(1, 2);
   for (int i = 0; i < 400 && !d->held_read; i++) pump_for(0.02);
   const struct tmx_http_request *held = d->held_read;
   assert_non_null(held);
   assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && a->rep.fold_mark == mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > mark);
-  tmx_fold_above(a->fold, 1000);
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) pump_for(0.02);
+  assert_true(a->rep.compaction_point > mark);
+  tmx_compaction_set_threshold(a->fold, 1000);
   pump_for(1);
   d->page_max = 0;
   assert_ptr_equal(d->held_read, held); /* it was not given up in the meantime */
   fake_read_on(d);
   assert_true(pump(loaded, b));
-  assert_int_equal(b->rep.fold_mark, a->rep.fold_mark);
-  struct tmx_job *j = tmx_job_find(&b->rep, "wk-000001");
-  assert_non_null(j);
-  assert_int_equal(j->n_placed, 1);
+  assert_int_equal(b->rep.compaction_point, a->rep.compaction_point);
+  struct tmx_job *job = tmx_job_find(&b->rep, "wk-000001");
+  assert_non_null(job);
+  assert_int_equal(job->n_placed, 1);
   assert_non_null(tmx_job_find(&b->rep, "wk-000002"));
   assert_int_equal(poll_job(b, "wk-000001").status, 200);
 }
@@ -727,13 +727,13 @@
   char id[32];
   up(&w);
   for (unsigned i = 0; i < 4; i++) {
-    bool first = !strcmp(tmx_owner_of(&a->rep, w.id), a->set.node);
+    bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
     struct tmx_ctl *owner = first ? a : b, *heir = first ? b : a;
     w.mute = true;
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(submit(heir, id, "batch", 2, 2, "t"), 201);
     wait_placed(2);
-    fake_drop(first ? TMX_K_NODE "hand-0" : TMX_K_NODE "hand-1"); /* its lease is over */
+    fake_drop(first ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1"); /* its lease is over */
     controller_end(owner);
     *(first ? &a : &b) = NULL;
     pump_for(after[i]);
@@ -808,12 +808,12 @@
   assert_int_equal(submit(b, "wk-000001", "service", 2, 2, "t"), 201);
   for (int i = 0; i < 2; i++) {
     state.doors[i].lose_next_txn = true;
-    strcpy(state.doors[i].lose_key, TMX_K_BATCH);
+    strcpy(state.doors[i].lose_key, TMX_KEY_BATCH);
   }
   up(x);
   bool first = tmx_store_is_leader(a->link);
-  fake_drop(first ? TMX_K_NODE "hand-0" : TMX_K_NODE "hand-1");
-  fake_drop(TMX_K_LEADER);
+  fake_drop(first ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
+  fake_drop(TMX_KEY_LEADER);
   controller_end(first ? a : b);
   *(first ? &a : &b) = NULL;
   struct tmx_ctl *heir = first ? b : a;
@@ -842,16 +842,16 @@
   (void)st;
   struct fake_worker *all[] = {&w, &others[0], &others[1]};
   for (int i = 0; i < 3; i++) up(all[i]);
-  struct tmx_machine *m = tmx_machine_find(&a->rep, w.id);
+  struct tmx_machine *machine = tmx_machine_find(&a->rep, w.id);
   pump_for(0.5);
-  assert_true(m->usable);
+  assert_true(machine->usable);
   double step = a->set.report_s;
   for (int k = 0; k < 3; k++) { /* the others report on */
     tmx_clock_advance(step);
     for (int i = 1; i < 3; i++) worker_report(all[i], a);
     pump_for(0.4);
   }
-  assert_false(m->usable);
+  assert_false(machine->usable);
   assert_true(tmx_machine_find(&a->rep, others[0].id)->usable);
   assert_int_equal(cloud.deletes, 0);
   for (int k = 0; k < 8 && !cloud.deletes; k++) {
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -67,35 +67,35 @@
 }
 
 static void submission(struct tmx_buffer *buffer,
-                       const struct tmx_spec *s) { /* as a user sends it */
+                       const struct tmx_job_spec *spec) { /* as a user sends it */
   tmx_cbor_put_map(buffer, 18);
   tmx_cbor_put_text_field(buffer, W_ID, "wk-1");
-  tmx_cbor_put_number_field(buffer, W_GPUS, s->gpus);
-  tmx_cbor_put_bool_field(buffer, W_ONE_ZONE, s->one_zone);
-  tmx_cbor_put_bool_field(buffer, W_SPREAD, s->spread);
-  tmx_cbor_put_bool_field(buffer, W_SPOT, s->spot);
-  tmx_cbor_put_text_field(buffer, W_CLASS, s->class);
-  tmx_cbor_put_text_field(buffer, W_TEAM, s->team);
+  tmx_cbor_put_number_field(buffer, W_GPUS, spec->gpus);
+  tmx_cbor_put_bool_field(buffer, W_ONE_ZONE, spec->same_zone);
+  tmx_cbor_put_bool_field(buffer, W_SPREAD, spec->spread);
+  tmx_cbor_put_bool_field(buffer, W_SPOT, spec->spot_allowed);
+  tmx_cbor_put_text_field(buffer, W_CLASS, spec->class);
+  tmx_cbor_put_text_field(buffer, W_TEAM, spec->team);
   tmx_cbor_put_text_field(buffer, W_KIND, WV_ARRAY);
   tmx_cbor_put_text_field(buffer, W_PRIORITY, "high");
-  tmx_cbor_put_u64_field(buffer, W_TASKS, s->tasks);
-  tmx_cbor_put_number_field(buffer, W_CPUS, s->cpus);
-  tmx_cbor_put_number_field(buffer, W_MEM, s->mem);
-  tmx_cbor_put_text_field(buffer, W_IMAGE, s->image);
-  tmx_cbor_put_number_field(buffer, W_IMAGE_GB, s->image_gb);
+  tmx_cbor_put_u64_field(buffer, W_TASKS, spec->tasks);
+  tmx_cbor_put_number_field(buffer, W_CPUS, spec->cpus);
+  tmx_cbor_put_number_field(buffer, W_MEM, spec->mem_gb);
+  tmx_cbor_put_text_field(buffer, W_IMAGE, spec->image);
+  tmx_cbor_put_number_field(buffer, W_IMAGE_GB, spec->image_gb);
   tmx_cbor_put_text(buffer, W_TYPES);
-  tmx_cbor_put_list(buffer, s->n_types);
-  for (size_t i = 0; i < s->n_types; i++) tmx_cbor_put_text(buffer, s->types[i]);
-  tmx_cbor_put_number_field(buffer, W_ESTIMATE, s->estimate_s);
-  tmx_cbor_put_number_field(buffer, W_CHECKPOINT, s->checkpoint_s);
-  tmx_cbor_put_number_field(buffer, W_SAVE, s->save_s);
+  tmx_cbor_put_list(buffer, spec->n_types);
+  for (size_t i = 0; i < spec->n_types; i++) tmx_cbor_put_text(buffer, spec->types[i]);
+  tmx_cbor_put_number_field(buffer, W_ESTIMATE, spec->estimate_s);
+  tmx_cbor_put_number_field(buffer, W_CHECKPOINT, spec->checkpoint_s);
+  tmx_cbor_put_number_field(buffer, W_SAVE, spec->checkpoint_save_s);
 }
 
 static void fuzzed_bodies(void **st) {
   (void)st;
   gsl_rng *g = gsl_rng_alloc(gsl_rng_mt19937);
   gsl_rng_set(g, 7);
-  struct tmx_spec s = {.tasks = 3, .cpus = 1, .mem = 2, .deadline_s = 9}, back;
+  struct tmx_job_spec s = {.tasks = 3, .cpus = 1, .mem_gb = 2, .deadline_s = 9}, back;
   char id[TMX_ID_MAX];
   struct tmx_buffer buffer = {0};
   strcpy(s.class, "c");
@@ -106,7 +106,7 @@
   submission(&buffer, &s);
   cbor_item_t *map = tmx_cbor_parse(buffer.data, buffer.length);
   assert_non_null(map);
-  assert_true(tmx_spec_parse(map, &back, id, sizeof id));
+  assert_true(tmx_job_spec_parse(map, &back, id, sizeof id));
   assert_int_equal(back.tasks, 3);
   assert_string_equal(back.types[0], "g8");
   tmx_cbor_free(map);
@@ -117,10 +117,10 @@
     for (unsigned k = 0; k <= gsl_rng_uniform_int(g, 4); k++)
       copy[gsl_rng_uniform_int(g, buffer.length)] = (uint8_t)gsl_rng_uniform_int(g, 256);
     map = tmx_cbor_parse(copy, buffer.length);
-    if (map && tmx_spec_parse(map, &back, id, sizeof id)) {
+    if (map && tmx_job_spec_parse(map, &back, id, sizeof id)) {
       parsed++;
       assert_in_range(back.tasks, 1, TMX_TASKS_MAX);
-      assert_true(back.cpus >= 0 && back.mem >= 0);
+      assert_true(back.cpus >= 0 && back.mem_gb >= 0);
     }
     tmx_cbor_free(map);
   }
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -45,8 +45,8 @@
 }
 
 static bool registered(const struct tmx_ctl *c) {
-  struct tmx_machine *m = tmx_machine_find(&c->rep, w.id);
-  return m && m->known;
+  struct tmx_machine *machine = tmx_machine_find(&c->rep, w.id);
+  return machine && machine->registered;
 }
 static void report(void) { /* to whichever of the two owns the machine */
   worker_report(&w, a);
@@ -108,7 +108,7 @@
   struct tmx_buffer list = {0}, body = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
-  size_t n = tmx_line_fields(copy, name, 8);
+  size_t n = tmx_log_line_split(copy, name, 8);
   tmx_cbor_put_list(&list, n);
   for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, name[i]);
   submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
@@ -193,8 +193,8 @@
 
 static bool all_stored(void *arg) {
   struct tmx_ctl *c = arg;
-  tmx_replica_tidy_unstored(&c->rep);
-  return !c->rep.n_unstored;
+  tmx_replica_prune_unstored(&c->rep);
+  return !c->rep.n_unstored_outcomes;
 }
 
 /* What follows from a cancellation gets a final state of its own; a fold in between keeps it. */
@@ -206,10 +206,10 @@
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   assert_true(pump(all_stored, a));
-  const struct fake_entry *e = fake_get(TMX_K_JOB "wk-000002");
+  const struct fake_entry *e = fake_get(TMX_KEY_JOB "wk-000002");
   assert_non_null(e);
   restart();
-  assert_true(tmx_job_find(&a->rep, "wk-000002")->stored);
+  assert_true(tmx_job_find(&a->rep, "wk-000002")->outcome_stored);
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
 }
 
@@ -222,12 +222,12 @@
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  a->rep.n_unstored = 0;            /* as if no put were ever to spare for it */
-  fake_drop(TMX_K_JOB "wk-000002"); /* as if it had come with a batch */
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
-  tmx_fold_above(a->fold, 1000);
+  a->rep.n_unstored_outcomes = 0;     /* as if no put were ever to spare for it */
+  fake_drop(TMX_KEY_JOB "wk-000002"); /* as if it had come with a batch */
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  assert_true(a->rep.compaction_point > 0);
+  tmx_compaction_set_threshold(a->fold, 1000);
   pump_for(2);
   restart();
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
@@ -245,14 +245,14 @@
   wait_starts(1);
   ends("wk-000001/0", 1);
   wait_starts(2);
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
-  tmx_fold_above(a->fold, 1000);
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  assert_true(a->rep.compaction_point > 0);
+  tmx_compaction_set_threshold(a->fold, 1000);
   pump_for(2);
-  double released = tmx_job_find(&a->rep, "wk-000002")->released;
+  double released = tmx_job_find(&a->rep, "wk-000002")->released_at;
   restart();
-  assert_true(tmx_job_find(&a->rep, "wk-000002")->released == released);
+  assert_true(tmx_job_find(&a->rep, "wk-000002")->released_at == released);
   for (int i = 0; i < 10; i++) report();
   stays_pending("wk-000003", 2);
   stays_pending("wk-000004", 1);
@@ -311,7 +311,7 @@
   accepted("wk-000001", "");
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
-  strcpy(state.doors[0].lose_key, TMX_K_JOB "wk-000001");
+  strcpy(state.doors[0].lose_key, TMX_KEY_JOB "wk-000001");
   state.doors[0].lose_next_txn = true;
   ends("wk-000001/0", 1);
   for (int i = 0; i < 200 && state.doors[0].lose_next_txn; i++) pump_for(0.005);
@@ -400,7 +400,7 @@
   tmx_cbor_put_null(&list);
   assert_int_equal(submit_list(&list), 201);
   accepted("wk-000003", "wk-000001 wk-000001 wk-000001");
-  assert_int_equal(tmx_job_find(&a->rep, "wk-000003")->deps.named.n, 1);
+  assert_int_equal(tmx_job_find(&a->rep, "wk-000003")->dependencies.named.count, 1);
   /* what is known is answered before anything is judged */
   assert_int_equal(submit_named(a, "wk-000003", "job-1").status, 200);
   assert_int_equal(submit_named(a, "wk-000003", "wk-000777").status, 200);
@@ -430,12 +430,12 @@
   state.txn_max = 8;
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
     char id[TMX_ID_MAX], key[TMX_KEY_MAX];
-    struct tmx_spec s = {.tasks = 1, .cpus = 2, .mem = 1, .deadline_s = -1};
+    struct tmx_job_spec s = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
     struct tmx_buffer job = {0};
     strcpy(s.team, "t");
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
-    snprintf(key, sizeof key, TMX_K_JOB "%s", id);
-    tmx_job_encode(&job, id, &s, 5, TMX_OPEN);
+    snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
+    tmx_job_encode(&job, id, &s, 5, TMX_JOB_OPEN);
     fake_put(key, &job);
     tmx_buffer_free(&job);
   }
@@ -449,14 +449,14 @@
   a->set.write_rps = 1000;
   tmx_buffer_free(&list);
   const struct tmx_job *j = tmx_job_find(&a->rep, "wk-000009");
-  assert_int_equal(j->deps.n_unfinished, SOME);
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 3000 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
-  tmx_fold_above(a->fold, 100000);
+  assert_int_equal(j->dependencies.n_unfinished, SOME);
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 3000 && !a->rep.compaction_point; i++) pump_for(0.02);
+  assert_true(a->rep.compaction_point > 0);
+  tmx_compaction_set_threshold(a->fold, 100000);
   restart();
   j = tmx_job_find(&a->rep, "wk-000009");
-  assert_int_equal(j->deps.n_unfinished, SOME);
+  assert_int_equal(j->dependencies.n_unfinished, SOME);
   assert_int_equal(state.too_large, 0);
 }
 
@@ -477,7 +477,7 @@
       state.txn_max = 4;
     }
   }
-  for (int i = 0; i < 400 && tmx_job_find(&a->rep, id)->fin != TMX_FIN_DONE; i++) {
+  for (int i = 0; i < 400 && tmx_job_find(&a->rep, id)->outcome != TMX_JOB_DONE; i++) {
     all_end();
     pump_for(0.2);
   }
@@ -515,21 +515,21 @@
   }
   assert_true(pump(all_accepted, &answered));
   tmx_http_client_free(client);
-  assert_null(fake_get(TMX_K_JOB "wk-000001")); /* it has no key of its own to be read from */
+  assert_null(fake_get(TMX_KEY_JOB "wk-000001")); /* it has no key of its own to be read from */
   a->set.value_kb = 1;
   state.value_max = 1024;
-  uint64_t folded = a->rep.fold_mark;
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 100 && a->rep.fold_mark == folded; i++) pump_for(0.2);
-  tmx_fold_above(a->fold, 1000);
-  assert_true(a->rep.fold_mark > folded);
+  uint64_t folded = a->rep.compaction_point;
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 100 && a->rep.compaction_point == folded; i++) pump_for(0.2);
+  tmx_compaction_set_threshold(a->fold, 1000);
+  assert_true(a->rep.compaction_point > folded);
   restart();
-  const struct tmx_job *j = tmx_job_find(&a->rep, "wk-000001");
-  assert_int_equal(j->spec.n_types, 30);
-  assert_true(tmx_type_allowed(&j->spec, "big"));
+  const struct tmx_job *job = tmx_job_find(&a->rep, "wk-000001");
+  assert_int_equal(job->spec.n_types, 30);
+  assert_true(tmx_type_allowed(&job->spec, "big"));
   for (int i = 1; i < 30; i++) {
     snprintf(type, sizeof type, "a type with a rather long %02d", i);
-    assert_true(tmx_type_allowed(&j->spec, type));
+    assert_true(tmx_type_allowed(&job->spec, type));
   }
   assert_int_equal(state.too_large, 0);
 }
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -45,8 +45,8 @@
 }
 
 static bool registered(void *arg) {
-  struct tmx_machine *m = tmx_machine_find(&((struct tmx_ctl *)arg)->rep, w.id);
-  return m && m->known;
+  struct tmx_machine *machine = tmx_machine_find(&((struct tmx_ctl *)arg)->rep, w.id);
+  return machine && machine->registered;
 }
 static bool placed(void *arg) {
   (void)arg;
@@ -79,8 +79,8 @@
   assert_true(pump(registered, b));
 }
 static bool final_state(void *arg) {
-  struct tmx_job *j = tmx_job_find(&a->rep, arg);
-  return j && j->fin;
+  struct tmx_job *job = tmx_job_find(&a->rep, arg);
+  return job && job->outcome;
 }
 
 /* A whole life: logged first, started directly, done once committed, forgotten after that. */
@@ -258,7 +258,7 @@
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", other->set.node);
   tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(other->link));
-  fake_put(TMX_K_LEADER, &value);
+  fake_put(TMX_KEY_LEADER, &value);
   tmx_buffer_free(&value);
   for (int i = 0; i < 300 && !tmx_store_is_leader(other->link); i++) pump_for(0.02);
   assert_true(tmx_store_is_leader(other->link) && tmx_store_is_leader(old->link));
@@ -380,9 +380,9 @@
   for (int i = 0; i < 100 && w.executed_starts < 2; i++) pump_for(0.02);
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
   pump_for(0.3);
-  bool first = !strcmp(tmx_owner_of(&a->rep, w.id), a->set.node);
+  bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
   struct tmx_ctl *inside = first ? b : a;
-  assert_int_equal(tmx_job_find(&inside->rep, "wk-000002")->fin, TMX_FIN_CANCELLED);
+  assert_int_equal(tmx_job_find(&inside->rep, "wk-000002")->outcome, TMX_JOB_CANCELLED);
   state.doors[0].refuse = state.doors[1].refuse = true;
   controller_end(first ? a : b);
   if (first)
@@ -410,9 +410,9 @@
 static void lost_answer_to_a_commit(void **st) {
   (void)st;
   state.doors[0].lose_next_txn = true;
-  strcpy(state.doors[0].lose_key, TMX_K_JOB);
+  strcpy(state.doors[0].lose_key, TMX_KEY_JOB);
   assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 503);
-  assert_non_null(fake_get(TMX_K_JOB "wk-000001"));
+  assert_non_null(fake_get(TMX_KEY_JOB "wk-000001"));
   assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 200);
   state.doors[0].lose_next_txn = true;
   assert_int_equal(cancel_job(a, "wk-000001").status, 503);
@@ -431,7 +431,7 @@
   (void)st;
   up(a);
   state.doors[0].lose_next_txn = true;
-  strcpy(state.doors[0].lose_key, TMX_K_BATCH);
+  strcpy(state.doors[0].lose_key, TMX_KEY_BATCH);
   submit(a, "wk-000001", "batch", 3, 2, "t");
   for (int i = 0; i < 200 && w.executed_starts < 3; i++) pump_for(0.02);
   assert_int_equal(w.executed_starts, 3);
@@ -519,9 +519,9 @@
     w.token = token;
     pump_for(0.25);
   }
-  struct tmx_machine *m = tmx_machine_find(&a->rep, w.id);
-  assert_non_null(m);
-  assert_false(m->usable);
+  struct tmx_machine *machine = tmx_machine_find(&a->rep, w.id);
+  assert_non_null(machine);
+  assert_false(machine->usable);
   submit(a, "wk-000002", "batch", 1, 2, "t");
   pump_for(0.4);
   assert_int_equal(fake_placed(), 1);
@@ -627,9 +627,10 @@
 
 static bool folded(void *arg) {
   (void)arg;
-  struct tmx_log_key *k, *t;
-  if (!a->rep.fold_mark || !HASH_COUNT(a->rep.pages)) return false;
-  HASH_ITER(hh, a->rep.batches, k, t) if (k->stamp > a->rep.fold_mark) return false;
+  struct tmx_log_key *key, *next_key;
+  if (!a->rep.compaction_point || !HASH_COUNT(a->rep.page_keys)) return false;
+  HASH_ITER(hh, a->rep.batch_keys, key, next_key)
+  if (key->version > a->rep.compaction_point) return false;
   return true;
 }
 /* Folding loses nothing: a controller that starts from the pages alone knows attempts, results
@@ -648,15 +649,15 @@
     worker_do(&w);
   }
   assert_int_equal(w.executed_starts, 4);
-  tmx_fold_above(a->fold, 0);
+  tmx_compaction_set_threshold(a->fold, 0);
   assert_true(pump(folded, NULL));
   controller_end(a);
   a = controller(0, 1);
   assert_true(pump(fake_ready, a));
-  struct tmx_job *j = tmx_job_find(&a->rep, "wk-000001");
-  assert_int_equal(j->tasks[0].state, TMX_PLACED);
-  assert_int_equal(j->tasks[1].state, TMX_TASK_DONE);
-  assert_int_equal(j->tasks[2].attempt, 2);
+  struct tmx_job *job = tmx_job_find(&a->rep, "wk-000001");
+  assert_int_equal(job->tasks[0].state, TMX_TASK_PLACED);
+  assert_int_equal(job->tasks[1].state, TMX_TASK_DONE);
+  assert_int_equal(job->tasks[2].attempt, 2);
   worker_report(&w, a);
   worker_do(&w);
   pump_for(0.3);
@@ -667,10 +668,10 @@
   assert_true(pump(final_state, "wk-000001"));
   assert_string_equal(poll_job(a, "wk-000001").state, WV_DONE);
   /* log keys are written over from here on: another start still finds the whole story */
-  struct tmx_log_key *k, *kt;
+  struct tmx_log_key *key, *kt;
   bool reused = false;
-  HASH_ITER(hh, a->rep.batches, k, kt)
-  reused |= k->stamp > a->rep.fold_mark && strstr(k->key, "/000000") != NULL;
+  HASH_ITER(hh, a->rep.batch_keys, key, kt)
+  reused |= key->version > a->rep.compaction_point && strstr(key->key, "/000000") != NULL;
   assert_true(reused);
   restart();
   assert_true(registered(a));
@@ -747,12 +748,12 @@
   assert_true(pump(running, NULL));
   struct tmx_buffer value = {0}, list = {0};
   tmx_cbor_put_text(&list, "d n-000001 1");
-  tmx_lines_encode(&value, NULL, 0, &list, 1);
-  fake_put(TMX_K_BATCH "hand-9/1", &value);
+  tmx_log_value_encode(&value, NULL, 0, &list, 1);
+  fake_put(TMX_KEY_BATCH "hand-9/1", &value);
   tmx_buffer_free(&value);
   tmx_buffer_free(&list);
-  for (int i = 0; i < 100 && !tmx_machine_find(&a->rep, w.id)->drain; i++) pump_for(0.02);
-  assert_true(tmx_machine_find(&a->rep, w.id)->drain);
+  for (int i = 0; i < 100 && !tmx_machine_find(&a->rep, w.id)->draining; i++) pump_for(0.02);
+  assert_true(tmx_machine_find(&a->rep, w.id)->draining);
   submit(a, "wk-000002", "batch", 3, 2, "t");
   for (int i = 0; i < 300 && fake_placed() < 4; i++) pump_for(0.02);
   assert_true(fake_logged("d n-000001 0"));
@@ -779,16 +780,16 @@
   (void)st;
   up_at_either();
   pump_for(1); /* they hear each other */
-  const char *owner = tmx_owner_of(&a->rep, w.id);
+  const char *owner = tmx_machine_owner(&a->rep, w.id);
   struct tmx_ctl *other = !strcmp(owner, a->set.node) ? b : a;
-  struct tmx_machine *m = tmx_machine_find(&other->rep, w.id);
+  struct tmx_machine *machine = tmx_machine_find(&other->rep, w.id);
   struct tmx_suspect says = {.silence = 60, .lost = 9}, x;
   snprintf(says.id, sizeof says.id, "%s", w.id);
   uint64_t term = other->rep.view.term;
   tmx_workers_peer_says(other->workers, owner, term - 1, &says);
-  assert_false(tmx_workers_suspect(other->workers, m, &x));
+  assert_false(tmx_workers_suspect(other->workers, machine, &x));
   tmx_workers_peer_says(other->workers, owner, term, &says);
-  assert_true(tmx_workers_suspect(other->workers, m, &x));
+  assert_true(tmx_workers_suspect(other->workers, machine, &x));
 }
 
 static void on_any(void *arg, struct tmx_http_request *request) {
@@ -838,7 +839,7 @@
   char addr[32], id[32];
   a->set.value_kb = 4;
   state.value_max = 4096;
-  tmx_fold_above(a->fold, 3);
+  tmx_compaction_set_threshold(a->fold, 3);
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(a->server));
   for (int i = 0; i < MANY; i++) {
     struct tmx_buffer buffer = {0};
@@ -858,8 +859,8 @@
     assert_int_equal(status[i], 201);
     tmx_http_client_free(c[i]);
   }
-  for (int i = 0; i < 400 && !fake_get(TMX_K_FOLD); i++) pump_for(0.02);
-  assert_non_null(fake_get(TMX_K_FOLD));
+  for (int i = 0; i < 400 && !fake_get(TMX_KEY_COMPACTION); i++) pump_for(0.02);
+  assert_non_null(fake_get(TMX_KEY_COMPACTION));
   assert_int_equal(state.too_large, 0);
 }
 
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -41,8 +41,8 @@
       snprintf(line, sizeof line, form, from + at + i);
       tmx_cbor_put_text(&list, line);
     }
-    tmx_lines_encode(&value, NULL, 0, &list, part);
-    snprintf(key, sizeof key, TMX_K_BATCH "other/%06x", batches++);
+    tmx_log_value_encode(&value, NULL, 0, &list, part);
+    snprintf(key, sizeof key, TMX_KEY_BATCH "other/%06x", batches++);
     fake_put(key, &value);
     tmx_buffer_free(&list);
     tmx_buffer_free(&value);
@@ -60,13 +60,13 @@
   assert_true(pump(fake_ready, b));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
   pump_for(8); /* none of them reports */
-  struct tmx_machine *m, *next;
+  struct tmx_machine *machine, *next;
   size_t of_other = 0, heard_of = 0;
   struct tmx_suspect s;
-  HASH_ITER(hh, b->rep.machines, m, next) {
-    if (m->owner == tmx_ctl_self(b)) continue;
+  HASH_ITER(hh, b->rep.machines, machine, next) {
+    if (machine->owner == tmx_ctl_self(b)) continue;
     of_other++;
-    heard_of += tmx_workers_suspect(b->workers, m, &s);
+    heard_of += tmx_workers_suspect(b->workers, machine, &s);
   }
   assert_true(of_other > TMX_BEAT_MACHINES);
   assert_int_equal(heard_of, of_other);
@@ -83,7 +83,7 @@
   uint64_t token = w.token;
   put_lines("x n-%06zu", 1, GONE);
   pump_for(0.5);
-  assert_true(tmx_machine_gone(&a->rep, "n-000001"));
+  assert_true(tmx_machine_was_removed(&a->rep, "n-000001"));
   w.token = token;
   for (int i = 0; i < 5; i++) {
     worker_report(&w, a);
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -25,21 +25,21 @@
 /* What is kept as sums is what a count of everything gives, after every test: renting, returning
  * and a new leader's view of the peak rest on it. */
 static int sums_are_off(void) {
-  struct tmx_job *j, *jt;
-  struct tmx_machine *m, *mt;
+  struct tmx_job *job, *next_job;
+  struct tmx_machine *machine, *next_machine;
   double booked = 0, asked = 0;
   int off = 0;
-  HASH_ITER(hh, rep.machines, m, mt) {
+  HASH_ITER(hh, rep.machines, machine, next_machine) {
     double services = 0;
-    for (const struct tmx_task *t = m->tasks; t; t = t->next)
-      if (t->job->spec.service) services += t->job->spec.cpus;
-    booked += m->cpus;
-    off |= fabs(services - m->services) > 1e-6;
+    for (const struct tmx_task *task = machine->tasks; task; task = task->next)
+      if (task->job->spec.service) services += task->job->spec.cpus;
+    booked += machine->booked_cpus;
+    off |= fabs(services - machine->service_cpus) > 1e-6;
   }
-  HASH_ITER(hh, rep.jobs, j, jt)
-  if (!j->fin) asked += (j->spec.tasks - j->n_done - j->n_placed) * j->spec.cpus;
-  return off | (rep.loaded && fabs(booked - rep.booked) > 1e-6) |
-         (rep.loaded && fabs(asked - rep.asked) > 1e-6);
+  HASH_ITER(hh, rep.jobs, job, next_job)
+  if (!job->outcome) asked += (job->spec.tasks - job->n_done - job->n_placed) * job->spec.cpus;
+  return off | (rep.loaded && fabs(booked - rep.booked_cpus) > 1e-6) |
+         (rep.loaded && fabs(asked - rep.waiting_cpus) > 1e-6);
 }
 static int teardown(void **st) {
   (void)st;
@@ -49,39 +49,39 @@
   return 0;
 }
 
-static void put(const char *key, uint64_t stamp, struct tmx_buffer *buffer) {
+static void put(const char *key, uint64_t version, struct tmx_buffer *buffer) {
   cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
   assert_non_null(value);
-  tmx_replica_apply(&rep, key, stamp, value);
+  tmx_replica_apply(&rep, key, version, value);
   tmx_cbor_free(value);
   tmx_buffer_free(buffer);
 }
-static void put_job(uint64_t stamp, int fin) {
-  struct tmx_spec s = {.tasks = 3, .cpus = 2, .mem = 1, .deadline_s = -1};
+static void put_job(uint64_t version, int fin) {
+  struct tmx_job_spec s = {.tasks = 3, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
   struct tmx_buffer buffer = {0};
   strcpy(s.class, "c");
   strcpy(s.team, "t");
   strcpy(s.image, "i");
   tmx_job_encode(&buffer, "wk-1", &s, 5, fin);
-  put(TMX_K_JOB "wk-1", stamp, &buffer);
+  put(TMX_KEY_JOB "wk-1", version, &buffer);
 }
-static void put_machine(uint64_t stamp) {
+static void put_machine(uint64_t version) {
   struct tmx_buffer buffer = {0};
   tmx_cbor_put_map(&buffer, 1);
   tmx_cbor_put_text(&buffer, "ops");
   tmx_cbor_put_list(&buffer, 1);
   tmx_cbor_put_text(&buffer, "m n-1 127.0.0.1:1 big a 0 0");
-  put(TMX_K_BATCH "h/m", stamp, &buffer);
+  put(TMX_KEY_BATCH "h/m", version, &buffer);
 }
-static void put_batch(const char *seq, uint64_t stamp, const char *op) {
+static void put_batch(const char *seq, uint64_t version, const char *op) {
   struct tmx_buffer buffer = {0};
   char key[64];
   tmx_cbor_put_map(&buffer, 1);
   tmx_cbor_put_text(&buffer, "ops");
   tmx_cbor_put_list(&buffer, 1);
   tmx_cbor_put_text(&buffer, op);
-  snprintf(key, sizeof key, TMX_K_BATCH "h/%s", seq);
-  put(key, stamp, &buffer);
+  snprintf(key, sizeof key, TMX_KEY_BATCH "h/%s", seq);
+  put(key, version, &buffer);
 }
 static struct tmx_task *task(uint32_t i) { return &tmx_job_find(&rep, "wk-1")->tasks[i]; }
 
@@ -91,21 +91,21 @@
   put_job(1, 0);
   put_machine(2);
   put_batch("1", 3, "p wk-1/0 1 n-1");
-  assert_int_equal(task(0)->state, TMX_PLACED);
-  assert_true(rep.usage[0].cpus == 2);
+  assert_int_equal(task(0)->state, TMX_TASK_PLACED);
+  assert_true(rep.team_usage[0].cpus == 2);
   put_batch("2", 4, "e wk-1/0 2 d"); /* another attempt's end says nothing of this one */
-  assert_int_equal(task(0)->state, TMX_PLACED);
+  assert_int_equal(task(0)->state, TMX_TASK_PLACED);
   put_batch("3", 5, "e wk-1/0 1 l");
-  assert_int_equal(task(0)->state, TMX_WAITING);
+  assert_int_equal(task(0)->state, TMX_TASK_WAITING);
   assert_int_equal(task(0)->attempt, 1);
   put_batch("4", 6, "p wk-1/0 1 n-1"); /* a used attempt is never placed again */
-  assert_int_equal(task(0)->state, TMX_WAITING);
+  assert_int_equal(task(0)->state, TMX_TASK_WAITING);
   put_batch("5", 7, "p wk-1/0 2 n-1");
   put_batch("6", 8, "e wk-1/0 2 d");
   assert_int_equal(task(0)->state, TMX_TASK_DONE);
   put_batch("7", 9, "p wk-1/0 3 n-1"); /* nor is a done task */
   assert_int_equal(task(0)->state, TMX_TASK_DONE);
-  assert_true(rep.usage[0].cpus == 0);
+  assert_true(rep.team_usage[0].cpus == 0);
 }
 
 static void dropped_machine_loses_its_tasks(void **st) {
@@ -116,10 +116,10 @@
   put_batch("1", 3, "p wk-1/0 1 n-1");
   put_batch("2", 3, "p wk-1/1 1 n-1");
   put_batch("3", 4, "x n-1");
-  assert_int_equal(task(0)->state, TMX_WAITING);
-  assert_int_equal(task(1)->state, TMX_WAITING);
+  assert_int_equal(task(0)->state, TMX_TASK_WAITING);
+  assert_int_equal(task(1)->state, TMX_TASK_WAITING);
   assert_int_equal(tmx_job_find(&rep, "wk-1")->n_placed, 0);
-  assert_true(rep.usage[0].cpus == 0);
+  assert_true(rep.team_usage[0].cpus == 0);
   assert_null(tmx_machine_find(&rep, "n-1"));
 }
 
@@ -129,102 +129,102 @@
   put_job(1, 0);
   put_machine(2);
   put_batch("1", 3, "p wk-1/0 1 n-1");
-  put_job(4, TMX_FIN_CANCELLED);
-  assert_int_equal(tmx_job_find(&rep, "wk-1")->fin, TMX_FIN_CANCELLED);
-  assert_true(rep.usage[0].cpus == 2);
+  put_job(4, TMX_JOB_CANCELLED);
+  assert_int_equal(tmx_job_find(&rep, "wk-1")->outcome, TMX_JOB_CANCELLED);
+  assert_true(rep.team_usage[0].cpus == 2);
   put_batch("2", 5, "e wk-1/0 1 s");
-  assert_true(rep.usage[0].cpus == 0);
+  assert_true(rep.team_usage[0].cpus == 0);
 }
 
 /* Pages of a load are read at different revisions, and the events in between come again. */
 static void load_at_mixed_revisions(void **st) {
   (void)st;
-  rep.load_until = 9;
+  rep.load_revision = 9;
   put_job(1, 0);
   put_batch("9", 8, "p wk-1/0 2 n-1"); /* of a later page: read early */
   put_machine(2);
   put_batch("1", 3, "p wk-1/0 1 n-1"); /* ... and the events since the first page */
   put_batch("2", 5, "e wk-1/0 1 s");
   put_batch("9", 8, "p wk-1/0 2 n-1");
-  tmx_replica_reached(&rep, 9);
+  tmx_replica_advance_to(&rep, 9);
   assert_true(rep.loaded);
-  assert_int_equal(task(0)->state, TMX_PLACED);
+  assert_int_equal(task(0)->state, TMX_TASK_PLACED);
   assert_int_equal(task(0)->attempt, 2);
-  assert_true(rep.usage[0].cpus == 2);
+  assert_true(rep.team_usage[0].cpus == 2);
 }
 
 static void load_settles_lost_machines(void **st) {
   (void)st;
-  rep.load_until = 9;
+  rep.load_revision = 9;
   put_job(1, 0);
   put_batch("1", 3, "p wk-1/0 1 n-1"); /* its machine's key is gone */
   put_batch("2", 4, "p wk-1/1 1 n-1");
   put_batch("3", 5, "e wk-1/1 1 d"); /* but this one was done before */
   assert_false(rep.loaded);
-  tmx_replica_reached(&rep, 9);
-  assert_int_equal(task(0)->state, TMX_WAITING);
+  tmx_replica_advance_to(&rep, 9);
+  assert_int_equal(task(0)->state, TMX_TASK_WAITING);
   assert_int_equal(task(1)->state, TMX_TASK_DONE);
 }
 
-static void put_fold(uint64_t stamp, uint64_t mark) {
+static void put_fold(uint64_t version, uint64_t mark) {
   struct tmx_buffer buffer = {0};
   tmx_cbor_put_map(&buffer, 2);
   tmx_cbor_put_u64_field(&buffer, "mark", mark);
   tmx_cbor_put_u64_field(&buffer, "gen", mark);
-  put(TMX_K_FOLD, stamp, &buffer);
+  put(TMX_KEY_COMPACTION, version, &buffer);
 }
 
 /* Log keys are written over after a fold, in any order: what is left of the old batches is no
  * longer the whole story, and must not bring a machine back whose end was written over. */
 static void batches_before_the_mark_do_not_count(void **st) {
   (void)st;
-  rep.load_until = 30;
+  rep.load_revision = 30;
   put_fold(20, 12);
   put_job(1, 0);
   put_batch("1", 3, "m n-1 127.0.0.1:1 big a 0 0"); /* its end, at 9, is written over */
   put_batch("2", 4, "p wk-1/0 1 n-1");
   put_batch("3", 25, "m n-2 127.0.0.1:2 big a 0 0");
   put_batch("4", 26, "p wk-1/1 1 n-2");
-  tmx_replica_reached(&rep, 30);
+  tmx_replica_advance_to(&rep, 30);
   assert_null(tmx_machine_find(&rep, "n-1"));
   assert_int_equal(task(0)->attempt, 0); /* the page says what it is, and there is none here */
-  assert_int_equal(task(1)->state, TMX_PLACED);
-  assert_int_equal(tmx_job_find(&rep, "wk-1")->zone_live[0], 1);
+  assert_int_equal(task(1)->state, TMX_TASK_PLACED);
+  assert_int_equal(tmx_job_find(&rep, "wk-1")->placed_in_zone[0], 1);
 }
 
 /* Runs of tasks in a page, and a job that has no key of its own. */
 static void pages(void **st) {
   (void)st;
-  struct tmx_spec s = {.tasks = 9, .cpus = 2, .mem = 1, .deadline_s = -1};
+  struct tmx_job_spec s = {.tasks = 9, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
   struct tmx_buffer jobs = {0}, lines = {0}, value = {0};
   strcpy(s.class, "c");
   strcpy(s.team, "t");
   strcpy(s.image, "i");
-  rep.load_until = 9;
+  rep.load_revision = 9;
   tmx_job_encode(&jobs, "wk-1", &s, 5, 0);
   tmx_cbor_put_text(&lines, "m n-1 127.0.0.1:1 big a 1 1");
   tmx_cbor_put_text(&lines, "t wk-1/0 4 2 d -");
   tmx_cbor_put_text(&lines, "t wk-1/4 2 3 w -");
   tmx_cbor_put_text(&lines, "t wk-1/6 1 1 2 n-1");
-  tmx_lines_encode(&value, &jobs, 1, &lines, 4);
+  tmx_log_value_encode(&value, &jobs, 1, &lines, 4);
   tmx_buffer_free(&jobs);
   tmx_buffer_free(&lines);
   put_fold(6, 4); /* its key is read first */
-  put(TMX_K_PAGE "0000000000000004/00000", 5, &value);
+  put(TMX_KEY_PAGE "0000000000000004/00000", 5, &value);
   put_batch("9", 8, "p wk-1/7 1 n-1");
-  tmx_replica_reached(&rep, 9);
-  struct tmx_job *j = tmx_job_find(&rep, "wk-1");
-  assert_int_equal(j->n_done, 4);
-  assert_int_equal(j->n_placed, 2);
+  tmx_replica_advance_to(&rep, 9);
+  struct tmx_job *job = tmx_job_find(&rep, "wk-1");
+  assert_int_equal(job->n_done, 4);
+  assert_int_equal(job->n_placed, 2);
   assert_int_equal(task(5)->attempt, 3);
-  assert_int_equal(task(6)->stop, 2);
-  assert_true(tmx_machine_find(&rep, "n-1")->drain && tmx_machine_find(&rep, "n-1")->spot);
+  assert_int_equal(task(6)->stop_mode, 2);
+  assert_true(tmx_machine_find(&rep, "n-1")->draining && tmx_machine_find(&rep, "n-1")->spot);
   /* and back into lines */
   char line[TMX_LINE_MAX];
   int len;
-  assert_int_equal(tmx_run_print(line, sizeof line, j, 0, &len), 4);
+  assert_int_equal(tmx_task_run_print(line, sizeof line, job, 0, &len), 4);
   assert_string_equal(line, "t wk-1/0 4 2 d -");
-  assert_int_equal(tmx_run_print(line, sizeof line, j, 8, &len), 1);
+  assert_int_equal(tmx_task_run_print(line, sizeof line, job, 8, &len), 1);
   assert_int_equal(len, 0);
 }
 
@@ -234,23 +234,23 @@
 static void pages_of_a_fold_given_up(void **st) {
   (void)st;
   struct tmx_buffer jobs = {0}, lines = {0}, value = {0};
-  rep.load_until = 30;
+  rep.load_revision = 30;
   put_fold(20, 12);
-  put_job(10, TMX_FIN_DONE);
+  put_job(10, TMX_JOB_DONE);
   tmx_cbor_put_text(&lines, "m n-1 127.0.0.1:1 big a 0 0");
   tmx_cbor_put_text(&lines, "t wk-1/0 1 1 p n-1");
-  tmx_lines_encode(&value, &jobs, 0, &lines, 2);
-  put(TMX_K_PAGE "0000000000000005/00000", 7, &value); /* of the one given up */
+  tmx_log_value_encode(&value, &jobs, 0, &lines, 2);
+  put(TMX_KEY_PAGE "0000000000000005/00000", 7, &value); /* of the one given up */
   put_batch("1", 9, "e wk-1/0 1 d");
   value.length = lines.length = 0;
   tmx_cbor_put_text(&lines, "m n-1 127.0.0.1:1 big a 0 0");
-  tmx_lines_encode(&value, &jobs, 0, &lines, 1);
-  put(TMX_K_PAGE "000000000000000c/00000", 14, &value);
+  tmx_log_value_encode(&value, &jobs, 0, &lines, 1);
+  put(TMX_KEY_PAGE "000000000000000c/00000", 14, &value);
   tmx_buffer_free(&lines);
-  tmx_replica_reached(&rep, 30);
-  assert_true(tmx_machine_find(&rep, "n-1")->known);
-  assert_true(tmx_machine_find(&rep, "n-1")->cpus == 0);
-  assert_true(rep.usage[0].cpus == 0);
+  tmx_replica_advance_to(&rep, 30);
+  assert_true(tmx_machine_find(&rep, "n-1")->registered);
+  assert_true(tmx_machine_find(&rep, "n-1")->booked_cpus == 0);
+  assert_true(rep.team_usage[0].cpus == 0);
   assert_int_equal(tmx_job_find(&rep, "wk-1")->n_placed, 0);
 }
 
@@ -258,126 +258,131 @@
  * counts, and other classes are not touched. */
 static void run_times_are_learned(void **st) {
   (void)st;
-  struct tmx_spec s = {.estimate_s = 50}, other = {.estimate_s = 50};
+  struct tmx_job_spec s = {.estimate_s = 50}, other = {.estimate_s = 50};
   strcpy(s.class, "c");
   strcpy(other.class, "d");
-  assert_true(tmx_expected_run(&rep, &s) == 50);
-  for (int i = 0; i < 100; i++) tmx_learn_run(&rep, &s, i % 2 ? 90 : 110);
-  tmx_learn_run(&rep, &s, 1e6);
-  assert_true(tmx_expected_run(&rep, &s) > 90 && tmx_expected_run(&rep, &s) < 110);
-  assert_true(tmx_expected_run(&rep, &other) == 50);
+  assert_true(tmx_run_estimate_expected(&rep, &s) == 50);
+  for (int i = 0; i < 100; i++) tmx_run_estimate_observe(&rep, &s, i % 2 ? 90 : 110);
+  tmx_run_estimate_observe(&rep, &s, 1e6);
+  assert_true(tmx_run_estimate_expected(&rep, &s) > 90 &&
+              tmx_run_estimate_expected(&rep, &s) < 110);
+  assert_true(tmx_run_estimate_expected(&rep, &other) == 50);
   for (int i = 0; i < 100; i++) { /* memory is bounded */
     snprintf(other.class, sizeof other.class, "x%d", i);
-    tmx_learn_run(&rep, &other, 10);
+    tmx_run_estimate_observe(&rep, &other, 10);
   }
-  assert_int_equal(rep.n_classes, TMX_CLASSES_MAX);
+  assert_int_equal(rep.n_run_estimates, TMX_CLASSES_MAX);
 }
 
-static struct tmx_op op(char kind, uint32_t i, uint32_t attempt, const char *machine, char how) {
-  struct tmx_op o = {.op = kind, .task = i, .attempt = attempt, .how = how};
-  strcpy(o.job, "wk-1");
-  strcpy(o.machine, machine);
-  return o;
+static struct tmx_operation op(char kind, uint32_t i, uint32_t attempt, const char *machine,
+                               char how) {
+  struct tmx_operation operation = {.kind = kind, .task = i, .attempt = attempt, .reason = how};
+  strcpy(operation.job, "wk-1");
+  strcpy(operation.machine, machine);
+  return operation;
 }
 
 /* A batch that lost the race for head is checked line by line on what won, each line after those
  * before it: limits, room and attempts hold whatever came in between. */
 static void checked_again_after_a_lost_race(void **st) {
   (void)st;
-  struct tmx_check c;
+  struct tmx_operation_check c;
   rep.loaded = true;
   put_job(1, 0);
   put_machine(2);
   tmx_machine_find(&rep, "n-1")->size_cpus = 4;
-  tmx_machine_find(&rep, "n-1")->size_mem = 16;
+  tmx_machine_find(&rep, "n-1")->size_mem_gb = 16;
   set.teams[0].cpus_max = 100;
-  struct tmx_op p0 = op(TMX_OP_PLACE, 0, 1, "n-1", 0), p1 = op(TMX_OP_PLACE, 1, 1, "n-1", 0),
-                p2 = op(TMX_OP_PLACE, 2, 1, "n-1", 0), e0 = op(TMX_OP_END, 0, 1, "", 'l');
-  tmx_check_begin(&c, &rep);
-  assert_true(tmx_check_op(&c, &p0));
-  assert_true(tmx_check_op(&c, &p1));
-  assert_false(tmx_check_op(&c, &p2)); /* the machine is full with those two */
-  put_batch("1", 3, "p wk-1/0 1 n-1"); /* another came first with the same task */
-  tmx_check_begin(&c, &rep);
-  assert_false(tmx_check_op(&c, &p0));
-  assert_true(tmx_check_op(&c, &p1));
-  assert_false(tmx_check_op(&c, &p2));
-  tmx_check_begin(&c, &rep);
-  assert_true(tmx_check_op(&c, &e0)); /* an end in the same batch makes room */
-  assert_true(tmx_check_op(&c, &p1));
-  assert_true(tmx_check_op(&c, &p2));
-  assert_false(tmx_check_op(&c, &p0)); /* but that task's next attempt is not this one */
+  struct tmx_operation p0 = op(TMX_OPERATION_PLACE, 0, 1, "n-1", 0),
+                       p1 = op(TMX_OPERATION_PLACE, 1, 1, "n-1", 0),
+                       p2 = op(TMX_OPERATION_PLACE, 2, 1, "n-1", 0),
+                       e0 = op(TMX_OPERATION_END, 0, 1, "", 'l');
+  tmx_operation_check_begin(&c, &rep);
+  assert_true(tmx_operation_check_apply(&c, &p0));
+  assert_true(tmx_operation_check_apply(&c, &p1));
+  assert_false(tmx_operation_check_apply(&c, &p2)); /* the machine is full with those two */
+  put_batch("1", 3, "p wk-1/0 1 n-1");              /* another came first with the same task */
+  tmx_operation_check_begin(&c, &rep);
+  assert_false(tmx_operation_check_apply(&c, &p0));
+  assert_true(tmx_operation_check_apply(&c, &p1));
+  assert_false(tmx_operation_check_apply(&c, &p2));
+  tmx_operation_check_begin(&c, &rep);
+  assert_true(tmx_operation_check_apply(&c, &e0)); /* an end in the same batch makes room */
+  assert_true(tmx_operation_check_apply(&c, &p1));
+  assert_true(tmx_operation_check_apply(&c, &p2));
+  assert_false(
+      tmx_operation_check_apply(&c, &p0)); /* but that task's next attempt is not this one */
   set.teams[0].cpus_max = 4;
-  tmx_check_begin(&c, &rep);
-  assert_true(tmx_check_op(&c, &p1));
+  tmx_operation_check_begin(&c, &rep);
+  assert_true(tmx_operation_check_apply(&c, &p1));
   tmx_machine_find(&rep, "n-1")->size_cpus = 64;
-  assert_false(tmx_check_op(&c, &p2)); /* its team's limit */
+  assert_false(tmx_operation_check_apply(&c, &p2)); /* its team's limit */
   put_batch("2", 4, "d n-1 1");
-  tmx_check_begin(&c, &rep);
-  assert_false(tmx_check_op(&c, &p1)); /* the machine is to be returned */
+  tmx_operation_check_begin(&c, &rep);
+  assert_false(tmx_operation_check_apply(&c, &p1)); /* the machine is to be returned */
   put_batch("3", 5, "d n-1 0");
-  put_job(6, TMX_FIN_CANCELLED);
-  tmx_check_begin(&c, &rep);
-  assert_false(tmx_check_op(&c, &p1));
+  put_job(6, TMX_JOB_CANCELLED);
+  tmx_operation_check_begin(&c, &rep);
+  assert_false(tmx_operation_check_apply(&c, &p1));
 }
 
-static void put_view(uint64_t stamp, size_t n, const char *taken_by) {
-  struct tmx_exception e;
-  struct tmx_view v = {.term = stamp, .n_members = n};
+static void put_view(uint64_t version, size_t n, const char *taken_by) {
+  struct tmx_owner_override e;
+  struct tmx_view view = {.term = version, .n_members = n};
   struct tmx_buffer buffer = {0};
   for (size_t i = 0; i < n; i++) {
-    snprintf(v.members[i].name, TMX_NAME_MAX, "hand-%zu", i);
-    v.members[i].inc = i + 1;
+    snprintf(view.members[i].name, TMX_NAME_MAX, "hand-%zu", i);
+    view.members[i].incarnation = i + 1;
   }
   if (taken_by) {
     strcpy(e.machine, "n-7");
     strcpy(e.node, taken_by);
-    v.exceptions = &e;
-    v.n_exceptions = 1;
+    view.overrides = &e;
+    view.n_overrides = 1;
   }
-  tmx_view_encode(&buffer, &v);
-  put(TMX_K_VIEW, stamp, &buffer);
+  tmx_view_encode(&buffer, &view);
+  put(TMX_KEY_VIEW, version, &buffer);
 }
 
 static void ownership(void **st) {
   (void)st;
   char before[64][8], id[16];
   int moved = 0, of[3] = {0};
-  assert_null(tmx_owner_of(&rep, "n-1"));
+  assert_null(tmx_machine_owner(&rep, "n-1"));
   put_view(1, 3, NULL);
   for (int i = 0; i < 64; i++) {
     snprintf(id, sizeof id, "n-%06d", i);
-    snprintf(before[i], sizeof before[i], "%s", tmx_owner_of(&rep, id));
+    snprintf(before[i], sizeof before[i], "%s", tmx_machine_owner(&rep, id));
     of[before[i][5] - '0']++;
   }
   for (int i = 0; i < 3; i++) assert_true(of[i] > 8); /* about a third each */
   put_view(2, 2, NULL);                               /* hand-2 left: only its machines move */
   for (int i = 0; i < 64; i++) {
     snprintf(id, sizeof id, "n-%06d", i);
-    bool same = !strcmp(before[i], tmx_owner_of(&rep, id));
+    bool same = !strcmp(before[i], tmx_machine_owner(&rep, id));
     assert_true(same || !strcmp(before[i], "hand-2"));
     moved += !same;
   }
   assert_int_equal(moved, of[2]);
   put_view(3, 2, "hand-0");
-  assert_string_equal(tmx_owner_of(&rep, "n-7"), "hand-0");
+  assert_string_equal(tmx_machine_owner(&rep, "n-7"), "hand-0");
   put_view(4, 2, "hand-2"); /* an exception for one that left does not count */
-  assert_string_not_equal(tmx_owner_of(&rep, "n-7"), "hand-2");
+  assert_string_not_equal(tmx_machine_owner(&rep, "n-7"), "hand-2");
 }
 
 static void op_lines(void **st) {
   (void)st;
-  struct tmx_op o = {.op = TMX_OP_PLACE, .task = 99999, .attempt = 7}, p;
+  struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 99999, .attempt = 7}, p;
   char s[128];
-  strcpy(o.job, "wk-000412");
-  strcpy(o.machine, "n-000231");
-  tmx_op_print(s, sizeof s, &o);
-  assert_true(tmx_op_parse(s, &p));
+  strcpy(operation.job, "wk-000412");
+  strcpy(operation.machine, "n-000231");
+  tmx_operation_print(s, sizeof s, &operation);
+  assert_true(tmx_operation_parse(s, &p));
   assert_string_equal(p.machine, "n-000231");
   assert_int_equal(p.task, 99999);
-  assert_false(tmx_op_parse("p wk-1 1 n-1", &p));
-  assert_false(tmx_op_parse("x wk-1/0 1 n-1", &p));
-  assert_false(tmx_op_parse("p wk-1/0", &p));
+  assert_false(tmx_operation_parse("p wk-1 1 n-1", &p));
+  assert_false(tmx_operation_parse("x wk-1/0 1 n-1", &p));
+  assert_false(tmx_operation_parse("p wk-1/0", &p));
 }
 
 int main(void) {
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -72,26 +72,26 @@
   state.rev = last;
 }
 
-static void as_production_left_it(const struct tmx_replica *r) {
+static void as_production_left_it(const struct tmx_replica *replica) {
   static const struct {
     const char *id;
     int fin;
     uint32_t done, placed;
   } jobs[] = {
-      {"wk-000001", TMX_OPEN, 1, 2},     {"wk-000002", TMX_OPEN, 0, 1},
-      {"wk-000003", TMX_FIN_DONE, 1, 0}, {"wk-000004", TMX_FIN_CANCELLED, 0, 0},
-      {"wk-000005", TMX_OPEN, 0, 0},     {"wk-000006", TMX_OPEN, 1, 1},
+      {"wk-000001", TMX_JOB_OPEN, 1, 2}, {"wk-000002", TMX_JOB_OPEN, 0, 1},
+      {"wk-000003", TMX_JOB_DONE, 1, 0}, {"wk-000004", TMX_JOB_CANCELLED, 0, 0},
+      {"wk-000005", TMX_JOB_OPEN, 0, 0}, {"wk-000006", TMX_JOB_OPEN, 1, 1},
   };
   for (size_t i = 0; i < sizeof jobs / sizeof *jobs; i++) {
-    const struct tmx_job *j = tmx_job_find(r, jobs[i].id);
-    assert_non_null(j);
-    assert_int_equal(j->fin, jobs[i].fin);
-    assert_int_equal(j->n_done, jobs[i].done);
-    assert_int_equal(j->n_placed, jobs[i].placed);
-    assert_false(tmx_job_blocked(j));
+    const struct tmx_job *job = tmx_job_find(replica, jobs[i].id);
+    assert_non_null(job);
+    assert_int_equal(job->outcome, jobs[i].fin);
+    assert_int_equal(job->n_done, jobs[i].done);
+    assert_int_equal(job->n_placed, jobs[i].placed);
+    assert_false(tmx_job_is_blocked(job));
   }
-  assert_int_equal(tmx_job_find(r, "wk-000001")->tasks[2].attempt, 2);
-  assert_false(r->pipelines);
+  assert_int_equal(tmx_job_find(replica, "wk-000001")->tasks[2].attempt, 2);
+  assert_false(replica->dependencies_in_use);
 }
 
 static void machine_as_production_left_it(void) {
@@ -104,8 +104,8 @@
 }
 
 static bool job_done(void *arg) {
-  struct tmx_job *j = tmx_job_find(&a->rep, arg);
-  return j && j->fin == TMX_FIN_DONE;
+  struct tmx_job *job = tmx_job_find(&a->rep, arg);
+  return job && job->outcome == TMX_JOB_DONE;
 }
 
 static void production_data_is_gone_on_with(void **st) {
@@ -113,13 +113,13 @@
   load_production_state();
   begin();
   as_production_left_it(&a->rep);
-  tmx_fold_above(a->fold, 0); /* folded by this version, and read again */
-  uint64_t mark = a->rep.fold_mark;
-  for (int i = 0; i < 600 && a->rep.fold_mark == mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > mark);
+  tmx_compaction_set_threshold(a->fold, 0); /* folded by this version, and read again */
+  uint64_t mark = a->rep.compaction_point;
+  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) pump_for(0.02);
+  assert_true(a->rep.compaction_point > mark);
   restart();
   as_production_left_it(&a->rep);
-  tmx_fold_above(a->fold, 1000);
+  tmx_compaction_set_threshold(a->fold, 1000);
   machine_as_production_left_it();
   for (int i = 0; i < 5; i++) {
     worker_report(&w, a);
@@ -140,12 +140,12 @@
   submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
   assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 201);
   pump_for(0.5);
-  assert_true(tmx_job_blocked(tmx_job_find(&a->rep, "wk-000007")));
+  assert_true(tmx_job_is_blocked(tmx_job_find(&a->rep, "wk-000007")));
   worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   worker_set(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
   worker_report(&w, a);
   assert_true(pump(job_done, "wk-000001"));
-  assert_false(tmx_job_blocked(tmx_job_find(&a->rep, "wk-000007")));
+  assert_false(tmx_job_is_blocked(tmx_job_find(&a->rep, "wk-000007")));
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
 }
@@ -159,11 +159,11 @@
 }
 
 static void line_as_production_reads(const char *line) {
-  struct tmx_op o;
+  struct tmx_operation operation;
   if (strchr("mdxt", line[0]))
     assert_int_equal(line[1], ' ');
   else
-    assert_true(tmx_op_parse(line, &o));
+    assert_true(tmx_operation_parse(line, &operation));
 }
 
 static void lines_as_production_reads(const cbor_item_t *value) {
@@ -186,15 +186,15 @@
   for (size_t i = 0; i < state.n_e; i++) {
     const struct fake_entry *e = &state.e[i];
     cbor_item_t *value = tmx_cbor_parse(e->value, e->len);
-    if (is_under(e->key, TMX_K_JOB))
+    if (is_under(e->key, TMX_KEY_JOB))
       record_as_production_reads(value);
-    else if (is_under(e->key, TMX_K_BATCH) || is_under(e->key, TMX_K_PAGE))
+    else if (is_under(e->key, TMX_KEY_BATCH) || is_under(e->key, TMX_KEY_PAGE))
       lines_as_production_reads(value);
-    else if (!strcmp(e->key, TMX_K_VIEW))
+    else if (!strcmp(e->key, TMX_KEY_VIEW))
       assert_int_equal(cbor_map_size(value), 4);
     else
-      assert_true(!strcmp(e->key, TMX_K_FOLD) || !strcmp(e->key, TMX_K_HEAD) ||
-                  !strcmp(e->key, TMX_K_LEADER) || is_under(e->key, TMX_K_NODE));
+      assert_true(!strcmp(e->key, TMX_KEY_COMPACTION) || !strcmp(e->key, TMX_KEY_HEAD) ||
+                  !strcmp(e->key, TMX_KEY_LEADER) || is_under(e->key, TMX_KEY_MEMBER));
     tmx_cbor_free(value);
   }
 }
@@ -221,9 +221,9 @@
   assert_true(pump(job_done, "wk-000003"));
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
   all_as_production_reads();
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
+  tmx_compaction_set_threshold(a->fold, 0);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  assert_true(a->rep.compaction_point > 0);
   pump_for(1);
   all_as_production_reads();
 }
