--- a/src/cloud/returns.c
+++ b/src/cloud/returns.c
@@ -182,7 +182,7 @@
   double silent = c->set.op.silent_s > 0 ? c->set.op.silent_s : TMX_SILENT_S;
   bool settled = now - k->led_since > TMX_SETTLE_S;
   struct tmx_machine *machine, *next_machine;
-  struct tmx_zone_signs signs[TMX_ZONES_MAX] = {{0}};
+  struct tmx_zone_liveness signs[TMX_ZONES_MAX] = {{0}};
   double room = 0, services = 0;
   bool heard[TMX_MEMBERS_MAX];
   unsigned n_heard = 0;
@@ -193,8 +193,8 @@
         self ? !tmx_ctl_no_workers(c)
              : tmx_peers_silence(c->peers, n) < TMX_BEAT_DEAD_S && !tmx_peers_cut(c->peers, n);
     n_heard += heard[i];
-    const struct tmx_zone_signs *said =
-        self ? tmx_workers_zones(c->workers) : tmx_peers_zones(c->peers, n);
+    const struct tmx_zone_liveness *said =
+        self ? tmx_workers_zone_liveness(c->workers) : tmx_peers_zones(c->peers, n);
     for (size_t z = 0; heard[i] && said && z < c->set.n_zones; z++) {
       signs[z].machines += said[z].machines;
       signs[z].lost += said[z].lost;
@@ -220,7 +220,7 @@
     spare[z] =
         TMX_ZONE_CUT_S + TMX_PROBE_S * (1 << TMX_PROBE_DOUBLINGS) +
         signs[z].machines / (TMX_SUSPECTS_SHARE * fmax(1, n_heard) * tmx_workers_probe_rate(c));
-    if (tmx_zone_seems_cut(&signs[z])) {
+    if (tmx_zone_is_partitioned(&signs[z])) {
       k->cut_until[z] = now + TMX_ZONE_CUT_S;
       k->spared_until[z] = now + spare[z];
     }
@@ -232,26 +232,26 @@
     struct listed *l;
     HASH_FIND_STR(k->listed, machine->id, l);
     const struct tmx_type *t = tmx_cloud_type(k, machine->type);
-    struct tmx_suspect x = {.silence = 0};
+    struct tmx_suspicion suspicion = {.silence_s = 0};
     /* its owner's word, if that reaches its other machines */
     bool doubt = machine->owner >= 0 && heard[machine->owner] &&
-                 tmx_workers_suspect(c->workers, machine, &x);
-    bool lost = doubt && x.lost >= TMX_PROBES_LOST;
+                 tmx_workers_find_suspicion(c->workers, machine, &suspicion);
+    bool lost = doubt && suspicion.probes_lost >= TMX_PROBES_LOST;
     /* The leader before would have given up what was silent for so long, unless it spared it: a new
      * one does as much, as it cannot know of a cut that has just ended. */
     double led = now - k->led_since;
-    bool spared =
-        machine->zone >= 0 && (now < k->spared_until[machine->zone] ||
-                               (led < spare[machine->zone] && x.silence > led + TMX_INHERIT_S));
+    bool spared = machine->zone >= 0 &&
+                  (now < k->spared_until[machine->zone] ||
+                   (led < spare[machine->zone] && suspicion.silence_s > led + TMX_INHERIT_S));
     const char *why = NULL;
     if (l && l->state == LS_FAILED)
       why = "failed";
-    else if (settled && lost && x.silence > silent &&
-             (!spared || x.silence > given_up * (machine->service_cpus > 0 ? 2 : 1)))
+    else if (settled && lost && suspicion.silence_s > silent &&
+             (!spared || suspicion.silence_s > given_up * (machine->service_cpus > 0 ? 2 : 1)))
       why = "silent";
     else if (settled && doubt && !spared &&
-             x.silence < c->set.report_s * 1.25 + TMX_REPORT_LATE_S &&
-             x.unreached > c->set.lease_s * TMX_UNREACHED_LEASES)
+             suspicion.silence_s < c->set.report_s * 1.25 + TMX_REPORT_LATE_S &&
+             suspicion.unacknowledged_s > c->set.lease_s * TMX_UNREACHED_LEASES)
       why = "not both heard and reached";
     else if (machine->draining && !machine->tasks)
       why = "drained";
--- a/src/controller.c
+++ b/src/controller.c
@@ -123,33 +123,34 @@
   free(override);
 }
 
-static struct tmx_outlook look_around(const struct tmx_ctl *c) {
-  struct tmx_outlook o = {0};
+static struct tmx_peer_census look_around(const struct tmx_ctl *c) {
+  struct tmx_peer_census census = {0};
   int zone = tmx_zone_index(&c->set, c->set.zone);
   for (size_t i = 0; i < c->rep.n_registered_members; i++) {
     const char *n = c->rep.registered_members[i].name;
     if (!strcmp(n, c->set.node)) continue;
     bool heard = tmx_peers_silence(c->peers, n) < TMX_BEAT_LOST_S;
     bool near = tmx_node_zone(&c->set, n) == zone;
-    o.others++;
-    o.heard += heard;
-    o.mine += near;
-    o.mine_heard += near && heard;
-    o.far += !near;
-    o.far_heard += !near && heard;
+    census.others++;
+    census.heard += heard;
+    census.same_zone += near;
+    census.same_zone_heard += near && heard;
+    census.other_zones += !near;
+    census.other_zones_heard += !near && heard;
   }
-  return o;
+  return census;
 }
 
-static bool seems_lost(const struct tmx_ctl *c, const char *name, const struct tmx_outlook *o,
-                       double since) {
+static bool seems_lost(const struct tmx_ctl *c, const char *name,
+                       const struct tmx_peer_census *census, double since) {
   double now = tmx_clock_steady();
-  struct tmx_sign s = {.refused = tmx_peers_refused(c->peers, name),
-                       .cut = tmx_peers_cut(c->peers, name),
-                       .silence = tmx_peers_silence(c->peers, name),
-                       .wrote = now - tmx_replica_last_batch_at(&c->rep, name),
-                       .watched = now - fmax(since, c->trouble_at)};
-  return strcmp(name, c->set.node) && tmx_seems_lost(o, &s);
+  struct tmx_peer_evidence evidence = {
+      .refuses_connections = tmx_peers_refused(c->peers, name),
+      .reports_no_workers = tmx_peers_cut(c->peers, name),
+      .silence_s = tmx_peers_silence(c->peers, name),
+      .last_batch_age_s = now - tmx_replica_last_batch_at(&c->rep, name),
+      .observed_for_s = now - fmax(since, c->trouble_at)};
+  return strcmp(name, c->set.node) && tmx_peer_is_suspected(census, &evidence);
 }
 
 /* The leader keeps the members equal to the registered runs, without those that seem lost. */
@@ -164,12 +165,12 @@
       now - c->view_at < TMX_VIEW_SPACING_S)
     return;
   struct tmx_view view = {.term = replica->view.term + 1};
-  struct tmx_outlook o = look_around(c);
+  struct tmx_peer_census census = look_around(c);
   /* back to the hash only when both have been heard for a while */
-  if (tmx_zones_apart(&o)) c->split_at = now;
+  if (tmx_zones_are_partitioned(&census)) c->split_at = now;
   view.zones_partitioned = c->split_at && now - c->split_at < TMX_SPLIT_HOLD_S;
   for (size_t i = 0; i < replica->n_registered_members; i++)
-    if (!seems_lost(c, replica->registered_members[i].name, &o, c->led_at))
+    if (!seems_lost(c, replica->registered_members[i].name, &census, c->led_at))
       view.members[view.n_members++] = replica->registered_members[i];
   bool same = view.n_members == replica->view.n_members &&
               view.zones_partitioned == replica->view.zones_partitioned;
@@ -193,8 +194,8 @@
 
 /* Whether this controller reaches hardly any of its workers: others should drive them. */
 bool tmx_ctl_no_workers(const struct tmx_ctl *c) {
-  struct tmx_reach h = tmx_workers_reach(c->workers);
-  return h.owned >= TMX_REACH_LEAST && h.reached * 4 < h.owned;
+  struct tmx_reachability reachability = tmx_workers_reachability(c->workers);
+  return reachability.owned >= TMX_REACH_LEAST && reachability.reached * 4 < reachability.owned;
 }
 
 /* ------------------------------------------------------------ events of the replica */
@@ -202,12 +203,12 @@
 static void on_machine(void *arg, struct tmx_machine *machine) {
   struct tmx_ctl *c = arg;
   tmx_rounds_machine(c->rounds, machine);
-  tmx_workers_changed(c->workers, machine);
+  tmx_workers_machine_changed(c->workers, machine);
 }
 static void on_gone(void *arg, struct tmx_machine *machine) {
   struct tmx_ctl *c = arg;
   tmx_rounds_gone(c->rounds, machine);
-  tmx_workers_gone(c->workers, machine);
+  tmx_workers_machine_removed(c->workers, machine);
 }
 static void on_job(void *arg, struct tmx_job *job) {
   struct tmx_ctl *c = arg;
@@ -217,12 +218,12 @@
   struct tmx_ctl *c = arg;
   struct tmx_job *job, *t;
   HASH_ITER(hh, c->rep.jobs, job, t) if (!job->outcome) tmx_rounds_job(c->rounds, job);
-  tmx_workers_viewed(c->workers);
+  tmx_workers_view_changed(c->workers);
 }
 static void on_clear(void *arg) {
   struct tmx_ctl *c = arg;
   tmx_rounds_reset(c->rounds);
-  tmx_workers_clear(c->workers);
+  tmx_workers_replica_cleared(c->workers);
 }
 static void on_change(void *arg) {
   struct tmx_ctl *c = arg;
@@ -243,8 +244,8 @@
 static bool leader_lost(const struct tmx_ctl *c) {
   const char *l = c->rep.leader;
   if (!c->rep.leader_version || !strcmp(l, c->set.node) || tmx_ctl_no_workers(c)) return false;
-  struct tmx_outlook o = look_around(c);
-  return seems_lost(c, l, &o, c->started_at);
+  struct tmx_peer_census census = look_around(c);
+  return seems_lost(c, l, &census, c->started_at);
 }
 
 static void on_tick(struct ev_loop *l, ev_timer *w, int ev) {
@@ -281,7 +282,7 @@
     tmx_http_reply(request, ready(c) ? 200 : 503, NULL, 0);
   } else if (!strcmp(request->path, WP_REPORT)) {
     if (request->method == HTTP_POST)
-      tmx_workers_report(c->workers, request);
+      tmx_workers_handle_heartbeat(c->workers, request);
     else
       tmx_http_reply(request, 405, NULL, 0);
   } else if (!tmx_users_handle(c->users, request)) {
--- a/src/controller.h
+++ b/src/controller.h
@@ -95,46 +95,48 @@
 
 /* src/worker */
 struct tmx_workers *tmx_workers_new(struct tmx_ctl *c);
-void tmx_workers_free(struct tmx_workers *w);
-void tmx_workers_report(struct tmx_workers *w, struct tmx_http_request *request);
-void tmx_workers_changed(struct tmx_workers *w,
-                         struct tmx_machine *machine); /* its orders may differ */
-void tmx_workers_gone(struct tmx_workers *w, struct tmx_machine *machine);
-void tmx_workers_flush(struct tmx_workers *w); /* sends what the latest events made due */
-void tmx_workers_tick(struct tmx_workers *w);  /* health and probes */
+void tmx_workers_free(struct tmx_workers *workers);
+void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request);
+void tmx_workers_machine_changed(struct tmx_workers *workers,
+                                 struct tmx_machine *machine); /* its orders may differ */
+void tmx_workers_machine_removed(struct tmx_workers *workers, struct tmx_machine *machine);
+void tmx_workers_flush(struct tmx_workers *workers); /* sends what the latest events made due */
+void tmx_workers_tick(struct tmx_workers *workers);  /* health and probes */
 /* Ends that reports prove, at most max of them, and machines not registered yet. */
-size_t tmx_workers_ends(struct tmx_workers *w, struct tmx_operation *ops, size_t max);
-struct tmx_worker_facts {
+size_t tmx_workers_collect_completions(struct tmx_workers *workers, struct tmx_operation *ops,
+                                       size_t max);
+struct tmx_machine_facts {
   char id[TMX_ID_MAX], addr[TMX_NAME_MAX], type[TMX_ID_MAX], zone[TMX_NAME_MAX];
   bool spot;
 };
-size_t tmx_workers_unregistered(struct tmx_workers *w, struct tmx_worker_facts *out, size_t max);
-void tmx_workers_viewed(struct tmx_workers *w); /* owners may differ */
-void tmx_workers_clear(struct tmx_workers *w);  /* the replica is read anew */
+size_t tmx_workers_collect_unregistered(struct tmx_workers *workers, struct tmx_machine_facts *out,
+                                        size_t max);
+void tmx_workers_view_changed(struct tmx_workers *workers);    /* owners may differ */
+void tmx_workers_replica_cleared(struct tmx_workers *workers); /* the replica is read anew */
 /* What the owners say of their machines: each of its own in its heartbeats, only of those that
  * something is wrong with. */
-struct tmx_suspect {
+struct tmx_suspicion {
   char id[TMX_ID_MAX];
-  double silence;   /* s without a sign of life */
-  int lost;         /* probes in a row */
-  double unreached; /* s that nothing has shown that it hears us; 0: it does */
-  bool notice;
+  double silence_s;        /* s without a sign of life */
+  int probes_lost;         /* probes in a row */
+  double unacknowledged_s; /* s that nothing has shown that it hears us; 0: it does */
+  bool spot_notice;
 };
-typedef void (*tmx_each_suspect)(void *arg, const struct tmx_suspect *s);
-void tmx_workers_suspects(struct tmx_workers *w, tmx_each_suspect f, void *arg);
-void tmx_workers_peer_says(struct tmx_workers *w, const char *node, uint64_t term,
-                           const struct tmx_suspect *s);
-struct tmx_reach { /* of the machines that this controller owns */
+typedef void (*tmx_suspicion_cb)(void *arg, const struct tmx_suspicion *suspicion);
+void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg);
+void tmx_workers_take_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
+                                const struct tmx_suspicion *suspicion);
+struct tmx_reachability { /* of the machines that this controller owns */
   unsigned owned, reached;
-  double report_age; /* s since any worker's report came here; 1e9: never */
+  double report_age_s; /* s since any worker's report came here; 1e9: never */
 };
 double tmx_workers_probe_rate(const struct tmx_ctl *c); /* a second, of one controller */
-struct tmx_reach tmx_workers_reach(const struct tmx_workers *w);
+struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers);
 /* Signs of life of the machines that this controller owns, by zone. */
-const struct tmx_zone_signs *tmx_workers_zones(const struct tmx_workers *w);
+const struct tmx_zone_liveness *tmx_workers_zone_liveness(const struct tmx_workers *workers);
 /* What its owner says of a machine; false: nothing is wrong, or the owner is not heard. */
-bool tmx_workers_suspect(const struct tmx_workers *w, const struct tmx_machine *machine,
-                         struct tmx_suspect *out);
+bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
+                                const struct tmx_machine *machine, struct tmx_suspicion *out);
 
 /* src/user */
 struct tmx_users *tmx_users_new(struct tmx_ctl *c);
@@ -164,5 +166,5 @@
 double tmx_peers_state_age(const struct tmx_peers *p); /* s: the freshest state among those heard */
 bool tmx_peers_cut(const struct tmx_peers *p, const char *node); /* it says it reaches no workers */
 /* What it says of its machines by zone; NULL: nothing that counts by the view that stands. */
-const struct tmx_zone_signs *tmx_peers_zones(const struct tmx_peers *p, const char *node);
+const struct tmx_zone_liveness *tmx_peers_zones(const struct tmx_peers *p, const char *node);
 #endif
--- a/src/core/outlook.c
+++ b/src/core/outlook.c
@@ -2,19 +2,21 @@
 
 #include "tmx/constants.h"
 
-bool tmx_zones_apart(const struct tmx_outlook *o) {
-  return o->far >= 2 && !o->far_heard && o->mine >= 1 && o->mine_heard == o->mine;
+bool tmx_zones_are_partitioned(const struct tmx_peer_census *census) {
+  return census->other_zones >= 2 && !census->other_zones_heard && census->same_zone >= 1 &&
+         census->same_zone_heard == census->same_zone;
 }
 
-bool tmx_seems_lost(const struct tmx_outlook *o, const struct tmx_sign *s) {
-  if (s->refused) return s->wrote > TMX_WROTE_ALIVE_S;
-  if (s->cut) return true;
-  if (tmx_zones_apart(o)) return false;
-  return o->others >= 2 && o->heard * 2 >= o->others && s->silence > TMX_SILENT_PEER_S &&
-         s->watched > TMX_SILENT_PEER_S;
+bool tmx_peer_is_suspected(const struct tmx_peer_census *census,
+                           const struct tmx_peer_evidence *evidence) {
+  if (evidence->refuses_connections) return evidence->last_batch_age_s > TMX_WROTE_ALIVE_S;
+  if (evidence->reports_no_workers) return true;
+  if (tmx_zones_are_partitioned(census)) return false;
+  return census->others >= 2 && census->heard * 2 >= census->others &&
+         evidence->silence_s > TMX_SILENT_PEER_S && evidence->observed_for_s > TMX_SILENT_PEER_S;
 }
 
-bool tmx_zone_seems_cut(const struct tmx_zone_signs *z) {
-  if (z->lost >= 3) return z->lost > z->alive;
-  return z->lost && !z->alive && z->machines > 1;
+bool tmx_zone_is_partitioned(const struct tmx_zone_liveness *zone) {
+  if (zone->lost >= 3) return zone->lost > zone->alive;
+  return zone->lost && !zone->alive && zone->machines > 1;
 }
--- a/src/core/outlook.h
+++ b/src/core/outlook.h
@@ -4,26 +4,28 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-struct tmx_outlook { /* registered controllers other than this one */
+struct tmx_peer_census { /* registered controllers other than this one */
   size_t others, heard;
-  size_t mine, mine_heard, far, far_heard; /* of this one's zone, and of other zones */
+  size_t same_zone, same_zone_heard, other_zones,
+      other_zones_heard; /* of this one's zone, and of other zones */
 };
-struct tmx_sign { /* of one of them */
-  bool refused;   /* its process refuses connections */
-  bool cut;       /* it says that it reaches hardly any of its workers */
-  double silence; /* s since its last heartbeat */
-  double wrote;   /* s since its last batch in the log */
-  double watched; /* s that this one has been in a position to hear it */
+struct tmx_peer_evidence {  /* of one of them */
+  bool refuses_connections; /* its process refuses connections */
+  bool reports_no_workers;  /* it says that it reaches hardly any of its workers */
+  double silence_s;         /* s since its last heartbeat */
+  double last_batch_age_s;  /* s since its last batch in the log */
+  double observed_for_s;    /* s that this one has been in a position to hear it */
 };
 /* All of another zone is silent and this one is whole: the zones cannot reach each other, and each
  * must drive its own machines. */
-bool tmx_zones_apart(const struct tmx_outlook *o);
+bool tmx_zones_are_partitioned(const struct tmx_peer_census *census);
 /* Should others do its work. Being wrong is safe, as terms order the tokens, but leaving out
  * healthy ones puts their work on the rest: a refused connection alone is no proof of death, and
  * silence may be this controller's own trouble. */
-bool tmx_seems_lost(const struct tmx_outlook *o, const struct tmx_sign *s);
+bool tmx_peer_is_suspected(const struct tmx_peer_census *census,
+                           const struct tmx_peer_evidence *evidence);
 
-struct tmx_zone_signs { /* of one zone's machines, as their owners tell */
+struct tmx_zone_liveness { /* of one zone's machines, as their owners tell */
   unsigned machines;
   unsigned lost;  /* several probes in a row were lost */
   unsigned alive; /* live, as far as signs of life within TMX_ALIVE_S tell */
@@ -31,5 +33,5 @@
 /* Does the zone seem cut off, rather than its machines dead. Those that nobody asked of late say
  * nothing: when a zone falls silent its machines are asked one after the other, and the first ones
  * are lost while most have not been asked. So the lost are weighed against those that live. */
-bool tmx_zone_seems_cut(const struct tmx_zone_signs *z);
+bool tmx_zone_is_partitioned(const struct tmx_zone_liveness *zone);
 #endif
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -35,7 +35,7 @@
   double state_age;
   uint64_t term;
   bool no_workers;
-  struct tmx_zone_signs zones[TMX_ZONES_MAX];
+  struct tmx_zone_liveness zones[TMX_ZONES_MAX];
 };
 struct incoming {
   struct tmx_peers *p;
@@ -81,16 +81,16 @@
   for (u_int i = 0; i < b->zones.zones_len; i++) {
     const tmx_beat_zone *z = &b->zones.zones_val[i];
     int at = tmx_zone_index(&p->c->set, z->name);
-    if (at >= 0) q->zones[at] = (struct tmx_zone_signs){z->machines, z->lost, z->alive};
+    if (at >= 0) q->zones[at] = (struct tmx_zone_liveness){z->machines, z->lost, z->alive};
   }
   for (u_int i = 0; i < b->suspects.suspects_len; i++) {
     const tmx_beat_suspect *d = &b->suspects.suspects_val[i];
-    struct tmx_suspect x = {.silence = d->silence_ms / 1000.0,
-                            .lost = (int)d->lost,
-                            .unreached = d->unreached_ms / 1000.0,
-                            .notice = d->notice};
-    snprintf(x.id, sizeof x.id, "%s", d->id);
-    tmx_workers_peer_says(p->c->workers, q->name, b->term, &x);
+    struct tmx_suspicion suspicion = {.silence_s = d->silence_ms / 1000.0,
+                                      .probes_lost = (int)d->lost,
+                                      .unacknowledged_s = d->unreached_ms / 1000.0,
+                                      .spot_notice = d->notice};
+    snprintf(suspicion.id, sizeof suspicion.id, "%s", d->id);
+    tmx_workers_take_suspicion(p->c->workers, q->name, b->term, &suspicion);
   }
 }
 
@@ -216,7 +216,7 @@
   char (*ids)[TMX_ID_MAX];
   size_t n, cap;
 };
-static void gather_one(void *arg, const struct tmx_suspect *d) {
+static void gather_one(void *arg, const struct tmx_suspicion *suspicion) {
   struct gather *g = arg;
   if (g->n == g->cap) {
     g->cap = g->cap ? g->cap * 2 : 64;
@@ -224,12 +224,12 @@
     g->ids = realloc(g->ids, g->cap * sizeof *g->ids);
     if (!g->v || !g->ids) abort();
   }
-  memcpy(g->ids[g->n], d->id, TMX_ID_MAX);
-  g->v[g->n++] =
-      (tmx_beat_suspect){.silence_ms = d->silence > 1e6 ? UINT32_MAX : (u_int)(d->silence * 1000),
-                         .lost = d->lost > 0 ? (u_int)d->lost : 0,
-                         .unreached_ms = (u_int)(fmin(d->unreached, 1e6) * 1000),
-                         .notice = d->notice};
+  memcpy(g->ids[g->n], suspicion->id, TMX_ID_MAX);
+  g->v[g->n++] = (tmx_beat_suspect){
+      .silence_ms = suspicion->silence_s > 1e6 ? UINT32_MAX : (u_int)(suspicion->silence_s * 1000),
+      .lost = suspicion->probes_lost > 0 ? (u_int)suspicion->probes_lost : 0,
+      .unreached_ms = (u_int)(fmin(suspicion->unacknowledged_s, 1e6) * 1000),
+      .notice = suspicion->spot_notice};
 }
 
 /* Appends one record, with its length before it; false: it cannot be encoded. */
@@ -267,10 +267,10 @@
   struct tmx_ctl *c = p->c;
   struct gather g = {0};
   struct tmx_buffer out = {0};
-  tmx_workers_suspects(c->workers, gather_one, &g);
+  tmx_workers_each_suspicion(c->workers, gather_one, &g);
   for (size_t i = 0; i < g.n; i++) g.v[i].id = g.ids[i];
   double age = tmx_clock_steady() - tmx_store_fresh_as_of(c->link);
-  const struct tmx_zone_signs *signs = tmx_workers_zones(c->workers);
+  const struct tmx_zone_liveness *signs = tmx_workers_zone_liveness(c->workers);
   tmx_beat_zone zones[TMX_ZONES_MAX];
   for (size_t i = 0; i < c->set.n_zones; i++)
     zones[i] = (tmx_beat_zone){c->set.zones[i], signs[i].machines, signs[i].lost, signs[i].alive};
@@ -348,7 +348,7 @@
   return false;
 }
 
-const struct tmx_zone_signs *tmx_peers_zones(const struct tmx_peers *p, const char *node) {
+const struct tmx_zone_liveness *tmx_peers_zones(const struct tmx_peers *p, const char *node) {
   for (size_t i = 0; i < p->n; i++)
     if (!strcmp(p->peers[i].name, node))
       return p->peers[i].term >= p->c->rep.view.term ? p->peers[i].zones : NULL;
--- a/src/rounds/commit.c
+++ b/src/rounds/commit.c
@@ -121,10 +121,10 @@
 }
 
 static void add_registrations(struct tmx_rounds *p, struct draft *d) {
-  struct tmx_worker_facts facts[TMX_REGISTER_MAX];
+  struct tmx_machine_facts facts[TMX_REGISTER_MAX];
   char line[TMX_LINE_MAX];
   if (d->full) return;
-  size_t n = tmx_workers_unregistered(p->c->workers, facts, TMX_REGISTER_MAX);
+  size_t n = tmx_workers_collect_unregistered(p->c->workers, facts, TMX_REGISTER_MAX);
   for (size_t i = 0; i < n && !d->full; i++) {
     snprintf(line, sizeof line, "m %.31s %.63s %.31s %.63s %d 0", facts[i].id, facts[i].addr,
              facts[i].type, facts[i].zone, facts[i].spot);
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -167,7 +167,7 @@
   }
   p->round_at = now;
   p->resent = 0;
-  p->n_ends = tmx_workers_ends(c->workers, p->ends, TMX_ENDS_ROUND);
+  p->n_ends = tmx_workers_collect_completions(c->workers, p->ends, TMX_ENDS_ROUND);
   struct tmx_round in;
   tmx_round_feed(p, &in);
   p->step = TMX_ROUND_PLANNING;
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -117,7 +117,7 @@
   double size_cpus, size_gpus, size_mem_gb; /* of its type, set by the controller; 0: not known */
   bool usable, planner_update_due;          /* for the planner, set by the controller */
   int planner_slot;
-  struct worker *worker; /* its record in src/worker, which keeps this */
+  struct tmx_worker *worker; /* its record in src/worker, which keeps this */
   /* of the batch being checked */
   uint64_t check_id;
   double check_cpus, check_gpus, check_mem_gb;
--- a/src/worker/health.c
+++ b/src/worker/health.c
@@ -11,23 +11,23 @@
 
 /* An answer may lie in a buffer while this controller stands still or is behind with its own work:
  * then a probe that timed out says nothing of the machine. */
-static void probe_lost(struct worker *r) {
-  if (r->w->c->late_at < r->probe_at &&
-      tmx_clock_steady() - r->w->c->tick_at < TMX_TICK_S + TMX_LATE_S)
-    r->probes_lost++;
+static void probe_lost(struct tmx_worker *worker) {
+  if (worker->workers->controller->late_at < worker->probed_at &&
+      tmx_clock_steady() - worker->workers->controller->tick_at < TMX_TICK_S + TMX_LATE_S)
+    worker->probes_lost++;
 }
 
-static void on_shown(void *arg, int status, const uint8_t *body, size_t len) {
-  struct worker *r = arg;
-  r->probe_busy = false;
-  if (status == 200 && tmx_worker_answer(r, body, len))
-    r->probes_lost = 0;
+static void on_probe_response(void *arg, int status, const uint8_t *body, size_t len) {
+  struct tmx_worker *worker = arg;
+  worker->probe_in_flight = false;
+  if (status == 200 && tmx_worker_take_status(worker, body, len))
+    worker->probes_lost = 0;
   else
-    probe_lost(r);
+    probe_lost(worker);
 }
 
-static double sign_age(const struct worker *r, double now) {
-  return now - fmax(fmax(r->heard_at, r->reached_at), r->owned_at);
+static double life_sign_age(const struct tmx_worker *worker, double now) {
+  return now - fmax(fmax(worker->heard_at, worker->acknowledged_at), worker->owned_since);
 }
 
 /* How many probes a second this controller may send: a share of its processor. */
@@ -35,151 +35,163 @@
   return fmax(c->set.core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
 }
 
-static void on_introduced(void *arg, int status, const uint8_t *body, size_t len) {
-  struct worker *r = arg;
-  r->in_flight = false;
-  if ((status == 200 || status == 409) && tmx_worker_answer(r, body, len))
-    r->probes_lost = 0;
+static void on_introduction_response(void *arg, int status, const uint8_t *body, size_t len) {
+  struct tmx_worker *worker = arg;
+  worker->command_in_flight = false;
+  if ((status == 200 || status == 409) && tmx_worker_take_status(worker, body, len))
+    worker->probes_lost = 0;
   else
-    probe_lost(r);
+    probe_lost(worker);
 }
 
 /* A command without orders: its answer shows our token, which a report would show only later. That
  * it may be executed late does no harm. */
-static bool introduce(struct worker *r) {
+static bool introduce(struct tmx_worker *worker) {
   struct tmx_buffer buffer = {0};
-  uint64_t token = tmx_ctl_token(r->w->c, r->bump);
-  if (r->seen > token) return false;
+  uint64_t token = tmx_ctl_token(worker->workers->controller, worker->token_sequence);
+  if (worker->highest_token > token) return false;
   tmx_cbor_put_map(&buffer, 3);
   tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
-  tmx_cbor_put_u64_field(&buffer, W_SESSION, r->session);
+  tmx_cbor_put_u64_field(&buffer, W_SESSION, worker->session);
   tmx_cbor_put_text(&buffer, W_COMMANDS);
   tmx_cbor_put_list(&buffer, 0);
-  r->in_flight =
-      tmx_http_client_call(r->client, "POST", WP_COMMANDS, &buffer, TMX_PROBE_S, on_introduced, r);
+  worker->command_in_flight = tmx_http_client_call(worker->client, "POST", WP_COMMANDS, &buffer,
+                                                   TMX_PROBE_S, on_introduction_response, worker);
   tmx_buffer_free(&buffer);
-  return r->in_flight;
+  return worker->command_in_flight;
 }
 
-static bool probe(struct tmx_workers *w, struct worker *r, const char *addr, double now) {
-  if (r->probe_busy || r->in_flight || w->probe_tokens < 1) return false;
-  if (!tmx_worker_client(r, addr)) return false;
-  w->probe_tokens -= 1;
-  r->probe_at = now;
+static bool probe(struct tmx_workers *workers, struct tmx_worker *worker, const char *addr,
+                  double now) {
+  if (worker->probe_in_flight || worker->command_in_flight || workers->probe_tokens < 1)
+    return false;
+  if (!tmx_worker_client(worker, addr)) return false;
+  workers->probe_tokens -= 1;
+  worker->probed_at = now;
   /* in turns with a plain question: a machine that answers only that is up, and not reached */
-  if (r->owned && r->session && !tmx_worker_hears(r) && !(r->probes_lost & 1) && introduce(r))
+  if (worker->owned && worker->session && !tmx_worker_is_acknowledged(worker) &&
+      !(worker->probes_lost & 1) && introduce(worker))
     return true;
-  r->probe_busy = tmx_http_client_call(r->client, "GET", WP_STATUS, NULL, TMX_PROBE_S, on_shown, r);
+  worker->probe_in_flight = tmx_http_client_call(worker->client, "GET", WP_STATUS, NULL,
+                                                 TMX_PROBE_S, on_probe_response, worker);
   return true;
 }
 
 /* Connections to workers are kept while there are sockets for them. */
-static void close_some(struct tmx_workers *w) {
-  int max = tmx_sockets_out(&w->c->set);
-  if (w->n_clients <= max) return;
-  struct worker *r, *t;
-  HASH_ITER(hh, w->all, r, t) {
-    if (w->n_clients * 10 <= max * 8) return;
-    if (!r->client || r->in_flight || r->probe_busy) continue;
-    tmx_http_client_free(r->client);
-    r->client = NULL;
-    w->n_clients--;
+static void close_idle_clients(struct tmx_workers *workers) {
+  int max = tmx_sockets_out(&workers->controller->set);
+  if (workers->n_clients <= max) return;
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) {
+    if (workers->n_clients * 10 <= max * 8) return;
+    if (!worker->client || worker->command_in_flight || worker->probe_in_flight) continue;
+    tmx_http_client_free(worker->client);
+    worker->client = NULL;
+    workers->n_clients--;
   }
 }
 
 /* Is the machine in doubt, and due to be asked again. One that stays lost is asked ever less often:
  * a whole zone of them must not use up what the others need. */
-static bool doubt_due(const struct worker *r, double now) {
-  if (!r->probes_lost && tmx_worker_hears(r)) return false;
-  int over = r->probes_lost - TMX_PROBES_LOST;
+static bool suspect_probe_is_due(const struct tmx_worker *worker, double now) {
+  if (!worker->probes_lost && tmx_worker_is_acknowledged(worker)) return false;
+  int over = worker->probes_lost - TMX_PROBES_LOST;
   int doublings = over < 0 ? 0 : over > TMX_PROBE_DOUBLINGS ? TMX_PROBE_DOUBLINGS : over;
-  return now - r->probe_at >= TMX_PROBE_S * (1 << doublings);
+  return now - worker->probed_at >= TMX_PROBE_S * (1 << doublings);
 }
 
 /* Asks in turn, from where the last turn ended, while there are probes to spend. */
-static struct worker *ask_in_turn(struct tmx_workers *w, struct worker *from, bool member,
-                                  bool doubtful, double period, double keep, double now) {
-  size_t turns = HASH_COUNT(w->all);
-  struct worker *r = from ? from : w->all;
-  for (; r && turns-- && w->probe_tokens >= 1 + keep; r = r->hh.next ? r->hh.next : w->all) {
-    if (!r->m || !r->m->registered || (member && !r->owned)) continue;
-    bool due = doubtful ? doubt_due(r, now)
-                        : !r->probes_lost && now - fmax(r->reached_at, r->probe_at) >= period;
-    if (due) probe(w, r, r->m->addr, now);
+static struct tmx_worker *probe_in_turn(struct tmx_workers *workers, struct tmx_worker *from,
+                                        bool member, bool doubtful, double period, double keep,
+                                        double now) {
+  size_t turns = HASH_COUNT(workers->all);
+  struct tmx_worker *worker = from ? from : workers->all;
+  for (; worker && turns-- && workers->probe_tokens >= 1 + keep;
+       worker = worker->hh.next ? worker->hh.next : workers->all) {
+    if (!worker->machine || !worker->machine->registered || (member && !worker->owned)) continue;
+    bool due = doubtful ? suspect_probe_is_due(worker, now)
+                        : !worker->probes_lost &&
+                              now - fmax(worker->acknowledged_at, worker->probed_at) >= period;
+    if (due) probe(workers, worker, worker->machine->addr, now);
   }
-  return r;
+  return worker;
 }
 
 /* A controller that was left out asks a few, to learn when it reaches them again. */
-static void ask_a_few(struct tmx_workers *w, struct tmx_reach *reach, double now) {
-  struct worker *r, *t;
-  HASH_ITER(hh, w->all, r, t) {
-    if (!r->m || !r->m->registered) continue;
+static void probe_a_few(struct tmx_workers *workers, struct tmx_reachability *reach, double now) {
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) {
+    if (!worker->machine || !worker->machine->registered) continue;
     if (reach->owned >= TMX_REACH_LEAST) return;
     reach->owned++;
-    reach->reached += now - r->reached_at < 3;
-    if (now - fmax(r->reached_at, r->probe_at) >= 1) probe(w, r, r->m->addr, now);
+    reach->reached += now - worker->acknowledged_at < 3;
+    if (now - fmax(worker->acknowledged_at, worker->probed_at) >= 1)
+      probe(workers, worker, worker->machine->addr, now);
   }
 }
 
-static void count_sign(struct tmx_workers *w, const struct worker *r, double now) {
-  if (r->m->zone < 0) return;
-  struct tmx_zone_signs *z = &w->zones[r->m->zone];
-  z->machines++;
-  z->lost += r->probes_lost >= TMX_PROBES_LOST - 1;
-  z->alive += now - fmax(r->heard_at, r->reached_at) < TMX_ALIVE_S;
+static void count_zone_liveness(struct tmx_workers *workers, const struct tmx_worker *worker,
+                                double now) {
+  if (worker->machine->zone < 0) return;
+  struct tmx_zone_liveness *zone = &workers->zone_liveness[worker->machine->zone];
+  zone->machines++;
+  zone->lost += worker->probes_lost >= TMX_PROBES_LOST - 1;
+  zone->alive += now - fmax(worker->heard_at, worker->acknowledged_at) < TMX_ALIVE_S;
 }
 
 /* In TMX_ALIVE_S only some of those that live can give a sign, as they are asked in turn: what was
  * heard stands for so many. */
-static void extrapolate(struct tmx_workers *w, double rate) {
-  const struct tmx_settings *s = &w->c->set;
+static void extrapolate(struct tmx_workers *workers, double rate) {
+  const struct tmx_settings *s = &workers->controller->set;
   double lost = 0, others = 0;
   for (size_t z = 0; z < s->n_zones; z++) {
-    lost += w->zones[z].lost;
-    others += w->zones[z].machines - w->zones[z].lost;
+    lost += workers->zone_liveness[z].lost;
+    others += workers->zone_liveness[z].machines - workers->zone_liveness[z].lost;
   }
   if (lost > 0) rate *= 1 - TMX_SUSPECTS_SHARE;
   double heard = fmin(1, TMX_ALIVE_S * (rate / fmax(others, 1) + 1 / s->report_s));
   for (size_t z = 0; z < s->n_zones; z++) {
-    struct tmx_zone_signs *g = &w->zones[z];
-    g->alive = (unsigned)fmin(g->alive / heard, g->machines - g->lost);
+    struct tmx_zone_liveness *zone = &workers->zone_liveness[z];
+    zone->alive = (unsigned)fmin(zone->alive / heard, zone->machines - zone->lost);
   }
 }
 
-void tmx_workers_tick(struct tmx_workers *w) {
-  struct tmx_ctl *c = w->c;
+void tmx_workers_tick(struct tmx_workers *workers) {
+  struct tmx_ctl *c = workers->controller;
   double now = tmx_clock_steady(), rate = tmx_workers_probe_rate(c);
-  if (now - w->sweep_at < TMX_SWEEP_S) return;
-  w->probe_tokens = fmin(w->probe_tokens + rate * (now - w->sweep_at), rate * 2 * TMX_SWEEP_S);
-  w->sweep_at = now;
+  if (now - workers->swept_at < TMX_SWEEP_S) return;
+  workers->probe_tokens =
+      fmin(workers->probe_tokens + rate * (now - workers->swept_at), rate * 2 * TMX_SWEEP_S);
+  workers->swept_at = now;
   int self = tmx_ctl_self(c);
   bool member = tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
   double heard_s = c->set.report_s * 1.25 + TMX_REPORT_LATE_S;
-  struct tmx_reach reach = {.report_age = w->report_at ? now - w->report_at : 1e9};
+  struct tmx_reachability reach = {
+      .report_age_s = workers->last_report_at ? now - workers->last_report_at : 1e9};
   unsigned unreported = 0; /* two reports are missing: it may reach no controller */
   struct tmx_machine *machine, *t;
-  memset(w->zones, 0, sizeof w->zones);
+  memset(workers->zone_liveness, 0, sizeof workers->zone_liveness);
   HASH_ITER(hh, c->rep.machines, machine, t) {
     if (!machine->registered) continue;
     bool mine = member && machine->owner == self && self >= 0, usable;
-    struct worker *r = machine->worker;
-    if (mine && !r) {
-      r = tmx_worker_make(w, machine->id);
-      if (!r) continue;
+    struct tmx_worker *worker = machine->worker;
+    if (mine && !worker) {
+      worker = tmx_worker_create(workers, machine->id);
+      if (!worker) continue;
     }
     if (mine) {
-      tmx_worker_own(w, r);
-      count_sign(w, r, now);
+      tmx_worker_is_owned(workers, worker);
+      count_zone_liveness(workers, worker, now);
       reach.owned++;
-      reach.reached += now - fmax(r->reached_at, r->owned_at) < 3 * fmax(1, reach.owned / rate) + 2;
-      bool reports = tmx_worker_unreported(r, now) < heard_s + c->set.report_s;
+      reach.reached += now - fmax(worker->acknowledged_at, worker->owned_since) <
+                       3 * fmax(1, reach.owned / rate) + 2;
+      bool reports = tmx_worker_heartbeat_age(worker, now) < heard_s + c->set.report_s;
       unreported += !reports;
-      usable = r->session && tmx_worker_hears(r) && !r->probes_lost && !r->notice && reports &&
-               sign_age(r, now) < heard_s;
+      usable = worker->session && tmx_worker_is_acknowledged(worker) && !worker->probes_lost &&
+               !worker->spot_notice && reports && life_sign_age(worker, now) < heard_s;
     } else {
-      struct tmx_suspect s;
-      usable = !tmx_workers_suspect(w, machine, &s);
+      struct tmx_suspicion suspicion;
+      usable = !tmx_workers_find_suspicion(workers, machine, &suspicion);
     }
     if (usable != machine->usable) {
       machine->usable = usable;
@@ -187,86 +199,102 @@
       if (usable) tmx_rounds_kick(c);
     }
   }
-  extrapolate(w, rate);
+  extrapolate(workers, rate);
   if (member) {
-    double keep = w->probe_tokens * (1 - TMX_SUSPECTS_SHARE);
+    double keep = workers->probe_tokens * (1 - TMX_SUSPECTS_SHARE);
     double period = fmax(TMX_PROBE_AFTER_S, reach.owned / rate);
-    w->doubt_from = ask_in_turn(w, w->doubt_from, true, true, period, keep, now);
-    w->probe_from = ask_in_turn(w, w->probe_from, true, false, period, 0, now);
+    workers->next_suspect_probe =
+        probe_in_turn(workers, workers->next_suspect_probe, true, true, period, keep, now);
+    workers->next_probe = probe_in_turn(workers, workers->next_probe, true, false, period, 0, now);
   } else {
-    ask_a_few(w, &reach, now);
+    probe_a_few(workers, &reach, now);
   }
-  w->reach = reach;
-  w->many_unreported = unreported * 2 > reach.owned;
-  close_some(w);
+  workers->reachability = reach;
+  workers->most_are_unreported = unreported * 2 > reach.owned;
+  close_idle_clients(workers);
 }
 
-const struct tmx_zone_signs *tmx_workers_zones(const struct tmx_workers *w) { return w->zones; }
+const struct tmx_zone_liveness *tmx_workers_zone_liveness(const struct tmx_workers *workers) {
+  return workers->zone_liveness;
+}
 
-struct tmx_reach tmx_workers_reach(const struct tmx_workers *w) {
-  return w->reach;
+struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers) {
+  return workers->reachability;
 }
 
 /* ------------------------------------------------------------ told to and by the others */
 
-static bool suspect(const struct worker *r, double now, double heard_s, struct tmx_suspect *s) {
-  double back = now - r->back_at;
-  s->silence = sign_age(r, now);
-  s->lost = r->probes_lost;
-  s->unreached = tmx_worker_hears(r) ? 0 : now - fmax(r->owned_at, r->fence_at);
-  if (r->probes_lost) s->unreached = fmax(s->unreached, now - fmax(r->reached_at, r->owned_at));
+static bool suspicion_of(const struct tmx_worker *worker, double now, double heard_s,
+                         struct tmx_suspicion *suspicion) {
+  double back = now - worker->recovered_at;
+  suspicion->silence_s = life_sign_age(worker, now);
+  suspicion->probes_lost = worker->probes_lost;
+  suspicion->unacknowledged_s = tmx_worker_is_acknowledged(worker)
+                                    ? 0
+                                    : now - fmax(worker->owned_since, worker->required_token_at);
+  if (worker->probes_lost)
+    suspicion->unacknowledged_s =
+        fmax(suspicion->unacknowledged_s, now - fmax(worker->acknowledged_at, worker->owned_since));
   /* one that was cut off and is heard again has not had the time yet to show that it hears us */
-  if (back < r->w->c->set.lease_s * TMX_BACK_LEASES)
-    s->unreached = fmin(s->unreached, back + 0.001);
+  if (back < worker->workers->controller->set.lease_s * TMX_BACK_LEASES)
+    suspicion->unacknowledged_s = fmin(suspicion->unacknowledged_s, back + 0.001);
   /* It answers and cannot report: direct commands renew no lease, so by now all that ran is over,
    * and would be again a lease later. */
-  double unreported = tmx_worker_unreported(r, now);
-  if (unreported > r->w->c->set.lease_s && !r->w->many_unreported)
-    s->unreached = fmax(s->unreached, unreported);
-  s->notice = r->notice;
-  memcpy(s->id, r->id, sizeof s->id);
-  return s->lost || s->unreached > 0 || s->notice || s->silence > heard_s;
+  double unreported = tmx_worker_heartbeat_age(worker, now);
+  if (unreported > worker->workers->controller->set.lease_s &&
+      !worker->workers->most_are_unreported)
+    suspicion->unacknowledged_s = fmax(suspicion->unacknowledged_s, unreported);
+  suspicion->spot_notice = worker->spot_notice;
+  memcpy(suspicion->id, worker->id, sizeof suspicion->id);
+  return suspicion->probes_lost || suspicion->unacknowledged_s > 0 || suspicion->spot_notice ||
+         suspicion->silence_s > heard_s;
 }
 
-void tmx_workers_suspects(struct tmx_workers *w, tmx_each_suspect f, void *arg) {
-  double now = tmx_clock_steady(), heard_s = w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S;
-  struct worker *r, *t;
-  HASH_ITER(hh, w->all, r, t) {
-    struct tmx_suspect s;
-    if (r->owned && r->m && r->m->registered && suspect(r, now, heard_s, &s)) f(arg, &s);
+void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg) {
+  double now = tmx_clock_steady(),
+         heard_s = workers->controller->set.report_s * 1.25 + TMX_REPORT_LATE_S;
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) {
+    struct tmx_suspicion suspicion;
+    if (worker->owned && worker->machine && worker->machine->registered &&
+        suspicion_of(worker, now, heard_s, &suspicion))
+      callback(arg, &suspicion);
   }
 }
 
-void tmx_workers_peer_says(struct tmx_workers *w, const char *node, uint64_t term,
-                           const struct tmx_suspect *s) {
-  struct worker *r;
-  HASH_FIND_STR(w->all, s->id, r);
-  if (!r) {
-    if (!tmx_machine_find(&w->c->rep, s->id)) return;
-    r = tmx_worker_make(w, s->id);
-    if (!r) return;
+void tmx_workers_take_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
+                                const struct tmx_suspicion *suspicion) {
+  struct tmx_worker *worker;
+  HASH_FIND_STR(workers->all, suspicion->id, worker);
+  if (!worker) {
+    if (!tmx_machine_find(&workers->controller->rep, suspicion->id)) return;
+    worker = tmx_worker_create(workers, suspicion->id);
+    if (!worker) return;
   }
-  r->said = *s;
-  r->said_at = tmx_clock_steady();
-  r->said_term = term;
-  snprintf(r->said_by, sizeof r->said_by, "%s", node);
+  worker->owner_suspicion = *suspicion;
+  worker->suspicion_at = tmx_clock_steady();
+  worker->suspicion_term = term;
+  snprintf(worker->suspicion_reporter, sizeof worker->suspicion_reporter, "%s", node);
 }
 
-bool tmx_workers_suspect(const struct tmx_workers *w, const struct tmx_machine *machine,
-                         struct tmx_suspect *out) {
-  const struct worker *r = machine->worker;
+bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
+                                const struct tmx_machine *machine, struct tmx_suspicion *out) {
+  const struct tmx_worker *worker = machine->worker;
   double now = tmx_clock_steady();
-  if (!r || machine->owner < 0) return false;
-  if (machine->owner == tmx_ctl_self(w->c))
-    return suspect(r, now, w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S, out);
-  const char *owner = w->c->rep.view.members[machine->owner].name;
+  if (!worker || machine->owner < 0) return false;
+  if (machine->owner == tmx_ctl_self(workers->controller))
+    return suspicion_of(worker, now, workers->controller->set.report_s * 1.25 + TMX_REPORT_LATE_S,
+                        out);
+  const char *owner = workers->controller->rep.view.members[machine->owner].name;
   /* In its latest heartbeat, or not at all, and by the view that stands: a controller that was cut
    * off still tells of what it owned before, none of which it could reach. */
-  if (!r->said_at || r->said_term < w->c->rep.view.term || strcmp(r->said_by, owner) ||
-      now - r->said_at > tmx_peers_silence(w->c->peers, owner) + TMX_BEAT_S / 2 ||
-      now - r->said_at > TMX_BEAT_LOST_S)
+  if (!worker->suspicion_at || worker->suspicion_term < workers->controller->rep.view.term ||
+      strcmp(worker->suspicion_reporter, owner) ||
+      now - worker->suspicion_at >
+          tmx_peers_silence(workers->controller->peers, owner) + TMX_BEAT_S / 2 ||
+      now - worker->suspicion_at > TMX_BEAT_LOST_S)
     return false;
-  *out = r->said;
-  out->silence += now - r->said_at;
+  *out = worker->owner_suspicion;
+  out->silence_s += now - worker->suspicion_at;
   return true;
 }
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -11,58 +11,62 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-static struct worker *find(struct tmx_workers *w, const char *id) {
-  struct worker *r;
-  HASH_FIND_STR(w->all, id, r);
-  return r;
+static struct tmx_worker *find(struct tmx_workers *workers, const char *id) {
+  struct tmx_worker *worker;
+  HASH_FIND_STR(workers->all, id, worker);
+  return worker;
 }
 
-static void worker_free(struct tmx_workers *w, struct worker *r);
+static void worker_free(struct tmx_workers *workers, struct tmx_worker *worker);
 
 /* Machines that a controller's memory allows for: far more than it is run for. */
-static size_t workers_max(const struct tmx_workers *w) {
-  return (size_t)(w->c->set.ram_mb * TMX_BYTES_PER_MB * TMX_WORKERS_SHARE / TMX_WORKER_BYTES);
+static size_t max_workers(const struct tmx_workers *workers) {
+  return (size_t)(workers->controller->set.ram_mb * TMX_BYTES_PER_MB * TMX_WORKERS_SHARE /
+                  TMX_WORKER_BYTES);
 }
 
 /* The table is full: of machines that were heard once and never registered, the one that was silent
  * longest is forgotten. Over months there are many of those. */
-static bool forget_one(struct tmx_workers *w) {
-  struct worker *r, *t, *oldest = NULL;
-  HASH_ITER(hh, w->all, r, t) {
-    if (r->m || r->held || r->in_flight || r->probe_busy) continue;
-    if (!oldest || fmax(r->heard_at, r->said_at) < fmax(oldest->heard_at, oldest->said_at))
-      oldest = r;
-  }
-  if (oldest) worker_free(w, oldest);
+static bool evict_one(struct tmx_workers *workers) {
+  struct tmx_worker *worker, *next, *oldest = NULL;
+  HASH_ITER(hh, workers->all, worker, next) {
+    if (worker->machine || worker->parked_request || worker->command_in_flight ||
+        worker->probe_in_flight)
+      continue;
+    if (!oldest ||
+        fmax(worker->heard_at, worker->suspicion_at) < fmax(oldest->heard_at, oldest->suspicion_at))
+      oldest = worker;
+  }
+  if (oldest) worker_free(workers, oldest);
   return oldest != NULL;
 }
 
-struct worker *tmx_worker_make(struct tmx_workers *w, const char *id) {
-  struct worker *r = find(w, id);
-  if (r) return r;
-  if (HASH_COUNT(w->all) >= workers_max(w) && !forget_one(w)) {
+struct tmx_worker *tmx_worker_create(struct tmx_workers *workers, const char *id) {
+  struct tmx_worker *worker = find(workers, id);
+  if (worker) return worker;
+  if (HASH_COUNT(workers->all) >= max_workers(workers) && !evict_one(workers)) {
     tmx_log(TMX_LOG_ERROR, "worker: %s is refused: memory is kept for %zu machines", id,
-            workers_max(w));
+            max_workers(workers));
     return NULL;
   }
-  r = calloc(1, sizeof *r);
-  if (!r) abort();
-  snprintf(r->id, sizeof r->id, "%s", id);
-  r->w = w;
-  r->m = tmx_machine_find(&w->c->rep, id);
-  if (r->m) r->m->worker = r;
-  HASH_ADD_STR(w->all, id, r);
-  return r;
+  worker = calloc(1, sizeof *worker);
+  if (!worker) abort();
+  snprintf(worker->id, sizeof worker->id, "%s", id);
+  worker->workers = workers;
+  worker->machine = tmx_machine_find(&workers->controller->rep, id);
+  if (worker->machine) worker->machine->worker = worker;
+  HASH_ADD_STR(workers->all, id, worker);
+  return worker;
 }
 
 struct tmx_workers *tmx_workers_new(struct tmx_ctl *c) {
-  struct tmx_workers *w = calloc(1, sizeof *w);
-  if (!w) abort();
-  w->c = c;
-  return w;
+  struct tmx_workers *workers = calloc(1, sizeof *workers);
+  if (!workers) abort();
+  workers->controller = c;
+  return workers;
 }
 
-static void answer_move(struct tmx_http_request *request, const char *to) {
+static void reply_redirect(struct tmx_http_request *request, const char *to) {
   struct tmx_buffer buffer = {0};
   tmx_cbor_put_map(&buffer, to ? 1 : 0);
   if (to) tmx_cbor_put_text_field(&buffer, W_REPORT_TO, to);
@@ -70,113 +74,123 @@
   tmx_buffer_free(&buffer);
 }
 
-static struct tmx_http_request *release_held(struct worker *r) {
-  struct tmx_http_request *request = r->held;
-  if (request) r->w->n_held--;
-  r->held = NULL;
+static struct tmx_http_request *answer_parked_request(struct tmx_worker *worker) {
+  struct tmx_http_request *request = worker->parked_request;
+  if (request) worker->workers->n_parked--;
+  worker->parked_request = NULL;
   return request;
 }
 
-static void worker_free(struct tmx_workers *w, struct worker *r) {
-  if (w->probe_from == r) w->probe_from = r->hh.next;
-  if (w->doubt_from == r) w->doubt_from = r->hh.next;
-  HASH_DEL(w->all, r);
-  if (r->held) answer_move(release_held(r), NULL);
-  if (r->client) {
-    tmx_http_client_free(r->client);
-    w->n_clients--;
+static void worker_free(struct tmx_workers *workers, struct tmx_worker *worker) {
+  if (workers->next_probe == worker) workers->next_probe = worker->hh.next;
+  if (workers->next_suspect_probe == worker) workers->next_suspect_probe = worker->hh.next;
+  HASH_DEL(workers->all, worker);
+  if (worker->parked_request) reply_redirect(answer_parked_request(worker), NULL);
+  if (worker->client) {
+    tmx_http_client_free(worker->client);
+    workers->n_clients--;
   }
-  for (size_t i = 0; r->queued && i < w->n_queue; i++)
-    if (w->queue[i] == r) w->queue[i] = NULL;
-  for (size_t i = 0; r->may_end && i < w->n_ending; i++)
-    if (w->ending[i] == r) w->ending[i] = NULL;
-  if (r->m) r->m->worker = NULL;
-  free(r->loads);
-  free(r);
+  for (size_t i = 0; worker->in_command_queue && i < workers->n_command_queue; i++)
+    if (workers->command_queue[i] == worker) workers->command_queue[i] = NULL;
+  for (size_t i = 0; worker->in_completion_queue && i < workers->n_completion_queue; i++)
+    if (workers->completion_queue[i] == worker) workers->completion_queue[i] = NULL;
+  if (worker->machine) worker->machine->worker = NULL;
+  free(worker->tasks);
+  free(worker);
 }
 
-void tmx_workers_free(struct tmx_workers *w) {
-  struct worker *r, *t;
-  HASH_ITER(hh, w->all, r, t) {
-    r->m = NULL;
-    worker_free(w, r);
+void tmx_workers_free(struct tmx_workers *workers) {
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) {
+    worker->machine = NULL;
+    worker_free(workers, worker);
   }
-  free(w->queue);
-  free(w->ending);
-  free(w);
+  free(workers->command_queue);
+  free(workers->completion_queue);
+  free(workers);
 }
 
-static void queue(struct worker *r) {
-  struct tmx_workers *w = r->w;
-  if (r->queued) return;
-  r->queued = true;
-  w->queue = tmx_grow(w->queue, &w->cap_queue, w->n_queue + 1, sizeof *w->queue);
-  w->queue[w->n_queue++] = r;
+static void enqueue_command(struct tmx_worker *worker) {
+  struct tmx_workers *workers = worker->workers;
+  if (worker->in_command_queue) return;
+  worker->in_command_queue = true;
+  workers->command_queue = tmx_grow(workers->command_queue, &workers->cap_command_queue,
+                                    workers->n_command_queue + 1, sizeof *workers->command_queue);
+  workers->command_queue[workers->n_command_queue++] = worker;
 }
 
-static void may_end(struct worker *r) {
-  struct tmx_workers *w = r->w;
-  if (r->may_end) return;
-  r->may_end = true;
-  w->ending = tmx_grow(w->ending, &w->cap_ending, w->n_ending + 1, sizeof *w->ending);
-  w->ending[w->n_ending++] = r;
+static void enqueue_completion(struct tmx_worker *worker) {
+  struct tmx_workers *workers = worker->workers;
+  if (worker->in_completion_queue) return;
+  worker->in_completion_queue = true;
+  workers->completion_queue =
+      tmx_grow(workers->completion_queue, &workers->cap_completion_queue,
+               workers->n_completion_queue + 1, sizeof *workers->completion_queue);
+  workers->completion_queue[workers->n_completion_queue++] = worker;
 }
 
-static bool own(struct tmx_workers *w, const struct worker *r) {
-  if (!tmx_store_is_member(w->c->link)) return false;
-  if (r->m && r->m->registered) return r->m->owner >= 0 && r->m->owner == tmx_ctl_self(w->c);
-  const char *o = tmx_machine_owner(&w->c->rep, r->id);
-  return o && !strcmp(o, w->c->set.node);
+static bool update_ownership(struct tmx_workers *workers, const struct tmx_worker *worker) {
+  if (!tmx_store_is_member(workers->controller->link)) return false;
+  if (worker->machine && worker->machine->registered)
+    return worker->machine->owner >= 0 &&
+           worker->machine->owner == tmx_ctl_self(workers->controller);
+  const char *o = tmx_machine_owner(&workers->controller->rep, worker->id);
+  return o && !strcmp(o, workers->controller->set.node);
 }
 
 /* Called before anything is done as an owner. On becoming one, the old owner's commands may
  * still be under way: until the worker has seen a token of ours, absence proves nothing. That a
  * session is over proves nothing either to an heir: it does not know which one they were for. */
-bool tmx_worker_own(struct tmx_workers *w, struct worker *r) {
-  bool now = own(w, r);
-  uint64_t term = w->c->rep.view.term;
+bool tmx_worker_is_owned(struct tmx_workers *workers, struct tmx_worker *worker) {
+  bool now = update_ownership(workers, worker);
+  uint64_t term = workers->controller->rep.view.term;
   /* a view that was not seen may have given the machine to another and back */
-  if (now && (!r->owned || term > r->term + 1)) {
+  if (now && (!worker->owned || term > worker->owned_as_of_term + 1)) {
     /* By the same view as before (the copy was read anew): an answer with starts may be under way
      * with the very token that the worker has seen. */
-    if (term == r->term && r->bump < TMX_BUMP_MAX) r->bump++;
-    r->fence = tmx_ctl_token(w->c, r->bump);
-    r->heir = true;
-    r->fence_at = tmx_clock_steady();
-    r->fence_session = UINT64_MAX;
-    r->starts_out = false;
-    r->unanswered = false;
-    r->owned_at = tmx_clock_steady();
-    r->probes_lost = 0;
-  }
-  r->owned = now;
-  r->term = term;
+    if (term == worker->owned_as_of_term && worker->token_sequence < TMX_BUMP_MAX)
+      worker->token_sequence++;
+    worker->required_token = tmx_ctl_token(workers->controller, worker->token_sequence);
+    worker->inherited = true;
+    worker->required_token_at = tmx_clock_steady();
+    worker->required_token_session = UINT64_MAX;
+    worker->starts_unconfirmed = false;
+    worker->command_unanswered = false;
+    worker->owned_since = tmx_clock_steady();
+    worker->probes_lost = 0;
+  }
+  worker->owned = now;
+  worker->owned_as_of_term = term;
   return now;
 }
 
-double tmx_worker_unreported(const struct worker *r, double now) {
-  return now - fmax(r->hello_at, r->owned_at);
+double tmx_worker_heartbeat_age(const struct tmx_worker *worker, double now) {
+  return now - fmax(worker->heartbeat_at, worker->owned_since);
 }
 
 /* Does the worker hear this owner: only a token of ours in its reports shows it. */
-bool tmx_worker_hears(const struct worker *r) { return r->seen >= r->fence && !r->unanswered; }
+bool tmx_worker_is_acknowledged(const struct tmx_worker *worker) {
+  return worker->highest_token >= worker->required_token && !worker->command_unanswered;
+}
 
 /* May an attempt that the latest report lacks be taken to be gone for good. */
-static bool absence_counts(const struct worker *r) {
-  return (r->seen >= r->fence || r->session > r->fence_session) && !r->in_flight &&
-         !r->unanswered && !r->starts_out;
+static bool absence_proves_end(const struct tmx_worker *worker) {
+  return (worker->highest_token >= worker->required_token ||
+          worker->session > worker->required_token_session) &&
+         !worker->command_in_flight && !worker->command_unanswered && !worker->starts_unconfirmed;
 }
 
-static bool parse_loads(const cbor_item_t *tasks, struct load **out, size_t *n) {
+static bool parse_reported_tasks(const cbor_item_t *tasks, struct tmx_reported_task **out,
+                                 size_t *n) {
   size_t len = tmx_cbor_list_length(tasks);
-  struct load *v = calloc(len + 1, sizeof *v);
+  struct tmx_reported_task *v = calloc(len + 1, sizeof *v);
   if (!v) abort();
   *n = 0;
   for (size_t i = 0; i < len; i++) {
     const cbor_item_t *list = tmx_cbor_list_at(tasks, i);
     char task[TMX_ID_MAX + 16], state[16], why[16] = "";
     uint64_t attempt;
-    struct load *d = &v[*n];
+    struct tmx_reported_task *d = &v[*n];
     if (!tmx_cbor_get_text(list, W_TASK, task, sizeof task) ||
         !tmx_cbor_get_u64(list, W_ATTEMPT, &attempt) ||
         !tmx_cbor_get_text(list, W_STATE, state, sizeof state) ||
@@ -187,15 +201,15 @@
     d->attempt = (uint32_t)attempt;
     tmx_cbor_get_text(list, W_WHY, why, sizeof why);
     if (!strcmp(state, WV_EXITED)) {
-      d->state = LD_EXITED;
-      d->how = !strcmp(why, WV_DONE)      ? TMX_END_DONE
-               : !strcmp(why, WV_STOPPED) ? TMX_END_STOPPED
-               : !strcmp(why, WV_ERROR)   ? TMX_END_ERROR
-                                          : TMX_END_REFUSED;
+      d->state = TMX_REPORTED_EXITED;
+      d->end_reason = !strcmp(why, WV_DONE)      ? TMX_END_DONE
+                      : !strcmp(why, WV_STOPPED) ? TMX_END_STOPPED
+                      : !strcmp(why, WV_ERROR)   ? TMX_END_ERROR
+                                                 : TMX_END_REFUSED;
     } else {
-      d->state = !strcmp(state, WV_FETCHING) ? LD_FETCHING
-                 : !strcmp(state, WV_SAVING) ? LD_SAVING
-                                             : LD_RUNNING;
+      d->state = !strcmp(state, WV_FETCHING) ? TMX_REPORTED_FETCHING
+                 : !strcmp(state, WV_SAVING) ? TMX_REPORTED_SAVING
+                                             : TMX_REPORTED_RUNNING;
     }
     (*n)++;
   }
@@ -206,142 +220,152 @@
 /* May the end that the latest report names be believed. To an heir any copy looks new, also one of
  * an earlier session: the attempt may have been forgotten with that session, and started once more.
  * Only a result stays what it is, since the worker keeps it. */
-static bool end_counts(const struct worker *r, char how) { return how == TMX_END_DONE || !r->heir; }
+static bool end_is_proven(const struct tmx_worker *worker, char how) {
+  return how == TMX_END_DONE || !worker->inherited;
+}
 
 /* Compares the latest report with the log: each is marked with what the other says. */
-static void resolve(struct worker *r) {
-  const struct tmx_replica *replica = &r->w->c->rep;
-  if (!r->m || (r->resolved_report == r->report && r->resolved_changes == r->m->change_count))
+static void reconcile_report(struct tmx_worker *worker) {
+  const struct tmx_replica *replica = &worker->workers->controller->rep;
+  if (!worker->machine || (worker->reconciled_report == worker->report_number &&
+                           worker->reconciled_changes == worker->machine->change_count))
     return;
-  r->resolved_report = r->report;
-  r->resolved_changes = r->m->change_count;
-  for (size_t i = 0; i < r->n_loads; i++) {
-    struct load *l = &r->loads[i];
-    struct tmx_job *job = tmx_job_find(replica, l->job);
-    l->current = false;
-    if (!job || !job->tasks || l->task >= job->spec.tasks) continue;
-    struct tmx_task *task = &job->tasks[l->task];
-    if (task->state != TMX_TASK_PLACED || task->attempt != l->attempt || task->machine != r->m)
+  worker->reconciled_report = worker->report_number;
+  worker->reconciled_changes = worker->machine->change_count;
+  for (size_t i = 0; i < worker->n_tasks; i++) {
+    struct tmx_reported_task *reported = &worker->tasks[i];
+    struct tmx_job *job = tmx_job_find(replica, reported->job);
+    reported->in_log = false;
+    if (!job || !job->tasks || reported->task >= job->spec.tasks) continue;
+    struct tmx_task *task = &job->tasks[reported->task];
+    if (task->state != TMX_TASK_PLACED || task->attempt != reported->attempt ||
+        task->machine != worker->machine)
       continue;
-    l->current = true;
-    task->reported_in = r->report;
-    task->reported_state = l->state;
-    task->reported_end = l->how;
+    reported->in_log = true;
+    task->reported_in = worker->report_number;
+    task->reported_state = reported->state;
+    task->reported_end = reported->end_reason;
   }
 }
-static bool reported(const struct worker *r, const struct tmx_task *task) {
-  return task->reported_in == r->report;
+static bool reported(const struct tmx_worker *worker, const struct tmx_task *task) {
+  return task->reported_in == worker->report_number;
 }
 
 /* What the report of a registered machine tells that is worth a round. */
-static void note_report(struct tmx_workers *w, struct worker *r) {
-  resolve(r);
-  for (struct tmx_task *task = r->m->tasks; task; task = task->next) {
-    bool listed = reported(r, task), leaving = task->stop_mode || task->job->outcome;
-    if (listed && task->reported_state == LD_RUNNING && !task->running_since) {
+static void note_report(struct tmx_workers *workers, struct tmx_worker *worker) {
+  reconcile_report(worker);
+  for (struct tmx_task *task = worker->machine->tasks; task; task = task->next) {
+    bool listed = reported(worker, task), leaving = task->stop_mode || task->job->outcome;
+    if (listed && task->reported_state == TMX_REPORTED_RUNNING && !task->running_since) {
       task->running_since = (float)tmx_clock_steady();
       if (tmx_log_enabled(TMX_LOG_DEBUG))
         tmx_log(TMX_LOG_DEBUG, "task: %s/%u %u runs on %s, image %s, placed %.2f s ago",
-                task->job->id, tmx_task_index(task), task->attempt, r->id, task->job->spec.image,
-                tmx_clock_steady() - task->placed_at);
+                task->job->id, tmx_task_index(task), task->attempt, worker->id,
+                task->job->spec.image, tmx_clock_steady() - task->placed_at);
     }
-    if (!(listed && task->reported_state == LD_EXITED) && !leaving) continue;
-    may_end(r);
-    if (listed && task->reported_state == LD_EXITED && task->stop_mode)
-      tmx_rounds_kick(w->c); /* somebody waits for this room */
+    if (!(listed && task->reported_state == TMX_REPORTED_EXITED) && !leaving) continue;
+    enqueue_completion(worker);
+    if (listed && task->reported_state == TMX_REPORTED_EXITED && task->stop_mode)
+      tmx_rounds_kick(workers->controller); /* somebody waits for this room */
     else
-      tmx_rounds_kick_in(w->c, TMX_ENDS_DELAY_S);
+      tmx_rounds_kick_in(workers->controller, TMX_ENDS_DELAY_S);
   }
 }
 
 /* A token of this owner's own view that is above its own: its record of the machine was dropped and
  * made again. Nobody else gives tokens of this view for it, so it goes on from there; else it would
  * send the worker away for as long as the view stands. */
-static void adopt_bump(struct worker *r) {
-  uint64_t first = tmx_ctl_token(r->w->c, 0);
-  if (!r->owned || r->seen <= tmx_ctl_token(r->w->c, r->bump) || r->seen - first > TMX_BUMP_MAX)
+static void adopt_token_sequence(struct tmx_worker *worker) {
+  uint64_t first = tmx_ctl_token(worker->workers->controller, 0);
+  if (!worker->owned ||
+      worker->highest_token <= tmx_ctl_token(worker->workers->controller, worker->token_sequence) ||
+      worker->highest_token - first > TMX_BUMP_MAX)
     return;
-  r->bump = (uint32_t)(r->seen - first);
-  if (r->bump < TMX_BUMP_MAX) r->bump++;
-  r->fence = tmx_ctl_token(r->w->c, r->bump);
+  worker->token_sequence = (uint32_t)(worker->highest_token - first);
+  if (worker->token_sequence < TMX_BUMP_MAX) worker->token_sequence++;
+  worker->required_token = tmx_ctl_token(worker->workers->controller, worker->token_sequence);
 }
 
 /* Takes a report in: from a request, or (hello false) from the answer to a command or a probe.
  * false: malformed. fresh: newer than all that is known. */
-static bool take_report(struct tmx_workers *w, const cbor_item_t *map, bool hello,
-                        struct worker **out, bool *fresh, uint64_t *in_session) {
-  struct tmx_worker_facts f = {0};
+static bool take_report(struct tmx_workers *workers, const cbor_item_t *map, bool hello,
+                        struct tmx_worker **out, bool *fresh, uint64_t *in_session) {
+  struct tmx_machine_facts facts = {0};
   uint64_t session, seq, seen = 0;
   double notice = -1;
   const cbor_item_t *tasks = tmx_cbor_get(map, W_TASKS);
   *out = NULL;
   *fresh = false;
-  if (!tmx_cbor_get_text(map, W_MACHINE, f.id, sizeof f.id) || !f.id[0] || strpbrk(f.id, " \t\n") ||
-      !tmx_cbor_get_text(map, W_ADDR, f.addr, sizeof f.addr) || !f.addr[0] ||
-      strpbrk(f.addr, " \t\n") || !tmx_cbor_get_text(map, W_TYPE, f.type, sizeof f.type) ||
-      !f.type[0] || strpbrk(f.type, " \t\n") ||
-      !tmx_cbor_get_text(map, W_ZONE, f.zone, sizeof f.zone) || !f.zone[0] ||
-      strpbrk(f.zone, " \t\n") || !tmx_cbor_get_u64(map, W_SESSION, &session) ||
+  if (!tmx_cbor_get_text(map, W_MACHINE, facts.id, sizeof facts.id) || !facts.id[0] ||
+      strpbrk(facts.id, " \t\n") ||
+      !tmx_cbor_get_text(map, W_ADDR, facts.addr, sizeof facts.addr) || !facts.addr[0] ||
+      strpbrk(facts.addr, " \t\n") ||
+      !tmx_cbor_get_text(map, W_TYPE, facts.type, sizeof facts.type) || !facts.type[0] ||
+      strpbrk(facts.type, " \t\n") ||
+      !tmx_cbor_get_text(map, W_ZONE, facts.zone, sizeof facts.zone) || !facts.zone[0] ||
+      strpbrk(facts.zone, " \t\n") || !tmx_cbor_get_u64(map, W_SESSION, &session) ||
       !tmx_cbor_get_u64(map, W_SEQ, &seq) || (tasks && !cbor_isa_array(tasks)))
     return false;
-  tmx_cbor_get_bool(map, W_SPOT, &f.spot);
+  tmx_cbor_get_bool(map, W_SPOT, &facts.spot);
   tmx_cbor_get_u64(map, W_TOKEN, &seen);
   tmx_cbor_get_number(map, W_NOTICE, &notice);
   *in_session = session;
-  if (tmx_machine_was_removed(&w->c->rep, f.id)) return true; /* a late copy */
-  struct worker *r = tmx_worker_make(w, f.id);
+  if (tmx_machine_was_removed(&workers->controller->rep, facts.id)) return true; /* a late copy */
+  struct tmx_worker *r = tmx_worker_create(workers, facts.id);
   if (!r) return false;
   /* late copies of older reports say nothing new */
-  if (session < r->session || (session == r->session && seq <= r->seq)) {
+  if (session < r->session || (session == r->session && seq <= r->report_sequence)) {
     *out = r;
     return true;
   }
-  struct load *loads;
+  struct tmx_reported_task *loads;
   size_t n;
-  if (!parse_loads(tasks, &loads, &n)) return false;
+  if (!parse_reported_tasks(tasks, &loads, &n)) return false;
   *out = r;
   *fresh = true;
   double now = tmx_clock_steady();
-  if (now - fmax(r->heard_at, r->reached_at) > w->c->set.report_s * 1.25 + TMX_REPORT_LATE_S)
-    r->back_at = now;
+  if (now - fmax(r->heard_at, r->acknowledged_at) >
+      workers->controller->set.report_s * 1.25 + TMX_REPORT_LATE_S)
+    r->recovered_at = now;
   r->session = session;
-  r->seq = seq;
-  r->facts = f;
-  if (seen > r->seen) {
-    r->seen = seen;
-    if (r->owned && seen >= r->fence) r->reached_at = now;
-    adopt_bump(r);
-  }
-  if (r->owned && seen >= r->fence) r->heir = false;
+  r->report_sequence = seq;
+  r->facts = facts;
+  if (seen > r->highest_token) {
+    r->highest_token = seen;
+    if (r->owned && seen >= r->required_token) r->acknowledged_at = now;
+    adopt_token_sequence(r);
+  }
+  if (r->owned && seen >= r->required_token) r->inherited = false;
   if (hello)
-    r->hello_at = now;
+    r->heartbeat_at = now;
   else
-    r->reached_at = now;
-  if (r->unanswered && (r->seen >= r->fence || r->session > r->fence_session))
-    r->unanswered = false;
+    r->acknowledged_at = now;
+  if (r->command_unanswered &&
+      (r->highest_token >= r->required_token || r->session > r->required_token_session))
+    r->command_unanswered = false;
   /* Only the next request tells that the answer to the one before was executed or dropped: a probe
    * may overtake an answer that is still on its way. */
-  if (hello) r->starts_out = false;
-  if ((notice >= 0) != r->notice) {
-    r->notice = notice >= 0;
-    tmx_log(TMX_LOG_INFO, "worker: %s notice %s", r->id, r->notice ? "given" : "withdrawn");
-    tmx_rounds_kick(w->c);
-  }
-  free(r->loads);
-  r->loads = loads;
-  r->n_loads = n;
-  if (!++w->reports) w->reports = 1;
-  r->report = w->reports;
-  if (!r->m || !r->m->registered) {
-    w->unknown_at = now;
-    tmx_rounds_kick(w->c);
+  if (hello) r->starts_unconfirmed = false;
+  if ((notice >= 0) != r->spot_notice) {
+    r->spot_notice = notice >= 0;
+    tmx_log(TMX_LOG_INFO, "worker: %s notice %s", r->id, r->spot_notice ? "given" : "withdrawn");
+    tmx_rounds_kick(workers->controller);
+  }
+  free(r->tasks);
+  r->tasks = loads;
+  r->n_tasks = n;
+  if (!++workers->report_counter) workers->report_counter = 1;
+  r->report_number = workers->report_counter;
+  if (!r->machine || !r->machine->registered) {
+    workers->unregistered_seen_at = now;
+    tmx_rounds_kick(workers->controller);
   } else
-    note_report(w, r);
+    note_report(workers, r);
   return true;
 }
 
-static void w_order(struct tmx_buffer *buffer, const char *op, const char *job, uint32_t task,
-                    uint32_t attempt, double grace) {
+static void put_command(struct tmx_buffer *buffer, const char *op, const char *job, uint32_t task,
+                        uint32_t attempt, double grace) {
   char name[TMX_ID_MAX + 16];
   snprintf(name, sizeof name, "%s/%u", job, task);
   tmx_cbor_put_map(buffer, grace >= 0 ? 4 : 3);
@@ -352,37 +376,39 @@
 }
 
 /* Appends orders; returns their number. Stops alone may go at any time, and more than once. */
-static size_t orders(struct worker *r, struct tmx_buffer *buffer, bool stops_only, bool *starts) {
-  bool may_start = tmx_ctl_may_start(r->w->c);
-  struct tmx_machine *machine = r->m;
+static size_t put_commands(struct tmx_worker *worker, struct tmx_buffer *buffer, bool stops_only,
+                           bool *starts) {
+  bool may_start = tmx_ctl_may_start(worker->workers->controller);
+  struct tmx_machine *machine = worker->machine;
   size_t n = 0;
   *starts = false;
   if (!machine || !machine->registered) return 0;
-  resolve(r);
+  reconcile_report(worker);
   /* stops first: they make the room that starts need */
   for (struct tmx_task *task = machine->tasks; task && n < TMX_ORDERS_MAX; task = task->next) {
-    if (!reported(r, task) || task->reported_state == LD_EXITED ||
+    if (!reported(worker, task) || task->reported_state == TMX_REPORTED_EXITED ||
         (!task->stop_mode && !task->job->outcome))
       continue;
     bool save = task->stop_mode == 2 && !task->job->outcome;
-    if (save && task->reported_state == LD_SAVING) continue;
-    w_order(buffer, WV_STOP, task->job->id, tmx_task_index(task), task->attempt,
-            save ? task->job->spec.checkpoint_save_s + 1.0 : 0.0);
+    if (save && task->reported_state == TMX_REPORTED_SAVING) continue;
+    put_command(buffer, WV_STOP, task->job->id, tmx_task_index(task), task->attempt,
+                save ? task->job->spec.checkpoint_save_s + 1.0 : 0.0);
     n++;
   }
-  for (size_t i = 0; i < r->n_loads && n < TMX_ORDERS_MAX; i++) {
-    const struct load *l = &r->loads[i];
-    if (l->current || (stops_only && l->state == LD_EXITED)) continue;
+  for (size_t i = 0; i < worker->n_tasks && n < TMX_ORDERS_MAX; i++) {
+    const struct tmx_reported_task *reported = &worker->tasks[i];
+    if (reported->in_log || (stops_only && reported->state == TMX_REPORTED_EXITED)) continue;
     /* The log has settled this attempt: an exited one may be forgotten. One that still runs
      * must not. */
-    w_order(buffer, l->state == LD_EXITED ? WV_FORGET : WV_STOP, l->job, l->task, l->attempt,
-            l->state == LD_EXITED ? -1 : 0.0);
+    put_command(buffer, reported->state == TMX_REPORTED_EXITED ? WV_FORGET : WV_STOP, reported->job,
+                reported->task, reported->attempt,
+                reported->state == TMX_REPORTED_EXITED ? -1 : 0.0);
     n++;
   }
   if (stops_only || !may_start) return n;
   for (struct tmx_task *task = machine->tasks; task && n < TMX_ORDERS_MAX; task = task->next) {
-    if (task->stop_mode || task->job->outcome || reported(r, task)) continue;
-    w_order(buffer, WV_START, task->job->id, tmx_task_index(task), task->attempt, -1);
+    if (task->stop_mode || task->job->outcome || reported(worker, task)) continue;
+    put_command(buffer, WV_START, task->job->id, tmx_task_index(task), task->attempt, -1);
     *starts = true;
     n++;
   }
@@ -391,162 +417,166 @@
 
 /* ------------------------------------------------------------ direct commands */
 
-static void send_direct(struct tmx_workers *w, struct worker *r);
+static void send_commands(struct tmx_workers *workers, struct tmx_worker *worker);
 
-bool tmx_worker_answer(struct worker *r, const uint8_t *body, size_t len) {
+bool tmx_worker_take_status(struct tmx_worker *worker, const uint8_t *body, size_t len) {
   cbor_item_t *map = tmx_cbor_parse(body, len);
-  struct worker *same = NULL;
+  struct tmx_worker *same = NULL;
   uint64_t session;
-  bool fresh, ok = map && take_report(r->w, map, false, &same, &fresh, &session) && same == r;
+  bool fresh, ok = map && take_report(worker->workers, map, false, &same, &fresh, &session) &&
+                   same == worker;
   tmx_cbor_free(map);
-  if (ok) r->reached_at = tmx_clock_steady();
+  if (ok) worker->acknowledged_at = tmx_clock_steady();
   return ok;
 }
 
 static void on_command(void *arg, int status, const uint8_t *body, size_t len) {
-  struct worker *r = arg;
-  struct tmx_workers *w = r->w;
-  r->in_flight = false;
-  bool told = (status == 200 || status == 409) && tmx_worker_answer(r, body, len);
+  struct tmx_worker *worker = arg;
+  struct tmx_workers *workers = worker->workers;
+  worker->command_in_flight = false;
+  bool told = (status == 200 || status == 409) && tmx_worker_take_status(worker, body, len);
   if (!told && status != 400 && status != -1) {
     /* No answer, or none that tells. It may still run, minutes later: a higher token goes out
      * first, and until the worker has seen it, or is known to have begun a later session than the
      * command was for, no absence is believed. The session is the latest one: an earlier command
      * may have been for an earlier session, and that one's end says nothing of this one. */
-    if (tmx_worker_hears(r)) r->fence_at = tmx_clock_steady();
-    r->unanswered = true;
-    if (r->bump < TMX_BUMP_MAX) r->bump++;
-    r->fence = tmx_ctl_token(w->c, r->bump);
-    if (!r->heir) r->fence_session = r->session;
+    if (tmx_worker_is_acknowledged(worker)) worker->required_token_at = tmx_clock_steady();
+    worker->command_unanswered = true;
+    if (worker->token_sequence < TMX_BUMP_MAX) worker->token_sequence++;
+    worker->required_token = tmx_ctl_token(workers->controller, worker->token_sequence);
+    if (!worker->inherited) worker->required_token_session = worker->session;
     return;
   }
-  if (told && (status == 200 || r->dirty)) send_direct(w, r);
+  if (told && (status == 200 || worker->commands_due)) send_commands(workers, worker);
 }
 
-struct tmx_http_client *tmx_worker_client(struct worker *r, const char *addr) {
-  if (r->client && strcmp(r->client_addr, addr)) {
-    tmx_http_client_free(r->client);
-    r->client = NULL;
-    r->w->n_clients--;
-    r->in_flight = r->probe_busy = false;
+struct tmx_http_client *tmx_worker_client(struct tmx_worker *worker, const char *addr) {
+  if (worker->client && strcmp(worker->client_address, addr)) {
+    tmx_http_client_free(worker->client);
+    worker->client = NULL;
+    worker->workers->n_clients--;
+    worker->command_in_flight = worker->probe_in_flight = false;
   }
-  if (!r->client) {
-    snprintf(r->client_addr, sizeof r->client_addr, "%s", addr);
-    r->client = tmx_http_client_new(r->w->c->loop, addr, 2);
-    if (r->client) r->w->n_clients++;
+  if (!worker->client) {
+    snprintf(worker->client_address, sizeof worker->client_address, "%s", addr);
+    worker->client = tmx_http_client_new(worker->workers->controller->loop, addr, 2);
+    if (worker->client) worker->workers->n_clients++;
   }
-  return r->client;
+  return worker->client;
 }
 
-static void send_direct(struct tmx_workers *w, struct worker *r) {
-  r->dirty = false;
-  if (!r->session || r->in_flight || r->unanswered || r->starts_out) {
-    r->dirty = r->in_flight;
+static void send_commands(struct tmx_workers *workers, struct tmx_worker *worker) {
+  worker->commands_due = false;
+  if (!worker->session || worker->command_in_flight || worker->command_unanswered ||
+      worker->starts_unconfirmed) {
+    worker->commands_due = worker->command_in_flight;
     return;
   }
-  if (!tmx_worker_own(w, r) || !tmx_ctl_fresh(w->c)) return;
-  uint64_t token = tmx_ctl_token(w->c, r->bump);
-  if (r->seen > token) return;
+  if (!tmx_worker_is_owned(workers, worker) || !tmx_ctl_fresh(workers->controller)) return;
+  uint64_t token = tmx_ctl_token(workers->controller, worker->token_sequence);
+  if (worker->highest_token > token) return;
   struct tmx_buffer commands = {0}, buffer = {0};
   bool starts;
-  size_t n = orders(r, &commands, false, &starts);
+  size_t n = put_commands(worker, &commands, false, &starts);
   if (n) {
     tmx_cbor_put_map(&buffer, 3);
     tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
-    tmx_cbor_put_u64_field(&buffer, W_SESSION, r->session);
+    tmx_cbor_put_u64_field(&buffer, W_SESSION, worker->session);
     tmx_cbor_put_text(&buffer, W_COMMANDS);
     tmx_cbor_put_list(&buffer, n);
     tmx_buffer_append(&buffer, commands.data, commands.length);
-    struct tmx_http_client *client = tmx_worker_client(r, r->facts.addr);
+    struct tmx_http_client *client = tmx_worker_client(worker, worker->facts.addr);
     if (client)
-      r->in_flight = tmx_http_client_call(client, "POST", WP_COMMANDS, &buffer,
-                                          TMX_COMMAND_TIMEOUT_S, on_command, r);
+      worker->command_in_flight = tmx_http_client_call(client, "POST", WP_COMMANDS, &buffer,
+                                                       TMX_COMMAND_TIMEOUT_S, on_command, worker);
   }
   tmx_buffer_free(&commands);
   tmx_buffer_free(&buffer);
 }
 
-void tmx_workers_changed(struct tmx_workers *w, struct tmx_machine *machine) {
-  struct worker *r = machine->worker;
-  if (!r) {
-    r = machine->worker = find(w, machine->id);
-    if (!r) return;
-    r->m = machine;
+void tmx_workers_machine_changed(struct tmx_workers *workers, struct tmx_machine *machine) {
+  struct tmx_worker *worker = machine->worker;
+  if (!worker) {
+    worker = machine->worker = find(workers, machine->id);
+    if (!worker) return;
+    worker->machine = machine;
   }
-  r->dirty = true;
-  may_end(r);
-  queue(r);
+  worker->commands_due = true;
+  enqueue_completion(worker);
+  enqueue_command(worker);
 }
 
-void tmx_workers_gone(struct tmx_workers *w, struct tmx_machine *machine) {
-  struct worker *r = machine->worker ? machine->worker : find(w, machine->id);
+void tmx_workers_machine_removed(struct tmx_workers *workers, struct tmx_machine *machine) {
+  struct tmx_worker *worker = machine->worker ? machine->worker : find(workers, machine->id);
   machine->worker = NULL;
-  if (!r) return;
-  r->m = NULL;
-  worker_free(w, r);
+  if (!worker) return;
+  worker->machine = NULL;
+  worker_free(workers, worker);
 }
 
-void tmx_workers_clear(struct tmx_workers *w) {
-  struct worker *r, *t;
-  HASH_ITER(hh, w->all, r, t) r->m = NULL;
+void tmx_workers_replica_cleared(struct tmx_workers *workers) {
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) worker->machine = NULL;
 }
 
 /* At every view, one by one: what is between two views that give a machine to this controller
  * tells whether it was another's in the meantime. */
-void tmx_workers_viewed(struct tmx_workers *w) {
-  struct worker *r, *t;
-  HASH_ITER(hh, w->all, r, t) tmx_worker_own(w, r);
+void tmx_workers_view_changed(struct tmx_workers *workers) {
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) tmx_worker_is_owned(workers, worker);
 }
 
-static void answer_owned(struct tmx_workers *w, struct worker *r, struct tmx_http_request *request,
-                         bool older);
+static void reply_as_owner(struct tmx_workers *workers, struct tmx_worker *worker,
+                           struct tmx_http_request *request, bool older);
 
 /* Sends what the latest events made due; called after events were applied, not within. */
-void tmx_workers_flush(struct tmx_workers *w) {
-  for (size_t i = 0; i < w->n_queue; i++) {
-    struct worker *r = w->queue[i];
-    if (!r) continue;
-    r->queued = false;
-    if (r->dirty && !r->in_flight) send_direct(w, r);
-  }
-  w->n_queue = 0;
-  if (!w->n_held) return;
+void tmx_workers_flush(struct tmx_workers *workers) {
+  for (size_t i = 0; i < workers->n_command_queue; i++) {
+    struct tmx_worker *worker = workers->command_queue[i];
+    if (!worker) continue;
+    worker->in_command_queue = false;
+    if (worker->commands_due && !worker->command_in_flight) send_commands(workers, worker);
+  }
+  workers->n_command_queue = 0;
+  if (!workers->n_parked) return;
   const char *take[TMX_TAKE_MAX];
   size_t n = 0;
-  struct worker *r, *t;
-  HASH_ITER(hh, w->all, r, t) {
-    if (!r->held) continue;
-    if (!r->held->conn || tmx_clock_steady() - r->held_at > TMX_TAKE_HOLD_S)
-      answer_move(release_held(r), NULL);
-    else if (tmx_ctl_fresh(w->c) && tmx_worker_own(w, r))
-      answer_owned(w, r, release_held(r), false);
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) {
+    if (!worker->parked_request) continue;
+    if (!worker->parked_request->conn || tmx_clock_steady() - worker->parked_at > TMX_TAKE_HOLD_S)
+      reply_redirect(answer_parked_request(worker), NULL);
+    else if (tmx_ctl_fresh(workers->controller) && tmx_worker_is_owned(workers, worker))
+      reply_as_owner(workers, worker, answer_parked_request(worker), false);
     else if (n < TMX_TAKE_MAX)
-      take[n++] = r->id;
+      take[n++] = worker->id;
   }
-  if (n) tmx_ctl_take(w->c, take, n);
+  if (n) tmx_ctl_take(workers->controller, take, n);
 }
 
 /* ------------------------------------------------------------ reports */
 
 /* A worker that was sent to its owner and is back, or that its owner has lost, cannot reach it. */
-static bool cut_from_owner(struct tmx_workers *w, struct worker *r, const char *owner, double now) {
-  double back = now - r->bounced_at;
-  double silence = tmx_peers_silence(w->c->peers, owner);
-  if (r->bounced_at && back >= TMX_TAKE_AFTER_S && back <= TMX_TAKE_WITHIN_S) return true;
-  if (silence > TMX_BEAT_LOST_S) return r->bounced_at && back < TMX_TAKE_WITHIN_S;
-  struct tmx_suspect s;
-  return r->m && tmx_workers_suspect(w, r->m, &s) && s.silence > TMX_TAKE_SILENT_S &&
-         s.lost >= TMX_PROBES_LOST;
+static bool is_cut_off_from_owner(struct tmx_workers *workers, struct tmx_worker *worker,
+                                  const char *owner, double now) {
+  double back = now - worker->redirected_at;
+  double silence = tmx_peers_silence(workers->controller->peers, owner);
+  if (worker->redirected_at && back >= TMX_TAKE_AFTER_S && back <= TMX_TAKE_WITHIN_S) return true;
+  if (silence > TMX_BEAT_LOST_S) return worker->redirected_at && back < TMX_TAKE_WITHIN_S;
+  struct tmx_suspicion suspicion;
+  return worker->machine && tmx_workers_find_suspicion(workers, worker->machine, &suspicion) &&
+         suspicion.silence_s > TMX_TAKE_SILENT_S && suspicion.probes_lost >= TMX_PROBES_LOST;
 }
 
 /* A command of the owner's that starts a task may still be under way, and the task's job is over by
  * now. Who keeps the lease for the owner raises no token, so the command is not ruled out, and the
  * task would go on until the lease ends: it must not be renewed beyond the time of the
  * cancellation. */
-static bool starts_in_doubt(const struct worker *r, double now) {
-  const struct tmx_settings *s = &r->w->c->set;
-  for (const struct tmx_task *task = r->m ? r->m->tasks : NULL; task; task = task->next)
-    if (task->job->outcome && !reported(r, task) &&
+static bool starts_in_doubt(const struct tmx_worker *worker, double now) {
+  const struct tmx_settings *s = &worker->workers->controller->set;
+  for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
+       task = task->next)
+    if (task->job->outcome && !reported(worker, task) &&
         now - task->job->outcome_after > tmx_fresh_bound(s))
       return true;
   return false;
@@ -556,19 +586,20 @@
  * hear it: any member that is fresh keeps its lease, so that its work is not killed. It gives no
  * orders but one: a job that is over stays over, and its tasks must not outlast the time that a
  * cancellation has. Where a newer owner has been at it, that one sees to it. */
-static bool keeps_for_owner(struct tmx_workers *w, const struct worker *r, const char *owner,
-                            double now) {
-  const struct tmx_ctl *c = w->c;
+static bool may_renew_lease_for_owner(struct tmx_workers *workers, const struct tmx_worker *worker,
+                                      const char *owner, double now) {
+  const struct tmx_ctl *c = workers->controller;
   if (!tmx_store_is_member(c->link) || now - tmx_store_fresh_as_of(c->link) < TMX_STATE_LOST_S)
     return false;
-  if (r->seen > tmx_ctl_token(c, TMX_BUMP_MAX) || starts_in_doubt(r, now)) return false;
+  if (worker->highest_token > tmx_ctl_token(c, TMX_BUMP_MAX) || starts_in_doubt(worker, now))
+    return false;
   return tmx_peers_silence(c->peers, owner) > TMX_BEAT_LOST_S ||
-         (r->bounced_at && now - r->bounced_at >= TMX_TAKE_AFTER_S);
+         (worker->redirected_at && now - worker->redirected_at >= TMX_TAKE_AFTER_S);
 }
 
 /* Answers a report with orders, which are freed. */
-static void answer_orders(struct tmx_http_request *request, uint64_t token,
-                          struct tmx_buffer *commands, size_t n) {
+static void reply_commands(struct tmx_http_request *request, uint64_t token,
+                           struct tmx_buffer *commands, size_t n) {
   struct tmx_buffer buffer = {0};
   tmx_cbor_put_map(&buffer, 2);
   tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
@@ -580,115 +611,118 @@
   tmx_buffer_free(&buffer);
 }
 
-static void answer_for_owner(struct tmx_workers *w, struct worker *r,
-                             struct tmx_http_request *request) {
+static void reply_for_owner(struct tmx_workers *workers, struct tmx_worker *worker,
+                            struct tmx_http_request *request) {
   struct tmx_buffer commands = {0};
   size_t n = 0;
-  for (size_t i = 0; i < r->n_loads && n < TMX_ORDERS_MAX; i++) {
-    const struct load *l = &r->loads[i];
-    const struct tmx_job *job = tmx_job_find(&w->c->rep, l->job);
-    if (l->state == LD_EXITED || !job || !job->outcome) continue;
-    w_order(&commands, WV_STOP, l->job, l->task, l->attempt, 0.0);
+  for (size_t i = 0; i < worker->n_tasks && n < TMX_ORDERS_MAX; i++) {
+    const struct tmx_reported_task *reported = &worker->tasks[i];
+    const struct tmx_job *job = tmx_job_find(&workers->controller->rep, reported->job);
+    if (reported->state == TMX_REPORTED_EXITED || !job || !job->outcome) continue;
+    put_command(&commands, WV_STOP, reported->job, reported->task, reported->attempt, 0.0);
     n++;
   }
-  answer_orders(request, r->seen, &commands, n);
+  reply_commands(request, worker->highest_token, &commands, n);
 }
 
-void tmx_workers_report(struct tmx_workers *w, struct tmx_http_request *request) {
-  struct tmx_ctl *c = w->c;
+void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request) {
+  struct tmx_ctl *c = workers->controller;
   cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
-  struct worker *r = NULL;
+  struct tmx_worker *worker = NULL;
   bool latest;
   uint64_t session;
-  if (!map || !take_report(w, map, true, &r, &latest, &session)) {
+  if (!map || !take_report(workers, map, true, &worker, &latest, &session)) {
     tmx_cbor_free(map);
     tmx_http_reply(request, 400, NULL, 0);
     return;
   }
   tmx_cbor_free(map);
-  if (!r) {
-    answer_move(request, NULL);
+  if (!worker) {
+    reply_redirect(request, NULL);
     return;
   }
   double now = tmx_clock_steady();
-  if (latest) r->heard_at = w->report_at = now;
+  if (latest) worker->heard_at = workers->last_report_at = now;
   /* A cut-off controller must not renew leases for longer than a cancellation allows. */
   if (!tmx_ctl_fresh(c)) {
     tmx_http_reply(request, 503, NULL, 1);
     return;
   }
   if (tmx_ctl_cut_off(c)) {
-    answer_move(request, NULL);
+    reply_redirect(request, NULL);
     return;
   }
-  if (!tmx_worker_own(w, r)) {
-    const char *owner = tmx_machine_owner(&c->rep, r->id);
+  if (!tmx_worker_is_owned(workers, worker)) {
+    const char *owner = tmx_machine_owner(&c->rep, worker->id);
     if (owner && !strcmp(owner, c->set.node)) owner = NULL; /* this run is not in the view yet */
-    if (owner && latest && keeps_for_owner(w, r, owner, now)) {
-      answer_for_owner(w, r, request);
+    if (owner && latest && may_renew_lease_for_owner(workers, worker, owner, now)) {
+      reply_for_owner(workers, worker, request);
       return;
     }
-    if (owner && latest && !r->held && tmx_store_is_member(c->link) &&
-        cut_from_owner(w, r, owner, now)) {
-      r->held = request;
-      r->held_at = now;
-      w->n_held++;
+    if (owner && latest && !worker->parked_request && tmx_store_is_member(c->link) &&
+        is_cut_off_from_owner(workers, worker, owner, now)) {
+      worker->parked_request = request;
+      worker->parked_at = now;
+      workers->n_parked++;
       return;
     }
-    if (owner && latest) r->bounced_at = now;
-    answer_move(request, owner);
+    if (owner && latest) worker->redirected_at = now;
+    reply_redirect(request, owner);
     return;
   }
-  if (session < r->session) { /* a late copy: nobody waits for its answer */
-    answer_move(request, NULL);
+  if (session < worker->session) { /* a late copy: nobody waits for its answer */
+    reply_redirect(request, NULL);
     return;
   }
-  answer_owned(w, r, request, !latest);
+  reply_as_owner(workers, worker, request, !latest);
 }
 
 /* older: a probe's answer has overtaken the report, which its worker still waits for (or it is a
  * late copy, and nobody does). Its lease counts from when it was sent, in either case. */
-static void answer_owned(struct tmx_workers *w, struct worker *r, struct tmx_http_request *request,
-                         bool older) {
-  r->bounced_at = 0;
-  uint64_t token = tmx_ctl_token(w->c, r->bump);
-  if (r->seen > token) { /* a newer owner has been at it */
-    answer_move(request, NULL);
+static void reply_as_owner(struct tmx_workers *workers, struct tmx_worker *worker,
+                           struct tmx_http_request *request, bool older) {
+  worker->redirected_at = 0;
+  uint64_t token = tmx_ctl_token(workers->controller, worker->token_sequence);
+  if (worker->highest_token > token) { /* a newer owner has been at it */
+    reply_redirect(request, NULL);
     return;
   }
   struct tmx_buffer commands = {0};
   bool starts = false;
   /* While a command is under way its effect is not known: nothing is started. An answer that renews
    * a lease always stops what is cancelled, though. */
-  size_t n = orders(r, &commands, older || r->in_flight, &starts);
-  if (starts) r->starts_out = true;
-  answer_orders(request, token, &commands, n);
+  size_t n = put_commands(worker, &commands, older || worker->command_in_flight, &starts);
+  if (starts) worker->starts_unconfirmed = true;
+  reply_commands(request, token, &commands, n);
 }
 
 /* ------------------------------------------------------------ for the rounds */
 
-size_t tmx_workers_ends(struct tmx_workers *w, struct tmx_operation *ops, size_t max) {
+size_t tmx_workers_collect_completions(struct tmx_workers *workers, struct tmx_operation *ops,
+                                       size_t max) {
   size_t n = 0, left = 0;
-  for (size_t i = 0; i < w->n_ending; i++) {
-    struct worker *r = w->ending[i];
-    if (!r) continue;
+  for (size_t i = 0; i < workers->n_completion_queue; i++) {
+    struct tmx_worker *worker = workers->completion_queue[i];
+    if (!worker) continue;
     if (n == max) {
-      w->ending[left++] = r;
+      workers->completion_queue[left++] = worker;
       continue;
     }
-    if (!r->m || !r->m->registered || !r->m->tasks || !r->session || !tmx_worker_own(w, r)) {
-      r->may_end = false; /* set again by whatever changes this */
+    if (!worker->machine || !worker->machine->registered || !worker->machine->tasks ||
+        !worker->session || !tmx_worker_is_owned(workers, worker)) {
+      worker->in_completion_queue = false; /* set again by whatever changes this */
       continue;
     }
-    resolve(r);
+    reconcile_report(worker);
     bool later = false;
-    for (struct tmx_task *task = r->m->tasks; task && n < max; task = task->next) {
+    for (struct tmx_task *task = worker->machine->tasks; task && n < max; task = task->next) {
       char how = 0;
-      bool listed = reported(r, task), leaving = task->stop_mode || task->job->outcome;
+      bool listed = reported(worker, task), leaving = task->stop_mode || task->job->outcome;
       later |= leaving;
-      if (listed && task->reported_state == LD_EXITED && end_counts(r, task->reported_end))
+      if (listed && task->reported_state == TMX_REPORTED_EXITED &&
+          end_is_proven(worker, task->reported_end))
         how = task->reported_end;
-      else if (!listed && leaving && absence_counts(r))
+      else if (!listed && leaving && absence_proves_end(worker))
         how = TMX_END_STOPPED;
       if (!how) continue;
       later = true;
@@ -700,26 +734,32 @@
       operation->reason = how;
       snprintf(operation->job, sizeof operation->job, "%s", task->job->id);
     }
-    r->may_end = later;
-    if (later) w->ending[left++] = r;
+    worker->in_completion_queue = later;
+    if (later) workers->completion_queue[left++] = worker;
   }
-  w->n_ending = left;
+  workers->n_completion_queue = left;
   return n;
 }
 
 /* Machines that are not in the log yet. One is registered only once it shows a token of ours: a
  * late copy of a report of a machine that was returned never does. */
-size_t tmx_workers_unregistered(struct tmx_workers *w, struct tmx_worker_facts *out, size_t max) {
+size_t tmx_workers_collect_unregistered(struct tmx_workers *workers, struct tmx_machine_facts *out,
+                                        size_t max) {
   size_t n = 0;
   double now = tmx_clock_steady();
-  struct worker *r, *tmp;
-  if (!w->unknown_at || now - w->unknown_at > 2 * w->c->set.report_s) return 0;
-  HASH_ITER(hh, w->all, r, tmp) {
+  struct tmx_worker *worker, *next_worker;
+  if (!workers->unregistered_seen_at ||
+      now - workers->unregistered_seen_at > 2 * workers->controller->set.report_s)
+    return 0;
+  HASH_ITER(hh, workers->all, worker, next_worker) {
     if (n == max) break;
-    if ((r->m && r->m->registered) || !r->session || !r->heard_at) continue;
-    if (now - r->heard_at > 2 * w->c->set.report_s || !tmx_worker_own(w, r)) continue;
-    if (!tmx_worker_hears(r)) continue;
-    out[n++] = r->facts;
+    if ((worker->machine && worker->machine->registered) || !worker->session || !worker->heard_at)
+      continue;
+    if (now - worker->heard_at > 2 * workers->controller->set.report_s ||
+        !tmx_worker_is_owned(workers, worker))
+      continue;
+    if (!tmx_worker_is_acknowledged(worker)) continue;
+    out[n++] = worker->facts;
   }
   return n;
 }
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -12,7 +12,7 @@
 #include "tmx/wire.h"
 
 struct worker {
-  struct fake_worker w;
+  struct fake_worker workers;
   int at; /* the node that it reports to */
   bool busy;
   double due, sent, renewed; /* next report, the latest one, the latest one that was answered */
@@ -25,7 +25,7 @@
 
 /* Tells of tasks that came and went since the last look. */
 static void note_changes(struct worker *x) {
-  struct fake_worker *was = &x->before, *is = &x->w;
+  struct fake_worker *was = &x->before, *is = &x->workers;
   for (size_t i = 0; i < is->n_loads; i++) {
     size_t k = 0;
     while (k < was->n_loads && (strcmp(was->loads[k].task, is->loads[i].task) ||
@@ -40,13 +40,13 @@
       history_end(is->id, is->loads[i].task, is->loads[i].attempt, is->loads[i].why);
     }
   }
-  x->before = x->w;
+  x->before = x->workers;
 }
 
 static void note_orders(const struct worker *x, int by, uint64_t token) {
-  for (size_t i = 0; i < x->w.n_orders; i++)
-    history_order(x->w.id, by, token, x->w.orders[i].op, x->w.orders[i].task,
-                  x->w.orders[i].attempt);
+  for (size_t i = 0; i < x->workers.n_orders; i++)
+    history_order(x->workers.id, by, token, x->workers.orders[i].op, x->workers.orders[i].task,
+                  x->workers.orders[i].attempt);
 }
 
 static void on_report(void *arg, int status, const uint8_t *body, size_t len) {
@@ -59,58 +59,58 @@
     x->due = now + 1;
     return;
   }
-  uint64_t had_token = x->w.token;
-  worker_answered(&x->w, status, body, len);
+  uint64_t had_token = x->workers.token;
+  worker_answered(&x->workers, status, body, len);
   if (status == 421) {
-    int to = x->w.move_to[0] ? atoi(x->w.move_to + 5) : -1;
+    int to = x->workers.move_to[0] ? atoi(x->workers.move_to + 5) : -1;
     x->due = now + (to < 0 || to == x->at ? 1 : 0.2);
     x->at = to < 0 ? (x->at + 1) % setup.nodes : to;
     return;
   }
   x->due = now + setup.report_s * (0.75 + 0.5 * gsl_rng_uniform(cluster_rng));
-  if (x->w.answer_token < had_token) return; /* dropped */
+  if (x->workers.answer_token < had_token) return; /* dropped */
   x->renewed = x->sent;
-  unsigned had = x->w.executed_starts;
-  note_orders(x, x->at, x->w.answer_token);
-  worker_do(&x->w);
+  unsigned had = x->workers.executed_starts;
+  note_orders(x, x->at, x->workers.answer_token);
+  worker_do(&x->workers);
   note_changes(x);
-  if (x->w.executed_starts != had) x->due = now + 0.5;
+  if (x->workers.executed_starts != had) x->due = now + 0.5;
 }
 
 /* A direct command: the sender is told by the term of its token alone. */
 static void on_command(struct fake_worker *w, uint64_t token) {
   (void)token;
-  struct worker *x = (struct worker *)((char *)w - offsetof(struct worker, w));
+  struct worker *x = (struct worker *)((char *)w - offsetof(struct worker, workers));
   note_changes(x);
 }
 
 static void run_tasks(struct worker *x, double now, double dt) {
-  char task[sizeof x->w.loads[0].task];
-  for (size_t i = 0; i < x->w.n_loads; i++) {
-    double run_s = setup.run_s(x->w.loads[i].task);
-    if (run_s <= 0 || strcmp(x->w.loads[i].state, WV_RUNNING) ||
+  char task[sizeof x->workers.loads[0].task];
+  for (size_t i = 0; i < x->workers.n_loads; i++) {
+    double run_s = setup.run_s(x->workers.loads[i].task);
+    if (run_s <= 0 || strcmp(x->workers.loads[i].state, WV_RUNNING) ||
         gsl_rng_uniform(cluster_rng) > dt / run_s)
       continue;
-    memcpy(task, x->w.loads[i].task, sizeof task);
-    worker_set(&x->w, task, x->w.loads[i].attempt, WV_EXITED, WV_DONE);
+    memcpy(task, x->workers.loads[i].task, sizeof task);
+    worker_set(&x->workers, task, x->workers.loads[i].attempt, WV_EXITED, WV_DONE);
     if (x->due > now + 0.5) x->due = now + 0.5;
     figures.finished++;
   }
 }
 
 static void end_session(struct worker *x, double now) {
-  for (size_t i = 0; i < x->w.n_loads; i++)
-    if (!strcmp(x->w.loads[i].state, WV_RUNNING))
-      history_end(x->w.id, x->w.loads[i].task, x->w.loads[i].attempt, "lease");
-  x->w.n_loads = x->before.n_loads = 0;
-  x->w.session++;
+  for (size_t i = 0; i < x->workers.n_loads; i++)
+    if (!strcmp(x->workers.loads[i].state, WV_RUNNING))
+      history_end(x->workers.id, x->workers.loads[i].task, x->workers.loads[i].attempt, "lease");
+  x->workers.n_loads = x->before.n_loads = 0;
+  x->workers.session++;
   x->renewed = now;
 }
 
 static void send_report(struct worker *x, double now) {
   struct tmx_buffer buffer = {0};
-  x->w.seq++;
-  worker_encode(&x->w, &buffer);
+  x->workers.seq++;
+  worker_encode(&x->workers, &buffer);
   x->busy = tmx_http_client_call(node[x->at].reports, "POST", WP_REPORT, &buffer, 4, on_report, x);
   x->sent = now;
   if (!x->busy) x->due = now + 1;
@@ -135,8 +135,8 @@
   if (!workers) abort();
   for (int i = 0; i < setup.machines; i++) {
     snprintf(id, sizeof id, "n-%06d", i + 1);
-    worker_open(&workers[i].w, id);
-    workers[i].w.on_command = on_command;
+    worker_open(&workers[i].workers, id);
+    workers[i].workers.on_command = on_command;
     workers[i].at = i % setup.nodes;
     workers[i].renewed = now;
     workers[i].due = now + setup.report_s * gsl_rng_uniform(cluster_rng);
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -783,13 +783,13 @@
   const char *owner = tmx_machine_owner(&a->rep, w.id);
   struct tmx_ctl *other = !strcmp(owner, a->set.node) ? b : a;
   struct tmx_machine *machine = tmx_machine_find(&other->rep, w.id);
-  struct tmx_suspect says = {.silence = 60, .lost = 9}, x;
+  struct tmx_suspicion says = {.silence_s = 60, .probes_lost = 9}, suspicion;
   snprintf(says.id, sizeof says.id, "%s", w.id);
   uint64_t term = other->rep.view.term;
-  tmx_workers_peer_says(other->workers, owner, term - 1, &says);
-  assert_false(tmx_workers_suspect(other->workers, machine, &x));
-  tmx_workers_peer_says(other->workers, owner, term, &says);
-  assert_true(tmx_workers_suspect(other->workers, machine, &x));
+  tmx_workers_take_suspicion(other->workers, owner, term - 1, &says);
+  assert_false(tmx_workers_find_suspicion(other->workers, machine, &suspicion));
+  tmx_workers_take_suspicion(other->workers, owner, term, &says);
+  assert_true(tmx_workers_find_suspicion(other->workers, machine, &suspicion));
 }
 
 static void on_any(void *arg, struct tmx_http_request *request) {
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -62,11 +62,11 @@
   pump_for(8); /* none of them reports */
   struct tmx_machine *machine, *next;
   size_t of_other = 0, heard_of = 0;
-  struct tmx_suspect s;
+  struct tmx_suspicion suspicion;
   HASH_ITER(hh, b->rep.machines, machine, next) {
     if (machine->owner == tmx_ctl_self(b)) continue;
     of_other++;
-    heard_of += tmx_workers_suspect(b->workers, machine, &s);
+    heard_of += tmx_workers_find_suspicion(b->workers, machine, &suspicion);
   }
   assert_true(of_other > TMX_BEAT_MACHINES);
   assert_int_equal(heard_of, of_other);
