--- a/src/cloud/returns.c
+++ b/src/cloud/returns.c
@@ -28,7 +28,7 @@
       tmx_cloud_listed(k, d->ids[i])->deleting = true;
       if (!tmx_machine_find(&k->c->rep, d->ids[i])) continue;
       snprintf(line, sizeof line, "%c %s", TMX_LINE_MACHINE_REMOVED, d->ids[i]);
-      tmx_rounds_line(k->c->rounds, line);
+      tmx_scheduler_append_line(k->c->rounds, line);
     }
   } else {
     for (size_t i = 0; i < d->n; i++) {
@@ -45,7 +45,7 @@
   char line[TMX_LINE_MAX];
   snprintf(line, sizeof line, "%c %s %d", TMX_LINE_MACHINE_DRAINING, machine->id, on);
   tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", machine->id, on ? "no longer" : "again");
-  tmx_rounds_line(k->c->rounds, line);
+  tmx_scheduler_append_line(k->c->rounds, line);
 }
 
 /* Every controller keeps the peak of what is in use or asked for, so that one that comes to lead
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -134,12 +134,12 @@
   json_t *teams = get_list(r, c, "cluster.", "teams", TMX_TEAMS_MAX);
   json_array_foreach(teams, i, e) {
     if (r->bad) return;
-    struct tmx_team_conf *t = &s->teams[i];
-    get_str(r, e, "cluster.teams.", "name", t->name);
-    t->cpus = opt_num(e, "cpus");
-    t->cpus_max = opt_num(e, "cpus_max");
-    t->gpus = opt_num(e, "gpus");
-    t->gpus_max = opt_num(e, "gpus_max");
+    struct tmx_team_conf *team = &s->teams[i];
+    get_str(r, e, "cluster.teams.", "name", team->name);
+    team->cpus = opt_num(e, "cpus");
+    team->cpus_max = opt_num(e, "cpus_max");
+    team->gpus = opt_num(e, "gpus");
+    team->gpus_max = opt_num(e, "gpus_max");
     s->n_teams = i + 1;
   }
   json_t *obj = json_object_get(c, "objectives");
--- a/src/controller.c
+++ b/src/controller.c
@@ -202,32 +202,32 @@
 
 static void on_machine(void *arg, struct tmx_machine *machine) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_machine(c->rounds, machine);
+  tmx_scheduler_machine_changed(c->rounds, machine);
   tmx_workers_machine_changed(c->workers, machine);
 }
 static void on_gone(void *arg, struct tmx_machine *machine) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_gone(c->rounds, machine);
+  tmx_scheduler_machine_removed(c->rounds, machine);
   tmx_workers_machine_removed(c->workers, machine);
 }
 static void on_job(void *arg, struct tmx_job *job) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_job(c->rounds, job);
+  tmx_scheduler_job_changed(c->rounds, job);
 }
 static void on_view(void *arg) {
   struct tmx_ctl *c = arg;
   struct tmx_job *job, *t;
-  HASH_ITER(hh, c->rep.jobs, job, t) if (!job->outcome) tmx_rounds_job(c->rounds, job);
+  HASH_ITER(hh, c->rep.jobs, job, t) if (!job->outcome) tmx_scheduler_job_changed(c->rounds, job);
   tmx_workers_view_changed(c->workers);
 }
 static void on_clear(void *arg) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_reset(c->rounds);
+  tmx_scheduler_reset(c->rounds);
   tmx_workers_replica_cleared(c->workers);
 }
 static void on_change(void *arg) {
   struct tmx_ctl *c = arg;
-  tmx_rounds_kick(c);
+  tmx_scheduler_trigger(c);
 }
 
 /* Runs after the callbacks of one turn of the loop: events have been applied by then. */
@@ -236,7 +236,7 @@
   (void)ev;
   struct tmx_ctl *c = w->data;
   tmx_workers_flush(c->workers);
-  tmx_rounds_flush(c->rounds);
+  tmx_scheduler_flush(c->rounds);
 }
 
 /* The leader is taken for lost when its process refuses connections and writes nothing, or when it
@@ -320,7 +320,7 @@
     snprintf(err, cap, "settings: listen: %s cannot be listened on", s->listen);
     return NULL;
   }
-  c->rounds = tmx_rounds_new(c);
+  c->rounds = tmx_scheduler_new(c);
   c->link = tmx_store_new(loop, &c->set, &c->rep);
   c->cloud = tmx_cloud_new(c);
   c->fold = tmx_compaction_new(c);
@@ -345,7 +345,7 @@
   tmx_workers_free(c->workers);
   c->rep.on_cleared = NULL;
   tmx_replica_clear(&c->rep);
-  tmx_rounds_free(c->rounds);
+  tmx_scheduler_free(c->rounds);
   tmx_gate_free(c->gate);
   free(c);
 }
--- a/src/controller.h
+++ b/src/controller.h
@@ -15,7 +15,7 @@
 struct tmx_users;
 struct tmx_cloud;
 struct tmx_peers;
-struct tmx_rounds;
+struct tmx_scheduler;
 struct tmx_compaction;
 
 struct tmx_ctl {
@@ -28,7 +28,7 @@
   struct tmx_cloud *cloud;
   struct tmx_peers *peers;
   struct tmx_http_server *server;
-  struct tmx_rounds *rounds;
+  struct tmx_scheduler *rounds;
   struct tmx_compaction *fold;
   struct tmx_gate *gate; /* NULL: every submission that can run is admitted */
   ev_timer tick;
@@ -56,35 +56,38 @@
 int tmx_random_below(int n); /* 0 to n - 1 */
 
 /* src/rounds: rounds of placing, and the batches that they write */
-struct tmx_rounds *tmx_rounds_new(struct tmx_ctl *c);
-void tmx_rounds_free(struct tmx_rounds *p);
-bool tmx_rounds_planning(const struct tmx_rounds *p); /* for the tests: the planner has work */
-void tmx_rounds_kick(struct tmx_ctl *c);              /* something is worth a round now */
-void tmx_rounds_kick_in(struct tmx_ctl *c, double s); /* ... within this time */
-void tmx_rounds_machine(struct tmx_rounds *p, struct tmx_machine *machine); /* it changed */
-void tmx_rounds_job(struct tmx_rounds *p, struct tmx_job *job);
-void tmx_rounds_gone(struct tmx_rounds *p, struct tmx_machine *machine);
-void tmx_rounds_reset(struct tmx_rounds *p);
+struct tmx_scheduler *tmx_scheduler_new(struct tmx_ctl *c);
+void tmx_scheduler_free(struct tmx_scheduler *scheduler);
+bool tmx_scheduler_is_planning(
+    const struct tmx_scheduler *scheduler);    /* for the tests: the planner has work */
+void tmx_scheduler_trigger(struct tmx_ctl *c); /* something is worth a round now */
+void tmx_scheduler_trigger_within(struct tmx_ctl *c, double s); /* ... within this time */
+void tmx_scheduler_machine_changed(struct tmx_scheduler *scheduler,
+                                   struct tmx_machine *machine); /* it changed */
+void tmx_scheduler_job_changed(struct tmx_scheduler *scheduler, struct tmx_job *job);
+void tmx_scheduler_machine_removed(struct tmx_scheduler *scheduler, struct tmx_machine *machine);
+void tmx_scheduler_reset(struct tmx_scheduler *scheduler);
 /* A line for the log, kept until it is committed: a machine to be returned, or gone by proof. */
-void tmx_rounds_line(struct tmx_rounds *p, const char *line);
+void tmx_scheduler_append_line(struct tmx_scheduler *scheduler, const char *line);
 /* A submission for the log; cb(arg, TMX_TXN_*): committed, known already, refused or unknown;
- * or TMX_ARRIVAL_OVERLOAD: not sent, as its team or class had no room by then. */
-enum { TMX_ARRIVAL_OVERLOAD = TMX_TRANSACTION_UNKNOWN + 1 };
-typedef void (*tmx_arrival_cb)(void *arg, int result);
-enum tmx_arrival_result {
-  TMX_ARRIVAL_TAKEN,
-  TMX_ARRIVAL_LATER,     /* no room for it now */
-  TMX_ARRIVAL_TOO_LARGE, /* more than a transaction can hold */
+ * or TMX_SUBMIT_OVERLOAD: not sent, as its team or class had no room by then. */
+enum { TMX_SUBMIT_OVERLOAD = TMX_TRANSACTION_UNKNOWN + 1 };
+typedef void (*tmx_submission_cb)(void *arg, int result);
+enum tmx_submit_result {
+  TMX_SUBMIT_QUEUED,
+  TMX_SUBMIT_QUEUE_FULL, /* no room for it now */
+  TMX_SUBMIT_TOO_LARGE,  /* more than a transaction can hold */
 };
 struct tmx_submission {
   char id[TMX_ID_MAX];
   struct tmx_job_spec spec;
-  struct tmx_job_ids awaits;
-  double submitted; /* time of day, s */
+  struct tmx_job_ids dependencies;
+  double submitted_at; /* time of day, s */
 };
-enum tmx_arrival_result tmx_rounds_arrival(struct tmx_ctl *c, const struct tmx_submission *s,
-                                           double within, tmx_arrival_cb cb, void *arg);
-void tmx_rounds_flush(struct tmx_rounds *p); /* after each turn of the loop */
+enum tmx_submit_result tmx_scheduler_submit(struct tmx_ctl *c,
+                                            const struct tmx_submission *submission, double within,
+                                            tmx_submission_cb cb, void *arg);
+void tmx_scheduler_flush(struct tmx_scheduler *scheduler); /* after each turn of the loop */
 
 /* src/state: folding of old batches, by the leader */
 struct tmx_compaction *tmx_compaction_new(struct tmx_ctl *c);
--- a/src/core/fit.c
+++ b/src/core/fit.c
@@ -5,139 +5,170 @@
 #include <stdlib.h>
 #include <string.h>
 
-bool tmx_fit_suits(const struct group *g, const struct tmx_job_spec *spec) {
-  return (!g->spot || spec->spot_allowed) && spec->cpus <= g->cpus + EPS &&
-         spec->gpus <= g->gpus + EPS && spec->mem_gb <= g->mem + EPS &&
-         tmx_type_allowed(spec, g->type);
+bool tmx_fit_group_is_eligible(const struct machine_group *group, const struct tmx_job_spec *spec) {
+  return (!group->spot || spec->spot_allowed) && spec->cpus <= group->cpus + RESOURCE_EPSILON &&
+         spec->gpus <= group->gpus + RESOURCE_EPSILON &&
+         spec->mem_gb <= group->mem_gb + RESOURCE_EPSILON && tmx_type_allowed(spec, group->type);
 }
 
-static bool avoided(const struct pj *j, const struct pm *p) {
+static bool failed_here_lately(const struct planner_job *job,
+                               const struct planner_machine *machine) {
   for (int i = 0; i < 4; i++)
-    if (j->r.avoid[i][0] && !strcmp(j->r.avoid[i], p->r.id)) return true;
+    if (job->record.failed_machines[i][0] &&
+        !strcmp(job->record.failed_machines[i], machine->record.id))
+      return true;
   return false;
 }
 
-static bool room(const struct pm *p, const struct tmx_job_spec *spec, bool soon) {
+static bool has_room(const struct planner_machine *machine, const struct tmx_job_spec *spec,
+                     bool soon) {
   double k = soon ? 1 : 0;
-  return p->r.ucpus - k * p->r.scpus + spec->cpus <= p->r.cpus + EPS &&
-         p->r.ugpus - k * p->r.sgpus + spec->gpus <= p->r.gpus + EPS &&
-         p->r.umem - k * p->r.smem + spec->mem_gb <= p->r.mem + EPS;
+  return machine->record.booked_cpus - k * machine->record.releasing_cpus + spec->cpus <=
+             machine->record.cpus + RESOURCE_EPSILON &&
+         machine->record.booked_gpus - k * machine->record.releasing_gpus + spec->gpus <=
+             machine->record.gpus + RESOURCE_EPSILON &&
+         machine->record.booked_mem_gb - k * machine->record.releasing_mem_gb + spec->mem_gb <=
+             machine->record.mem_gb + RESOURCE_EPSILON;
 }
 
 /* How long the image still takes to be there; one that is being fetched is not there yet. */
-static double fetch_time(const struct tmx_plan_machine *m, const struct tmx_job_spec *spec,
+static double fetch_time(const struct tmx_plan_machine *machine, const struct tmx_job_spec *spec,
                          double now) {
-  double whole = m->fetch > 0 ? spec->image_gb / m->fetch : 0;
-  for (size_t i = 0; i < m->n_images; i++)
-    if (m->images[i].id == spec->image_id)
-      return fmax(0, whole - (now - m->images[i].fetch_started_at));
+  double whole = machine->fetch_gb_per_s > 0 ? spec->image_gb / machine->fetch_gb_per_s : 0;
+  for (size_t i = 0; i < machine->n_images; i++)
+    if (machine->images[i].id == spec->image_id)
+      return fmax(0, whole - (now - machine->images[i].fetch_started_at));
   return whole;
 }
 
 /* The booked share of the most-asked resource; an image that must still be fetched counts as
  * room booked, the more of it the less time the job's class has to start (ours: the measure is
  * open in the design). */
-double tmx_booked_measure(const struct tmx_plan_machine *m, const struct tmx_job_spec *spec,
-                          double now) {
-  double ask[3] = {m->cpus > 0 ? spec->cpus / m->cpus : 0, m->gpus > 0 ? spec->gpus / m->gpus : 0,
-                   m->mem > 0 ? spec->mem_gb / m->mem : 0};
-  double used[3] = {m->cpus > 0 ? m->ucpus / m->cpus : 0, m->gpus > 0 ? m->ugpus / m->gpus : 0,
-                    m->mem > 0 ? m->umem / m->mem : 0};
+double tmx_booked_share(const struct tmx_plan_machine *machine, const struct tmx_job_spec *spec,
+                        double now) {
+  double ask[3] = {machine->cpus > 0 ? spec->cpus / machine->cpus : 0,
+                   machine->gpus > 0 ? spec->gpus / machine->gpus : 0,
+                   machine->mem_gb > 0 ? spec->mem_gb / machine->mem_gb : 0};
+  double used[3] = {machine->cpus > 0 ? machine->booked_cpus / machine->cpus : 0,
+                    machine->gpus > 0 ? machine->booked_gpus / machine->gpus : 0,
+                    machine->mem_gb > 0 ? machine->booked_mem_gb / machine->mem_gb : 0};
   int top = 0;
   for (int i = 1; i < 3; i++)
     if (ask[i] > ask[top]) top = i;
-  return used[top] + fmin(fetch_time(m, spec, now) / spec->fetch_tolerance_s, 3.0);
+  return used[top] + fmin(fetch_time(machine, spec, now) / spec->fetch_tolerance_s, 3.0);
 }
 
 /* Spot machines are taken back, and what runs there is lost. A task that could not make that good
  * before its job's next aim goes elsewhere if there is room; the others leave that room to it, and
  * to services. */
-static bool second_choice(const struct round *r, const struct pj *j, bool spot) {
-  const struct tmx_job_spec *spec = j->r.spec;
+static bool is_second_choice(const struct round *round, const struct planner_job *job, bool spot) {
+  const struct tmx_job_spec *spec = job->record.spec;
   if (spec->service || !spec->spot_allowed) return false;
-  double left = j->r.next_aim_s - (r->in->wall - j->r.released);
-  double lost = spec->checkpoint_s > 0 ? fmin(spec->checkpoint_s, j->r.run_s) : j->r.run_s;
-  return spot == (left < j->r.run_s + lost + TMX_PATIENCE_S);
+  double left = job->record.next_target_s - (round->input->now_wall - job->record.released_at);
+  double lost =
+      spec->checkpoint_s > 0 ? fmin(spec->checkpoint_s, job->record.run_s) : job->record.run_s;
+  return spot == (left < job->record.run_s + lost + TMX_PATIENCE_S);
 }
 
-static double value(const struct round *r, const struct pj *j, const struct pm *p) {
-  const struct tmx_job_spec *spec = j->r.spec;
-  double v = tmx_booked_measure(&p->r, spec, r->in->now);
-  if (second_choice(r, j, p->r.spot)) v += SECOND;
+static double placement_cost(const struct round *round, const struct planner_job *job,
+                             const struct planner_machine *machine) {
+  const struct tmx_job_spec *spec = job->record.spec;
+  double v = tmx_booked_share(&machine->record, spec, round->input->now_steady);
+  if (is_second_choice(round, job, machine->record.spot)) v += SECOND_CHOICE_COST;
   /* the fetch alone would use up the time that the class has to start */
-  if (fetch_time(&p->r, spec, r->in->now) > spec->fetch_tolerance_s * 0.6) v += COLD;
-  return avoided(j, p) ? v + AVOIDED : v;
+  if (fetch_time(&machine->record, spec, round->input->now_steady) > spec->fetch_tolerance_s * 0.6)
+    v += COLD_IMAGE_COST;
+  return failed_here_lately(job, machine) ? v + FAILED_MACHINE_COST : v;
 }
 
-static uint32_t live_on(const struct pj *j, const struct pm *p) {
+static uint32_t placed_on(const struct planner_job *job, const struct planner_machine *machine) {
   uint32_t n = 0;
-  for (size_t i = 0; i < p->r.n_tasks; i++) n += p->r.tasks[i].job == j->r.slot;
+  for (size_t i = 0; i < machine->record.n_tasks; i++)
+    n += machine->record.tasks[i].job == job->record.slot;
   return n;
 }
 
-static bool zone_ok(const struct round *r, const struct pj *j, int zone) {
-  const struct tmx_job_spec *spec = j->r.spec;
-  if (j->r.zone_live[zone] >= tmx_zone_cap(spec, r->in->n_zones)) return false;
+static bool zone_allows(const struct round *round, const struct planner_job *job, int zone) {
+  const struct tmx_job_spec *spec = job->record.spec;
+  if (job->record.placed_in_zone[zone] >= tmx_zone_cap(spec, round->input->n_zones)) return false;
   if (spec->same_zone)
-    for (size_t z = 0; z < r->in->n_zones; z++)
-      if ((int)z != zone && j->r.zone_live[z]) return false;
+    for (size_t z = 0; z < round->input->n_zones; z++)
+      if ((int)z != zone && job->record.placed_in_zone[z]) return false;
   return true;
 }
 
-bool tmx_fit_quota(const struct round *r, const struct pj *j) {
-  if (j->r.team < 0) return false;
-  const struct tmx_team_conf *t = &r->in->teams[j->r.team];
-  const struct tmx_usage *usage = &r->usage[j->r.team];
-  if (t->cpus_max > 0 && usage->cpus + j->r.spec->cpus > t->cpus_max + EPS) return false;
-  if (t->gpus_max > 0 && usage->gpus + j->r.spec->gpus > t->gpus_max + EPS) return false;
+bool tmx_fit_within_quota(const struct round *round, const struct planner_job *job) {
+  if (job->record.team < 0) return false;
+  const struct tmx_team_conf *team = &round->input->teams[job->record.team];
+  const struct tmx_usage *usage = &round->usage[job->record.team];
+  if (team->cpus_max > 0 &&
+      usage->cpus + job->record.spec->cpus > team->cpus_max + RESOURCE_EPSILON)
+    return false;
+  if (team->gpus_max > 0 &&
+      usage->gpus + job->record.spec->gpus > team->gpus_max + RESOURCE_EPSILON)
+    return false;
   return true;
 }
 
 /* Services to people come first, then what teams are guaranteed, then the rest. */
-int tmx_fit_standing(const struct pj *j) {
-  return j->r.priority == TMX_PRIORITY_PROD ? 2 : j->guaranteed;
+int tmx_fit_precedence(const struct planner_job *job) {
+  return job->record.priority == TMX_PRIORITY_PROD ? 2 : job->guaranteed;
 }
 
 /* Only work that also stands behind in the order of placing is stopped: anything else would be
  * placed again in the very room that was made, and stopped again. Work that stands in no
  * guarantee waits for room; stopping others for it would cost more than it gains. */
-static bool may_stop(const struct round *r, const struct pj *j, const struct tmx_plan_task *v) {
-  const struct pj *o = v->job >= 0 && (size_t)v->job < r->md->cap_j ? r->md->j[v->job] : NULL;
-  if (!o || v->stopping || tmx_fit_standing(j) <= tmx_fit_standing(o)) return false;
-  if (o->r.priority < j->r.priority) return true;
-  if (!j->guaranteed || o->r.team == j->r.team || o->r.team < 0 || o->r.spec->service) return false;
-  const struct tmx_team_conf *t = &r->in->teams[o->r.team];
-  return r->usage[o->r.team].cpus - o->r.spec->cpus >= t->cpus - EPS &&
-         r->usage[o->r.team].gpus - o->r.spec->gpus >= t->gpus - EPS;
+static bool may_preempt(const struct round *round, const struct planner_job *job,
+                        const struct tmx_plan_task *victim) {
+  const struct planner_job *other =
+      victim->job >= 0 && (size_t)victim->job < round->planner->cap_jobs
+          ? round->planner->jobs[victim->job]
+          : NULL;
+  if (!other || victim->stopping || tmx_fit_precedence(job) <= tmx_fit_precedence(other))
+    return false;
+  if (other->record.priority < job->record.priority) return true;
+  if (!job->guaranteed || other->record.team == job->record.team || other->record.team < 0 ||
+      other->record.spec->service)
+    return false;
+  const struct tmx_team_conf *team = &round->input->teams[other->record.team];
+  return round->usage[other->record.team].cpus - other->record.spec->cpus >=
+             team->cpus - RESOURCE_EPSILON &&
+         round->usage[other->record.team].gpus - other->record.spec->gpus >=
+             team->gpus - RESOURCE_EPSILON;
 }
 
-static double lost_work(const struct round *r, const struct tmx_plan_task *t) {
-  const struct tmx_job_spec *spec = r->md->j[t->job]->r.spec;
+static double lost_work(const struct round *round, const struct tmx_plan_task *task) {
+  const struct tmx_job_spec *spec = round->planner->jobs[task->job]->record.spec;
   if (spec->checkpoint_s > 0) return spec->checkpoint_save_s + 1; /* it saves before it goes */
-  return r->in->now - t->lost_since;
+  return round->input->now_steady - task->lost_since;
 }
 
 /* Stops the cheapest tasks of one machine until the task fits. do_it: marks and emits them.
  * Returns their cost; <0: it cannot be. */
-double tmx_fit_victims(struct round *r, const struct pj *j, struct pm *p, bool do_it) {
-  const struct tmx_job_spec *spec = j->r.spec;
-  double c = p->r.cpus - p->r.ucpus + p->r.scpus, g = p->r.gpus - p->r.ugpus + p->r.sgpus,
-         e = p->r.mem - p->r.umem + p->r.smem, cost = 0;
-  size_t n = p->r.n_tasks, chosen = 0;
-  r->visits += n;
+double tmx_fit_preempt(struct round *round, const struct planner_job *job,
+                       struct planner_machine *machine, bool do_it) {
+  const struct tmx_job_spec *spec = job->record.spec;
+  double c = machine->record.cpus - machine->record.booked_cpus + machine->record.releasing_cpus,
+         g = machine->record.gpus - machine->record.booked_gpus + machine->record.releasing_gpus,
+         e = machine->record.mem_gb - machine->record.booked_mem_gb +
+             machine->record.releasing_mem_gb,
+         cost = 0;
+  size_t n = machine->record.n_tasks, chosen = 0;
+  round->visited += n;
   bool *taken = NULL;
-  while (c + EPS < spec->cpus || g + EPS < spec->gpus || e + EPS < spec->mem_gb) {
+  while (c + RESOURCE_EPSILON < spec->cpus || g + RESOURCE_EPSILON < spec->gpus ||
+         e + RESOURCE_EPSILON < spec->mem_gb) {
     struct tmx_plan_task *best = NULL;
     double best_lost = 0;
     int best_prio = 0;
     for (size_t k = 0; k < n; k++) {
-      struct tmx_plan_task *t = &p->r.tasks[k];
-      if ((taken && taken[k]) || !may_stop(r, j, t)) continue;
+      struct tmx_plan_task *task = &machine->record.tasks[k];
+      if ((taken && taken[k]) || !may_preempt(round, job, task)) continue;
       /* lower priority first, then the least lost work */
-      int prio = r->md->j[t->job]->r.priority;
-      double lost = lost_work(r, t);
+      int prio = round->planner->jobs[task->job]->record.priority;
+      double lost = lost_work(round, task);
       if (best && (prio > best_prio || (prio == best_prio && lost >= best_lost))) continue;
-      best = t;
+      best = task;
       best_lost = lost;
       best_prio = prio;
     }
@@ -147,21 +178,21 @@
     }
     if (!taken) taken = calloc(n, 1);
     if (!taken) abort();
-    taken[best - p->r.tasks] = true;
+    taken[best - machine->record.tasks] = true;
     chosen++;
-    const struct pj *o = r->md->j[best->job];
-    c += o->r.spec->cpus;
-    g += o->r.spec->gpus;
-    e += o->r.spec->mem_gb;
+    const struct planner_job *other = round->planner->jobs[best->job];
+    c += other->record.spec->cpus;
+    g += other->record.spec->gpus;
+    e += other->record.spec->mem_gb;
     cost += best_lost + 1 + 20.0 * best_prio;
     if (do_it) {
-      tmx_step_emit(r, TMX_OPERATION_STOP, o, best->task, best->attempt)->reason =
-          o->r.spec->checkpoint_s > 0 && !spec->service ? '2' : '1';
-      tmx_step_touch(r, p);
-      tmx_step_mark(r, p, (size_t)(best - p->r.tasks));
-      p->r.scpus += o->r.spec->cpus;
-      p->r.sgpus += o->r.spec->gpus;
-      p->r.smem += o->r.spec->mem_gb;
+      tmx_round_emit(round, TMX_OPERATION_STOP, other, best->task, best->attempt)->reason =
+          other->record.spec->checkpoint_s > 0 && !spec->service ? '2' : '1';
+      tmx_round_touch_machine(round, machine);
+      tmx_round_mark_preempted(round, machine, (size_t)(best - machine->record.tasks));
+      machine->record.releasing_cpus += other->record.spec->cpus;
+      machine->record.releasing_gpus += other->record.spec->gpus;
+      machine->record.releasing_mem_gb += other->record.spec->mem_gb;
     }
   }
   free(taken);
@@ -170,48 +201,53 @@
 
 /* ------------------------------------------------------------ candidates */
 
-static void sift_down(struct heap *h, size_t i) {
+static void sift_down(struct candidate_heap *heap, size_t i) {
   for (;;) {
     size_t k = 2 * i + 1;
-    if (k >= h->n) return;
-    if (k + 1 < h->n && h->c[k + 1].v < h->c[k].v) k++;
-    if (h->c[i].v <= h->c[k].v) return;
-    struct cand t = h->c[i];
-    h->c[i] = h->c[k];
-    h->c[k] = t;
+    if (k >= heap->count) return;
+    if (k + 1 < heap->count && heap->candidates[k + 1].cost < heap->candidates[k].cost) k++;
+    if (heap->candidates[i].cost <= heap->candidates[k].cost) return;
+    struct candidate swapped = heap->candidates[i];
+    heap->candidates[i] = heap->candidates[k];
+    heap->candidates[k] = swapped;
     i = k;
   }
 }
 
-static void add(struct heap *h, double v, int m) {
-  h->c = tmx_grow(h->c, &h->cap, h->n + 1, sizeof *h->c);
-  h->c[h->n++] = (struct cand){v, m};
+static void add(struct candidate_heap *heap, double v, int m) {
+  heap->candidates =
+      tmx_grow(heap->candidates, &heap->capacity, heap->count + 1, sizeof *heap->candidates);
+  heap->candidates[heap->count++] = (struct candidate){v, m};
 }
 
 /* May the job's next task go there; v: its value. */
-static bool judge(struct round *r, const struct pj *j, struct pm *p, int what, double *v) {
-  if (!p->r.usable || p->r.drain) return false;
-  if (what == OWN && p->r.owner != j->r.planner) return false;
-  if (what != VICTIMS && !room(p, j->r.spec, what == SOON)) return false;
-  if (j->r.spec->service && live_on(j, p) >= r->cap) {
-    r->in_the_way = true;
+static bool consider_machine(struct round *round, const struct planner_job *job,
+                             struct planner_machine *machine, int what, double *v) {
+  if (!machine->record.usable || machine->record.draining) return false;
+  if (what == POOL_OWN_SHARD && machine->record.owner != job->record.planner) return false;
+  if (what != POOL_PREEMPTIBLE && !has_room(machine, job->record.spec, what == POOL_RELEASING))
+    return false;
+  if (job->record.spec->service && placed_on(job, machine) >= round->machine_cap) {
+    round->skipped_for_own_sake = true;
     return false;
   }
-  *v = value(r, j, p);
-  if (what == VICTIMS) {
-    if (*v >= AVOIDED) {
-      r->in_the_way = true;
+  *v = placement_cost(round, job, machine);
+  if (what == POOL_PREEMPTIBLE) {
+    if (*v >= FAILED_MACHINE_COST) {
+      round->skipped_for_own_sake = true;
       return false;
     }
-    double cost = tmx_fit_victims(r, j, p, false);
+    double cost = tmx_fit_preempt(round, job, machine, false);
     if (cost < 0) return false;
-    *v = cost / 1e6 + (*v >= COLD ? COLD : 0); /* below COLD: the cheapest, warm ones first */
+    *v = cost / 1e6 + (*v >= COLD_IMAGE_COST ? COLD_IMAGE_COST
+                                             : 0); /* below COLD: the cheapest, warm ones first */
   }
   return true;
 }
 
-static bool as_large(const struct tmx_job_spec *spec, const struct tmx_job_spec *t) {
-  if (spec->cpus + EPS < t->cpus || spec->gpus + EPS < t->gpus || spec->mem_gb + EPS < t->mem_gb)
+static bool is_at_least_as_large(const struct tmx_job_spec *spec, const struct tmx_job_spec *t) {
+  if (spec->cpus + RESOURCE_EPSILON < t->cpus || spec->gpus + RESOURCE_EPSILON < t->gpus ||
+      spec->mem_gb + RESOURCE_EPSILON < t->mem_gb)
     return false;
   if (spec->spot_allowed && !t->spot_allowed) return false;
   if (strcmp(spec->zone, t->zone) || spec->n_types != t->n_types) return false;
@@ -220,112 +256,127 @@
 
 /* Whether what one of them finds says something of the other: by its own part only those of one
  * controller, and what may be stopped depends on team and standing. */
-static bool alike(const struct pj *a, const struct pj *b, int what) {
-  if (what == OWN) return a->r.planner == b->r.planner;
-  if (what != VICTIMS) return true;
-  return a->r.team == b->r.team && a->r.priority == b->r.priority && a->guaranteed == b->guaranteed;
+static bool alike(const struct planner_job *left, const struct planner_job *right, int what) {
+  if (what == POOL_OWN_SHARD) return left->record.planner == right->record.planner;
+  if (what != POOL_PREEMPTIBLE) return true;
+  return left->record.team == right->record.team &&
+         left->record.priority == right->record.priority && left->guaranteed == right->guaranteed;
 }
 
-static bool is_blocked(const struct round *r, const struct pj *j, int what) {
-  for (size_t i = 0; i < r->n_blocked; i++) {
-    const struct shape *b = &r->blocked[i];
-    if (b->what == what && alike(b->j, j, what) && as_large(j->r.spec, b->j->r.spec)) return true;
+static bool is_known_not_to_fit(const struct round *round, const struct planner_job *job,
+                                int what) {
+  for (size_t i = 0; i < round->n_failed_fits; i++) {
+    const struct failed_fit *failed = &round->failed_fits[i];
+    if (failed->pool == what && alike(failed->job, job, what) &&
+        is_at_least_as_large(job->record.spec, failed->job->record.spec))
+      return true;
   }
   return false;
 }
 
 /* The smallest are kept, as they speak for the most. */
-static void block(struct round *r, const struct pj *j, int what) {
+static void note_failed_fit(struct round *round, const struct planner_job *job, int what) {
   size_t i;
-  for (i = 0; i < r->n_blocked; i++) {
-    const struct shape *b = &r->blocked[i];
-    if (b->what == what && alike(b->j, j, what) && as_large(b->j->r.spec, j->r.spec)) break;
+  for (i = 0; i < round->n_failed_fits; i++) {
+    const struct failed_fit *failed = &round->failed_fits[i];
+    if (failed->pool == what && alike(failed->job, job, what) &&
+        is_at_least_as_large(failed->job->record.spec, job->record.spec))
+      break;
   }
-  if (i == SHAPES) return;
-  r->blocked[i] = (struct shape){j, what};
-  r->n_blocked += i == r->n_blocked;
+  if (i == FAILED_FITS_MAX) return;
+  round->failed_fits[i] = (struct failed_fit){job, what};
+  round->n_failed_fits += i == round->n_failed_fits;
 }
 
-static void build(struct round *r, const struct pj *j, int what) {
-  struct set *set = &r->sets[what];
-  const struct tmx_job_spec *spec = j->r.spec;
+static void build_candidates(struct round *round, const struct planner_job *job, int what) {
+  struct candidate_set *set = &round->candidate_sets[what];
+  const struct tmx_job_spec *spec = job->record.spec;
   size_t n = 0;
   set->built = true;
-  for (size_t z = 0; z < TMX_ZONES_MAX; z++) set->zone[z].n = 0;
-  set->none = is_blocked(r, j, what);
-  if (set->none) return;
-  r->in_the_way = false;
-  for (size_t k = 0; k < r->md->n_groups; k++) {
-    const struct group *g = &r->md->groups[k];
-    if (what == SOON || !g->n_usable || !tmx_fit_suits(g, spec)) continue;
-    if (j->r.zone >= 0 && g->zone != j->r.zone) continue;
-    r->visits += g->n;
-    for (size_t i = 0; i < g->n; i++) {
+  for (size_t z = 0; z < TMX_ZONES_MAX; z++) set->zone_heaps[z].count = 0;
+  set->empty = is_known_not_to_fit(round, job, what);
+  if (set->empty) return;
+  round->skipped_for_own_sake = false;
+  for (size_t k = 0; k < round->planner->n_groups; k++) {
+    const struct machine_group *group = &round->planner->groups[k];
+    if (what == POOL_RELEASING || !group->n_usable || !tmx_fit_group_is_eligible(group, spec))
+      continue;
+    if (job->record.zone >= 0 && group->zone != job->record.zone) continue;
+    round->visited += group->n;
+    for (size_t i = 0; i < group->n; i++) {
       double v;
-      if (!judge(r, j, r->md->m[g->slots[i]], what, &v)) continue;
-      add(&set->zone[g->zone], v, g->slots[i]);
+      if (!consider_machine(round, job, round->planner->machines[group->slots[i]], what, &v))
+        continue;
+      add(&set->zone_heaps[group->zone], v, group->slots[i]);
       n++;
     }
   }
-  for (size_t i = 0; what == SOON && i < r->n_stopping; i++) {
-    struct pm *p = r->md->m[r->stopping[i]];
+  for (size_t i = 0; what == POOL_RELEASING && i < round->n_releasing_machines; i++) {
+    struct planner_machine *machine = round->planner->machines[round->releasing_machines[i]];
     double v;
-    r->visits++;
-    if (p->group < 0 || !tmx_fit_suits(&r->md->groups[p->group], spec)) continue;
-    if ((j->r.zone >= 0 && p->r.zone != j->r.zone) || !judge(r, j, p, what, &v)) continue;
-    add(&set->zone[p->r.zone], v, p->r.slot);
+    round->visited++;
+    if (machine->group < 0 ||
+        !tmx_fit_group_is_eligible(&round->planner->groups[machine->group], spec))
+      continue;
+    if ((job->record.zone >= 0 && machine->record.zone != job->record.zone) ||
+        !consider_machine(round, job, machine, what, &v))
+      continue;
+    add(&set->zone_heaps[machine->record.zone], v, machine->record.slot);
     n++;
   }
-  for (size_t z = 0; z < r->in->n_zones; z++)
-    for (size_t i = set->zone[z].n / 2; i-- > 0;) sift_down(&set->zone[z], i);
-  set->none = !n;
-  if (!n && !r->in_the_way) block(r, j, what);
+  for (size_t z = 0; z < round->input->n_zones; z++)
+    for (size_t i = set->zone_heaps[z].count / 2; i-- > 0;) sift_down(&set->zone_heaps[z], i);
+  set->empty = !n;
+  if (!n && !round->skipped_for_own_sake) note_failed_fit(round, job, what);
 }
 
 /* The best machine for the job's next task; -1: none. warm: only where its image lies. */
-int tmx_fit_best(struct round *r, struct pj *j, int what, bool warm) {
-  struct set *set = &r->sets[what];
-  if (!set->built) build(r, j, what);
-  if (set->none) return -1;
+int tmx_fit_best_machine(struct round *round, struct planner_job *job, int what, bool warm) {
+  struct candidate_set *set = &round->candidate_sets[what];
+  if (!set->built) build_candidates(round, job, what);
+  if (set->empty) return -1;
   int m = -1;
   double top = 0;
-  for (size_t z = 0; z < r->in->n_zones; z++) {
-    struct heap *h = &set->zone[z];
-    if (!h->n || !zone_ok(r, j, (int)z)) continue;
-    while (h->n) { /* what the round did since may have changed the first ones */
-      struct pm *p = r->md->m[h->c[0].m];
+  for (size_t z = 0; z < round->input->n_zones; z++) {
+    struct candidate_heap *heap = &set->zone_heaps[z];
+    if (!heap->count || !zone_allows(round, job, (int)z)) continue;
+    while (heap->count) { /* what the round did since may have changed the first ones */
+      struct planner_machine *machine = round->planner->machines[heap->candidates[0].machine];
       double v;
-      r->visits++;
-      if (!judge(r, j, p, what, &v)) {
-        h->c[0] = h->c[--h->n];
-        sift_down(h, 0);
-      } else if (v > h->c[0].v + EPS) {
-        h->c[0].v = v;
-        sift_down(h, 0);
+      round->visited++;
+      if (!consider_machine(round, job, machine, what, &v)) {
+        heap->candidates[0] = heap->candidates[--heap->count];
+        sift_down(heap, 0);
+      } else if (v > heap->candidates[0].cost + RESOURCE_EPSILON) {
+        heap->candidates[0].cost = v;
+        sift_down(heap, 0);
       } else {
         break;
       }
     }
-    if (!h->n || (warm && h->c[0].v >= COLD)) continue;
+    if (!heap->count || (warm && heap->candidates[0].cost >= COLD_IMAGE_COST)) continue;
     /* a service's zones are filled evenly first */
-    double v = h->c[0].v + (j->r.spec->service ? 4.0 * j->r.zone_live[z] : 0);
+    double v = heap->candidates[0].cost +
+               (job->record.spec->service ? 4.0 * job->record.placed_in_zone[z] : 0);
     if (m < 0 || v < top) {
-      m = h->c[0].m;
+      m = heap->candidates[0].machine;
       top = v;
     }
   }
   return m;
 }
 
-static uint32_t eligible(const struct round *r, const struct tmx_job_spec *spec) {
+static uint32_t eligible(const struct round *round, const struct tmx_job_spec *spec) {
   uint32_t n = 0;
-  for (size_t k = 0; k < r->md->n_groups; k++)
-    if (tmx_fit_suits(&r->md->groups[k], spec)) n += r->md->groups[k].n_usable;
+  for (size_t k = 0; k < round->planner->n_groups; k++)
+    if (tmx_fit_group_is_eligible(&round->planner->groups[k], spec))
+      n += round->planner->groups[k].n_usable;
   return n;
 }
 
-void tmx_fit_begin(struct round *r, const struct pj *j) {
-  for (int i = 0; i < SETS; i++) r->sets[i].built = r->sets[i].none = false;
-  r->n_eligible = eligible(r, j->r.spec);
-  r->cap = tmx_machine_cap(j->r.spec, r->n_eligible);
+void tmx_fit_begin_job(struct round *round, const struct planner_job *job) {
+  for (int i = 0; i < POOL_COUNT; i++)
+    round->candidate_sets[i].built = round->candidate_sets[i].empty = false;
+  round->n_eligible = eligible(round, job->record.spec);
+  round->machine_cap = tmx_machine_cap(job->record.spec, round->n_eligible);
 }
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -16,179 +16,192 @@
 
 /* ------------------------------------------------------------ the feed */
 
-struct tmx_plan_machine *tmx_feed_machine(struct tmx_feed *f) {
-  f->machines = tmx_grow(f->machines, &f->cap_machines, f->n_machines + 1, sizeof *f->machines);
-  struct tmx_plan_machine *m = &f->machines[f->n_machines++];
-  memset(m, 0, sizeof *m);
-  return m;
-}
-struct tmx_plan_job *tmx_feed_job(struct tmx_feed *f) {
-  f->jobs = tmx_grow(f->jobs, &f->cap_jobs, f->n_jobs + 1, sizeof *f->jobs);
-  struct tmx_plan_job *j = &f->jobs[f->n_jobs++];
-  memset(j, 0, sizeof *j);
-  return j;
-}
-void tmx_feed_gone(struct tmx_feed *f, int slot) {
-  f->gone = tmx_grow(f->gone, &f->cap_gone, f->n_gone + 1, sizeof *f->gone);
-  f->gone[f->n_gone++] = slot;
-}
-void tmx_feed_clear(struct tmx_feed *f) {
-  for (size_t i = 0; i < f->n_machines; i++) free(f->machines[i].tasks);
-  for (size_t i = 0; i < f->n_jobs; i++) {
-    free(f->jobs[i].spec);
-    free(f->jobs[i].waits);
+struct tmx_plan_machine *tmx_planner_delta_machine(struct tmx_planner_delta *delta) {
+  delta->machines = tmx_grow(delta->machines, &delta->cap_machines, delta->n_machines + 1,
+                             sizeof *delta->machines);
+  struct tmx_plan_machine *machine = &delta->machines[delta->n_machines++];
+  memset(machine, 0, sizeof *machine);
+  return machine;
+}
+struct tmx_plan_job *tmx_planner_delta_job(struct tmx_planner_delta *delta) {
+  delta->jobs = tmx_grow(delta->jobs, &delta->cap_jobs, delta->n_jobs + 1, sizeof *delta->jobs);
+  struct tmx_plan_job *job = &delta->jobs[delta->n_jobs++];
+  memset(job, 0, sizeof *job);
+  return job;
+}
+void tmx_planner_delta_removed(struct tmx_planner_delta *delta, int slot) {
+  delta->removed =
+      tmx_grow(delta->removed, &delta->cap_removed, delta->n_removed + 1, sizeof *delta->removed);
+  delta->removed[delta->n_removed++] = slot;
+}
+void tmx_planner_delta_clear(struct tmx_planner_delta *delta) {
+  for (size_t i = 0; i < delta->n_machines; i++) free(delta->machines[i].tasks);
+  for (size_t i = 0; i < delta->n_jobs; i++) {
+    free(delta->jobs[i].spec);
+    free(delta->jobs[i].waiting);
   }
-  free(f->gone);
-  free(f->machines);
-  free(f->jobs);
-  memset(f, 0, sizeof *f);
+  free(delta->removed);
+  free(delta->machines);
+  free(delta->jobs);
+  memset(delta, 0, sizeof *delta);
 }
 
 /* ------------------------------------------------------------ machines */
 
-static struct group *group_of(struct tmx_model *md, const struct tmx_plan_machine *m, int *index) {
-  for (size_t i = 0; i < md->n_groups; i++) {
-    struct group *g = &md->groups[i];
-    if (g->zone == m->zone && g->spot == m->spot && !strcmp(g->type, m->type)) {
+static struct machine_group *group_of(struct tmx_planner *planner,
+                                      const struct tmx_plan_machine *machine, int *index) {
+  for (size_t i = 0; i < planner->n_groups; i++) {
+    struct machine_group *group = &planner->groups[i];
+    if (group->zone == machine->zone && group->spot == machine->spot &&
+        !strcmp(group->type, machine->type)) {
       *index = (int)i;
-      return g;
+      return group;
     }
   }
-  md->groups = tmx_grow(md->groups, &md->cap_groups, md->n_groups + 1, sizeof *md->groups);
-  struct group *g = &md->groups[md->n_groups];
-  memset(g, 0, sizeof *g);
-  memcpy(g->type, m->type, sizeof g->type);
-  g->zone = m->zone;
-  g->spot = m->spot;
-  *index = (int)md->n_groups++;
-  return g;
-}
-
-static bool counts(const struct tmx_plan_machine *m) { return m->usable && !m->drain; }
-
-static void group_leave(struct tmx_model *md, struct pm *p) {
-  if (p->group < 0) return;
-  struct group *g = &md->groups[p->group];
-  if (counts(&p->r)) g->n_usable--;
-  g->slots[p->at] = g->slots[--g->n];
-  if (p->at < g->n) md->m[g->slots[p->at]]->at = p->at;
-  p->group = -1;
-}
-
-static void group_join(struct tmx_model *md, struct pm *p) {
-  p->group = -1;
-  if (p->r.zone < 0 || p->r.cpus <= 0) return;
-  struct group *g = group_of(md, &p->r, &p->group);
-  g->cpus = p->r.cpus;
-  g->gpus = p->r.gpus;
-  g->mem = p->r.mem;
-  g->slots = tmx_grow(g->slots, &g->cap, g->n + 1, sizeof *g->slots);
-  p->at = g->n;
-  g->slots[g->n++] = p->r.slot;
-  if (counts(&p->r)) g->n_usable++;
-}
-
-static void machine_drop(struct tmx_model *md, int slot) {
-  struct pm *p = (size_t)slot < md->cap_m ? md->m[slot] : NULL;
-  if (!p) return;
-  group_leave(md, p);
-  free(p->r.tasks);
-  free(p);
-  md->m[slot] = NULL;
-}
-
-static void machine_take(struct tmx_model *md, struct tmx_plan_machine *m) {
-  md->m = tmx_grow(md->m, &md->cap_m, (size_t)m->slot + 1, sizeof *md->m);
-  struct pm *p = md->m[m->slot];
+  planner->groups = tmx_grow(planner->groups, &planner->cap_groups, planner->n_groups + 1,
+                             sizeof *planner->groups);
+  struct machine_group *group = &planner->groups[planner->n_groups];
+  memset(group, 0, sizeof *group);
+  memcpy(group->type, machine->type, sizeof group->type);
+  group->zone = machine->zone;
+  group->spot = machine->spot;
+  *index = (int)planner->n_groups++;
+  return group;
+}
+
+static bool is_placeable(const struct tmx_plan_machine *machine) {
+  return machine->usable && !machine->draining;
+}
+
+static void leave_group(struct tmx_planner *planner, struct planner_machine *machine) {
+  if (machine->group < 0) return;
+  struct machine_group *group = &planner->groups[machine->group];
+  if (is_placeable(&machine->record)) group->n_usable--;
+  group->slots[machine->index_in_group] = group->slots[--group->n];
+  if (machine->index_in_group < group->n)
+    planner->machines[group->slots[machine->index_in_group]]->index_in_group =
+        machine->index_in_group;
+  machine->group = -1;
+}
+
+static void join_group(struct tmx_planner *planner, struct planner_machine *machine) {
+  machine->group = -1;
+  if (machine->record.zone < 0 || machine->record.cpus <= 0) return;
+  struct machine_group *group = group_of(planner, &machine->record, &machine->group);
+  group->cpus = machine->record.cpus;
+  group->gpus = machine->record.gpus;
+  group->mem_gb = machine->record.mem_gb;
+  group->slots = tmx_grow(group->slots, &group->cap, group->n + 1, sizeof *group->slots);
+  machine->index_in_group = group->n;
+  group->slots[group->n++] = machine->record.slot;
+  if (is_placeable(&machine->record)) group->n_usable++;
+}
+
+static void drop_machine(struct tmx_planner *planner, int slot) {
+  struct planner_machine *machine =
+      (size_t)slot < planner->cap_machines ? planner->machines[slot] : NULL;
+  if (!machine) return;
+  leave_group(planner, machine);
+  free(machine->record.tasks);
+  free(machine);
+  planner->machines[slot] = NULL;
+}
+
+static void take_machine(struct tmx_planner *planner, struct tmx_plan_machine *m) {
+  planner->machines = tmx_grow(planner->machines, &planner->cap_machines, (size_t)m->slot + 1,
+                               sizeof *planner->machines);
+  struct planner_machine *p = planner->machines[m->slot];
   if (!p) {
-    p = md->m[m->slot] = calloc(1, sizeof *p);
+    p = planner->machines[m->slot] = calloc(1, sizeof *p);
     if (!p) abort();
     p->group = -1;
   }
-  group_leave(md, p);
-  free(p->r.tasks);
-  p->r = *m;
+  leave_group(planner, p);
+  free(p->record.tasks);
+  p->record = *m;
   p->cap_tasks = m->n_tasks;
   m->tasks = NULL;
-  group_join(md, p);
+  join_group(planner, p);
 }
 
 /* ------------------------------------------------------------ jobs */
 
-static void job_drop(struct tmx_model *md, int slot) {
-  struct pj *p = (size_t)slot < md->cap_j ? md->j[slot] : NULL;
-  if (!p) return;
-  for (size_t i = 0; p->listed && i < md->n_open; i++)
-    if (md->open[i] == p) {
-      md->open[i] = md->open[--md->n_open];
+static void drop_job(struct tmx_planner *planner, int slot) {
+  struct planner_job *job = (size_t)slot < planner->cap_jobs ? planner->jobs[slot] : NULL;
+  if (!job) return;
+  for (size_t i = 0; job->in_open_jobs && i < planner->n_open_jobs; i++)
+    if (planner->open_jobs[i] == job) {
+      planner->open_jobs[i] = planner->open_jobs[--planner->n_open_jobs];
       break;
     }
-  free(p->r.spec);
-  free(p->r.waits);
-  free(p);
-  md->j[slot] = NULL;
+  free(job->record.spec);
+  free(job->record.waiting);
+  free(job);
+  planner->jobs[slot] = NULL;
 }
 
-static void job_take(struct tmx_model *md, struct tmx_plan_job *j) {
-  md->j = tmx_grow(md->j, &md->cap_j, (size_t)j->slot + 1, sizeof *md->j);
-  struct pj *p = md->j[j->slot];
+static void take_job(struct tmx_planner *planner, struct tmx_plan_job *j) {
+  planner->jobs =
+      tmx_grow(planner->jobs, &planner->cap_jobs, (size_t)j->slot + 1, sizeof *planner->jobs);
+  struct planner_job *p = planner->jobs[j->slot];
   if (!j->open && !j->n_placed) { /* over, and nothing of it is left anywhere */
-    job_drop(md, j->slot);
+    drop_job(planner, j->slot);
     return;
   }
   if (!p) {
     if (!j->spec) return;
-    p = md->j[j->slot] = calloc(1, sizeof *p);
+    p = planner->jobs[j->slot] = calloc(1, sizeof *p);
     if (!p) abort();
   }
   if (j->spec)
-    free(p->r.spec);
+    free(p->record.spec);
   else
-    j->spec = p->r.spec;
-  free(p->r.waits);
-  p->r = *j;
+    j->spec = p->record.spec;
+  free(p->record.waiting);
+  p->record = *j;
   j->spec = NULL;
-  j->waits = NULL;
-  if (!p->listed && j->open) {
-    md->open = tmx_grow(md->open, &md->cap_open, md->n_open + 1, sizeof *md->open);
-    md->open[md->n_open++] = p;
-    p->listed = true;
-  } else if (p->listed && !j->open) {
-    for (size_t i = 0; i < md->n_open; i++)
-      if (md->open[i] == p) {
-        md->open[i] = md->open[--md->n_open];
+  j->waiting = NULL;
+  if (!p->in_open_jobs && j->open) {
+    planner->open_jobs = tmx_grow(planner->open_jobs, &planner->cap_open_jobs,
+                                  planner->n_open_jobs + 1, sizeof *planner->open_jobs);
+    planner->open_jobs[planner->n_open_jobs++] = p;
+    p->in_open_jobs = true;
+  } else if (p->in_open_jobs && !j->open) {
+    for (size_t i = 0; i < planner->n_open_jobs; i++)
+      if (planner->open_jobs[i] == p) {
+        planner->open_jobs[i] = planner->open_jobs[--planner->n_open_jobs];
         break;
       }
-    p->listed = false;
+    p->in_open_jobs = false;
   }
 }
 
-static void forget(struct tmx_model *md) {
-  for (size_t i = 0; i < md->cap_m; i++) machine_drop(md, (int)i);
-  for (size_t i = 0; i < md->cap_j; i++) job_drop(md, (int)i);
+static void forget(struct tmx_planner *planner) {
+  for (size_t i = 0; i < planner->cap_machines; i++) drop_machine(planner, (int)i);
+  for (size_t i = 0; i < planner->cap_jobs; i++) drop_job(planner, (int)i);
 }
 
-struct tmx_model *tmx_model_new(void) {
-  struct tmx_model *md = calloc(1, sizeof *md);
-  if (!md) abort();
-  md->cut_services = md->cut_oldest = md->cut_arrays = -1;
-  return md;
+struct tmx_planner *tmx_planner_new(void) {
+  struct tmx_planner *planner = calloc(1, sizeof *planner);
+  if (!planner) abort();
+  planner->resume_services = planner->resume_oldest = planner->resume_arrays = -1;
+  return planner;
 }
 
-void tmx_model_free(struct tmx_model *md) {
-  forget(md);
-  for (size_t i = 0; i < md->n_groups; i++) free(md->groups[i].slots);
-  free(md->groups);
-  free(md->open);
-  free(md->m);
-  free(md->j);
-  free(md);
+void tmx_planner_free(struct tmx_planner *planner) {
+  forget(planner);
+  for (size_t i = 0; i < planner->n_groups; i++) free(planner->groups[i].slots);
+  free(planner->groups);
+  free(planner->open_jobs);
+  free(planner->machines);
+  free(planner->jobs);
+  free(planner);
 }
 
-void tmx_model_feed(struct tmx_model *md, struct tmx_feed *f) {
-  if (f->reset) forget(md);
-  for (size_t i = 0; i < f->n_gone; i++) machine_drop(md, f->gone[i]);
-  for (size_t i = 0; i < f->n_jobs; i++) job_take(md, &f->jobs[i]);
-  for (size_t i = 0; i < f->n_machines; i++) machine_take(md, &f->machines[i]);
-  tmx_feed_clear(f);
+void tmx_planner_apply(struct tmx_planner *planner, struct tmx_planner_delta *delta) {
+  if (delta->reset) forget(planner);
+  for (size_t i = 0; i < delta->n_removed; i++) drop_machine(planner, delta->removed[i]);
+  for (size_t i = 0; i < delta->n_jobs; i++) take_job(planner, &delta->jobs[i]);
+  for (size_t i = 0; i < delta->n_machines; i++) take_machine(planner, &delta->machines[i]);
+  tmx_planner_delta_clear(delta);
 }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -6,102 +6,111 @@
 #include <string.h>
 
 /* The leader stops others for it; the room is held until they are gone. */
-static bool make_room(struct round *r, struct pj *j, bool warm) {
-  if (!r->in->leading || !tmx_fit_standing(j)) return false;
-  int m = tmx_fit_best(r, j, VICTIMS, warm);
-  if (m < 0 || tmx_fit_victims(r, j, r->md->m[m], true) < 0) return false;
-  tmx_step_take(r, j, m, false);
+static bool preempt_for(struct round *round, struct planner_job *job, bool warm) {
+  if (!round->input->leading || !tmx_fit_precedence(job)) return false;
+  int m = tmx_fit_best_machine(round, job, POOL_PREEMPTIBLE, warm);
+  if (m < 0 || tmx_fit_preempt(round, job, round->planner->machines[m], true) < 0) return false;
+  tmx_round_reserve(round, job, m, false);
   return true;
 }
 
-static bool hold_soon(struct round *r, struct pj *j, bool warm) {
-  int m = tmx_fit_best(r, j, SOON, warm);
+static bool reserve_releasing_room(struct round *round, struct planner_job *job, bool warm) {
+  int m = tmx_fit_best_machine(round, job, POOL_RELEASING, warm);
   if (m < 0) return false;
-  tmx_step_take(r, j, m, false);
+  tmx_round_reserve(round, job, m, false);
   return true;
 }
 
 /* Places up to max of the job's waiting tasks; returns how many were placed. */
-uint32_t tmx_place(struct round *r, struct pj *j, uint32_t max) {
-  const struct tmx_round *in = r->in;
-  bool mine = j->r.planner == in->self;
-  bool grace = in->now - j->r.stuck_since <= in->grace;
+uint32_t tmx_place_job(struct round *round, struct planner_job *job, uint32_t max) {
+  const struct tmx_round_input *input = round->input;
+  bool mine = job->record.planner == input->self_member;
+  bool grace = input->now_steady - job->record.unplaced_since <= input->own_planner_grace_s;
   uint32_t placed = 0;
-  if (j->next_wait >= j->r.n_waits || j->r.team < 0 || j->r.retry_at > in->now) return 0;
+  if (job->next_waiting >= job->record.n_waiting || job->record.team < 0 ||
+      job->record.retry_at > input->now_steady)
+    return 0;
   /* Another's job that stands before the arrays here is given its room on paper, or what the leader
    * frees for it would be filled again at once. */
-  bool aside = !mine && !in->leading;
-  if (aside && !tmx_fit_standing(j)) return 0;
+  bool aside = !mine && !input->leading;
+  if (aside && !tmx_fit_precedence(job)) return 0;
   /* while its own controller may still get to it, the leader takes only what finds no room there */
   bool theirs = !mine && grace;
-  tmx_fit_begin(r, j);
-  while (j->next_wait < j->r.n_waits && placed < max) {
-    if (r->out->n_ops >= in->max_ops || r->visits > r->limit) {
-      r->out->cut = true;
+  tmx_fit_begin_job(round, job);
+  while (job->next_waiting < job->record.n_waiting && placed < max) {
+    if (round->output->n_operations >= input->max_operations ||
+        round->visited > round->visit_limit) {
+      round->output->truncated = true;
       break;
     }
-    if (!tmx_fit_quota(r, j))
+    if (!tmx_fit_within_quota(round, job))
       return placed; /* waits for its own team: more machines would not help */
-    int m = tmx_fit_best(r, j, OWN, true);
+    int m = tmx_fit_best_machine(round, job, POOL_OWN_SHARD, true);
     if (aside) {
-      for (int k = 1; m < 0 && k < 6; k++) m = tmx_fit_best(r, j, k % 3, k < 3);
+      for (int k = 1; m < 0 && k < 6; k++) m = tmx_fit_best_machine(round, job, k % 3, k < 3);
       if (m < 0) return placed;
-      tmx_step_take(r, j, m, true);
-      j->next_wait++;
+      tmx_round_reserve(round, job, m, true);
+      job->next_waiting++;
       continue;
     }
     if (theirs &&
-        (m >= 0 || (tmx_fit_standing(j) != 2 && (m = tmx_fit_best(r, j, OWN, false)) >= 0))) {
-      tmx_step_take(r, j, m, true); /* room that the other is about to use */
-      j->next_wait++;
+        (m >= 0 || (tmx_fit_precedence(job) != 2 &&
+                    (m = tmx_fit_best_machine(round, job, POOL_OWN_SHARD, false)) >= 0))) {
+      tmx_round_reserve(round, job, m, true); /* room that the other is about to use */
+      job->next_waiting++;
       continue;
     }
     /* too large for its part: the leader looks in every part */
-    if (m < 0 && in->leading) m = tmx_fit_best(r, j, ANY, true);
-    if (m < 0 && tmx_fit_standing(j) == 2) {
+    if (m < 0 && input->leading) m = tmx_fit_best_machine(round, job, POOL_ANY_SHARD, true);
+    if (m < 0 && tmx_fit_precedence(job) == 2) {
       /* Room is only where a fetch would make it late: room where the image lies comes first. */
-      if (in->leading && (hold_soon(r, j, true) || make_room(r, j, true))) {
-        j->next_wait++;
-        r->out->unplaced++;
+      if (input->leading &&
+          (reserve_releasing_room(round, job, true) || preempt_for(round, job, true))) {
+        job->next_waiting++;
+        round->output->unplaced++;
         continue;
       }
-      if (!in->leading && grace) break;
+      if (!input->leading && grace) break;
     }
-    if (m < 0) m = tmx_fit_best(r, j, OWN, false);
-    if (m < 0 && in->leading) m = tmx_fit_best(r, j, ANY, false);
+    if (m < 0) m = tmx_fit_best_machine(round, job, POOL_OWN_SHARD, false);
+    if (m < 0 && input->leading) m = tmx_fit_best_machine(round, job, POOL_ANY_SHARD, false);
     if (m >= 0) {
-      struct tmx_plan_wait *w = &j->r.waits[j->next_wait++];
+      struct tmx_plan_waiting_task *waiting = &job->record.waiting[job->next_waiting++];
       struct tmx_operation *operation =
-          tmx_step_emit(r, TMX_OPERATION_PLACE, j, w->task, w->attempt);
-      memcpy(operation->machine, r->md->m[m]->r.id, sizeof operation->machine);
-      operation->machine_cap = r->cap;
-      tmx_step_take(r, j, m, true);
+          tmx_round_emit(round, TMX_OPERATION_PLACE, job, waiting->task, waiting->attempt);
+      memcpy(operation->machine, round->planner->machines[m]->record.id, sizeof operation->machine);
+      operation->machine_cap = round->machine_cap;
+      tmx_round_reserve(round, job, m, true);
       placed++;
       continue;
     }
-    if (!in->leading || (!hold_soon(r, j, false) && !make_room(r, j, false))) break;
-    j->next_wait++;
-    r->out->unplaced++;
+    if (!input->leading ||
+        (!reserve_releasing_room(round, job, false) && !preempt_for(round, job, false)))
+      break;
+    job->next_waiting++;
+    round->output->unplaced++;
   }
-  if (placed < max) r->out->unplaced += (uint32_t)(j->r.n_waits - j->next_wait);
+  if (placed < max)
+    round->output->unplaced += (uint32_t)(job->record.n_waiting - job->next_waiting);
   return placed;
 }
 
 /* Places up to max tasks of each of these jobs, in order. When so many find no room that the
  * round's bound is reached, the next round goes on with the jobs that were not looked at: those
  * that wait for room again and again must not keep a round from those that would find some. */
-uint32_t tmx_place_all(struct round *r, struct pj **v, size_t n, uint32_t max, int *cut) {
+uint32_t tmx_place_jobs(struct round *round, struct planner_job **jobs, size_t n, uint32_t max,
+                        int *cut) {
   size_t from = 0;
   uint32_t placed = 0;
   for (size_t k = 0; k < n && *cut >= 0; k++)
-    if (v[k]->r.slot == *cut) from = k;
+    if (jobs[k]->record.slot == *cut) from = k;
   *cut = -1;
   for (size_t k = 0; k < n; k++) {
-    struct pj *j = v[(from + k) % n];
-    placed += tmx_place(r, j, max);
-    if (r->visits <= r->limit || k + 1 == n) continue;
-    r->out->cut = true;
-    *cut = v[(from + k + 1) % n]->r.slot;
+    struct planner_job *job = jobs[(from + k) % n];
+    placed += tmx_place_job(round, job, max);
+    if (round->visited <= round->visit_limit || k + 1 == n) continue;
+    round->output->truncated = true;
+    *cut = jobs[(from + k + 1) % n]->record.slot;
     break;
   }
   return placed;
--- a/src/core/steps.c
+++ b/src/core/steps.c
@@ -6,69 +6,82 @@
 #include <stdlib.h>
 #include <string.h>
 
-void tmx_step_touch(struct round *r, struct pm *p) {
-  if (p->touched == r->md->round) return;
-  p->touched = r->md->round;
-  p->saved = (struct saved){p->r.ucpus, p->r.ugpus, p->r.umem,   p->r.scpus,
-                            p->r.sgpus, p->r.smem,  p->r.n_tasks};
-  r->undo = tmx_grow(r->undo, &r->cap_undo, r->n_undo + 1, sizeof *r->undo);
-  r->undo[r->n_undo++] = p;
+void tmx_round_touch_machine(struct round *round, struct planner_machine *machine) {
+  if (machine->touched_in_round == round->planner->round_number) return;
+  machine->touched_in_round = round->planner->round_number;
+  machine->snapshot =
+      (struct machine_snapshot){machine->record.booked_cpus,    machine->record.booked_gpus,
+                                machine->record.booked_mem_gb,  machine->record.releasing_cpus,
+                                machine->record.releasing_gpus, machine->record.releasing_mem_gb,
+                                machine->record.n_tasks};
+  round->touched_machines =
+      tmx_grow(round->touched_machines, &round->cap_touched_machines, round->n_touched_machines + 1,
+               sizeof *round->touched_machines);
+  round->touched_machines[round->n_touched_machines++] = machine;
 }
 
-void tmx_step_touch_job(struct round *r, struct pj *j) {
-  if (j->touched == r->md->round) return;
-  j->touched = r->md->round;
-  memcpy(j->saved_zone, j->r.zone_live, sizeof j->saved_zone);
-  r->undo_j = tmx_grow(r->undo_j, &r->cap_undo_j, r->n_undo_j + 1, sizeof *r->undo_j);
-  r->undo_j[r->n_undo_j++] = j;
+void tmx_round_touch_job(struct round *round, struct planner_job *job) {
+  if (job->touched_in_round == round->planner->round_number) return;
+  job->touched_in_round = round->planner->round_number;
+  memcpy(job->saved_placed_in_zone, job->record.placed_in_zone, sizeof job->saved_placed_in_zone);
+  round->touched_jobs = tmx_grow(round->touched_jobs, &round->cap_touched_jobs,
+                                 round->n_touched_jobs + 1, sizeof *round->touched_jobs);
+  round->touched_jobs[round->n_touched_jobs++] = job;
 }
 
-void tmx_step_mark(struct round *r, struct pm *p, size_t task) {
-  r->marks = tmx_grow(r->marks, &r->cap_marks, r->n_marks + 1, sizeof *r->marks);
-  r->marks[r->n_marks++] = (struct mark){p, task};
-  p->r.tasks[task].stopping = true;
+void tmx_round_mark_preempted(struct round *round, struct planner_machine *machine, size_t task) {
+  round->preemptions = tmx_grow(round->preemptions, &round->cap_preemptions,
+                                round->n_preemptions + 1, sizeof *round->preemptions);
+  round->preemptions[round->n_preemptions++] = (struct preemption){machine, task};
+  machine->record.tasks[task].stopping = true;
 }
 
-void tmx_step_take_back(struct round *r) {
-  for (size_t i = 0; i < r->n_marks; i++) r->marks[i].p->r.tasks[r->marks[i].task].stopping = false;
-  for (size_t i = 0; i < r->n_undo; i++) {
-    struct pm *p = r->undo[i];
-    p->r.ucpus = p->saved.ucpus;
-    p->r.ugpus = p->saved.ugpus;
-    p->r.umem = p->saved.umem;
-    p->r.scpus = p->saved.scpus;
-    p->r.sgpus = p->saved.sgpus;
-    p->r.smem = p->saved.smem;
-    p->r.n_tasks = p->saved.n_tasks;
+void tmx_round_undo(struct round *round) {
+  for (size_t i = 0; i < round->n_preemptions; i++)
+    round->preemptions[i].machine->record.tasks[round->preemptions[i].task].stopping = false;
+  for (size_t i = 0; i < round->n_touched_machines; i++) {
+    struct planner_machine *machine = round->touched_machines[i];
+    machine->record.booked_cpus = machine->snapshot.booked_cpus;
+    machine->record.booked_gpus = machine->snapshot.booked_gpus;
+    machine->record.booked_mem_gb = machine->snapshot.booked_mem_gb;
+    machine->record.releasing_cpus = machine->snapshot.releasing_cpus;
+    machine->record.releasing_gpus = machine->snapshot.releasing_gpus;
+    machine->record.releasing_mem_gb = machine->snapshot.releasing_mem_gb;
+    machine->record.n_tasks = machine->snapshot.n_tasks;
   }
-  for (size_t i = 0; i < r->n_undo_j; i++)
-    memcpy(r->undo_j[i]->r.zone_live, r->undo_j[i]->saved_zone, sizeof r->undo_j[i]->saved_zone);
+  for (size_t i = 0; i < round->n_touched_jobs; i++)
+    memcpy(round->touched_jobs[i]->record.placed_in_zone,
+           round->touched_jobs[i]->saved_placed_in_zone,
+           sizeof round->touched_jobs[i]->saved_placed_in_zone);
 }
 
-struct tmx_operation *tmx_step_emit(struct round *r, char op, const struct pj *j, uint32_t task,
-                                    uint32_t attempt) {
-  struct tmx_plan_output *out = r->out;
-  out->ops = tmx_grow(out->ops, &out->cap, out->n_ops + 1, sizeof *out->ops);
-  struct tmx_operation *operation = &out->ops[out->n_ops++];
+struct tmx_operation *tmx_round_emit(struct round *round, char op, const struct planner_job *job,
+                                     uint32_t task, uint32_t attempt) {
+  struct tmx_round_output *output = round->output;
+  output->operations = tmx_grow(output->operations, &output->cap_operations,
+                                output->n_operations + 1, sizeof *output->operations);
+  struct tmx_operation *operation = &output->operations[output->n_operations++];
   memset(operation, 0, sizeof *operation);
   operation->kind = op;
   operation->task = task;
   operation->attempt = attempt;
-  memcpy(operation->job, j->r.id, sizeof operation->job);
+  memcpy(operation->job, job->record.id, sizeof operation->job);
   return operation;
 }
-void tmx_step_take(struct round *r, struct pj *j, int m, bool real) {
-  struct pm *p = r->md->m[m];
-  const struct tmx_job_spec *spec = j->r.spec;
-  tmx_step_touch(r, p);
-  p->r.ucpus += spec->cpus;
-  p->r.ugpus += spec->gpus;
-  p->r.umem += spec->mem_gb;
-  p->r.tasks = tmx_grow(p->r.tasks, &p->cap_tasks, p->r.n_tasks + 1, sizeof *p->r.tasks);
-  p->r.tasks[p->r.n_tasks++] = (struct tmx_plan_task){.job = j->r.slot, .stopping = true};
-  tmx_step_touch_job(r, j);
-  j->r.zone_live[p->r.zone]++;
+void tmx_round_reserve(struct round *round, struct planner_job *job, int m, bool real) {
+  struct planner_machine *machine = round->planner->machines[m];
+  const struct tmx_job_spec *spec = job->record.spec;
+  tmx_round_touch_machine(round, machine);
+  machine->record.booked_cpus += spec->cpus;
+  machine->record.booked_gpus += spec->gpus;
+  machine->record.booked_mem_gb += spec->mem_gb;
+  machine->record.tasks = tmx_grow(machine->record.tasks, &machine->cap_tasks,
+                                   machine->record.n_tasks + 1, sizeof *machine->record.tasks);
+  machine->record.tasks[machine->record.n_tasks++] =
+      (struct tmx_plan_task){.job = job->record.slot, .stopping = true};
+  tmx_round_touch_job(round, job);
+  job->record.placed_in_zone[machine->record.zone]++;
   if (!real) return;
-  r->usage[j->r.team].cpus += spec->cpus;
-  r->usage[j->r.team].gpus += spec->gpus;
+  round->usage[job->record.team].cpus += spec->cpus;
+  round->usage[job->record.team].gpus += spec->gpus;
 }
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -236,7 +236,7 @@
 /* All connections are taken: the one that was unused longest makes room. Workers that went to
  * another controller, or were cut off, leave connections behind that nobody will use again; users
  * must not be refused for them. false: all were in use a moment ago. */
-static bool make_room(struct tmx_http_server *server) {
+static bool preempt_for(struct tmx_http_server *server) {
   struct tmx_http_connection *connection;
   DL_FOREACH(server->conns, connection) {
     if (ev_now(server->loop) - connection->used_at < TMX_IDLE_LEAST_S) return false;
@@ -253,7 +253,7 @@
   for (int i = 0; i < 32; i++) {
     int fd = accept4(server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    if (server->n >= server->max && !make_room(server)) {
+    if (server->n >= server->max && !preempt_for(server)) {
       close(fd);
       continue;
     }
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -10,118 +10,127 @@
 /* ------------------------------------------------------------ planner thread */
 
 static void *planner_main(void *arg) {
-  struct tmx_rounds *p = arg;
-  struct tmx_model *md = tmx_model_new();
-  pthread_mutex_lock(&p->lock);
+  struct tmx_scheduler *scheduler = arg;
+  struct tmx_planner *planner = tmx_planner_new();
+  pthread_mutex_lock(&scheduler->lock);
   for (;;) {
-    while (!p->asked && !p->quit) pthread_cond_wait(&p->more, &p->lock);
-    if (p->quit) break;
-    struct tmx_feed feed = p->in_feed;
-    struct tmx_round in = p->in_round;
-    memset(&p->in_feed, 0, sizeof p->in_feed);
-    p->asked = false;
-    pthread_mutex_unlock(&p->lock);
-    struct tmx_plan_output out;
-    tmx_model_feed(md, &feed);
-    tmx_plan(md, &in, &out);
-    pthread_mutex_lock(&p->lock);
-    p->out = out;
-    p->ready = true;
-    ev_async_send(p->c->loop, &p->done);
+    while (!scheduler->requested && !scheduler->quit)
+      pthread_cond_wait(&scheduler->work_available, &scheduler->lock);
+    if (scheduler->quit) break;
+    struct tmx_planner_delta delta = scheduler->input_delta;
+    struct tmx_round_input input = scheduler->input_round;
+    memset(&scheduler->input_delta, 0, sizeof scheduler->input_delta);
+    scheduler->requested = false;
+    pthread_mutex_unlock(&scheduler->lock);
+    struct tmx_round_output output;
+    tmx_planner_apply(planner, &delta);
+    tmx_planner_run_round(planner, &input, &output);
+    pthread_mutex_lock(&scheduler->lock);
+    scheduler->output = output;
+    scheduler->ready = true;
+    ev_async_send(scheduler->controller->loop, &scheduler->planned_event);
   }
-  pthread_mutex_unlock(&p->lock);
-  tmx_model_free(md);
+  pthread_mutex_unlock(&scheduler->lock);
+  tmx_planner_free(planner);
   return NULL;
 }
 
 /* ------------------------------------------------------------ timing */
 
-static void timer(struct tmx_rounds *p, double after) {
-  if (ev_is_active(&p->timer) && ev_timer_remaining(p->c->loop, &p->timer) <= after) return;
-  ev_timer_stop(p->c->loop, &p->timer);
-  ev_timer_set(&p->timer, after > 0.0005 ? after : 0.0005, 0);
-  ev_timer_start(p->c->loop, &p->timer);
+static void start_round_timer(struct tmx_scheduler *scheduler, double after) {
+  if (ev_is_active(&scheduler->timer) &&
+      ev_timer_remaining(scheduler->controller->loop, &scheduler->timer) <= after)
+    return;
+  ev_timer_stop(scheduler->controller->loop, &scheduler->timer);
+  ev_timer_set(&scheduler->timer, after > 0.0005 ? after : 0.0005, 0);
+  ev_timer_start(scheduler->controller->loop, &scheduler->timer);
 }
-void tmx_rounds_kick_in(struct tmx_ctl *c, double s) {
-  struct tmx_rounds *p = c->rounds;
-  if (!p) return;
-  double spaced = p->round_at + TMX_ROUND_SPACING_S - tmx_clock_steady();
-  timer(p, s > spaced ? s : spaced);
+void tmx_scheduler_trigger_within(struct tmx_ctl *c, double s) {
+  struct tmx_scheduler *scheduler = c->rounds;
+  if (!scheduler) return;
+  double spaced = scheduler->round_started_at + TMX_ROUND_SPACING_S - tmx_clock_steady();
+  start_round_timer(scheduler, s > spaced ? s : spaced);
 }
-void tmx_rounds_kick(struct tmx_ctl *c) { tmx_rounds_kick_in(c, 0); }
+void tmx_scheduler_trigger(struct tmx_ctl *c) { tmx_scheduler_trigger_within(c, 0); }
 
 /* ------------------------------------------------------------ what changed */
 
-void tmx_rounds_machine(struct tmx_rounds *p, struct tmx_machine *machine) {
+void tmx_scheduler_machine_changed(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
   if (machine->planner_update_due) return;
   machine->planner_update_due = true;
-  p->machines = tmx_grow(p->machines, &p->cap_machines, p->n_machines + 1, sizeof *p->machines);
-  p->machines[p->n_machines++] = machine;
+  scheduler->changed_machines =
+      tmx_grow(scheduler->changed_machines, &scheduler->cap_changed_machines,
+               scheduler->n_changed_machines + 1, sizeof *scheduler->changed_machines);
+  scheduler->changed_machines[scheduler->n_changed_machines++] = machine;
 }
-void tmx_rounds_job(struct tmx_rounds *p, struct tmx_job *job) {
+void tmx_scheduler_job_changed(struct tmx_scheduler *scheduler, struct tmx_job *job) {
   if (job->planner_update_due) return;
   job->planner_update_due = true;
-  p->jobs = tmx_grow(p->jobs, &p->cap_jobs, p->n_jobs + 1, sizeof *p->jobs);
-  p->jobs[p->n_jobs++] = job;
-}
-void tmx_rounds_gone(struct tmx_rounds *p, struct tmx_machine *machine) {
-  tmx_feed_gone(&p->feed, machine->planner_slot);
-  for (size_t i = 0; machine->planner_update_due && i < p->n_machines; i++)
-    if (p->machines[i] == machine) {
-      p->machines[i] = p->machines[--p->n_machines];
+  scheduler->changed_jobs =
+      tmx_grow(scheduler->changed_jobs, &scheduler->cap_changed_jobs, scheduler->n_changed_jobs + 1,
+               sizeof *scheduler->changed_jobs);
+  scheduler->changed_jobs[scheduler->n_changed_jobs++] = job;
+}
+void tmx_scheduler_machine_removed(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
+  tmx_planner_delta_removed(&scheduler->delta, machine->planner_slot);
+  for (size_t i = 0; machine->planner_update_due && i < scheduler->n_changed_machines; i++)
+    if (scheduler->changed_machines[i] == machine) {
+      scheduler->changed_machines[i] = scheduler->changed_machines[--scheduler->n_changed_machines];
       break;
     }
 }
-void tmx_rounds_reset(struct tmx_rounds *p) {
-  tmx_feed_clear(&p->feed);
-  p->feed.reset = true;
-  p->n_machines = p->n_jobs = 0;
+void tmx_scheduler_reset(struct tmx_scheduler *scheduler) {
+  tmx_planner_delta_clear(&scheduler->delta);
+  scheduler->delta.reset = true;
+  scheduler->n_changed_machines = scheduler->n_changed_jobs = 0;
 }
-void tmx_rounds_line(struct tmx_rounds *p, const char *line) {
-  for (size_t i = 0; i < p->n_lines; i++)
-    if (!strcmp(p->lines[i].text, line)) return;
-  p->lines = tmx_grow(p->lines, &p->cap_lines, p->n_lines + 1, sizeof *p->lines);
-  struct tmx_pending_line *l = &p->lines[p->n_lines++];
+void tmx_scheduler_append_line(struct tmx_scheduler *scheduler, const char *line) {
+  for (size_t i = 0; i < scheduler->n_pending_lines; i++)
+    if (!strcmp(scheduler->pending_lines[i].text, line)) return;
+  scheduler->pending_lines =
+      tmx_grow(scheduler->pending_lines, &scheduler->cap_pending_lines,
+               scheduler->n_pending_lines + 1, sizeof *scheduler->pending_lines);
+  struct tmx_pending_line *l = &scheduler->pending_lines[scheduler->n_pending_lines++];
   memset(l, 0, sizeof *l);
   snprintf(l->text, sizeof l->text, "%s", line);
-  tmx_rounds_kick(p->c);
+  tmx_scheduler_trigger(scheduler->controller);
 }
 
 /* ------------------------------------------------------------ steps */
 
-struct tmx_task *tmx_round_task(const struct tmx_replica *replica,
-                                const struct tmx_operation *operation) {
+struct tmx_task *tmx_operation_task(const struct tmx_replica *replica,
+                                    const struct tmx_operation *operation) {
   struct tmx_job *job = tmx_job_find(replica, operation->job);
   return job && job->tasks && operation->task < job->spec.tasks ? &job->tasks[operation->task]
                                                                 : NULL;
 }
 
 /* Of the time of day, for one batch. */
-double tmx_turn_length(const struct tmx_ctl *c) {
+double tmx_commit_slot_length(const struct tmx_ctl *c) {
   return TMX_TURN_PUTS / (c->set.write_rps * TMX_WRITE_SHARE);
 }
 
 /* The next step needs the replica to hold the latest revision that a commit told of. */
-bool tmx_rounds_caught_up(const struct tmx_rounds *p) {
-  return p->wait_rev <= p->c->rep.revision ||
-         tmx_clock_steady() - p->wait_rev_at > TMX_STATE_TIMEOUT_S;
+bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler) {
+  return scheduler->awaited_revision <= scheduler->controller->rep.revision ||
+         tmx_clock_steady() - scheduler->awaited_revision_since > TMX_STATE_TIMEOUT_S;
 }
 
-void tmx_round_over(struct tmx_rounds *p) {
-  p->step = TMX_ROUND_IDLE;
-  free(p->plan.ops);
-  memset(&p->plan, 0, sizeof p->plan);
+void tmx_scheduler_abandon_round(struct tmx_scheduler *scheduler) {
+  scheduler->phase = TMX_SCHEDULER_IDLE;
+  free(scheduler->plan.operations);
+  memset(&scheduler->plan, 0, sizeof scheduler->plan);
 }
 
 /* How long until this member may send a batch, s. Whoever loses the race for head has spent its
  * puts for nothing, so while puts are short each member keeps to its turn of the time of day; the
  * leader has two. A batch that is late finds out by its condition: nothing depends on clocks. */
-static double turn(struct tmx_rounds *p) {
-  struct tmx_ctl *c = p->c;
+static double next_commit_slot(struct tmx_scheduler *scheduler) {
+  struct tmx_ctl *c = scheduler->controller;
   size_t n = c->rep.view.n_members;
   int self = tmx_ctl_self(c);
   if (n < 2 || self < 0 || tmx_store_is_write_load_low(c->link)) return 0;
-  double slot = tmx_turn_length(c), period = slot * (double)(n + 1);
+  double slot = tmx_commit_slot_length(c), period = slot * (double)(n + 1);
   double at = fmod(tmx_clock_wall(), period), wait = period;
   for (int k = 0; k < 1 + tmx_store_is_leader(c->link); k++) {
     double into = at - slot * (k ? (double)n : self);
@@ -134,113 +143,120 @@
 static void on_planned(struct ev_loop *l, ev_async *w, int ev) {
   (void)l;
   (void)ev;
-  struct tmx_rounds *p = w->data;
-  struct tmx_ctl *c = p->c;
-  pthread_mutex_lock(&p->lock);
-  bool ready = p->ready;
-  if (ready) p->plan = p->out;
-  p->ready = false;
-  pthread_mutex_unlock(&p->lock);
-  if (!ready || p->step != TMX_ROUND_PLANNING) return;
-  p->step = TMX_ROUND_READY;
+  struct tmx_scheduler *scheduler = w->data;
+  struct tmx_ctl *c = scheduler->controller;
+  pthread_mutex_lock(&scheduler->lock);
+  bool ready = scheduler->ready;
+  if (ready) scheduler->plan = scheduler->output;
+  scheduler->ready = false;
+  pthread_mutex_unlock(&scheduler->lock);
+  if (!ready || scheduler->phase != TMX_SCHEDULER_PLANNING) return;
+  scheduler->phase = TMX_SCHEDULER_PLANNED;
   if (!tmx_store_is_member(c->link) || !tmx_ctl_fresh(c)) {
-    tmx_round_over(p);
-    tmx_rounds_kick_in(c, TMX_STATE_RETRY_S);
+    tmx_scheduler_abandon_round(scheduler);
+    tmx_scheduler_trigger_within(c, TMX_STATE_RETRY_S);
     return;
   }
-  if (!p->sending && tmx_rounds_caught_up(p)) tmx_round_commit(p);
+  if (!scheduler->batch_in_flight && tmx_scheduler_caught_up(scheduler))
+    tmx_scheduler_commit(scheduler);
 }
 
-static void begin(struct tmx_rounds *p) {
-  struct tmx_ctl *c = p->c;
+static void begin_round(struct tmx_scheduler *scheduler) {
+  struct tmx_ctl *c = scheduler->controller;
   double now = tmx_clock_steady(), budget = tmx_store_write_budget(c->link);
   /* Rounds are paced by this member's share of the puts. Submissions draw on it too; a round a
    * second goes out in any case, or nothing accepted would ever start. */
-  if (budget < p->puts && now - p->round_at < 1.0) {
-    tmx_rounds_kick_in(c, fmin(tmx_store_write_budget_delay(c->link, p->puts), 1.0));
+  if (budget < scheduler->needed_writes && now - scheduler->round_started_at < 1.0) {
+    tmx_scheduler_trigger_within(
+        c, fmin(tmx_store_write_budget_delay(c->link, scheduler->needed_writes), 1.0));
     return;
   }
-  double wait = turn(p);
+  double wait = next_commit_slot(scheduler);
   if (wait > 0) {
-    tmx_rounds_kick_in(c, wait);
+    tmx_scheduler_trigger_within(c, wait);
     return;
   }
-  p->round_at = now;
-  p->resent = 0;
-  p->n_ends = tmx_workers_collect_completions(c->workers, p->ends, TMX_ENDS_ROUND);
-  struct tmx_round in;
-  tmx_round_feed(p, &in);
-  p->step = TMX_ROUND_PLANNING;
-  pthread_mutex_lock(&p->lock);
-  p->in_feed = p->feed;
-  p->in_round = in;
-  p->asked = true;
-  pthread_cond_signal(&p->more);
-  pthread_mutex_unlock(&p->lock);
-  memset(&p->feed, 0, sizeof p->feed);
+  scheduler->round_started_at = now;
+  scheduler->resends = 0;
+  scheduler->n_completions =
+      tmx_workers_collect_completions(c->workers, scheduler->completions, TMX_ENDS_ROUND);
+  struct tmx_round_input input;
+  tmx_scheduler_collect_delta(scheduler, &input);
+  scheduler->phase = TMX_SCHEDULER_PLANNING;
+  pthread_mutex_lock(&scheduler->lock);
+  scheduler->input_delta = scheduler->delta;
+  scheduler->input_round = input;
+  scheduler->requested = true;
+  pthread_cond_signal(&scheduler->work_available);
+  pthread_mutex_unlock(&scheduler->lock);
+  memset(&scheduler->delta, 0, sizeof scheduler->delta);
 }
 
 static void on_timer(struct ev_loop *l, ev_timer *w, int ev) {
   (void)l;
   (void)ev;
-  struct tmx_rounds *p = w->data;
-  struct tmx_ctl *c = p->c;
-  if (p->step == TMX_ROUND_PLANNING || p->sending) return; /* its end kicks the next one */
-  timer(p, TMX_ROUND_IDLE_S);
+  struct tmx_scheduler *scheduler = w->data;
+  struct tmx_ctl *c = scheduler->controller;
+  if (scheduler->phase == TMX_SCHEDULER_PLANNING || scheduler->batch_in_flight)
+    return; /* its end kicks the next one */
+  start_round_timer(scheduler, TMX_ROUND_IDLE_S);
   bool may = tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
   if (!may) {
-    if (p->step == TMX_ROUND_READY) tmx_round_over(p);
+    if (scheduler->phase == TMX_SCHEDULER_PLANNED) tmx_scheduler_abandon_round(scheduler);
     return;
   }
-  if (!tmx_rounds_caught_up(p)) {
-    tmx_rounds_kick_in(c, 0.05); /* events kick it sooner */
+  if (!tmx_scheduler_caught_up(scheduler)) {
+    tmx_scheduler_trigger_within(c, 0.05); /* events kick it sooner */
     return;
   }
-  if (p->step == TMX_ROUND_READY)
-    tmx_round_commit(p);
+  if (scheduler->phase == TMX_SCHEDULER_PLANNED)
+    tmx_scheduler_commit(scheduler);
   else
-    begin(p);
+    begin_round(scheduler);
 }
 
-bool tmx_rounds_planning(const struct tmx_rounds *p) { return p->step == TMX_ROUND_PLANNING; }
+bool tmx_scheduler_is_planning(const struct tmx_scheduler *scheduler) {
+  return scheduler->phase == TMX_SCHEDULER_PLANNING;
+}
 
-struct tmx_rounds *tmx_rounds_new(struct tmx_ctl *c) {
-  struct tmx_rounds *p = calloc(1, sizeof *p);
+struct tmx_scheduler *tmx_scheduler_new(struct tmx_ctl *c) {
+  struct tmx_scheduler *scheduler = calloc(1, sizeof *scheduler);
   pthread_attr_t a;
-  if (!p) abort();
-  p->c = c;
-  p->puts = TMX_ROUND_PUTS;
-  pthread_mutex_init(&p->lock, NULL);
-  pthread_cond_init(&p->more, NULL);
-  ev_timer_init(&p->timer, on_timer, 0, 0);
-  p->timer.data = p;
-  ev_async_init(&p->done, on_planned);
-  p->done.data = p;
-  ev_async_start(c->loop, &p->done);
+  if (!scheduler) abort();
+  scheduler->controller = c;
+  scheduler->needed_writes = TMX_ROUND_PUTS;
+  pthread_mutex_init(&scheduler->lock, NULL);
+  pthread_cond_init(&scheduler->work_available, NULL);
+  ev_timer_init(&scheduler->timer, on_timer, 0, 0);
+  scheduler->timer.data = scheduler;
+  ev_async_init(&scheduler->planned_event, on_planned);
+  scheduler->planned_event.data = scheduler;
+  ev_async_start(c->loop, &scheduler->planned_event);
   pthread_attr_init(&a);
   pthread_attr_setstacksize(&a, TMX_PLANNER_STACK);
-  if (pthread_create(&p->thread, &a, planner_main, p)) abort();
+  if (pthread_create(&scheduler->planner_thread, &a, planner_main, scheduler)) abort();
   pthread_attr_destroy(&a);
-  return p;
-}
-
-void tmx_rounds_free(struct tmx_rounds *p) {
-  pthread_mutex_lock(&p->lock);
-  p->quit = true;
-  pthread_cond_signal(&p->more);
-  pthread_mutex_unlock(&p->lock);
-  pthread_join(p->thread, NULL);
-  ev_async_stop(p->c->loop, &p->done);
-  ev_timer_stop(p->c->loop, &p->timer);
-  tmx_feed_clear(&p->feed);
-  tmx_feed_clear(&p->in_feed);
-  if (p->ready) free(p->out.ops);
-  free(p->plan.ops);
-  free(p->machines);
-  free(p->jobs);
-  free(p->lines);
-  for (size_t i = 0; i < p->n_arrivals; i++) tmx_submission_free(p->arrivals[i]);
-  pthread_cond_destroy(&p->more);
-  pthread_mutex_destroy(&p->lock);
-  free(p);
+  return scheduler;
+}
+
+void tmx_scheduler_free(struct tmx_scheduler *scheduler) {
+  pthread_mutex_lock(&scheduler->lock);
+  scheduler->quit = true;
+  pthread_cond_signal(&scheduler->work_available);
+  pthread_mutex_unlock(&scheduler->lock);
+  pthread_join(scheduler->planner_thread, NULL);
+  ev_async_stop(scheduler->controller->loop, &scheduler->planned_event);
+  ev_timer_stop(scheduler->controller->loop, &scheduler->timer);
+  tmx_planner_delta_clear(&scheduler->delta);
+  tmx_planner_delta_clear(&scheduler->input_delta);
+  if (scheduler->ready) free(scheduler->output.operations);
+  free(scheduler->plan.operations);
+  free(scheduler->changed_machines);
+  free(scheduler->changed_jobs);
+  free(scheduler->pending_lines);
+  for (size_t i = 0; i < scheduler->n_submissions; i++)
+    tmx_pending_submission_free(scheduler->submissions[i]);
+  pthread_cond_destroy(&scheduler->work_available);
+  pthread_mutex_destroy(&scheduler->lock);
+  free(scheduler);
 }
--- a/src/state/check.c
+++ b/src/state/check.c
@@ -4,7 +4,7 @@
 
 #include "core/plan.h"
 
-#define EPS 1e-6
+#define RESOURCE_EPSILON 1e-6
 
 static uint64_t checks;
 
@@ -49,14 +49,16 @@
     return false;
   if (!tmx_type_allowed(spec, machine->type)) return false;
   if (spec->zone[0] && tmx_zone_index(set, spec->zone) != machine->zone) return false;
-  if (machine->check_cpus + spec->cpus > machine->size_cpus + EPS ||
-      machine->check_gpus + spec->gpus > machine->size_gpus + EPS ||
-      machine->check_mem_gb + spec->mem_gb > machine->size_mem_gb + EPS)
+  if (machine->check_cpus + spec->cpus > machine->size_cpus + RESOURCE_EPSILON ||
+      machine->check_gpus + spec->gpus > machine->size_gpus + RESOURCE_EPSILON ||
+      machine->check_mem_gb + spec->mem_gb > machine->size_mem_gb + RESOURCE_EPSILON)
     return false;
-  const struct tmx_team_conf *t = &set->teams[job->team];
+  const struct tmx_team_conf *team = &set->teams[job->team];
   const struct tmx_usage *usage = &check->usage[job->team];
-  if (t->cpus_max > 0 && usage->cpus + spec->cpus > t->cpus_max + EPS) return false;
-  if (t->gpus_max > 0 && usage->gpus + spec->gpus > t->gpus_max + EPS) return false;
+  if (team->cpus_max > 0 && usage->cpus + spec->cpus > team->cpus_max + RESOURCE_EPSILON)
+    return false;
+  if (team->gpus_max > 0 && usage->gpus + spec->gpus > team->gpus_max + RESOURCE_EPSILON)
+    return false;
   if (job->check_placed_in_zone[machine->zone] >= tmx_zone_cap(spec, set->n_zones)) return false;
   if (spec->same_zone)
     for (size_t z = 0; z < set->n_zones; z++)
--- a/src/user/user.c
+++ b/src/user/user.c
@@ -69,10 +69,10 @@
   answer_named(request, 200, job->id, s, job);
 }
 
-static void free_submission(struct tmx_submission *s) {
-  if (!s) return;
-  tmx_job_ids_free(&s->awaits);
-  free(s);
+static void free_submission(struct tmx_submission *submission) {
+  if (!submission) return;
+  tmx_job_ids_free(&submission->dependencies);
+  free(submission);
 }
 
 static void cancel_step(struct ask *a);
@@ -203,7 +203,7 @@
     answer_named(a->req, 201, a->id, a->through_cancelled ? WV_CANCELLED : WV_PENDING, NULL);
     tmx_gate_told(a->u->c->gate, &a->candidate, TMX_ADMITTED);
     done(a);
-  } else if (res == TMX_ARRIVAL_OVERLOAD) {
+  } else if (res == TMX_SUBMIT_OVERLOAD) {
     look_up_or_refuse(a);
   } else if (res == TMX_TRANSACTION_CONFLICT && /* known already: its state is read first */
              tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) {
@@ -244,11 +244,11 @@
 /* May the job wait for these. Jobs are never forgotten, so a name once known stays known; that one
  * is unknown can be said only after a read that began after the request. */
 static enum awaits_verdict judge_awaits(const struct tmx_replica *replica,
-                                        const struct tmx_submission *s) {
+                                        const struct tmx_submission *submission) {
   enum awaits_verdict verdict = AWAITS_OK;
-  for (uint32_t i = 0; i < s->awaits.count; i++) {
-    const struct tmx_job *job = tmx_job_find(replica, s->awaits.ids[i]);
-    if (!strcmp(s->awaits.ids[i], s->id)) return AWAITS_NEVER;
+  for (uint32_t i = 0; i < submission->dependencies.count; i++) {
+    const struct tmx_job *job = tmx_job_find(replica, submission->dependencies.ids[i]);
+    if (!strcmp(submission->dependencies.ids[i], submission->id)) return AWAITS_NEVER;
     if (job && job->spec.service) return AWAITS_NEVER; /* it runs until it is cancelled */
     if (!job) verdict = AWAITS_UNKNOWN;
   }
@@ -278,16 +278,17 @@
 /* Hands a submission whose names are known over to the log. */
 static void send_arrival(struct ask *a) {
   struct tmx_ctl *c = a->u->c;
-  struct tmx_submission *s = a->submission;
+  struct tmx_submission *submission = a->submission;
   a->submission = NULL;
-  drop_done(&c->rep, &s->awaits);
-  a->through_cancelled = names_cancelled(&c->rep, &s->awaits);
-  enum tmx_arrival_result result =
-      a->u->waiting > TMX_USER_QUEUE ? TMX_ARRIVAL_LATER
-                                     : tmx_rounds_arrival(c, s, TMX_SUBMIT_WAIT_S, on_submitted, a);
-  free_submission(s);
-  if (result == TMX_ARRIVAL_TAKEN) return;
-  if (result == TMX_ARRIVAL_TOO_LARGE) {
+  drop_done(&c->rep, &submission->dependencies);
+  a->through_cancelled = names_cancelled(&c->rep, &submission->dependencies);
+  enum tmx_submit_result result =
+      a->u->waiting > TMX_USER_QUEUE
+          ? TMX_SUBMIT_QUEUE_FULL
+          : tmx_scheduler_submit(c, submission, TMX_SUBMIT_WAIT_S, on_submitted, a);
+  free_submission(submission);
+  if (result == TMX_SUBMIT_QUEUED) return;
+  if (result == TMX_SUBMIT_TOO_LARGE) {
     /* it may be known, by another body, to the others */
     a->otherwise = 422;
     if (tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
@@ -307,30 +308,32 @@
 }
 
 /* false: the body is not even a named submission. whole: nothing in it is malformed. */
-static bool read_submission(const struct tmx_http_request *request, struct tmx_submission *s,
-                            bool *whole) {
+static bool read_submission(const struct tmx_http_request *request,
+                            struct tmx_submission *submission, bool *whole) {
   cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
-  bool named =
-      map && tmx_cbor_get_text(map, W_ID, s->id, sizeof s->id) && tmx_job_id_is_valid(s->id);
-  *whole = named && tmx_job_spec_parse(map, &s->spec, s->id, sizeof s->id) &&
-           tmx_job_ids_parse(map, &s->awaits);
+  bool named = map && tmx_cbor_get_text(map, W_ID, submission->id, sizeof submission->id) &&
+               tmx_job_id_is_valid(submission->id);
+  *whole = named &&
+           tmx_job_spec_parse(map, &submission->spec, submission->id, sizeof submission->id) &&
+           tmx_job_ids_parse(map, &submission->dependencies);
   tmx_cbor_free(map);
   return named;
 }
 
 /* What is known of a submission before the state is asked. */
-static struct ask first_look(struct tmx_ctl *c, struct tmx_submission *s, bool whole,
+static struct ask first_look(struct tmx_ctl *c, struct tmx_submission *submission, bool whole,
                              const struct tmx_job *known) {
-  struct ask look = {.kind = ASK_SUBMIT, .submission = s};
-  memcpy(look.id, s->id, sizeof look.id);
-  look.otherwise = known ? 503 : whole ? judge(c, &s->spec) : 400;
+  struct ask look = {.kind = ASK_SUBMIT, .submission = submission};
+  memcpy(look.id, submission->id, sizeof look.id);
+  look.otherwise = known ? 503 : whole ? judge(c, &submission->spec) : 400;
   if (look.otherwise) return look;
-  look.candidate = tmx_gate_candidate(c->gate, &s->spec, tmx_team_index(&c->set, s->spec.team));
-  enum awaits_verdict awaits = judge_awaits(&c->rep, s);
+  look.candidate = tmx_gate_candidate(c->gate, &submission->spec,
+                                      tmx_team_index(&c->set, submission->spec.team));
+  enum awaits_verdict awaits = judge_awaits(&c->rep, submission);
   look.names_unknown = awaits == AWAITS_UNKNOWN;
   if (awaits == AWAITS_NEVER) look.otherwise = 422;
   if (awaits != AWAITS_OK) return look;
-  look.ruling = tmx_gate_judge(c->gate, &look.candidate, &s->awaits);
+  look.ruling = tmx_gate_judge(c->gate, &look.candidate, &submission->dependencies);
   look.overload = look.ruling.verdict != TMX_ADMITTED;
   if (look.overload) look.otherwise = 503;
   return look;
@@ -338,30 +341,30 @@
 
 static void submit(struct tmx_users *u, struct tmx_http_request *request) {
   struct tmx_ctl *c = u->c;
-  struct tmx_submission *s = calloc(1, sizeof *s);
+  struct tmx_submission *submission = calloc(1, sizeof *submission);
   bool whole;
-  if (!s) abort();
-  if (!read_submission(request, s, &whole)) {
-    free_submission(s);
+  if (!submission) abort();
+  if (!read_submission(request, submission, &whole)) {
+    free_submission(submission);
     tmx_http_reply(request, 400, NULL, 0);
     return;
   }
   if (!c->rep.loaded || !tmx_store_is_reachable(c->link)) {
-    free_submission(s);
+    free_submission(submission);
     refuse(request, "no state");
     return;
   }
   /* A known job is answered before any validation: what was accepted stays accepted. */
-  struct tmx_job *job = tmx_job_find(&c->rep, s->id);
+  struct tmx_job *job = tmx_job_find(&c->rep, submission->id);
   if (job && job->outcome) {
-    free_submission(s);
+    free_submission(submission);
     answer_job(request, job);
     return;
   }
-  s->submitted = tmx_clock_wall();
-  struct ask look = first_look(c, s, whole, job);
+  submission->submitted_at = tmx_clock_wall();
+  struct ask look = first_look(c, submission, whole, job);
   if (look.otherwise) {
-    free_submission(s);
+    free_submission(submission);
     look.submission = NULL;
   }
   if (look.otherwise || look.names_unknown) {
--- a/src/worker/health.c
+++ b/src/worker/health.c
@@ -195,8 +195,8 @@
     }
     if (usable != machine->usable) {
       machine->usable = usable;
-      tmx_rounds_machine(c->rounds, machine);
-      if (usable) tmx_rounds_kick(c);
+      tmx_scheduler_machine_changed(c->rounds, machine);
+      if (usable) tmx_scheduler_trigger(c);
     }
   }
   extrapolate(workers, rate);
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -266,9 +266,9 @@
     if (!(listed && task->reported_state == TMX_REPORTED_EXITED) && !leaving) continue;
     enqueue_completion(worker);
     if (listed && task->reported_state == TMX_REPORTED_EXITED && task->stop_mode)
-      tmx_rounds_kick(workers->controller); /* somebody waits for this room */
+      tmx_scheduler_trigger(workers->controller); /* somebody waits for this room */
     else
-      tmx_rounds_kick_in(workers->controller, TMX_ENDS_DELAY_S);
+      tmx_scheduler_trigger_within(workers->controller, TMX_ENDS_DELAY_S);
   }
 }
 
@@ -349,7 +349,7 @@
   if ((notice >= 0) != r->spot_notice) {
     r->spot_notice = notice >= 0;
     tmx_log(TMX_LOG_INFO, "worker: %s notice %s", r->id, r->spot_notice ? "given" : "withdrawn");
-    tmx_rounds_kick(workers->controller);
+    tmx_scheduler_trigger(workers->controller);
   }
   free(r->tasks);
   r->tasks = loads;
@@ -358,7 +358,7 @@
   r->report_number = workers->report_counter;
   if (!r->machine || !r->machine->registered) {
     workers->unregistered_seen_at = now;
-    tmx_rounds_kick(workers->controller);
+    tmx_scheduler_trigger(workers->controller);
   } else
     note_report(workers, r);
   return true;
--- a/tests/fake.c
+++ b/tests/fake.c
@@ -224,7 +224,7 @@
 
 bool fake_planning(void) {
   for (int k = 0; k < FAKE_NODES; k++)
-    if (running[k] && tmx_rounds_planning(running[k]->rounds)) return true;
+    if (running[k] && tmx_scheduler_is_planning(running[k]->rounds)) return true;
   return false;
 }
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -538,26 +538,27 @@
 
 enum { FLOOD = 40 };
 
-static void fill_paper(struct tmx_feed *feed, double released, bool flooder, int slot) {
-  struct tmx_plan_job *j = tmx_feed_job(feed);
-  j->slot = slot;
-  snprintf(j->id, sizeof j->id, "wk-%06d", slot);
-  j->spec = calloc(1, sizeof *j->spec);
-  j->spec->tasks = flooder ? 1 : 30;
-  j->spec->cpus = 1;
-  j->spec->mem_gb = 1;
-  j->spec->fetch_tolerance_s = 10;
-  j->spec->priority = j->priority = TMX_PRIORITY_NORMAL;
-  j->account = flooder ? 0 : 1;
-  j->zone = -1;
-  j->released = released;
-  j->stuck_since = 1;
-  j->aim_s = j->next_aim_s = 600;
-  j->run_s = 10;
-  j->open = true;
-  j->n_waits = j->spec->tasks;
-  j->waits = calloc(j->n_waits, sizeof *j->waits);
-  for (uint32_t i = 0; i < j->n_waits; i++) j->waits[i] = (struct tmx_plan_wait){i, 1};
+static void fill_paper(struct tmx_planner_delta *feed, double released, bool flooder, int slot) {
+  struct tmx_plan_job *job = tmx_planner_delta_job(feed);
+  job->slot = slot;
+  snprintf(job->id, sizeof job->id, "wk-%06d", slot);
+  job->spec = calloc(1, sizeof *job->spec);
+  job->spec->tasks = flooder ? 1 : 30;
+  job->spec->cpus = 1;
+  job->spec->mem_gb = 1;
+  job->spec->fetch_tolerance_s = 10;
+  job->spec->priority = job->priority = TMX_PRIORITY_NORMAL;
+  job->account = flooder ? 0 : 1;
+  job->zone = -1;
+  job->released_at = released;
+  job->unplaced_since = 1;
+  job->target_s = job->next_target_s = 600;
+  job->run_s = 10;
+  job->open = true;
+  job->n_waiting = job->spec->tasks;
+  job->waiting = calloc(job->n_waiting, sizeof *job->waiting);
+  for (uint32_t i = 0; i < job->n_waiting; i++)
+    job->waiting[i] = (struct tmx_plan_waiting_task){i, 1};
 }
 
 struct turn_case {
@@ -571,39 +572,39 @@
 /* What is placed beside a flood of small jobs, which stand before the larger one in the order.
  * Returns how many tasks; *larger: the first of them is the larger job's. */
 static size_t placed_beside_a_flood(struct turn_case x, bool *larger) {
-  struct tmx_model *model = tmx_model_new();
-  struct tmx_feed feed = {0};
-  struct tmx_plan_output out;
-  struct tmx_round *in = calloc(1, sizeof *in);
-  *in =
-      (struct tmx_round){.n_zones = 1, .leading = x.leading, .max_ops = 400, .max_visits = 400000};
-  in->n_teams = 1;
-  in->now = in->wall = 1000;
-  in->turns.start_s = x.start_s;
-  in->turns.since_start[0][1] = x.since_start;
-  struct tmx_plan_machine *m = tmx_feed_machine(&feed);
-  strcpy(m->id, "n-000001");
-  strcpy(m->type, "big");
-  m->usable = true;
-  m->cpus = 4;
-  m->ucpus = 4 - x.free_cpus;
-  m->mem = 64;
-  for (int i = 0; i < FLOOD; i++) fill_paper(&feed, x.released - 40, true, i);
-  fill_paper(&feed, x.released, false, FLOOD);
-  feed.jobs[FLOOD].spec->cpus = x.cpus;
-  tmx_model_feed(model, &feed);
-  tmx_plan(model, in, &out);
-  size_t n = out.n_ops;
+  struct tmx_planner *model = tmx_planner_new();
+  struct tmx_planner_delta delta = {0};
+  struct tmx_round_output output;
+  struct tmx_round_input *input = calloc(1, sizeof *input);
+  *input = (struct tmx_round_input){
+      .n_zones = 1, .leading = x.leading, .max_operations = 400, .max_visits = 400000};
+  input->n_teams = 1;
+  input->now_steady = input->now_wall = 1000;
+  input->turns.start_s = x.start_s;
+  input->turns.since_start[0][1] = x.since_start;
+  struct tmx_plan_machine *machine = tmx_planner_delta_machine(&delta);
+  strcpy(machine->id, "n-000001");
+  strcpy(machine->type, "big");
+  machine->usable = true;
+  machine->cpus = 4;
+  machine->booked_cpus = 4 - x.free_cpus;
+  machine->mem_gb = 64;
+  for (int i = 0; i < FLOOD; i++) fill_paper(&delta, x.released - 40, true, i);
+  fill_paper(&delta, x.released, false, FLOOD);
+  delta.jobs[FLOOD].spec->cpus = x.cpus;
+  tmx_planner_apply(model, &delta);
+  tmx_planner_run_round(model, input, &output);
+  size_t n = output.n_operations;
   *larger = false;
-  for (size_t i = 0; i < n; i++) *larger |= !strcmp(out.ops[i].job, "wk-000040");
-  free(out.ops);
-  in->turns.start_s = 0; /* what was kept free is free again in a round without turns */
-  tmx_plan(model, in, &out);
-  assert_int_equal(out.n_ops, (size_t)x.free_cpus);
-  free(out.ops);
-  tmx_feed_clear(&feed);
-  tmx_model_free(model);
-  free(in);
+  for (size_t i = 0; i < n; i++) *larger |= !strcmp(output.operations[i].job, "wk-000040");
+  free(output.operations);
+  input->turns.start_s = 0; /* what was kept free is free again in a round without turns */
+  tmx_planner_run_round(model, input, &output);
+  assert_int_equal(output.n_operations, (size_t)x.free_cpus);
+  free(output.operations);
+  tmx_planner_delta_clear(&delta);
+  tmx_planner_free(model);
+  free(input);
   return n;
 }
 
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -14,7 +14,7 @@
 
 /* A cluster on paper: fed to a planner of its own for each round. */
 struct paper {
-  struct tmx_round in;
+  struct tmx_round_input in;
   struct tmx_plan_machine machines[64];
   size_t n_machines;
   struct tmx_plan_job jobs[16];
@@ -26,48 +26,49 @@
   assert_non_null(p);
   p->n_machines = machines;
   p->n_jobs = jobs;
-  p->in = (struct tmx_round){.n_zones = zones,
-                             .leading = true,
-                             .max_ops = 400,
-                             .max_visits = 400000,
-                             .n_teams = 1,
-                             .now = 100,
-                             .wall = 100};
+  p->in = (struct tmx_round_input){.n_zones = zones,
+                                   .leading = true,
+                                   .max_operations = 400,
+                                   .max_visits = 400000,
+                                   .n_teams = 1,
+                                   .now_steady = 100,
+                                   .now_wall = 100};
   for (size_t i = 0; i < machines; i++) {
-    struct tmx_plan_machine *m = &p->machines[i];
-    m->slot = (int)i;
-    snprintf(m->id, sizeof m->id, "n-%06zu", i);
-    strcpy(m->type, "big");
-    m->zone = (int)(i % zones);
-    m->usable = true;
-    m->cpus = 16;
-    m->mem = 64;
-    m->tasks = calloc(64, sizeof *m->tasks);
+    struct tmx_plan_machine *machine = &p->machines[i];
+    machine->slot = (int)i;
+    snprintf(machine->id, sizeof machine->id, "n-%06zu", i);
+    strcpy(machine->type, "big");
+    machine->zone = (int)(i % zones);
+    machine->usable = true;
+    machine->cpus = 16;
+    machine->mem_gb = 64;
+    machine->tasks = calloc(64, sizeof *machine->tasks);
   }
   return p;
 }
 
 static struct tmx_job_spec *job(struct paper *p, size_t k, bool service, uint32_t tasks,
                                 double cpus) {
-  struct tmx_plan_job *j = &p->jobs[k];
+  struct tmx_plan_job *job = &p->jobs[k];
   struct tmx_job_spec *spec = calloc(1, sizeof *spec);
-  snprintf(j->id, sizeof j->id, "wk-%06zu", k);
+  snprintf(job->id, sizeof job->id, "wk-%06zu", k);
   spec->service = service;
   spec->tasks = tasks;
   spec->cpus = cpus;
   spec->mem_gb = 1;
   spec->fetch_tolerance_s = 10;
   spec->priority = service ? TMX_PRIORITY_PROD : TMX_PRIORITY_NORMAL;
-  j->slot = (int)k;
-  j->spec = spec;
-  j->zone = -1;
-  j->open = true;
-  j->released = 95;
-  j->stuck_since = 95;
-  j->aim_s = 600;
-  j->run_s = 50;
-  j->waits = calloc(tasks, sizeof *j->waits);
-  for (uint32_t i = 0; i < tasks; i++) j->waits[j->n_waits++] = (struct tmx_plan_wait){i, 1};
+  job->slot = (int)k;
+  job->spec = spec;
+  job->zone = -1;
+  job->open = true;
+  job->released_at = 95;
+  job->unplaced_since = 95;
+  job->target_s = 600;
+  job->run_s = 50;
+  job->waiting = calloc(tasks, sizeof *job->waiting);
+  for (uint32_t i = 0; i < tasks; i++)
+    job->waiting[job->n_waiting++] = (struct tmx_plan_waiting_task){i, 1};
   return spec;
 }
 
@@ -77,37 +78,37 @@
 }
 
 /* Feeds the paper to a planner and plans a round; the paper stays as it is. */
-static struct tmx_model *tell(const struct paper *p) {
-  struct tmx_model *md = tmx_model_new();
-  struct tmx_feed f = {0};
+static struct tmx_planner *tell(const struct paper *p) {
+  struct tmx_planner *planner = tmx_planner_new();
+  struct tmx_planner_delta f = {0};
   for (size_t i = 0; i < p->n_jobs; i++) {
-    struct tmx_plan_job *j = tmx_feed_job(&f);
-    *j = p->jobs[i];
-    j->spec = malloc(sizeof *j->spec);
-    *j->spec = *p->jobs[i].spec;
-    j->priority = j->spec->priority;
-    j->waits = calloc(j->n_waits + 1, sizeof *j->waits);
-    memcpy(j->waits, p->jobs[i].waits, j->n_waits * sizeof *j->waits);
+    struct tmx_plan_job *job = tmx_planner_delta_job(&f);
+    *job = p->jobs[i];
+    job->spec = malloc(sizeof *job->spec);
+    *job->spec = *p->jobs[i].spec;
+    job->priority = job->spec->priority;
+    job->waiting = calloc(job->n_waiting + 1, sizeof *job->waiting);
+    memcpy(job->waiting, p->jobs[i].waiting, job->n_waiting * sizeof *job->waiting);
   }
   for (size_t i = 0; i < p->n_machines; i++) {
-    struct tmx_plan_machine *m = tmx_feed_machine(&f);
-    *m = p->machines[i];
-    m->tasks = calloc(m->n_tasks + 1, sizeof *m->tasks);
-    memcpy(m->tasks, p->machines[i].tasks, m->n_tasks * sizeof *m->tasks);
+    struct tmx_plan_machine *machine = tmx_planner_delta_machine(&f);
+    *machine = p->machines[i];
+    machine->tasks = calloc(machine->n_tasks + 1, sizeof *machine->tasks);
+    memcpy(machine->tasks, p->machines[i].tasks, machine->n_tasks * sizeof *machine->tasks);
   }
-  tmx_model_feed(md, &f);
-  return md;
+  tmx_planner_apply(planner, &f);
+  return planner;
 }
-static void plan(const struct paper *p, struct tmx_plan_output *out) {
-  struct tmx_model *md = tell(p);
-  tmx_plan(md, &p->in, out);
-  tmx_model_free(md);
+static void plan(const struct paper *p, struct tmx_round_output *output) {
+  struct tmx_planner *planner = tell(p);
+  tmx_planner_run_round(planner, &p->in, output);
+  tmx_planner_free(planner);
 }
 static void paper_free(struct paper *p) {
   for (size_t i = 0; i < p->n_machines; i++) free(p->machines[i].tasks);
   for (size_t i = 0; i < p->n_jobs; i++) {
     free(p->jobs[i].spec);
-    free(p->jobs[i].waits);
+    free(p->jobs[i].waiting);
   }
   free(p);
 }
@@ -138,55 +139,55 @@
 static void least_booked(void **st) {
   (void)st;
   struct paper *in = paper(3, 1, 1);
-  struct tmx_plan_output out;
+  struct tmx_round_output output;
   job(in, 0, false, 1, 2);
-  in->machines[0].ucpus = 8;
-  in->machines[1].ucpus = 2;
-  in->machines[2].ucpus = 4;
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 1);
-  assert_string_equal(out.ops[0].machine, "n-000001");
-  free(out.ops);
+  in->machines[0].booked_cpus = 8;
+  in->machines[1].booked_cpus = 2;
+  in->machines[2].booked_cpus = 4;
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 1);
+  assert_string_equal(output.operations[0].machine, "n-000001");
+  free(output.operations);
   paper_free(in);
 }
 
 static void image_under_way(void **st) {
   (void)st;
-  struct tmx_plan_machine m = {.cpus = 16, .mem = 64, .fetch = 1, .n_images = 1};
+  struct tmx_plan_machine m = {.cpus = 16, .mem_gb = 64, .fetch_gb_per_s = 1, .n_images = 1};
   struct tmx_job_spec s = {
       .cpus = 2, .mem_gb = 1, .image_gb = 4, .fetch_tolerance_s = 10, .image_id = 1};
-  assert_float_equal(tmx_booked_measure(&m, &s, 100), 0.4, 1e-9); /* 4 s of 10 */
+  assert_float_equal(tmx_booked_share(&m, &s, 100), 0.4, 1e-9); /* 4 s of 10 */
   m.images[0].id = 1;
   m.images[0].fetch_started_at = 99;
-  assert_float_equal(tmx_booked_measure(&m, &s, 100), 0.3, 1e-9);
+  assert_float_equal(tmx_booked_share(&m, &s, 100), 0.3, 1e-9);
   m.images[0].fetch_started_at = 90;
-  assert_float_equal(tmx_booked_measure(&m, &s, 100), 0, 1e-9);
+  assert_float_equal(tmx_booked_share(&m, &s, 100), 0, 1e-9);
 }
 
 static void waits_rather_than_break_a_cap(void **st) {
   (void)st;
   /* two replicas, two zones, but all room is in one zone: the second replica waits */
   struct paper *in = paper(4, 1, 2);
-  struct tmx_plan_output out;
+  struct tmx_round_output output;
   job(in, 0, true, 2, 2);
   in->machines[1].usable = in->machines[3].usable = false;
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 1);
-  assert_int_equal(out.unplaced, 1);
-  free(out.ops);
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 1);
+  assert_int_equal(output.unplaced, 1);
+  free(output.operations);
   paper_free(in);
 }
 
 static void quota_is_never_passed(void **st) {
   (void)st;
   struct paper *in = paper(4, 1, 1);
-  struct tmx_plan_output out;
+  struct tmx_round_output output;
   job(in, 0, false, 10, 2);
   in->in.teams[0].cpus_max = 12;
   in->in.usage[0].cpus = 5;
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 3);
-  free(out.ops);
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 3);
+  free(output.operations);
   paper_free(in);
 }
 
@@ -194,14 +195,14 @@
   (void)st;
   for (int leading = 0; leading < 2; leading++) {
     struct paper *in = paper(2, 1, 1);
-    struct tmx_plan_output out;
+    struct tmx_round_output output;
     job(in, 0, false, 1, 2);
     in->in.leading = leading;
-    in->machines[0].ucpus = 16; /* its own part is full */
+    in->machines[0].booked_cpus = 16; /* its own part is full */
     in->machines[1].owner = 1;
-    plan(in, &out);
-    assert_int_equal(out.n_ops, leading);
-    free(out.ops);
+    plan(in, &output);
+    assert_int_equal(output.n_operations, leading);
+    free(output.operations);
     paper_free(in);
   }
 }
@@ -209,40 +210,40 @@
 static void stops_lower_priority_once(void **st) {
   (void)st;
   struct paper *in = paper(1, 2, 1);
-  struct tmx_plan_output out;
+  struct tmx_round_output output;
   job(in, 0, true, 1, 4);
   job(in, 1, false, 4, 4);
-  in->jobs[1].n_waits = 0;
-  in->machines[0].ucpus = 16;
+  in->jobs[1].n_waiting = 0;
+  in->machines[0].booked_cpus = 16;
   for (uint32_t i = 0; i < 4; i++) runs(in, 0, 1, i, 90.0 - i, false);
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 1);
-  assert_int_equal(out.ops[0].kind, TMX_OPERATION_STOP);
-  assert_int_equal(out.ops[0].task, 0); /* the least work is lost */
-  free(out.ops);
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 1);
+  assert_int_equal(output.operations[0].kind, TMX_OPERATION_STOP);
+  assert_int_equal(output.operations[0].task, 0); /* the least work is lost */
+  free(output.operations);
   /* while that one is on its way out nothing more is stopped */
-  in->machines[0].ucpus = 16;
-  in->machines[0].scpus = 4;
-  in->machines[0].smem = 1;
+  in->machines[0].booked_cpus = 16;
+  in->machines[0].releasing_cpus = 4;
+  in->machines[0].releasing_mem_gb = 1;
   in->machines[0].tasks[0].stopping = true;
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 0);
-  free(out.ops);
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 0);
+  free(output.operations);
   paper_free(in);
 }
 
 static void equal_priority_is_not_stopped(void **st) {
   (void)st;
   struct paper *in = paper(1, 2, 1);
-  struct tmx_plan_output out;
+  struct tmx_round_output output;
   job(in, 0, false, 1, 4);
   job(in, 1, false, 1, 16);
-  in->jobs[1].n_waits = 0;
-  in->machines[0].ucpus = 16;
+  in->jobs[1].n_waiting = 0;
+  in->machines[0].booked_cpus = 16;
   runs(in, 0, 1, 0, 99, false);
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 0);
-  free(out.ops);
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 0);
+  free(output.operations);
   paper_free(in);
 }
 
@@ -255,12 +256,12 @@
     size_t zones = 1 + gsl_rng_uniform_int(g, 3), n_m = 1 + gsl_rng_uniform_int(g, 12),
            n_j = 1 + gsl_rng_uniform_int(g, 8);
     struct paper *in = paper(n_m, n_j, zones);
-    struct tmx_plan_output out;
+    struct tmx_round_output output;
     double used[16], quota = gsl_rng_uniform(g) * 100;
     in->in.teams[0].cpus_max = quota;
     for (size_t i = 0; i < n_m; i++) {
       in->machines[i].spot = gsl_rng_uniform_int(g, 3) == 0;
-      in->machines[i].ucpus = used[i] = (double)gsl_rng_uniform_int(g, 17);
+      in->machines[i].booked_cpus = used[i] = (double)gsl_rng_uniform_int(g, 17);
       in->machines[i].owner = (int)gsl_rng_uniform_int(g, 3);
     }
     for (size_t k = 0; k < n_j; k++) {
@@ -272,14 +273,14 @@
       spec->spot_allowed = !spec->service && gsl_rng_uniform_int(g, 2);
       in->jobs[k].planner = (int)gsl_rng_uniform_int(g, 3);
     }
-    plan(in, &out);
+    plan(in, &output);
     double total = 0;
     for (size_t k = 0; k < n_j; k++) {
       const struct tmx_job_spec *spec = in->jobs[k].spec;
       uint32_t in_zone[3] = {0}, on[16] = {0};
-      for (size_t o = 0; o < out.n_ops; o++) {
-        if (strcmp(out.ops[o].job, in->jobs[k].id)) continue;
-        size_t m = (size_t)atoi(out.ops[o].machine + 2);
+      for (size_t o = 0; o < output.n_operations; o++) {
+        if (strcmp(output.operations[o].job, in->jobs[k].id)) continue;
+        size_t m = (size_t)atoi(output.operations[o].machine + 2);
         used[m] += spec->cpus;
         total += spec->cpus;
         in_zone[in->machines[m].zone]++;
@@ -297,7 +298,7 @@
     }
     for (size_t m = 0; m < n_m; m++) assert_true(used[m] <= 16 + 1e-6);
     assert_true(total <= quota + 1e-6);
-    free(out.ops);
+    free(output.operations);
     paper_free(in);
   }
   gsl_rng_free(g);
@@ -308,19 +309,19 @@
 static void freed_room_is_left_to_the_service(void **st) {
   (void)st;
   struct paper *in = paper(1, 2, 1);
-  struct tmx_plan_output out;
+  struct tmx_round_output output;
   job(in, 0, true, 1, 4);
   job(in, 1, false, 3, 4);
   in->jobs[0].planner = 1; /* the service is another's, the array and the machine are ours */
   in->in.leading = false;
-  in->machines[0].ucpus = 12;
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 0);
-  free(out.ops);
-  in->jobs[0].n_waits = 0;
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 1);
-  free(out.ops);
+  in->machines[0].booked_cpus = 12;
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 0);
+  free(output.operations);
+  in->jobs[0].n_waiting = 0;
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 1);
+  free(output.operations);
   paper_free(in);
 }
 
@@ -328,33 +329,34 @@
 static void the_oldest_begin(void **st) {
   (void)st;
   struct paper *in = paper(1, 2, 1);
-  struct tmx_plan_output out;
+  struct tmx_round_output output;
   job(in, 0, false, 200, 4); /* large, so last in the order */
   job(in, 1, false, 200, 2);
-  in->in.wall = in->in.now = 1000;
-  in->jobs[0].released = 1000 - TMX_BEGIN_S - 1;
-  in->jobs[1].released = 999;
-  in->machines[0].ucpus = 12;
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 1);
-  assert_string_equal(out.ops[0].job, "wk-000000");
-  free(out.ops);
-  in->jobs[0].released = 990;
-  plan(in, &out);
-  assert_string_equal(out.ops[0].job, "wk-000001");
-  free(out.ops);
+  in->in.now_wall = in->in.now_steady = 1000;
+  in->jobs[0].released_at = 1000 - TMX_BEGIN_S - 1;
+  in->jobs[1].released_at = 999;
+  in->machines[0].booked_cpus = 12;
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 1);
+  assert_string_equal(output.operations[0].job, "wk-000000");
+  free(output.operations);
+  in->jobs[0].released_at = 990;
+  plan(in, &output);
+  assert_string_equal(output.operations[0].job, "wk-000001");
+  free(output.operations);
   /* begun, it still gets its share of what is placed over many rounds */
-  in->jobs[0].released = 1000 - TMX_BEGIN_S - 1;
+  in->jobs[0].released_at = 1000 - TMX_BEGIN_S - 1;
   in->jobs[0].n_done = 1;
-  struct tmx_model *md = tell(in);
+  struct tmx_planner *planner = tell(in);
   int large = 0, all = 0;
   for (int i = 0; i < 200; i++) {
-    tmx_plan(md, &in->in, &out);
-    for (size_t k = 0; k < out.n_ops; k++, all++) large += !strcmp(out.ops[k].job, "wk-000000");
-    free(out.ops);
+    tmx_planner_run_round(planner, &in->in, &output);
+    for (size_t k = 0; k < output.n_operations; k++, all++)
+      large += !strcmp(output.operations[k].job, "wk-000000");
+    free(output.operations);
   }
   assert_true(large >= all * TMX_LANE_SHARE / 2 && large < all / 2);
-  tmx_model_free(md);
+  tmx_planner_free(planner);
   paper_free(in);
 }
 
@@ -364,25 +366,25 @@
   (void)st;
   for (int service = 0; service < 2; service++) {
     struct paper *in = paper(64, 16, 1);
-    for (size_t m = 0; m < 64; m++) in->machines[m].ucpus = 15;
+    for (size_t m = 0; m < 64; m++) in->machines[m].booked_cpus = 15;
     for (size_t k = 0; k < 15; k++)
       job(in, k, service, 2, 2 + 0.1 * (double)k)->mem_gb = 60 - (double)k;
     struct tmx_job_spec *spec = job(in, 15, service, 2, 1);
     spec->priority--; /* the last */
     in->in.max_visits = 600;
-    struct tmx_model *md = tell(in);
-    struct tmx_plan_output out;
+    struct tmx_planner *planner = tell(in);
+    struct tmx_round_output output;
     bool placed = false, cut = false;
     for (int i = 0; i < 16 && !placed; i++) {
-      tmx_plan(md, &in->in, &out);
-      placed = out.n_ops > 0;
-      cut |= out.cut;
-      if (placed) assert_string_equal(out.ops[0].job, "wk-000015");
-      free(out.ops);
+      tmx_planner_run_round(planner, &in->in, &output);
+      placed = output.n_operations > 0;
+      cut |= output.truncated;
+      if (placed) assert_string_equal(output.operations[0].job, "wk-000015");
+      free(output.operations);
     }
     assert_true(cut); /* the bound was in the way */
     assert_true(placed);
-    tmx_model_free(md);
+    tmx_planner_free(planner);
     paper_free(in);
   }
 }
@@ -393,23 +395,24 @@
 static void one_look_for_all_alike(void **st) {
   (void)st;
   struct paper *in = paper(64, 16, 1);
-  struct tmx_plan_output out;
-  for (size_t m = 0; m < 64; m++) in->machines[m].ucpus = 15;
+  struct tmx_round_output output;
+  for (size_t m = 0; m < 64; m++) in->machines[m].booked_cpus = 15;
   for (size_t k = 0; k < 16; k++) job(in, k, true, 2, 2);
-  plan(in, &out);
-  assert_int_equal(out.n_ops, 0);
-  assert_in_range(out.visits, 64, 64 * 4);
-  free(out.ops);
+  plan(in, &output);
+  assert_int_equal(output.n_operations, 0);
+  assert_in_range(output.visits, 64, 64 * 4);
+  free(output.operations);
   /* the first one's replica is on the only machine with room: the others' go there */
-  in->machines[7].ucpus = 0;
+  in->machines[7].booked_cpus = 0;
   runs(in, 7, 0, 0, 50, false);
   in->jobs[0].n_placed = 1;
-  in->jobs[0].n_waits = 1;
-  in->jobs[0].waits[0].task = 1;
-  plan(in, &out);
-  assert_true(out.n_ops >= 1);
-  for (size_t i = 0; i < out.n_ops; i++) assert_string_not_equal(out.ops[i].job, "wk-000000");
-  free(out.ops);
+  in->jobs[0].n_waiting = 1;
+  in->jobs[0].waiting[0].task = 1;
+  plan(in, &output);
+  assert_true(output.n_operations >= 1);
+  for (size_t i = 0; i < output.n_operations; i++)
+    assert_string_not_equal(output.operations[i].job, "wk-000000");
+  free(output.operations);
   /* who does not lead looks at another's job first, in that one's part: it says nothing of its own
    */
   in->in.leading = false;
@@ -419,10 +422,11 @@
   for (size_t m = 0; m < 64; m++) in->machines[m].owner = m == 7 ? 0 : 1;
   in->jobs[0].n_placed = 0;
   for (size_t k = 1; k < 16; k++) in->jobs[k].planner = 0;
-  plan(in, &out);
-  assert_true(out.n_ops >= 1);
-  for (size_t i = 0; i < out.n_ops; i++) assert_string_equal(out.ops[i].machine, "n-000007");
-  free(out.ops);
+  plan(in, &output);
+  assert_true(output.n_operations >= 1);
+  for (size_t i = 0; i < output.n_operations; i++)
+    assert_string_equal(output.operations[i].machine, "n-000007");
+  free(output.operations);
   paper_free(in);
 }
 
@@ -434,42 +438,43 @@
   gsl_rng_set(g, 42);
   struct paper *in = paper(40, 12, 2);
   for (size_t k = 0; k < 12; k++) job(in, k, false, 20, 2);
-  struct tmx_model *md = tell(in);
+  struct tmx_planner *planner = tell(in);
   for (int step = 0; step < 300; step++) {
-    struct tmx_feed f = {0};
+    struct tmx_planner_delta f = {0};
     for (int i = 0; i < 5; i++) {
       size_t m = gsl_rng_uniform_int(g, 40), k = gsl_rng_uniform_int(g, 12);
       struct tmx_plan_machine *x = &in->machines[m];
-      x->ucpus = 2.0 * (double)gsl_rng_uniform_int(g, 9);
+      x->booked_cpus = 2.0 * (double)gsl_rng_uniform_int(g, 9);
       x->usable = gsl_rng_uniform_int(g, 5) > 0;
-      x->drain = gsl_rng_uniform_int(g, 8) == 0;
+      x->draining = gsl_rng_uniform_int(g, 8) == 0;
       x->owner = (int)gsl_rng_uniform_int(g, 2);
-      struct tmx_plan_machine *to = tmx_feed_machine(&f);
+      struct tmx_plan_machine *to = tmx_planner_delta_machine(&f);
       *to = *x;
       to->tasks = NULL;
       to->n_tasks = 0;
-      struct tmx_plan_job *j = &in->jobs[k], *tj = tmx_feed_job(&f);
-      j->n_waits = gsl_rng_uniform_int(g, 21);
-      j->planner = (int)gsl_rng_uniform_int(g, 2);
-      *tj = *j;
+      struct tmx_plan_job *job = &in->jobs[k], *tj = tmx_planner_delta_job(&f);
+      job->n_waiting = gsl_rng_uniform_int(g, 21);
+      job->planner = (int)gsl_rng_uniform_int(g, 2);
+      *tj = *job;
       tj->spec = NULL; /* as before */
-      tj->waits = calloc(21, sizeof *tj->waits);
-      memcpy(tj->waits, j->waits, j->n_waits * sizeof *j->waits);
+      tj->waiting = calloc(21, sizeof *tj->waiting);
+      memcpy(tj->waiting, job->waiting, job->n_waiting * sizeof *job->waiting);
     }
-    tmx_model_feed(md, &f);
-    struct tmx_plan_output a, b, c;
-    tmx_plan(md, &in->in, &a);
-    tmx_plan(md, &in->in, &b);
+    tmx_planner_apply(planner, &f);
+    struct tmx_round_output a, b, c;
+    tmx_planner_run_round(planner, &in->in, &a);
+    tmx_planner_run_round(planner, &in->in, &b);
     plan(in, &c);
-    assert_int_equal(a.n_ops, b.n_ops);
-    for (size_t i = 0; i < a.n_ops; i++) assert_memory_equal(&a.ops[i], &b.ops[i], sizeof a.ops[i]);
-    assert_int_equal(a.n_ops, c.n_ops);
+    assert_int_equal(a.n_operations, b.n_operations);
+    for (size_t i = 0; i < a.n_operations; i++)
+      assert_memory_equal(&a.operations[i], &b.operations[i], sizeof a.operations[i]);
+    assert_int_equal(a.n_operations, c.n_operations);
     assert_int_equal(a.unplaced, c.unplaced);
-    free(a.ops);
-    free(b.ops);
-    free(c.ops);
+    free(a.operations);
+    free(b.operations);
+    free(c.operations);
   }
-  tmx_model_free(md);
+  tmx_planner_free(planner);
   paper_free(in);
   gsl_rng_free(g);
 }
@@ -557,13 +562,13 @@
     struct paper *p = paper(2, 1, 1);
     p->machines[1].spot = true;
     job(p, 0, k == 2, 1, 2)->spot_allowed = k < 2;
-    p->jobs[0].next_aim_s = 250;
+    p->jobs[0].next_target_s = 250;
     p->jobs[0].run_s = k ? 150 : 40;
-    struct tmx_plan_output out;
-    plan(p, &out);
-    assert_int_equal(out.n_ops, 1);
-    assert_string_equal(out.ops[0].machine, p->machines[!k].id);
-    free(out.ops);
+    struct tmx_round_output output;
+    plan(p, &output);
+    assert_int_equal(output.n_operations, 1);
+    assert_string_equal(output.operations[0].machine, p->machines[!k].id);
+    free(output.operations);
     paper_free(p);
   }
 }
