--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -108,9 +108,8 @@
     memcpy(k->types, t, sizeof t);
     k->n_types = n;
     struct tmx_machine *other, *next_other;
-    if (sizes)
-      HASH_ITER(hh, k->c->rep.machines, other, next_other)
-      tmx_scheduler_machine_changed(k->c->rounds, other);
+    if (sizes) HASH_ITER(hh, k->c->rep.machines, other, next_other)
+    tmx_scheduler_machine_changed(k->c->rounds, other);
     tmx_scheduler_trigger(k->c);
   }
   tmx_cbor_free(map);
--- a/src/core/round.h
+++ b/src/core/round.h
@@ -29,8 +29,9 @@
   POOL_COUNT
 }; /* the first three in this order: see place */
 #define FAILED_FITS_MAX 48
-#define SECOND_CHOICE_COST 1.0 /* added to the measure of a machine of the kind that comes second \
-                                */
+#define SECOND_CHOICE_COST                                               \
+  1.0 /* added to the measure of a machine of the kind that comes second \
+       */
 #define COLD_IMAGE_COST \
   10.0 /* added to the measure of a machine where a fetch would make it late */
 #define FAILED_MACHINE_COST 100.0 /* ... where the job failed lately */
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -119,7 +119,7 @@
   last = now;
   begin_troubles(now);
   nodes_tick();
-  fake_end_leases();
+  fake_enforce_leases();
   workers_step(now, dt);
   if (submitting && now - begun_at > quiet_s) users_submit(dt);
   users_step(now);
@@ -128,7 +128,7 @@
 static void go_on(double s) { /* longer than one pump */
   double until = tmx_clock_steady() + s;
   while (tmx_clock_steady() < until)
-    pump_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
+    run_loop_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
 }
 
 static void show(const char *when, double over) {
@@ -140,16 +140,16 @@
     double mb = 0, peak = 0, cpu = node[k].pid ? node_used(k, &mb, &peak) : 0;
     printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu) / over, mb, peak);
     node[k].cpu = cpu;
-    reads += state.doors[k].reads;
+    reads += fake_store.endpoints[k].reads;
   }
   printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", u.accepted, u.refused,
          u.answered, u.asked, w.finished);
   printf(
       "  | slowest report %.2f s, accepted submission %.2f s; state: %.1f commits, %.1f reads a "
       "second\n",
-      w.slowest_report, u.slowest_submission, (state.commits - state_commits) / over,
+      w.slowest_report, u.slowest_submission, (fake_store.commits - state_commits) / over,
       (reads - state_reads) / over);
-  state_commits = state.commits;
+  state_commits = fake_store.commits;
   state_reads = reads;
   fflush(stdout);
 }
@@ -184,7 +184,7 @@
   users_ask_all();
   for (double until = tmx_clock_steady() + final_s;
        tmx_clock_steady() < until && !users_all_told();)
-    pump_for(0.5);
+    run_loop_for(0.5);
 }
 
 static void read_options(int argc, const char **argv) {
@@ -231,8 +231,8 @@
   setenv("LOG_LEVEL", "error", 0);
   cluster_rng = gsl_rng_alloc(gsl_rng_mt19937);
   gsl_rng_set(cluster_rng, (unsigned long)seed);
-  fake_open();
-  fake_written = on_written;
+  fake_start();
+  fake_on_write = on_written;
   history_open(history_path);
   users_open(surge > 0 ? surge_kinds() : steady_kinds(), nodes);
   nodes_open(nodes, operator_config, adjust, machines + SPARE_CONNECTIONS);
@@ -245,7 +245,7 @@
                                        .on_begin = users_task_began});
   ev_timer t;
   ev_timer_init(&t, on_step, 0, step_s);
-  ev_timer_start(loop, &t);
+  ev_timer_start(test_loop, &t);
   submitting = true;
   if (surge > 0)
     run_surge();
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -82,16 +82,16 @@
     node[k].port = fake_listen_port(k);
   }
   for (int k = 0; k < n; k++) {
-    links[k][TO_STATE] = link_new(loop, port_of(s[k].state));
-    links[k][TO_USERS] = link_new(loop, node[k].port);
-    links[k][TO_WORKERS] = link_new(loop, node[k].port);
+    links[k][TO_STATE] = link_new(test_loop, port_of(s[k].state));
+    links[k][TO_USERS] = link_new(test_loop, node[k].port);
+    links[k][TO_WORKERS] = link_new(test_loop, node[k].port);
     for (int i = 0; i < n; i++)
-      if (i != k) links[k][DESTINATIONS + i] = link_new(loop, port_of(s[i].peer_listen));
+      if (i != k) links[k][DESTINATIONS + i] = link_new(test_loop, port_of(s[i].peer_listen));
     write_settings(k, &s[k]);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_USERS]));
-    node[k].users = tmx_http_client_new(loop, addr, 256);
+    node[k].users = tmx_http_client_new(test_loop, addr, 256);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_WORKERS]));
-    node[k].reports = tmx_http_client_new(loop, addr, connections);
+    node[k].reports = tmx_http_client_new(test_loop, addr, connections);
     node_begin(k);
   }
 }
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -111,7 +111,7 @@
                           .cpus = k->cpus,
                           .estimate_s = k->run_s};
   struct tmx_buffer buffer = {0};
-  submission_of(&buffer, &body);
+  encode_submission_of(&buffer, &body);
   job->asked_at = tmx_clock_steady();
   job->busy = tmx_http_client_call(some_node(), "POST", WP_JOBS, &buffer, submit_timeout_s,
                                    on_submitted, job);
--- a/tests/fake.c
+++ b/tests/fake.c
@@ -11,9 +11,9 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-struct ev_loop *loop;
-bool fake_apart;
-void (*fake_adjust)(struct tmx_settings *s);
+struct ev_loop *test_loop;
+bool fake_peers_unreachable;
+void (*fake_adjust_settings)(struct tmx_settings *s);
 static int ports[FAKE_NODES][2];     /* of heartbeats: port, and the socket that reserves it */
 static int listeners[FAKE_NODES][2]; /* of users and workers */
 
@@ -25,22 +25,22 @@
   ev_break(l, EVBREAK_ONE);
 }
 
-bool pump(bool (*done)(void *), void *arg) {
+bool run_loop_until(bool (*done)(void *), void *arg) {
   double until = ev_time() + 10;
   while (ev_time() < until) {
     if (done && done(arg)) return true;
     ev_timer t;
     ev_timer_init(&t, on_wake, 0.005, 0);
-    ev_timer_start(loop, &t);
-    ev_run(loop, EVRUN_ONCE);
-    ev_timer_stop(loop, &t);
+    ev_timer_start(test_loop, &t);
+    ev_run(test_loop, EVRUN_ONCE);
+    ev_timer_stop(test_loop, &t);
   }
   return false;
 }
 static bool past(void *arg) { return ev_time() > *(double *)arg; }
-void pump_for(double s) {
+void run_loop_for(double s) {
   double until = ev_time() + s;
-  pump(past, &until);
+  run_loop_until(past, &until);
 }
 
 /* ------------------------------------------------------------ users */
@@ -55,33 +55,33 @@
   tmx_cbor_free(map);
 }
 
-struct fake_answer call(struct tmx_ctl *c, const char *method, const char *path,
-                        const struct tmx_buffer *body) {
+struct fake_answer send_request(struct tmx_ctl *c, const char *method, const char *path,
+                                const struct tmx_buffer *body) {
   struct fake_waiting x = {0};
-  struct fake_answer a = {0};
-  struct tmx_http_client *k = to(c);
+  struct fake_answer answer = {0};
+  struct tmx_http_client *k = client_of(c);
   assert_true(tmx_http_client_call(k, method, path, body, 5, on_answer, &x));
-  a.done = pump(fake_is_done, &x);
-  a.status = x.status;
-  snprintf(a.state, sizeof a.state, "%s", x.state);
+  answer.done = run_loop_until(fake_is_done, &x);
+  answer.status = x.status;
+  snprintf(answer.state, sizeof answer.state, "%s", x.state);
   tmx_http_client_free(k);
-  return a;
+  return answer;
 }
 
-void submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
-                double cpus, const char *team) {
-  submission_awaiting(buffer, id, kind, tasks, cpus, team, NULL);
+void encode_submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
+                       double cpus, const char *team) {
+  encode_submission_awaiting(buffer, id, kind, tasks, cpus, team, NULL);
 }
 
-void submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
-                         uint32_t tasks, double cpus, const char *team,
-                         const struct tmx_buffer *awaits) {
+void encode_submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
+                                uint32_t tasks, double cpus, const char *team,
+                                const struct tmx_buffer *awaits) {
   struct fake_job job = {
       .id = id, .kind = kind, .team = team, .tasks = tasks, .cpus = cpus, .awaits = awaits};
-  submission_of(buffer, &job);
+  encode_submission_of(buffer, &job);
 }
 
-void submission_of(struct tmx_buffer *buffer, const struct fake_job *job) {
+void encode_submission_of(struct tmx_buffer *buffer, const struct fake_job *job) {
   tmx_cbor_put_map(buffer, 17 + (job->awaits != NULL) + (job->types != NULL));
   if (job->types) {
     tmx_cbor_put_text(buffer, W_TYPES);
@@ -112,34 +112,34 @@
 
 int submit_job(struct tmx_ctl *c, const struct fake_job *job) {
   struct tmx_buffer buffer = {0};
-  submission_of(&buffer, job);
-  struct fake_answer a = call(c, "POST", WP_JOBS, &buffer);
+  encode_submission_of(&buffer, job);
+  struct fake_answer answer = send_request(c, "POST", WP_JOBS, &buffer);
   tmx_buffer_free(&buffer);
-  return a.status;
+  return answer.status;
 }
 
-int submit(struct tmx_ctl *c, const char *id, const char *kind, uint32_t tasks, double cpus,
-           const char *team) {
+int submit_simple_job(struct tmx_ctl *c, const char *id, const char *kind, uint32_t tasks,
+                      double cpus, const char *team) {
   struct fake_job job = {.id = id, .kind = kind, .team = team, .tasks = tasks, .cpus = cpus};
   return submit_job(c, &job);
 }
 struct fake_answer poll_job(struct tmx_ctl *c, const char *id) {
   char path[128];
   snprintf(path, sizeof path, WP_JOBS "/%s", id);
-  return call(c, "GET", path, NULL);
+  return send_request(c, "GET", path, NULL);
 }
 struct fake_answer cancel_job(struct tmx_ctl *c, const char *id) {
   char path[128];
   snprintf(path, sizeof path, WP_JOBS "/%s" WP_CANCEL, id);
-  return call(c, "POST", path, NULL);
+  return send_request(c, "POST", path, NULL);
 }
 
 /* ------------------------------------------------------------ controllers */
 
-struct tmx_http_client *to(struct tmx_ctl *c) {
+struct tmx_http_client *client_of(struct tmx_ctl *c) {
   char addr[32];
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(c->server));
-  struct tmx_http_client *k = tmx_http_client_new(loop, addr, 4);
+  struct tmx_http_client *k = tmx_http_client_new(test_loop, addr, 4);
   assert_non_null(k);
   return k;
 }
@@ -170,13 +170,14 @@
   strcpy(s->zone, "a");
   strcpy(s->listen, "127.0.0.1:0");
   snprintf(s->peer_listen, sizeof s->peer_listen, "127.0.0.1:%d", ports[k][0]);
-  snprintf(s->state, sizeof s->state, "127.0.0.1:%d", tmx_http_server_port(state.doors[k].srv));
-  snprintf(s->cloud, sizeof s->cloud, "127.0.0.1:%d", tmx_http_server_port(cloud.srv));
+  snprintf(s->state, sizeof s->state, "127.0.0.1:%d",
+           tmx_http_server_port(fake_store.endpoints[k].server));
+  snprintf(s->cloud, sizeof s->cloud, "127.0.0.1:%d", tmx_http_server_port(fake_cloud.server));
   for (int i = 0; i < of; i++) {
     if (i == k) continue;
     struct tmx_peer_conf *p = &s->peers[s->n_peers++];
     snprintf(p->name, sizeof p->name, "hand-%d", i);
-    snprintf(p->addr, sizeof p->addr, "127.0.0.1:%d", fake_apart ? 1 : ports[i][0]);
+    snprintf(p->addr, sizeof p->addr, "127.0.0.1:%d", fake_peers_unreachable ? 1 : ports[i][0]);
   }
   strcpy(s->zones[0], "a");
   s->n_zones = 1;
@@ -198,48 +199,49 @@
 
 static struct tmx_ctl *running[FAKE_NODES];
 
-struct tmx_ctl *controller(int k, int of) {
+struct tmx_ctl *start_controller(int k, int of) {
   static struct tmx_settings s;
   char err[256];
   fake_settings(&s, k, of);
-  if (fake_adjust) fake_adjust(&s);
-  struct tmx_ctl *c = tmx_ctl_new(loop, &s, err, sizeof err);
+  if (fake_adjust_settings) fake_adjust_settings(&s);
+  struct tmx_ctl *c = tmx_ctl_new(test_loop, &s, err, sizeof err);
   if (!c) fail_msg("%s", err);
   assert_null(running[k]);
   return running[k] = c;
 }
 
-void controller_end(struct tmx_ctl *c) {
+void stop_controller(struct tmx_ctl *c) {
   for (int k = 0; k < FAKE_NODES; k++)
     if (running[k] == c) running[k] = NULL;
   tmx_ctl_free(c);
 }
 
-bool fake_ready(void *controller) {
+bool fake_controller_is_ready(void *controller) {
   struct tmx_ctl *c = controller;
   size_t n;
   tmx_cloud_types(c->cloud, &n);
   return n > 0 && tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
 }
 
-bool fake_planning(void) {
+bool fake_any_planner_busy(void) {
   for (int k = 0; k < FAKE_NODES; k++)
     if (running[k] && tmx_scheduler_is_planning(running[k]->rounds)) return true;
   return false;
 }
 
-void fake_open(void) {
-  loop = ev_default_loop(EVFLAG_AUTO);
-  memset(&cloud, 0, sizeof cloud);
+void fake_start(void) {
+  test_loop = ev_default_loop(EVFLAG_AUTO);
+  memset(&fake_cloud, 0, sizeof fake_cloud);
   fake_state_open();
   for (int i = 0; i < FAKE_NODES; i++) ports[i][0] = reserve_port(&ports[i][1]);
-  cloud.srv = tmx_http_server_new(loop, "127.0.0.1:0", 100, 60, fake_cloud_request, &cloud);
+  fake_cloud.server =
+      tmx_http_server_new(test_loop, "127.0.0.1:0", 100, 60, fake_cloud_request, &fake_cloud);
 }
 
-void fake_close(void) {
-  fake_apart = false;
-  fake_adjust = NULL;
+void fake_stop(void) {
+  fake_peers_unreachable = false;
+  fake_adjust_settings = NULL;
   for (int i = 0; i < FAKE_NODES; i++) close(ports[i][1]);
   fake_state_close();
-  tmx_http_server_free(cloud.srv);
+  tmx_http_server_free(fake_cloud.server);
 }
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -15,13 +15,13 @@
   char key[TMX_KEY_MAX + 1];
   uint8_t *value;
   size_t len;
-  uint64_t stamp, lease;
+  uint64_t version, lease;
 };
 struct fake_event {
   char key[TMX_KEY_MAX + 1];
   uint8_t *value; /* NULL: dropped */
   size_t len;
-  uint64_t stamp;
+  uint64_t version;
 };
 struct fake_watch {
   struct tmx_http_request *req;
@@ -29,9 +29,9 @@
   int door;
 };
 /* Each controller talks to a door of its own, so that one of them can be refused alone. */
-struct fake_door {
-  struct fake_state *s;
-  struct tmx_http_server *srv;
+struct fake_endpoint {
+  struct fake_state *store;
+  struct tmx_http_server *server;
   bool refuse;       /* 503 to everything; open watches wait */
   bool freeze_watch; /* events do not come through */
   bool gone_watch;   /* the next watch is told that its revision is too old */
@@ -46,17 +46,17 @@
   struct tmx_http_request *held;
   bool late_next_txn; /* one that writes late_key is carried out only when fake_late says so */
   char late_key[64];
-  uint8_t *late;
-  size_t late_len;
+  uint8_t *late_transaction;
+  size_t late_transaction_length;
 };
 struct fake_state {
-  struct fake_entry *e;
-  size_t n_e;
-  struct fake_event *ev;
-  size_t n_ev;
-  struct fake_watch w[32];
-  size_t n_w;
-  uint64_t rev, leases;
+  struct fake_entry *entries;
+  size_t n_entries;
+  struct fake_event *events;
+  size_t n_events;
+  struct fake_watch watches[32];
+  size_t n_watches;
+  uint64_t revision, leases;
   double *lease_until; /* steady clock, s, by lease; NULL: leases end only when a test says so */
   uint64_t lapsed;     /* leases up to this one are over: puts with them are refused */
   unsigned lapsed_puts;
@@ -64,41 +64,42 @@
   size_t value_max; /* bytes as JSON; 0: no limit */
   size_t txn_max;   /* puts and drops; 0: no limit */
   unsigned too_large;
-  struct fake_door doors[FAKE_NODES];
+  struct fake_endpoint endpoints[FAKE_NODES];
 };
 struct fake_cloud {
-  struct tmx_http_server *srv;
+  struct tmx_http_server *server;
   bool refuse_delete;
-  unsigned deletes, hires;
+  unsigned deletes, rentals;
   char deleted[32][TMX_ID_MAX];
   size_t listed;  /* machines n-100001 and on, 500 a page; 0: none */
   bool same_page; /* every page is the first one */
   unsigned pages;
 };
-struct fake_order {
-  char op[8], task[48];
+struct fake_command {
+  char verb[8], task[48];
   uint32_t attempt;
 };
 struct fake_worker {
   char id[TMX_ID_MAX], addr[32];
-  struct tmx_http_server *srv;
+  struct tmx_http_server *server;
   bool mute;   /* takes commands and never answers */
   bool silent; /* does not answer probes either */
-  uint64_t session, seq, token;
+  uint64_t session, sequence, token;
   struct {
     char task[48], state[12], why[12];
     uint32_t attempt;
-  } loads[FAKE_LOADS];
-  size_t n_loads;
+  } tasks[FAKE_LOADS];
+  size_t n_tasks;
   /* the latest answer to a report */
   int status;
-  char move_to[TMX_NAME_MAX];
+  char redirected_to[TMX_NAME_MAX];
   uint64_t answer_token;
-  struct fake_order orders[64];
-  size_t n_orders;
+  struct fake_command commands_received[64];
+  size_t n_commands_received;
   unsigned commands;
   unsigned executed_starts;
-  void (*on_command)(struct fake_worker *w, uint64_t token); /* executed; NULL: nobody is told */
+  void (*on_command)(struct fake_worker *worker,
+                     uint64_t token); /* executed; NULL: nobody is told */
 };
 struct fake_answer {
   bool done;
@@ -106,48 +107,54 @@
   char state[16];
 };
 
-extern struct ev_loop *loop;
-extern struct fake_state state;
-extern struct fake_cloud cloud;
+extern struct ev_loop *test_loop;
+extern struct fake_state fake_store;
+extern struct fake_cloud fake_cloud;
 /* Changes the settings of controllers made from now on; NULL: nothing. */
-extern void (*fake_adjust)(struct tmx_settings *s);
-extern bool fake_apart; /* controllers made from now on do not reach their peers */
+extern void (*fake_adjust_settings)(struct tmx_settings *s);
+extern bool fake_peers_unreachable; /* controllers made from now on do not reach their peers */
 
-void fake_open(void);
-void fake_close(void);
+void fake_start(void);
+void fake_stop(void);
 /* Called for every key that is written; NULL: nobody is told. */
-extern void (*fake_written)(const char *key, const uint8_t *value, size_t len);
+extern void (*fake_on_write)(const char *key, const uint8_t *value, size_t len);
 int fake_listen_port(int k); /* reserved for the users and workers of hand-k's process */
 void fake_settings(struct tmx_settings *s, int k, int of); /* of hand-k among `of` controllers */
-struct tmx_ctl *controller(int k, int of);
-void controller_end(struct tmx_ctl *c); /* it ends without a word, as a killed process does */
-bool fake_planning(void);               /* a planner's thread has work */
-bool fake_ready(void *controller);      /* for pump: it is a member, fresh, and knows the types */
-struct tmx_http_client *to(struct tmx_ctl *c);
-bool pump(bool (*done)(void *), void *arg); /* runs the loop until done; false after 10 s */
-void pump_for(double s);
+struct tmx_ctl *start_controller(int k, int of);
+void stop_controller(struct tmx_ctl *c); /* it ends without a word, as a killed process does */
+bool fake_any_planner_busy(void);        /* a planner's thread has work */
+bool fake_controller_is_ready(
+    void *controller); /* for pump: it is a member, fresh, and knows the types */
+struct tmx_http_client *client_of(struct tmx_ctl *c);
+bool run_loop_until(bool (*done)(void *),
+                    void *arg); /* runs the loop until done; false after 10 s */
+void run_loop_for(double s);
 void fake_free_watches(void);
-int fake_late(
-    struct fake_door *d); /* carries the late transaction out: 200, 409; 0: there is none */
-void fake_read_on(struct fake_door *d);
-void fake_end_leases(
+int fake_execute_late_transaction(
+    struct fake_endpoint
+        *endpoint); /* carries the late transaction out: 200, 409; 0: there is none */
+void fake_release_held_read(struct fake_endpoint *endpoint);
+void fake_enforce_leases(
     void); /* from the first call on leases end when they are not renewed in time */
 void fake_put(const char *key, const struct tmx_buffer *value); /* as another client would */
 void fake_drop(const char *key);
 const struct fake_entry *fake_get(const char *key);
-bool fake_logged(const char *line); /* a batch that stands holds it */
-unsigned fake_placed(void);         /* place lines in the log that have no end */
+bool fake_log_contains(const char *line); /* a batch that stands holds it */
+unsigned fake_count_placed(void);         /* place lines in the log that have no end */
 
-void worker_open(struct fake_worker *w, const char *id);
-void worker_report(struct fake_worker *w,
-                   struct tmx_ctl *c); /* sends one and waits for its answer */
-void worker_encode(const struct fake_worker *w,
-                   struct tmx_buffer *buffer); /* its report as it stands */
-void worker_answered(struct fake_worker *w, int status, const uint8_t *body, size_t len);
-bool worker_has(const struct fake_worker *w, const char *op, const char *task, uint32_t attempt);
-void worker_do(struct fake_worker *w); /* executes the orders of the latest answer */
-void worker_set(struct fake_worker *w, const char *task, uint32_t attempt, const char *st,
-                const char *why);
+void fake_worker_open(struct fake_worker *worker, const char *id);
+void fake_worker_send_heartbeat(struct fake_worker *worker,
+                                struct tmx_ctl *c); /* sends one and waits for its answer */
+void fake_worker_encode_report(const struct fake_worker *worker,
+                               struct tmx_buffer *buffer); /* its report as it stands */
+void fake_worker_take_response(struct fake_worker *worker, int status, const uint8_t *body,
+                               size_t len);
+bool fake_worker_was_commanded(const struct fake_worker *worker, const char *op, const char *task,
+                               uint32_t attempt);
+void fake_worker_execute_commands(
+    struct fake_worker *worker); /* executes the orders of the latest answer */
+void fake_worker_set_task(struct fake_worker *worker, const char *task, uint32_t attempt,
+                          const char *st, const char *why);
 
 struct fake_job { /* a submission; what is left out is 0, an array of class "c" that runs 10 s */
   const char *id, *kind, *class, *team, *priority;
@@ -155,18 +162,18 @@
   double cpus, estimate_s;
   const struct tmx_buffer *awaits, *types; /* the encoded lists; NULL: none */
 };
-void submission_of(struct tmx_buffer *buffer, const struct fake_job *job);
+void encode_submission_of(struct tmx_buffer *buffer, const struct fake_job *job);
 int submit_job(struct tmx_ctl *c, const struct fake_job *job); /* the answer's status */
-void submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
-                double cpus, const char *team);
+void encode_submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
+                       double cpus, const char *team);
 /* One that awaits others: a submission with the encoded list in place of nothing. */
-void submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
-                         uint32_t tasks, double cpus, const char *team,
-                         const struct tmx_buffer *awaits);
-int submit(struct tmx_ctl *c, const char *id, const char *kind, uint32_t tasks, double cpus,
-           const char *team);
-struct fake_answer call(struct tmx_ctl *c, const char *method, const char *path,
-                        const struct tmx_buffer *body);
+void encode_submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
+                                uint32_t tasks, double cpus, const char *team,
+                                const struct tmx_buffer *awaits);
+int submit_simple_job(struct tmx_ctl *c, const char *id, const char *kind, uint32_t tasks,
+                      double cpus, const char *team);
+struct fake_answer send_request(struct tmx_ctl *c, const char *method, const char *path,
+                                const struct tmx_buffer *body);
 struct fake_answer poll_job(struct tmx_ctl *c, const char *id);
 struct fake_answer cancel_job(struct tmx_ctl *c, const char *id);
 #endif
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -9,7 +9,7 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-struct fake_cloud cloud;
+struct fake_cloud fake_cloud;
 
 enum { LIST_PAGE = 500, LIST_FROM = 100000 };
 
@@ -69,7 +69,7 @@
       tmx_http_reply(request, 200, NULL, 0);
     }
   } else if (request->method == HTTP_POST) {
-    c->hires++;
+    c->rentals++;
     tmx_http_reply(request, 503, NULL, 0);
   } else {
     list_machines(c, request, &buffer);
--- a/tests/fake_time.c
+++ b/tests/fake_time.c
@@ -43,7 +43,7 @@
   int n = look(fd, ev, max, 0);
   passed_ns += TURN_NS;
   if (n || !ms) return n; /* 0: something is due, or a planner's thread is done */
-  while (!n && fake_planning()) n = look(fd, ev, max, GRACE_MS);
+  while (!n && fake_any_planner_busy()) n = look(fd, ev, max, GRACE_MS);
   if (n) return n;
   n = look(fd, ev, max, GRACE_MS);
   if (!n && ms > 0) passed_ns += ms * 1000000LL;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -283,26 +283,26 @@
   s->op.admission.enabled = false;
 }
 static struct tmx_ctl *begin(int k) {
-  struct tmx_ctl *c = controller(k, 2);
-  assert_true(pump(fake_ready, c));
+  struct tmx_ctl *c = start_controller(k, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, c));
   return c;
 }
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  fake_adjust = with_admission;
+  fake_start();
+  fake_adjust_settings = with_admission;
   a = begin(0);
   b = begin(1);
-  pump_for(0.5);
+  run_loop_for(0.5);
   next_job = 0;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
   a = b = NULL;
-  fake_close();
+  fake_stop();
   return 0;
 }
 
@@ -329,7 +329,7 @@
   (void)st;
   unsigned n = flood(a, "t", "c");
   assert_in_range(n, 5, 30);
-  pump_for(0.2);
+  run_loop_for(0.2);
   assert_int_equal(submit_some(b, "t", "c"), 503);
   assert_int_equal(submit_some(b, "t", "d"), 201); /* another class of the same team */
   assert_int_equal(submit_some(b, "u", "c"), 201); /* another team */
@@ -358,22 +358,22 @@
   struct tmx_http_client *clients[2];
   for (int k = 0; k < 2; k++) {
     snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port((k ? b : a)->server));
-    clients[k] = tmx_http_client_new(loop, addr, AT_ONCE);
+    clients[k] = tmx_http_client_new(test_loop, addr, AT_ONCE);
   }
   for (int i = 0; i < AT_ONCE; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     struct fake_job job = {.id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1};
     struct tmx_buffer body = {0};
-    submission_of(&body, &job);
+    encode_submission_of(&body, &job);
     assert_true(
         tmx_http_client_call(clients[i % 2], "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
     tmx_buffer_free(&body);
   }
   double sent_at = tmx_clock_steady();
-  assert_true(pump(all_answered, &x));
+  assert_true(run_loop_until(all_answered, &x));
   assert_true(tmx_clock_steady() - sent_at <
               1); /* refused as soon as it is known, not when time is up */
-  pump_for(0.2);
+  run_loop_for(0.2);
   assert_in_range(x.accepted, 5, 30);
   assert_int_equal(a->rep.backlog->accounts[0][0].jobs, x.accepted);
   unsigned alone = x.accepted;
@@ -388,12 +388,12 @@
 
 static void a_late_copy_does_not_admit_by_old_shares(void **st) {
   (void)st;
-  state.doors[1].freeze_watch = true;
+  fake_store.endpoints[1].freeze_watch = true;
   unsigned n = flood(a, "t", "c");
   for (unsigned i = 0; i < 10; i++) assert_int_equal(submit_some(b, "t", "c"), 503);
-  state.doors[1].freeze_watch = false;
+  fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
-  pump_for(3);
+  run_loop_for(3);
   assert_int_equal(submit_some(b, "t", "c"), 503);
   assert_int_equal(a->rep.backlog->accounts[0][0].jobs, n);
   assert_int_equal(b->rep.backlog->accounts[0][0].jobs, n);
@@ -413,7 +413,7 @@
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(cancel_job(b, id).status, 200);
   }
-  pump_for(0.5);
+  run_loop_for(0.5);
   assert_true(backlog_of(a) == 0 && backlog_of(b) == 0);
   assert_int_equal(submit_some(a, "t", "c"), 201);
 }
@@ -425,18 +425,18 @@
   struct tmx_buffer body = {0};
   struct fake_job job = {.id = "wk-900000", .class = "d", .team = "t", .tasks = 1, .cpus = 1};
   flood(b, "t", "c");
-  pump_for(0.5);
-  state.doors[1].freeze_watch = true;
+  run_loop_for(0.5);
+  fake_store.endpoints[1].freeze_watch = true;
   assert_int_equal(submit_job(a, &job), 201);
   job.class = "c"; /* by another body, of the class that would be refused */
-  submission_of(&body, &job);
-  struct tmx_http_client *client = to(b);
+  encode_submission_of(&body, &job);
+  struct tmx_http_client *client = client_of(b);
   assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
-  pump_for(0.3);
+  run_loop_for(0.3);
   assert_int_equal(x.answered, AT_ONCE - 1);
-  state.doors[1].freeze_watch = false;
+  fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
-  assert_true(pump(all_answered, &x));
+  assert_true(run_loop_until(all_answered, &x));
   assert_int_equal(x.known, 1);
   tmx_http_client_free(client);
   tmx_buffer_free(&body);
@@ -445,17 +445,17 @@
 static void the_judgement_outlives_leaders_folds_and_restarts(void **st) {
   (void)st;
   flood(a, "t", "c");
-  pump_for(0.5);
+  run_loop_for(0.5);
   double before = backlog_of(a);
-  controller_end(a); /* the leader */
+  stop_controller(a); /* the leader */
   a = NULL;
-  pump_for(8);
+  run_loop_for(8);
   assert_int_equal(submit_some(b, "t", "c"), 503);
   tmx_compaction_set_threshold(b->fold, 0);
-  pump_for(5);
+  run_loop_for(5);
   tmx_compaction_set_threshold(b->fold, 1000);
   assert_int_equal(submit_some(b, "t", "c"), 503);
-  controller_end(b);
+  stop_controller(b);
   b = NULL;
   a = begin(0);
   assert_true(backlog_of(a) == before);
@@ -466,11 +466,11 @@
 static void an_outage_in_the_surge_admits_nothing(void **st) {
   (void)st;
   for (int i = 0; i < 5; i++) assert_int_equal(submit_some(a, "t", "c"), 201);
-  for (int k = 0; k < 2; k++) state.doors[k].refuse = true;
-  pump_for(1);
+  for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = true;
+  run_loop_for(1);
   assert_int_equal(submit_some(a, "t", "c"), 503);
-  for (int k = 0; k < 2; k++) state.doors[k].refuse = false;
-  pump_for(3);
+  for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = false;
+  run_loop_for(3);
   flood(a, "t", "c");
   assert_int_equal(submit_some(b, "t", "c"), 503);
   assert_int_equal(submit_some(b, "u", "c"), 201);
@@ -478,11 +478,11 @@
 
 static void beside_a_controller_without_admission(void **st) {
   (void)st;
-  controller_end(b);
-  fake_adjust = without_admission;
+  stop_controller(b);
+  fake_adjust_settings = without_admission;
   b = begin(1);
   for (int i = 0; i < 60; i++) assert_int_equal(submit_some(b, "t", "c"), 201);
-  pump_for(0.5);
+  run_loop_for(0.5);
   assert_int_equal(submit_some(a, "t", "c"), 503); /* what the other admitted counts */
   assert_int_equal(submit_some(a, "u", "c"), 201);
   assert_null(b->rep.backlog);
@@ -495,10 +495,10 @@
 static void settings_changed_between_restarts(void **st) {
   (void)st;
   unsigned n = flood(a, "t", "c");
-  controller_end(a);
-  controller_end(b);
+  stop_controller(a);
+  stop_controller(b);
   b = NULL;
-  fake_adjust = smaller;
+  fake_adjust_settings = smaller;
   a = begin(0);
   char id[TMX_ID_MAX];
   for (unsigned i = 1; i < n; i++) {
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -14,36 +14,36 @@
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  worker_open(&others[0], "n-000002");
-  worker_open(&others[1], "n-000003");
-  a = controller(0, 1);
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  fake_worker_open(&others[0], "n-000002");
+  fake_worker_open(&others[1], "n-000003");
+  a = start_controller(0, 1);
   b = NULL;
-  assert_true(pump(fake_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   return 0;
 }
 static int setup_two(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  worker_open(&others[0], "n-000002");
-  worker_open(&others[1], "n-000003");
-  a = controller(0, 2);
-  assert_true(pump(fake_ready, a));
-  b = controller(1, 2);
-  assert_true(pump(fake_ready, b));
-  pump_for(0.5);
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  fake_worker_open(&others[0], "n-000002");
+  fake_worker_open(&others[1], "n-000003");
+  a = start_controller(0, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  b = start_controller(1, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, b));
+  run_loop_for(0.5);
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
   a = b = NULL;
-  tmx_http_server_free(w.srv);
-  for (int i = 0; i < 2; i++) tmx_http_server_free(others[i].srv);
-  fake_close();
+  tmx_http_server_free(w.server);
+  for (int i = 0; i < 2; i++) tmx_http_server_free(others[i].server);
+  fake_stop();
   return 0;
 }
 
@@ -53,31 +53,31 @@
 }
 static void up(struct fake_worker *x) {
   for (int i = 0; i < 20 && !(registered(a, x) && (!b || registered(b, x))); i++) {
-    worker_report(x, a);
-    if (b && x->status != 200) worker_report(x, b);
-    pump_for(0.1);
+    fake_worker_send_heartbeat(x, a);
+    if (b && x->status != 200) fake_worker_send_heartbeat(x, b);
+    run_loop_for(0.1);
   }
   assert_true(registered(a, x) && (!b || registered(b, x)));
 }
 static bool starts(void *arg) { return w.executed_starts >= *(unsigned *)arg; }
-static void wait_starts(unsigned n) { assert_true(pump(starts, &n)); }
-static bool placed(void *arg) { return fake_placed() == *(unsigned *)arg; }
-static void wait_placed(unsigned n) { assert_true(pump(placed, &n)); }
+static void wait_starts(unsigned n) { assert_true(run_loop_until(starts, &n)); }
+static bool placed(void *arg) { return fake_count_placed() == *(unsigned *)arg; }
+static void wait_placed(unsigned n) { assert_true(run_loop_until(placed, &n)); }
 static void stays_placed(unsigned n, double s) {
   for (double t = 0; t < s; t += 0.1) {
-    pump_for(0.1);
-    assert_int_equal(fake_placed(), n);
+    run_loop_for(0.1);
+    assert_int_equal(fake_count_placed(), n);
   }
 }
 static void wait_command(unsigned before) { /* one came, and is known to be unanswered */
-  for (int i = 0; i < 200 && w.commands == before; i++) pump_for(0.02);
+  for (int i = 0; i < 200 && w.commands == before; i++) run_loop_for(0.02);
   assert_true(w.commands > before);
-  pump_for(0.1);
+  run_loop_for(0.1);
 }
 static void restart(void) {
-  controller_end(a);
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  stop_controller(a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 static bool has_state(void *arg) {
   const char **x = arg;
@@ -86,7 +86,7 @@
 }
 static void wait_state(const char *id, const char *st) {
   const char *x[] = {id, st};
-  assert_true(pump(has_state, x));
+  assert_true(run_loop_until(has_state, x));
 }
 
 /* ------------------------------------------------------------ cancellations */
@@ -98,36 +98,37 @@
  * late, and its watch tells nothing. */
 static void gap_with(double slow_s) {
   up(&w);
-  assert_int_equal(submit(a, "wk-000001", "batch", 2, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_starts(2);
   bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
   struct tmx_ctl *owner = first ? a : b, *other = first ? b : a;
-  struct fake_door *door = &state.doors[first ? 0 : 1];
+  struct fake_endpoint *door = &fake_store.endpoints[first ? 0 : 1];
   double lease = a->set.lease_s, cancel = a->set.cancel_s;
   w.mute = true; /* stops sent by command do not arrive */
   door->slow_s = slow_s;
   door->refuse = !slow_s;
   door->freeze_watch = slow_s > 0;
-  pump_for(0.3);
+  run_loop_for(0.3);
   unsigned reads = door->reads;
-  for (int i = 0; slow_s && i < 1000 && door->reads == reads; i++) pump_for(0.005);
+  for (int i = 0; slow_s && i < 1000 && door->reads == reads; i++) run_loop_for(0.005);
   assert_string_equal(cancel_job(other, "wk-000001").state, WV_CANCELLED);
   double confirmed = tmx_clock_steady(), renewed = confirmed;
-  if (slow_s) pump_for(slow_s + 0.3); /* the read that began just before is answered only now */
-  state.doors[0].refuse = state.doors[1].refuse = true;
+  if (slow_s) run_loop_for(slow_s + 0.3); /* the read that began just before is answered only now */
+  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   unsigned begun = w.executed_starts, answered = 0;
   for (double t = 0; t < cancel + 5; t += 0.5) {
     struct tmx_ctl *asked[] = {owner, other};
     for (int i = 0; i < 2; i++) {
       double sent = tmx_clock_steady();
-      worker_report(&w, asked[i]);
+      fake_worker_send_heartbeat(&w, asked[i]);
       if (w.status != 200 || w.answer_token < w.token) continue;
       answered++;
-      assert_false(worker_has(&w, WV_START, "wk-000001/0", 1));
-      if (worker_has(&w, WV_STOP, "wk-000001/0", 1)) continue; /* executed with the same answer */
+      assert_false(fake_worker_was_commanded(&w, WV_START, "wk-000001/0", 1));
+      if (fake_worker_was_commanded(&w, WV_STOP, "wk-000001/0", 1))
+        continue; /* executed with the same answer */
       renewed = sent;
     }
-    pump_for(0.12);
+    run_loop_for(0.12);
     tmx_clock_advance(0.38);
   }
   assert_true(answered > 0); /* running work went on for a while */
@@ -144,7 +145,7 @@
 }
 /* ... and the leader does not reach the other controllers either. */
 static int setup_apart(void **st) {
-  fake_apart = true;
+  fake_peers_unreachable = true;
   return setup_two(st);
 }
 
@@ -155,33 +156,33 @@
   (void)st;
   up(&w);
   w.mute = true;
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_placed(1);
   wait_command(0);
   bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
   struct tmx_ctl *keeper = first ? b : a;
   assert_string_equal(cancel_job(keeper, "wk-000001").state, WV_CANCELLED);
   double confirmed = tmx_clock_steady();
-  pump_for(0.3);
+  run_loop_for(0.3);
   tmx_clock_advance(9);
-  pump_for(0.5);
+  run_loop_for(0.5);
   w.silent = true;
-  state.doors[0].refuse = state.doors[1].refuse = true;
-  controller_end(first ? a : b);
+  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  stop_controller(first ? a : b);
   if (first)
     a = NULL;
   else
     b = NULL;
-  pump_for(0.2);
-  assert_int_equal(fake_placed(), 1);
-  worker_report(&w, keeper);
+  run_loop_for(0.2);
+  assert_int_equal(fake_count_placed(), 1);
+  fake_worker_send_heartbeat(&w, keeper);
   tmx_clock_advance(TMX_STATE_LOST_S);
-  worker_report(&w, keeper);
+  fake_worker_send_heartbeat(&w, keeper);
   assert_int_equal(w.status, 200); /* a lease from now on ends in time */
   assert_true(tmx_clock_steady() + keeper->set.lease_s < confirmed + keeper->set.cancel_s);
   tmx_clock_advance(7);
   assert_true(tmx_ctl_fresh(keeper));
-  worker_report(&w, keeper);
+  fake_worker_send_heartbeat(&w, keeper);
   assert_int_not_equal(w.status, 200);
 }
 
@@ -190,25 +191,25 @@
 static void no_start_on_an_old_copy(void **st) {
   (void)st;
   up(&w);
-  assert_int_equal(submit(a, "wk-000001", "service", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "service", 1, 2, "t"), 201);
   wait_starts(1);
-  state.doors[0].refuse = true;
-  pump_for(0.2);
+  fake_store.endpoints[0].refuse = true;
+  run_loop_for(0.2);
   tmx_clock_advance(TMX_START_FRESH_S);
   w.session++; /* its lease lapsed: the task is missing, and the log says that it belongs there */
-  w.n_loads = 0;
+  w.n_tasks = 0;
   for (int i = 0; i < 3; i++) {
-    worker_report(&w, a);
+    fake_worker_send_heartbeat(&w, a);
     assert_int_equal(w.status, 200);
-    worker_do(&w);
-    pump_for(0.1);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.1);
   }
   assert_int_equal(w.executed_starts, 1);
-  state.doors[0].refuse = false;
+  fake_store.endpoints[0].refuse = false;
   for (int i = 0; i < 40 && w.executed_starts < 2; i++) {
-    pump_for(0.1);
-    worker_report(&w, a);
-    worker_do(&w);
+    run_loop_for(0.1);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
   }
   assert_int_equal(w.executed_starts, 2);
 }
@@ -222,20 +223,21 @@
   char task[48];
   up(&w);
   for (unsigned late = 0; late < 2; late++) {
-    struct fake_door *d = &state.doors[0];
-    assert_int_equal(submit(a, ids[late], "batch", 1, 2, "t"), 201);
+    struct fake_endpoint *endpoint = &fake_store.endpoints[0];
+    assert_int_equal(submit_simple_job(a, ids[late], "batch", 1, 2, "t"), 201);
     wait_starts(late + 1);
     char key[64];
     snprintf(key, sizeof key, TMX_KEY_JOB "%s", ids[late]);
-    strcpy(late ? d->late_key : d->lose_key, key);
+    strcpy(late ? endpoint->late_key : endpoint->lose_key, key);
     if (late)
-      d->late_next_txn = true;
+      endpoint->late_next_txn = true;
     else
-      d->lose_next_txn = true;
+      endpoint->lose_next_txn = true;
     snprintf(task, sizeof task, "%s/0", ids[late]);
-    worker_set(&w, task, 1, WV_EXITED, WV_DONE);
-    worker_report(&w, a);
-    for (int i = 0; i < 200 && (late ? !d->late : d->lose_next_txn); i++) pump_for(0.005);
+    fake_worker_set_task(&w, task, 1, WV_EXITED, WV_DONE);
+    fake_worker_send_heartbeat(&w, a);
+    for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_txn); i++)
+      run_loop_for(0.005);
     /* the cancellation's own key may have been the one that was held: it is repeated then */
     struct fake_answer c = cancel_job(a, ids[late]);
     for (int i = 0; i < 20 && c.status != 200; i++) c = cancel_job(a, ids[late]);
@@ -243,19 +245,19 @@
     char first[16];
     strcpy(first, c.state);
     if (!late) assert_string_equal(first, WV_DONE);
-    if (late) assert_int_equal(fake_late(d), 409);
+    if (late) assert_int_equal(fake_execute_late_transaction(endpoint), 409);
     for (int i = 0; i < 5; i++) {
       assert_string_equal(poll_job(a, ids[late]).state, first);
       assert_string_equal(cancel_job(a, ids[late]).state, first);
-      assert_int_equal(submit(a, ids[late], "batch", 1, 2, "t"), 200);
-      pump_for(0.05);
+      assert_int_equal(submit_simple_job(a, ids[late], "batch", 1, 2, "t"), 200);
+      run_loop_for(0.05);
     }
     restart();
     assert_string_equal(poll_job(a, ids[late]).state, first);
-    worker_report(&w, a);
-    worker_do(&w);
-    worker_report(&w, a);
-    worker_do(&w);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
     wait_placed(0);
   }
   assert_int_equal(w.executed_starts, 2);
@@ -269,27 +271,27 @@
   (void)st;
   up(&w);
   w.mute = true;
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_placed(1);
   wait_command(0);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   uint64_t old = w.token;
   w.session++;
-  worker_report(&w, a); /* a later session: the first command can no longer run */
-  w.token = old;        /* the answer is lost */
+  fake_worker_send_heartbeat(&w, a); /* a later session: the first command can no longer run */
+  w.token = old;                     /* the answer is lost */
   wait_placed(0);
   unsigned before = w.commands;
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 201);
   wait_placed(1);
   wait_command(before); /* for this session, by a token that it would still accept */
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
   w.token = old;
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   w.token = old;
-  stays_placed(1, 0.6); /* it may start yet */
-  worker_report(&w, a); /* this answer arrives: a higher token */
+  stays_placed(1, 0.6);              /* it may start yet */
+  fake_worker_send_heartbeat(&w, a); /* this answer arrives: a higher token */
   assert_true(w.token > old);
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   wait_placed(0);
 }
 
@@ -299,40 +301,40 @@
 static void late_copy_of_an_earlier_session(void **st) {
   (void)st;
   up(&w);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_starts(1);
-  state.doors[0].refuse = true;
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_ERROR);
+  fake_store.endpoints[0].refuse = true;
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_ERROR);
   struct fake_worker copy = w;
-  copy.seq = ++w.seq;
-  controller_end(a);
-  state.doors[0].refuse = false;
+  copy.sequence = ++w.sequence;
+  stop_controller(a);
+  fake_store.endpoints[0].refuse = false;
   w.session++;
-  w.n_loads = 0;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  w.n_tasks = 0;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   for (int i = 0; i < 40 && w.executed_starts < 2; i++) {
-    worker_report(&w, a);
-    worker_do(&w);
-    pump_for(0.05);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.05);
   }
   assert_int_equal(w.executed_starts, 2); /* it runs, as the same attempt */
   w.silent = true;
   restart();
-  worker_report(&copy, a);
+  fake_worker_send_heartbeat(&copy, a);
   stays_placed(1, 0.8);
-  assert_false(fake_logged("e wk-000001/0 1 e"));
+  assert_false(fake_log_contains("e wk-000001/0 1 e"));
   w.silent = false;
   for (int i = 0; i < 4; i++) {
-    worker_report(&w, a);
-    worker_do(&w);
-    pump_for(0.1);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.1);
   }
-  assert_int_equal(fake_placed(), 1);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_ERROR); /* this one is its own */
-  worker_report(&w, a);
-  for (int i = 0; i < 200 && !fake_logged("e wk-000001/0 1 e"); i++) pump_for(0.02);
-  assert_true(fake_logged("e wk-000001/0 1 e"));
+  assert_int_equal(fake_count_placed(), 1);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_ERROR); /* this one is its own */
+  fake_worker_send_heartbeat(&w, a);
+  for (int i = 0; i < 200 && !fake_log_contains("e wk-000001/0 1 e"); i++) run_loop_for(0.02);
+  assert_true(fake_log_contains("e wk-000001/0 1 e"));
 }
 
 /* A probe's answer overtakes a report on its way. The worker still waits for the answer to it: it
@@ -341,20 +343,20 @@
 static void probe_overtakes_a_report(void **st) {
   (void)st;
   up(&w);
-  assert_int_equal(submit(a, "wk-000001", "service", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "service", 1, 2, "t"), 201);
   wait_starts(1);
   struct fake_worker sent = w;
-  uint64_t seq = w.seq;
-  for (int i = 0; i < 300 && w.seq < seq + 3; i++) pump_for(0.02);
-  assert_true(w.seq >= seq + 3);
+  uint64_t seq = w.sequence;
+  for (int i = 0; i < 300 && w.sequence < seq + 3; i++) run_loop_for(0.02);
+  assert_true(w.sequence >= seq + 3);
   w.mute = true;
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  pump_for(0.2);
-  worker_report(&sent, a);
+  run_loop_for(0.2);
+  fake_worker_send_heartbeat(&sent, a);
   assert_int_equal(sent.status, 200);
-  assert_true(worker_has(&sent, WV_STOP, "wk-000001/0", 1));
+  assert_true(fake_worker_was_commanded(&sent, WV_STOP, "wk-000001/0", 1));
   sent.session--; /* not so one of an earlier session */
-  worker_report(&sent, a);
+  fake_worker_send_heartbeat(&sent, a);
   assert_int_equal(sent.status, 421);
 }
 
@@ -363,23 +365,23 @@
 static void late_batch(void **st) {
   (void)st;
   up(&w);
-  struct fake_door *d = &state.doors[0];
-  strcpy(d->late_key, TMX_KEY_BATCH);
-  d->late_next_txn = true;
-  assert_int_equal(submit(a, "wk-000001", "batch", 2, 2, "t"), 201);
+  struct fake_endpoint *endpoint = &fake_store.endpoints[0];
+  strcpy(endpoint->late_key, TMX_KEY_BATCH);
+  endpoint->late_next_txn = true;
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_starts(2);
-  assert_non_null(d->late);
-  assert_int_equal(fake_late(d), 409);
+  assert_non_null(endpoint->late_transaction);
+  assert_int_equal(fake_execute_late_transaction(endpoint), 409);
   stays_placed(2, 0.3);
   /* ... and so is a cancellation of a job that ended in the meantime */
-  strcpy(d->late_key, TMX_KEY_JOB "wk-000001");
-  d->late_next_txn = true;
+  strcpy(endpoint->late_key, TMX_KEY_JOB "wk-000001");
+  endpoint->late_next_txn = true;
   assert_int_equal(cancel_job(a, "wk-000001").status, 503);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
   wait_state("wk-000001", WV_DONE);
-  assert_int_equal(fake_late(d), 409);
+  assert_int_equal(fake_execute_late_transaction(endpoint), 409);
   assert_string_equal(poll_job(a, "wk-000001").state, WV_DONE);
 }
 
@@ -394,14 +396,14 @@
   tmx_cbor_put_text_field(&value, "listen", a->set.listen);
   fake_put(TMX_KEY_MEMBER "hand-0", &value);
   tmx_buffer_free(&value);
-  pump_for(0.1);
-  assert_true(pump(fake_ready, a));
+  run_loop_for(0.1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   assert_true(tmx_store_incarnation(a->link) > run);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   for (int i = 0; i < 100 && !w.executed_starts; i++) {
-    worker_report(&w, a);
-    worker_do(&w);
-    pump_for(0.05);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.05);
   }
   assert_int_equal(w.executed_starts, 1);
 }
@@ -411,12 +413,12 @@
 static void lapsed_lease_of_a_controller(void **st) {
   (void)st;
   uint64_t run = tmx_store_incarnation(a->link);
-  state.lapsed = state.leases;
+  fake_store.lapsed = fake_store.leases;
   fake_drop(TMX_KEY_MEMBER "hand-0");
-  pump_for(0.3);
-  assert_true(pump(fake_ready, a));
+  run_loop_for(0.3);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   assert_true(tmx_store_incarnation(a->link) > run);
-  assert_int_equal(state.lapsed_puts, 1);
+  assert_int_equal(fake_store.lapsed_puts, 1);
 }
 
 /* ------------------------------------------------------------ changes of leader */
@@ -426,34 +428,34 @@
 static void ends_far_apart(void **st) {
   (void)st;
   up(&w);
-  assert_int_equal(submit(a, "wk-000001", "batch", 2, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_starts(2);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
   wait_placed(1);
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 300 && !a->rep.compaction_point; i++) pump_for(0.02);
+  for (int i = 0; i < 300 && !a->rep.compaction_point; i++) run_loop_for(0.02);
   assert_true(a->rep.compaction_point > 0);
   restart();
   assert_string_equal(poll_job(a, "wk-000001").state, WV_RUNNING);
-  controller_end(a);
+  stop_controller(a);
   tmx_clock_advance(30);
   w.session++;
-  w.n_loads = 0;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  w.n_tasks = 0;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   for (int i = 0; i < 40 && w.executed_starts < 3; i++) {
-    worker_report(&w, a);
-    worker_do(&w);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
     assert_string_equal(poll_job(a, "wk-000001").state, WV_RUNNING);
-    pump_for(0.05);
+    run_loop_for(0.05);
   }
   assert_int_equal(w.executed_starts, 3);
-  assert_true(w.n_loads == 1 &&
-              w.loads[0].attempt == 1); /* the same attempt, the other one's never */
-  assert_string_equal(w.loads[0].task, "wk-000001/1");
-  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
+  assert_true(w.n_tasks == 1 &&
+              w.tasks[0].attempt == 1); /* the same attempt, the other one's never */
+  assert_string_equal(w.tasks[0].task, "wk-000001/1");
+  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
   wait_state("wk-000001", WV_DONE);
   restart();
   assert_string_equal(poll_job(a, "wk-000001").state, WV_DONE);
@@ -469,11 +471,11 @@
 }
 
 static void complete_all(void) {
-  char task[sizeof w.loads[0].task];
-  for (size_t i = 0; i < w.n_loads; i++) {
-    if (strcmp(w.loads[i].state, WV_RUNNING)) continue;
-    memcpy(task, w.loads[i].task, sizeof task);
-    worker_set(&w, task, w.loads[i].attempt, WV_EXITED, WV_DONE);
+  char task[sizeof w.tasks[0].task];
+  for (size_t i = 0; i < w.n_tasks; i++) {
+    if (strcmp(w.tasks[i].state, WV_RUNNING)) continue;
+    memcpy(task, w.tasks[i].task, sizeof task);
+    fake_worker_set_task(&w, task, w.tasks[i].attempt, WV_EXITED, WV_DONE);
   }
 }
 
@@ -486,27 +488,29 @@
   unsigned done = 0;
   for (int i = 0; i < 10; i++) {
     struct tmx_ctl *next = i % 2 ? a : b;
-    if (i == 5) state.doors[0].refuse = state.doors[1].refuse = true; /* also inside an outage */
+    if (i == 5)
+      fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse =
+          true; /* also inside an outage */
     lead(next);
     snprintf(id, sizeof id, "wk-%06d", i);
-    if (i != 5) assert_int_equal(submit(next, id, "batch", 1, 2, "t"), 201);
+    if (i != 5) assert_int_equal(submit_simple_job(next, id, "batch", 1, 2, "t"), 201);
     for (int k = 0; k < 6; k++) {
-      pump_for(0.05);
-      assert_in_range(fake_placed(), 0, 4);
-      for (size_t l = 0; l < w.n_loads; l++) assert_int_equal(w.loads[l].attempt, 1);
+      run_loop_for(0.05);
+      assert_in_range(fake_count_placed(), 0, 4);
+      for (size_t l = 0; l < w.n_tasks; l++) assert_int_equal(w.tasks[l].attempt, 1);
       complete_all();
-      worker_report(&w, a);
-      if (w.status != 200) worker_report(&w, b);
-      worker_do(&w);
+      fake_worker_send_heartbeat(&w, a);
+      if (w.status != 200) fake_worker_send_heartbeat(&w, b);
+      fake_worker_execute_commands(&w);
     }
-    if (i == 5) state.doors[0].refuse = state.doors[1].refuse = false;
+    if (i == 5) fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = false;
   }
   for (int i = 0; i < 100 && done < 9; i++) {
-    worker_report(&w, a);
-    if (w.status != 200) worker_report(&w, b);
-    worker_do(&w);
+    fake_worker_send_heartbeat(&w, a);
+    if (w.status != 200) fake_worker_send_heartbeat(&w, b);
+    fake_worker_execute_commands(&w);
     complete_all();
-    pump_for(0.05);
+    run_loop_for(0.05);
     done = 0;
     for (int k = 0; k < 10; k++) {
       snprintf(id, sizeof id, "wk-%06d", k);
@@ -525,27 +529,29 @@
   (void)st;
   up(&w);
   up(&others[0]);
-  assert_int_equal(submit(a, "wk-000001", "batch", 4, 2, "t"), 201); /* 8 CPUs, the limit */
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 4, 2, "t"),
+                   201); /* 8 CPUs, the limit */
   wait_placed(4);
-  for (int i = 0; i < 40 && w.executed_starts + others[0].executed_starts < 4; i++) pump_for(0.05);
+  for (int i = 0; i < 40 && w.executed_starts + others[0].executed_starts < 4; i++)
+    run_loop_for(0.05);
   struct fake_worker *both[] = {&w, &others[0]};
   for (int i = 0; i < 2; i++) both[i]->mute = both[i]->silent = true;
-  cloud.refuse_delete = true;
+  fake_cloud.refuse_delete = true;
   restart();
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   up(&others[1]);
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 201);
   stays_placed(4, 1.0);
   assert_int_equal(others[1].executed_starts, 0);
   for (int i = 0; i < 2; i++) both[i]->mute = both[i]->silent = false;
   for (int i = 0; i < 60 && !others[1].executed_starts; i++) {
     for (int k = 0; k < 2; k++) {
-      worker_report(both[k], a);
-      worker_do(both[k]);
+      fake_worker_send_heartbeat(both[k], a);
+      fake_worker_execute_commands(both[k]);
     }
-    worker_report(&others[1], a);
-    worker_do(&others[1]);
-    pump_for(0.1);
+    fake_worker_send_heartbeat(&others[1], a);
+    fake_worker_execute_commands(&others[1]);
+    run_loop_for(0.1);
     if (w.executed_starts + others[0].executed_starts > 4) break;
   }
   assert_int_equal(w.executed_starts + others[0].executed_starts + others[1].executed_starts, 5);
@@ -560,29 +566,29 @@
   struct tmx_ctl *old = tmx_store_is_leader(a->link) ? a : b, *next = old == a ? b : a;
   struct fake_worker *all[] = {&w, &others[0], &others[1]};
   /* one task more than the limit of the team: while it waits nothing is returned */
-  assert_int_equal(submit(a, "wk-000001", "batch", 5, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 5, 2, "t"), 201);
   for (int i = 0; i <= TMX_PEAK_S / TMX_DEMAND_GAP_S; i++) {
     tmx_clock_advance(TMX_DEMAND_GAP_S - 1);
     for (int k = 0; k < 3; k++) {
-      worker_report(all[k], a);
-      if (all[k]->status != 200) worker_report(all[k], b);
+      fake_worker_send_heartbeat(all[k], a);
+      if (all[k]->status != 200) fake_worker_send_heartbeat(all[k], b);
     }
-    pump_for(1);
+    run_loop_for(1);
   }
   lead(next);
   bool drained = false;
   for (int k = 0; k < 3; k++) assert_false(tmx_machine_find(&next->rep, all[k]->id)->draining);
-  assert_int_equal(cloud.deletes, 0);
+  assert_int_equal(fake_cloud.deletes, 0);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   double since = tmx_clock_steady();
   while (tmx_clock_steady() - since < TMX_SETTLE_S + TMX_DRAIN_SPACING_S + 2) {
     for (int k = 0; k < 3; k++) {
-      worker_report(all[k], a);
-      if (all[k]->status != 200) worker_report(all[k], b);
+      fake_worker_send_heartbeat(all[k], a);
+      if (all[k]->status != 200) fake_worker_send_heartbeat(all[k], b);
       struct tmx_machine *machine = tmx_machine_find(&next->rep, all[k]->id);
       drained |= !machine || machine->draining;
     }
-    pump_for(0.5);
+    run_loop_for(0.5);
   }
   assert_true(tmx_store_is_leader(next->link));
   assert_true(drained);
@@ -599,23 +605,24 @@
   (void)st;
   up(&w);
   w.mute = true;
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_placed(1);
   wait_command(0);
-  worker_report(&w, a);
-  worker_report(&w, a); /* shows the token that the unanswered command raised */
-  assert_true(worker_has(&w, WV_START, "wk-000001/0", 1)); /* still on its way */
+  fake_worker_send_heartbeat(&w, a);
+  fake_worker_send_heartbeat(&w, a); /* shows the token that the unanswered command raised */
+  assert_true(fake_worker_was_commanded(&w, WV_START, "wk-000001/0", 1)); /* still on its way */
   uint64_t before = w.token, term = a->rep.view.term;
-  state.doors[0].gone_watch = true;
+  fake_store.endpoints[0].gone_watch = true;
   fake_free_watches();
-  for (int i = 0; i < 200 && (state.doors[0].gone_watch || a->rep.loaded); i++) pump_for(0.005);
-  assert_true(pump(loaded, a));
+  for (int i = 0; i < 200 && (fake_store.endpoints[0].gone_watch || a->rep.loaded); i++)
+    run_loop_for(0.005);
+  assert_true(run_loop_until(loaded, a));
   assert_int_equal(a->rep.view.term, term);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   stays_placed(1, 1.0);
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   assert_true(w.token > before);
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   wait_placed(0);
 }
 
@@ -625,31 +632,31 @@
 static void mark_moves_while_keys_are_read(void **st) {
   (void)st;
   up(&w);
-  assert_int_equal(submit(a, "wk-000001", "service", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "service", 1, 2, "t"), 201);
   wait_starts(1);
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
   uint64_t mark = a->rep.compaction_point;
   assert_true(mark > 0);
   tmx_compaction_set_threshold(a->fold, 1000);
-  pump_for(3); /* what the first fold leaves is dropped */
-  struct fake_door *d = &state.doors[1];
-  d->page_max = 1;
-  strcpy(d->hold_from, TMX_KEY_COMPACTION);
-  b = controller(1, 2);
-  for (int i = 0; i < 400 && !d->held_read; i++) pump_for(0.02);
-  const struct tmx_http_request *held = d->held_read;
+  run_loop_for(3); /* what the first fold leaves is dropped */
+  struct fake_endpoint *endpoint = &fake_store.endpoints[1];
+  endpoint->page_max = 1;
+  strcpy(endpoint->hold_from, TMX_KEY_COMPACTION);
+  b = start_controller(1, 2);
+  for (int i = 0; i < 400 && !endpoint->held_read; i++) run_loop_for(0.02);
+  const struct tmx_http_request *held = endpoint->held_read;
   assert_non_null(held);
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 201);
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) pump_for(0.02);
+  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) run_loop_for(0.02);
   assert_true(a->rep.compaction_point > mark);
   tmx_compaction_set_threshold(a->fold, 1000);
-  pump_for(1);
-  d->page_max = 0;
-  assert_ptr_equal(d->held_read, held); /* it was not given up in the meantime */
-  fake_read_on(d);
-  assert_true(pump(loaded, b));
+  run_loop_for(1);
+  endpoint->page_max = 0;
+  assert_ptr_equal(endpoint->held_read, held); /* it was not given up in the meantime */
+  fake_release_held_read(endpoint);
+  assert_true(run_loop_until(loaded, b));
   assert_int_equal(b->rep.compaction_point, a->rep.compaction_point);
   struct tmx_job *job = tmx_job_find(&b->rep, "wk-000001");
   assert_non_null(job);
@@ -670,25 +677,25 @@
   struct tmx_ctl *at[] = {a, b};
   for (int i = 0; i < 4; i++) {
     struct tmx_ctl *one = at[i % 2], *other = at[1 - i % 2];
-    struct fake_door *lags = &state.doors[1 - i % 2];
+    struct fake_endpoint *lags = &fake_store.endpoints[1 - i % 2];
     lags->freeze_watch = true;
-    assert_int_equal(submit(one, ids[i], "batch", 1, 2, "t"), 201);
+    assert_int_equal(submit_simple_job(one, ids[i], "batch", 1, 2, "t"), 201);
     struct fake_answer r = poll_job(other, ids[i]);
     assert_int_equal(r.status, 503); /* never a 404 */
-    assert_int_not_equal(submit(other, ids[i], "batch", 1, 2, "t"), 201);
+    assert_int_not_equal(submit_simple_job(other, ids[i], "batch", 1, 2, "t"), 201);
     lags->freeze_watch = false;
     fake_free_watches();
-    assert_int_equal(submit(other, ids[i], "batch", 1, 2, "t"), 200);
+    assert_int_equal(submit_simple_job(other, ids[i], "batch", 1, 2, "t"), 200);
     unsigned begun = w.executed_starts;
     if (i < 2) { /* it ends */
-      for (int k = 0; k < 200 && w.executed_starts == (unsigned)i; k++) pump_for(0.02);
+      for (int k = 0; k < 200 && w.executed_starts == (unsigned)i; k++) run_loop_for(0.02);
       char task[48];
       snprintf(task, sizeof task, "%s/0", ids[i]);
-      worker_set(&w, task, 1, WV_EXITED, WV_DONE);
-      worker_report(&w, a);
-      if (w.status != 200) worker_report(&w, b);
+      fake_worker_set_task(&w, task, 1, WV_EXITED, WV_DONE);
+      fake_worker_send_heartbeat(&w, a);
+      if (w.status != 200) fake_worker_send_heartbeat(&w, b);
       const char *x[] = {ids[i], WV_DONE};
-      for (int k = 0; k < 200 && strcmp(poll_job(one, ids[i]).state, x[1]); k++) pump_for(0.01);
+      for (int k = 0; k < 200 && strcmp(poll_job(one, ids[i]).state, x[1]); k++) run_loop_for(0.01);
       assert_string_equal(poll_job(one, ids[i]).state, WV_DONE);
       lags->freeze_watch = true;
     } else {
@@ -705,14 +712,14 @@
     }
     lags->freeze_watch = false;
     fake_free_watches();
-    pump_for(0.3);
+    run_loop_for(0.3);
     assert_string_equal(poll_job(other, ids[i]).state, end);
     if (i >= 2) assert_in_range(w.executed_starts, 0, begun); /* nothing starts after it */
     for (int k = 0; k < 3; k++) {
-      worker_report(&w, a);
-      if (w.status != 200) worker_report(&w, b);
-      worker_do(&w);
-      pump_for(0.05);
+      fake_worker_send_heartbeat(&w, a);
+      if (w.status != 200) fake_worker_send_heartbeat(&w, b);
+      fake_worker_execute_commands(&w);
+      run_loop_for(0.05);
     }
   }
 }
@@ -731,27 +738,27 @@
     struct tmx_ctl *owner = first ? a : b, *heir = first ? b : a;
     w.mute = true;
     snprintf(id, sizeof id, "wk-%06u", i);
-    assert_int_equal(submit(heir, id, "batch", 2, 2, "t"), 201);
+    assert_int_equal(submit_simple_job(heir, id, "batch", 2, 2, "t"), 201);
     wait_placed(2);
     fake_drop(first ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1"); /* its lease is over */
-    controller_end(owner);
+    stop_controller(owner);
     *(first ? &a : &b) = NULL;
-    pump_for(after[i]);
+    run_loop_for(after[i]);
     struct fake_answer r = cancel_job(heir, id);
     for (int k = 0; k < 20 && r.status == 503; k++) r = cancel_job(heir, id);
     assert_string_equal(r.state, WV_CANCELLED);
     unsigned begun = w.executed_starts;
     w.mute = false;
-    for (int k = 0; k < 400 && fake_placed(); k++) {
-      pump_for(0.05);
-      worker_report(&w, heir);
-      worker_do(&w);
+    for (int k = 0; k < 400 && fake_count_placed(); k++) {
+      run_loop_for(0.05);
+      fake_worker_send_heartbeat(&w, heir);
+      fake_worker_execute_commands(&w);
     }
-    assert_int_equal(fake_placed(), 0);
+    assert_int_equal(fake_count_placed(), 0);
     assert_int_equal(w.executed_starts, begun);
-    *(first ? &a : &b) = controller(first ? 0 : 1, 2);
-    assert_true(pump(fake_ready, first ? a : b));
-    pump_for(1);
+    *(first ? &a : &b) = start_controller(first ? 0 : 1, 2);
+    assert_true(run_loop_until(fake_controller_is_ready, first ? a : b));
+    run_loop_for(1);
     up(&w);
   }
 }
@@ -767,8 +774,9 @@
   for (int i = 0; i < N; i++) {
     struct tmx_ctl *at = i % 3 ? a : b;
     snprintf(id, sizeof id, "wk-%06d", i);
-    int status = submit(at, id, "batch", 1, 2, "t");
-    for (int k = 0; k < 20 && status == 503; k++) status = submit(at, id, "batch", 1, 2, "t");
+    int status = submit_simple_job(at, id, "batch", 1, 2, "t");
+    for (int k = 0; k < 20 && status == 503; k++)
+      status = submit_simple_job(at, id, "batch", 1, 2, "t");
     assert_true(status == 201 || status == 200);
     if (i % 10 == 5) complete_all();
     if (i % 4 == 0) {
@@ -778,22 +786,22 @@
       strcpy(told[i], r.state);
     }
     if (i % 20 == 10) lead(i % 40 == 10 ? b : a);
-    pump_for(0.25);
-    assert_in_range(fake_placed(), 0, 4);
+    run_loop_for(0.25);
+    assert_in_range(fake_count_placed(), 0, 4);
     if (i % 2) complete_all();
-    worker_report(&w, a);
-    if (w.status != 200) worker_report(&w, b);
-    worker_do(&w);
+    fake_worker_send_heartbeat(&w, a);
+    if (w.status != 200) fake_worker_send_heartbeat(&w, b);
+    fake_worker_execute_commands(&w);
   }
-  for (int i = 0; i < 400 && fake_placed(); i++) {
+  for (int i = 0; i < 400 && fake_count_placed(); i++) {
     complete_all();
-    worker_report(&w, a);
-    if (w.status != 200) worker_report(&w, b);
-    worker_do(&w);
-    pump_for(0.1);
+    fake_worker_send_heartbeat(&w, a);
+    if (w.status != 200) fake_worker_send_heartbeat(&w, b);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.1);
   }
-  assert_int_equal(fake_placed(), 0);
-  pump_for(1);
+  assert_int_equal(fake_count_placed(), 0);
+  run_loop_for(1);
   for (int i = 0; i < N; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     assert_string_equal(poll_job(i % 2 ? a : b, id).state, told[i][0] ? told[i] : WV_DONE);
@@ -805,32 +813,32 @@
 static void fast_machine_and_the_leader_ends(void **st) {
   (void)st;
   struct fake_worker *x = &others[0];
-  assert_int_equal(submit(b, "wk-000001", "service", 2, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(b, "wk-000001", "service", 2, 2, "t"), 201);
   for (int i = 0; i < 2; i++) {
-    state.doors[i].lose_next_txn = true;
-    strcpy(state.doors[i].lose_key, TMX_KEY_BATCH);
+    fake_store.endpoints[i].lose_next_txn = true;
+    strcpy(fake_store.endpoints[i].lose_key, TMX_KEY_BATCH);
   }
   up(x);
   bool first = tmx_store_is_leader(a->link);
   fake_drop(first ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
   fake_drop(TMX_KEY_LEADER);
-  controller_end(first ? a : b);
+  stop_controller(first ? a : b);
   *(first ? &a : &b) = NULL;
   struct tmx_ctl *heir = first ? b : a;
   for (int i = 0; i < 200 && x->executed_starts < 1; i++) {
-    pump_for(0.05);
-    worker_report(x, heir);
-    worker_do(x);
+    run_loop_for(0.05);
+    fake_worker_send_heartbeat(x, heir);
+    fake_worker_execute_commands(x);
   }
   for (int i = 0; i < 20; i++) {
-    pump_for(0.1);
-    worker_report(x, heir);
-    worker_do(x);
+    run_loop_for(0.1);
+    fake_worker_send_heartbeat(x, heir);
+    fake_worker_execute_commands(x);
   }
   assert_int_equal(x->executed_starts, 2);
-  assert_int_equal(x->n_loads, 2);
-  for (size_t i = 0; i < 2; i++) assert_int_equal(x->loads[i].attempt, 1);
-  assert_int_equal(fake_placed(), 2);
+  assert_int_equal(x->n_tasks, 2);
+  for (size_t i = 0; i < 2; i++) assert_int_equal(x->tasks[i].attempt, 1);
+  assert_int_equal(fake_count_placed(), 2);
 }
 
 /* ------------------------------------------------------------ machines */
@@ -843,29 +851,29 @@
   struct fake_worker *all[] = {&w, &others[0], &others[1]};
   for (int i = 0; i < 3; i++) up(all[i]);
   struct tmx_machine *machine = tmx_machine_find(&a->rep, w.id);
-  pump_for(0.5);
+  run_loop_for(0.5);
   assert_true(machine->usable);
   double step = a->set.report_s;
   for (int k = 0; k < 3; k++) { /* the others report on */
     tmx_clock_advance(step);
-    for (int i = 1; i < 3; i++) worker_report(all[i], a);
-    pump_for(0.4);
+    for (int i = 1; i < 3; i++) fake_worker_send_heartbeat(all[i], a);
+    run_loop_for(0.4);
   }
   assert_false(machine->usable);
   assert_true(tmx_machine_find(&a->rep, others[0].id)->usable);
-  assert_int_equal(cloud.deletes, 0);
-  for (int k = 0; k < 8 && !cloud.deletes; k++) {
+  assert_int_equal(fake_cloud.deletes, 0);
+  for (int k = 0; k < 8 && !fake_cloud.deletes; k++) {
     tmx_clock_advance(step);
-    for (int i = 1; i < 3; i++) worker_report(all[i], a);
-    pump_for(0.4);
+    for (int i = 1; i < 3; i++) fake_worker_send_heartbeat(all[i], a);
+    run_loop_for(0.4);
   }
-  for (int i = 0; i < 200 && !fake_logged("x n-000001"); i++) pump_for(0.02);
-  assert_true(fake_logged("x n-000001"));
+  for (int i = 0; i < 200 && !fake_log_contains("x n-000001"); i++) run_loop_for(0.02);
+  assert_true(fake_log_contains("x n-000001"));
   for (int k = 0; k < 8; k++) { /* now none of them reports */
     tmx_clock_advance(step);
-    pump_for(0.3);
+    run_loop_for(0.3);
   }
-  assert_int_equal(cloud.deletes, 1);
+  assert_int_equal(fake_cloud.deletes, 1);
 }
 
 /* A job bound to a zone and to one place loses its machine: it begins again, as the next attempt,
@@ -877,25 +885,25 @@
   tmx_cbor_put_map(&body, 18);
   tmx_cbor_put_text_field(&body, W_ZONE, "a");
   struct tmx_buffer rest = {0};
-  submission(&rest, "wk-000001", "batch", 2, 2, "t");
+  encode_submission(&rest, "wk-000001", "batch", 2, 2, "t");
   tmx_buffer_append(&body, rest.data + 1, rest.length - 1); /* all fields of a map of 17 */
   tmx_buffer_free(&rest);
-  assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 201);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 201);
   tmx_buffer_free(&body);
   wait_starts(2);
   up(&others[0]);
   w.silent = true;
-  cloud.refuse_delete = true;
+  fake_cloud.refuse_delete = true;
   tmx_clock_advance(12);
-  pump_for(2);
+  run_loop_for(2);
   assert_int_equal(others[0].executed_starts, 0);
-  cloud.refuse_delete = false;
+  fake_cloud.refuse_delete = false;
   for (int i = 0; i < 800 && others[0].executed_starts < 2; i++) {
-    if (i % 20 == 0) worker_report(&others[0], a);
-    pump_for(0.02);
+    if (i % 20 == 0) fake_worker_send_heartbeat(&others[0], a);
+    run_loop_for(0.02);
   }
   assert_int_equal(others[0].executed_starts, 2);
-  for (size_t i = 0; i < others[0].n_loads; i++) assert_int_equal(others[0].loads[i].attempt, 2);
+  for (size_t i = 0; i < others[0].n_tasks; i++) assert_int_equal(others[0].tasks[i].attempt, 2);
 }
 
 /* ------------------------------------------------------------ bad input */
@@ -907,7 +915,7 @@
   struct tmx_buffer ok = {0};
   static const char *needed[] = {W_GPUS,  W_ONE_ZONE, W_SPREAD,   W_SPOT,  W_CPUS, W_MEM,
                                  W_IMAGE, W_TASKS,    W_ESTIMATE, W_CLASS, W_TEAM, W_PRIORITY};
-  submission(&ok, "wk-000001", "batch", 1, 2, "t");
+  encode_submission(&ok, "wk-000001", "batch", 1, 2, "t");
   for (size_t i = 0; i < sizeof needed / sizeof *needed; i++) {
     struct tmx_buffer bad = {0};
     size_t len = strlen(needed[i]);
@@ -917,19 +925,19 @@
       at = memmem(at + 1, bad.length - (size_t)(at + 1 - bad.data), needed[i], len);
     assert_non_null(at);
     at[0] = 'X'; /* the field is missing now */
-    assert_int_equal(call(a, "POST", WP_JOBS, &bad).status, 400);
-    state.doors[0].refuse = true;
-    pump_for(0.4);
-    assert_int_equal(call(a, "POST", WP_JOBS, &bad).status, 503);
-    state.doors[0].refuse = false;
-    pump_for(0.4);
+    assert_int_equal(send_request(a, "POST", WP_JOBS, &bad).status, 400);
+    fake_store.endpoints[0].refuse = true;
+    run_loop_for(0.4);
+    assert_int_equal(send_request(a, "POST", WP_JOBS, &bad).status, 503);
+    fake_store.endpoints[0].refuse = false;
+    run_loop_for(0.4);
     tmx_buffer_free(&bad);
   }
-  assert_int_equal(call(a, "POST", WP_JOBS, &ok).status, 201);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &ok).status, 201);
   tmx_buffer_free(&ok);
   /* a body that is too large for a value, under a name that only another controller knows yet */
   struct tmx_buffer large = {0}, list = {0};
-  submission(&ok, "wk-000001", "batch", 1, 2, "t");
+  encode_submission(&ok, "wk-000001", "batch", 1, 2, "t");
   tmx_cbor_put_map(&large, 18);
   tmx_cbor_put_text(&large, W_TYPES);
   tmx_cbor_put_list(&list, TMX_TYPES_MAX);
@@ -937,10 +945,10 @@
   tmx_buffer_append(&large, list.data, list.length);
   tmx_buffer_append(&large, ok.data + 1, ok.length - 1);
   a->set.value_kb = 0.4;
-  assert_int_equal(call(a, "POST", WP_JOBS, &large).status, 200);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &large).status, 200);
   a->set.value_kb = 16;
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  assert_int_equal(call(a, "POST", WP_JOBS, &large).status, 200);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &large).status, 200);
   tmx_buffer_free(&ok);
   tmx_buffer_free(&large);
   tmx_buffer_free(&list);
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -66,8 +66,8 @@
   tmx_cbor_free(ok);
 }
 
-static void submission(struct tmx_buffer *buffer,
-                       const struct tmx_job_spec *spec) { /* as a user sends it */
+static void encode_submission(struct tmx_buffer *buffer,
+                              const struct tmx_job_spec *spec) { /* as a user sends it */
   tmx_cbor_put_map(buffer, 18);
   tmx_cbor_put_text_field(buffer, W_ID, "wk-1");
   tmx_cbor_put_number_field(buffer, W_GPUS, spec->gpus);
@@ -103,7 +103,7 @@
   strcpy(s.image, "i");
   strcpy(s.types[0], "g8");
   s.n_types = 1;
-  submission(&buffer, &s);
+  encode_submission(&buffer, &s);
   cbor_item_t *map = tmx_cbor_parse(buffer.data, buffer.length);
   assert_non_null(map);
   assert_true(tmx_job_spec_parse(map, &back, id, sizeof id));
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -16,31 +16,31 @@
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  a = controller(0, 1);
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  a = start_controller(0, 1);
   b = NULL;
-  assert_true(pump(fake_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   return 0;
 }
 static int setup_two(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  a = controller(0, 2);
-  assert_true(pump(fake_ready, a));
-  b = controller(1, 2);
-  assert_true(pump(fake_ready, b));
-  pump_for(0.5);
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  a = start_controller(0, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  b = start_controller(1, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, b));
+  run_loop_for(0.5);
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
   a = b = NULL;
-  tmx_http_server_free(w.srv);
-  fake_close();
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 
@@ -49,22 +49,22 @@
   return machine && machine->registered;
 }
 static void report(void) { /* to whichever of the two owns the machine */
-  worker_report(&w, a);
-  if (b && w.status != 200) worker_report(&w, b);
+  fake_worker_send_heartbeat(&w, a);
+  if (b && w.status != 200) fake_worker_send_heartbeat(&w, b);
 }
 static void up(void) {
   for (int i = 0; i < 20 && !(registered(a) && (!b || registered(b))); i++) {
     report();
-    pump_for(0.1);
+    run_loop_for(0.1);
   }
   assert_true(registered(a) && (!b || registered(b)));
 }
 static bool starts(void *arg) { return w.executed_starts >= *(unsigned *)arg; }
-static void wait_starts(unsigned n) { assert_true(pump(starts, &n)); }
+static void wait_starts(unsigned n) { assert_true(run_loop_until(starts, &n)); }
 static void restart(void) {
-  controller_end(a);
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  stop_controller(a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 static bool has_state(void *arg) {
   const char **x = arg;
@@ -73,19 +73,19 @@
 }
 static void wait_state(const char *id, const char *st) {
   const char *x[] = {id, st};
-  assert_true(pump(has_state, x));
+  assert_true(run_loop_until(has_state, x));
 }
 static void all_end(void) { /* whatever runs on the machine */
-  for (size_t i = 0; i < w.n_loads; i++) {
-    if (strcmp(w.loads[i].state, WV_RUNNING)) continue;
-    snprintf(w.loads[i].state, sizeof w.loads[i].state, WV_EXITED);
-    snprintf(w.loads[i].why, sizeof w.loads[i].why, WV_DONE);
+  for (size_t i = 0; i < w.n_tasks; i++) {
+    if (strcmp(w.tasks[i].state, WV_RUNNING)) continue;
+    snprintf(w.tasks[i].state, sizeof w.tasks[i].state, WV_EXITED);
+    snprintf(w.tasks[i].why, sizeof w.tasks[i].why, WV_DONE);
   }
   report();
-  worker_do(&w);
+  fake_worker_execute_commands(&w);
 }
 static void ends(const char *task, uint32_t attempt) {
-  worker_set(&w, task, attempt, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, task, attempt, WV_EXITED, WV_DONE);
   report();
 }
 
@@ -99,7 +99,7 @@
     tmx_cbor_put_text(&types, type);
   }
   struct fake_job job = {.id = id, .team = "t", .tasks = 1, .cpus = 2, .types = &types};
-  submission_of(buffer, &job);
+  encode_submission_of(buffer, &job);
   tmx_buffer_free(&types);
 }
 
@@ -111,8 +111,8 @@
   size_t n = tmx_log_line_split(copy, name, 8);
   tmx_cbor_put_list(&list, n);
   for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, name[i]);
-  submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
-  struct fake_answer r = call(c, "POST", WP_JOBS, &body);
+  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
+  struct fake_answer r = send_request(c, "POST", WP_JOBS, &body);
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
   return r;
@@ -125,7 +125,7 @@
 static void stays_pending(const char *id, double s) {
   unsigned begun = w.executed_starts;
   for (double t = 0; t < s; t += 0.2) {
-    pump_for(0.2);
+    run_loop_for(0.2);
     report();
     assert_string_equal(poll_job(a, id).state, WV_PENDING);
   }
@@ -164,7 +164,7 @@
     snprintf(id, sizeof id, "wk-00000%d", i);
     accepted(id, "wk-000001");
   }
-  assert_int_equal(submit(a, "wk-000009", WV_ARRAY, 3, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000009", WV_ARRAY, 3, 2, "t"), 201);
   wait_starts(4); /* the limit is full with what may run */
   assert_string_equal(poll_job(a, "wk-000009").state, WV_RUNNING);
 }
@@ -205,7 +205,7 @@
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  assert_true(pump(all_stored, a));
+  assert_true(run_loop_until(all_stored, a));
   const struct fake_entry *e = fake_get(TMX_KEY_JOB "wk-000002");
   assert_non_null(e);
   restart();
@@ -225,10 +225,10 @@
   a->rep.n_unstored_outcomes = 0;     /* as if no put were ever to spare for it */
   fake_drop(TMX_KEY_JOB "wk-000002"); /* as if it had come with a batch */
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
   assert_true(a->rep.compaction_point > 0);
   tmx_compaction_set_threshold(a->fold, 1000);
-  pump_for(2);
+  run_loop_for(2);
   restart();
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
 }
@@ -246,10 +246,10 @@
   ends("wk-000001/0", 1);
   wait_starts(2);
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
   assert_true(a->rep.compaction_point > 0);
   tmx_compaction_set_threshold(a->fold, 1000);
-  pump_for(2);
+  run_loop_for(2);
   double released = tmx_job_find(&a->rep, "wk-000002")->released_at;
   restart();
   assert_true(tmx_job_find(&a->rep, "wk-000002")->released_at == released);
@@ -269,19 +269,19 @@
   accepted("wk-000001", "");
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
-  state.doors[0].freeze_watch = true; /* it will not see its own commit */
+  fake_store.endpoints[0].freeze_watch = true; /* it will not see its own commit */
   ends("wk-000001/0", 1);
-  for (int i = 0; i < 200 && !fake_logged("e wk-000001/0 1 d"); i++) pump_for(0.02);
-  assert_true(fake_logged("e wk-000001/0 1 d"));
+  for (int i = 0; i < 200 && !fake_log_contains("e wk-000001/0 1 d"); i++) run_loop_for(0.02);
+  assert_true(fake_log_contains("e wk-000001/0 1 d"));
   assert_int_equal(w.executed_starts, 1);
-  controller_end(a);
-  state.doors[0].freeze_watch = false;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  stop_controller(a);
+  fake_store.endpoints[0].freeze_watch = false;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   for (int i = 0; i < 40 && w.executed_starts < 2; i++) {
     report();
-    worker_do(&w);
-    pump_for(0.2);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.2);
   }
   assert_int_equal(w.executed_starts, 2);
 }
@@ -295,11 +295,11 @@
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  pump_for(0.05);
-  state.doors[0].refuse = true;
+  run_loop_for(0.05);
+  fake_store.endpoints[0].refuse = true;
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
-  pump_for(3);
-  state.doors[0].refuse = false;
+  run_loop_for(3);
+  fake_store.endpoints[0].refuse = false;
   restart();
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
 }
@@ -311,10 +311,10 @@
   accepted("wk-000001", "");
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
-  strcpy(state.doors[0].lose_key, TMX_KEY_JOB "wk-000001");
-  state.doors[0].lose_next_txn = true;
+  strcpy(fake_store.endpoints[0].lose_key, TMX_KEY_JOB "wk-000001");
+  fake_store.endpoints[0].lose_next_txn = true;
   ends("wk-000001/0", 1);
-  for (int i = 0; i < 200 && state.doors[0].lose_next_txn; i++) pump_for(0.005);
+  for (int i = 0; i < 200 && fake_store.endpoints[0].lose_next_txn; i++) run_loop_for(0.005);
   struct fake_answer c = cancel_job(a, "wk-000001");
   for (int i = 0; i < 20 && c.status != 200; i++) c = cancel_job(a, "wk-000001");
   assert_string_equal(c.state, WV_DONE);
@@ -339,7 +339,7 @@
   (void)l;
   (void)t;
   (void)ev;
-  state.doors[0].freeze_watch = false;
+  fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
 }
 
@@ -348,10 +348,10 @@
   (void)st;
   ev_timer thaw;
   up();
-  state.doors[0].freeze_watch = true;
-  assert_int_equal(submit(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
+  fake_store.endpoints[0].freeze_watch = true;
+  assert_int_equal(submit_simple_job(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   ev_timer_init(&thaw, on_thaw, 0.3, 0);
-  ev_timer_start(loop, &thaw);
+  ev_timer_start(test_loop, &thaw);
   assert_int_equal(submit_named(a, "wk-000002", "wk-000001").status, 201);
 }
 
@@ -359,22 +359,22 @@
 static void named_before_it_is_seen(void **st) {
   (void)st;
   up();
-  state.doors[0].freeze_watch = true;
-  assert_int_equal(submit(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
+  fake_store.endpoints[0].freeze_watch = true;
+  assert_int_equal(submit_simple_job(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   assert_int_equal(submit_named(a, "wk-000002", "wk-000001").status, 503); /* never a 422 */
-  state.doors[0].freeze_watch = false;
+  fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
   assert_int_equal(submit_named(a, "wk-000002", "wk-000001").status, 201);
   assert_int_equal(submit_named(a, "wk-000003", "wk-000777").status, 422);
-  state.doors[0].refuse = true;
+  fake_store.endpoints[0].refuse = true;
   int status = submit_named(a, "wk-000004", "wk-000777").status;
   assert_int_equal(status, 503); /* it cannot be told now */
 }
 
 static int submit_list(const struct tmx_buffer *list) {
   struct tmx_buffer body = {0};
-  submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
-  int status = call(a, "POST", WP_JOBS, &body).status;
+  encode_submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
+  int status = send_request(a, "POST", WP_JOBS, &body).status;
   tmx_buffer_free(&body);
   return status;
 }
@@ -384,7 +384,7 @@
   up();
   struct tmx_buffer list = {0};
   accepted("wk-000001", "");
-  assert_int_equal(submit(a, "wk-000002", WV_SERVICE, 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", WV_SERVICE, 1, 2, "t"), 201);
   tmx_cbor_put_text(&list, "wk-000001");
   assert_int_equal(submit_list(&list), 400);
   list.length = 0;
@@ -426,8 +426,8 @@
   up();
   a->set.value_kb = 1;
   a->set.txn_ops = 8;
-  state.value_max = 1024;
-  state.txn_max = 8;
+  fake_store.value_max = 1024;
+  fake_store.txn_max = 8;
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
     char id[TMX_ID_MAX], key[TMX_KEY_MAX];
     struct tmx_job_spec s = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
@@ -439,7 +439,7 @@
     fake_put(key, &job);
     tmx_buffer_free(&job);
   }
-  pump_for(0.5);
+  run_loop_for(0.5);
   struct tmx_buffer list = many_names(FAR_TOO_MANY);
   assert_int_equal(submit_list(&list), 422);
   tmx_buffer_free(&list);
@@ -451,13 +451,13 @@
   const struct tmx_job *j = tmx_job_find(&a->rep, "wk-000009");
   assert_int_equal(j->dependencies.n_unfinished, SOME);
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 3000 && !a->rep.compaction_point; i++) pump_for(0.02);
+  for (int i = 0; i < 3000 && !a->rep.compaction_point; i++) run_loop_for(0.02);
   assert_true(a->rep.compaction_point > 0);
   tmx_compaction_set_threshold(a->fold, 100000);
   restart();
   j = tmx_job_find(&a->rep, "wk-000009");
   assert_int_equal(j->dependencies.n_unfinished, SOME);
-  assert_int_equal(state.too_large, 0);
+  assert_int_equal(fake_store.too_large, 0);
 }
 
 /* The limits fall without notice while work is under way. Everything keeps within the smaller ones
@@ -473,19 +473,19 @@
     accepted(id, before);
     if (i % 3 != 2) strcpy(before, id);
     if (i == 5) {
-      state.value_max = 1024;
-      state.txn_max = 4;
+      fake_store.value_max = 1024;
+      fake_store.txn_max = 4;
     }
   }
   for (int i = 0; i < 400 && tmx_job_find(&a->rep, id)->outcome != TMX_JOB_DONE; i++) {
     all_end();
-    pump_for(0.2);
+    run_loop_for(0.2);
   }
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     wait_state(id, WV_DONE);
   }
-  assert_int_equal(state.too_large, 0);
+  assert_int_equal(fake_store.too_large, 0);
 }
 
 enum { TYPED_JOBS = 4 };
@@ -504,7 +504,7 @@
   char type[TMX_ID_MAX];
   unsigned answered = 0;
   up();
-  struct tmx_http_client *client = to(a);
+  struct tmx_http_client *client = client_of(a);
   for (int i = 1; i <= TYPED_JOBS; i++) { /* so many at once go with a batch */
     struct tmx_buffer body = {0};
     char id[TMX_ID_MAX];
@@ -513,14 +513,14 @@
     assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_accepted, &answered));
     tmx_buffer_free(&body);
   }
-  assert_true(pump(all_accepted, &answered));
+  assert_true(run_loop_until(all_accepted, &answered));
   tmx_http_client_free(client);
   assert_null(fake_get(TMX_KEY_JOB "wk-000001")); /* it has no key of its own to be read from */
   a->set.value_kb = 1;
-  state.value_max = 1024;
+  fake_store.value_max = 1024;
   uint64_t folded = a->rep.compaction_point;
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 100 && a->rep.compaction_point == folded; i++) pump_for(0.2);
+  for (int i = 0; i < 100 && a->rep.compaction_point == folded; i++) run_loop_for(0.2);
   tmx_compaction_set_threshold(a->fold, 1000);
   assert_true(a->rep.compaction_point > folded);
   restart();
@@ -531,7 +531,7 @@
     snprintf(type, sizeof type, "a type with a rather long %02d", i);
     assert_true(tmx_type_allowed(&job->spec, type));
   }
-  assert_int_equal(state.too_large, 0);
+  assert_int_equal(fake_store.too_large, 0);
 }
 
 int main(void) {
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -17,30 +17,30 @@
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  a = controller(0, 1);
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  a = start_controller(0, 1);
   b = NULL;
-  assert_true(pump(fake_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   return 0;
 }
 static int setup_two(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  a = controller(0, 2);
-  assert_true(pump(fake_ready, a));
-  b = controller(1, 2);
-  assert_true(pump(fake_ready, b));
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  a = start_controller(0, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  b = start_controller(1, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, b));
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
   a = b = NULL;
-  tmx_http_server_free(w.srv);
-  fake_close();
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 
@@ -50,11 +50,11 @@
 }
 static bool placed(void *arg) {
   (void)arg;
-  return fake_placed() > 0;
+  return fake_count_placed() > 0;
 }
 static bool none_placed(void *arg) {
   (void)arg;
-  return fake_placed() == 0;
+  return fake_count_placed() == 0;
 }
 static bool running(void *arg) {
   (void)arg;
@@ -62,21 +62,21 @@
 }
 static void up(struct tmx_ctl *c) { /* the worker reports, shows the token, and is registered */
   for (int i = 0; i < 10 && !registered(c); i++) {
-    worker_report(&w, c);
+    fake_worker_send_heartbeat(&w, c);
     assert_int_equal(w.status, 200);
-    pump_for(0.1);
+    run_loop_for(0.1);
   }
-  assert_true(pump(registered, c));
+  assert_true(run_loop_until(registered, c));
 }
 static void up_at_either(void) { /* whichever of the two owns it */
   for (int i = 0; i < 10 && !registered(a); i++) {
-    worker_report(&w, a);
-    if (w.status != 200) worker_report(&w, b);
+    fake_worker_send_heartbeat(&w, a);
+    if (w.status != 200) fake_worker_send_heartbeat(&w, b);
     assert_int_equal(w.status, 200);
-    pump_for(0.1);
+    run_loop_for(0.1);
   }
-  assert_true(pump(registered, a));
-  assert_true(pump(registered, b));
+  assert_true(run_loop_until(registered, a));
+  assert_true(run_loop_until(registered, b));
 }
 static bool final_state(void *arg) {
   struct tmx_job *job = tmx_job_find(&a->rep, arg);
@@ -87,19 +87,19 @@
 static void a_task_from_start_to_end(void **st) {
   (void)st;
   up(a);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
-  assert_true(pump(running, NULL));
-  assert_int_equal(fake_placed(), 1);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_true(run_loop_until(running, NULL));
+  assert_int_equal(fake_count_placed(), 1);
   assert_string_equal(poll_job(a, "wk-000001").state, WV_RUNNING);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  state.doors[0].refuse = true; /* nothing can be committed now */
-  worker_report(&w, a);
-  assert_false(worker_has(&w, WV_FORGET, "wk-000001/0", 1));
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_store.endpoints[0].refuse = true; /* nothing can be committed now */
+  fake_worker_send_heartbeat(&w, a);
+  assert_false(fake_worker_was_commanded(&w, WV_FORGET, "wk-000001/0", 1));
   assert_string_not_equal(poll_job(a, "wk-000001").state, WV_DONE);
-  state.doors[0].refuse = false;
-  assert_true(pump(final_state, "wk-000001"));
-  worker_report(&w, a);
-  assert_true(worker_has(&w, WV_FORGET, "wk-000001/0", 1) || w.n_loads == 0);
+  fake_store.endpoints[0].refuse = false;
+  assert_true(run_loop_until(final_state, "wk-000001"));
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(fake_worker_was_commanded(&w, WV_FORGET, "wk-000001/0", 1) || w.n_tasks == 0);
   assert_string_equal(poll_job(a, "wk-000001").state, WV_DONE);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_DONE);
 }
@@ -108,15 +108,15 @@
 static void no_start_after_forgetting(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(running, NULL));
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(final_state, "wk-000001"));
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(running, NULL));
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(final_state, "wk-000001"));
   for (int i = 0; i < 3; i++) {
-    worker_report(&w, a);
-    assert_false(worker_has(&w, WV_START, "wk-000001/0", 1));
-    worker_do(&w);
+    fake_worker_send_heartbeat(&w, a);
+    assert_false(fake_worker_was_commanded(&w, WV_START, "wk-000001/0", 1));
+    fake_worker_execute_commands(&w);
   }
   assert_int_equal(w.executed_starts, 1);
 }
@@ -128,21 +128,23 @@
   up(a);
   uint64_t before = w.answer_token;
   w.mute = true;
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(placed, NULL));
-  for (int i = 0; i < 100 && !w.commands; i++) pump_for(0.02);
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(placed, NULL));
+  for (int i = 0; i < 100 && !w.commands; i++) run_loop_for(0.02);
   assert_true(w.commands > 0);
-  pump_for(0.1);
+  run_loop_for(0.1);
   /* (the scripted worker's 500 leaves the command unresolved) */
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   uint64_t seen = w.token;
-  worker_report(&w, a); /* a report from before the higher token, without the attempt */
+  fake_worker_send_heartbeat(&w,
+                             a); /* a report from before the higher token, without the attempt */
   assert_true(w.answer_token > before);
-  pump_for(0.5);
-  assert_int_equal(fake_placed(), 1);
+  run_loop_for(0.5);
+  assert_int_equal(fake_count_placed(), 1);
   assert_true(w.token > seen);
-  worker_report(&w, a); /* the token has been seen: the late command would be refused */
-  assert_true(pump(none_placed, NULL));
+  fake_worker_send_heartbeat(&w,
+                             a); /* the token has been seen: the late command would be refused */
+  assert_true(run_loop_until(none_placed, NULL));
 }
 
 /* A probe's answer may overtake the answer to a report that carries a start: it is no proof that
@@ -151,20 +153,20 @@
   (void)st;
   up(a);
   w.mute = true;
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(placed, NULL));
-  for (int i = 0; i < 100 && !w.commands; i++) pump_for(0.02);
-  pump_for(0.1);
-  worker_report(&w, a);
-  assert_true(worker_has(&w, WV_START, "wk-000001/0", 1)); /* not executed yet */
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(placed, NULL));
+  for (int i = 0; i < 100 && !w.commands; i++) run_loop_for(0.02);
+  run_loop_for(0.1);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(fake_worker_was_commanded(&w, WV_START, "wk-000001/0", 1)); /* not executed yet */
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  uint64_t seq = w.seq;
-  for (int i = 0; i < 300 && w.seq < seq + 2; i++) pump_for(0.02);
-  assert_true(w.seq >= seq + 2); /* probes were answered */
-  pump_for(0.4);
-  assert_int_equal(fake_placed(), 1);
-  worker_report(&w, a);
-  assert_true(pump(none_placed, NULL));
+  uint64_t seq = w.sequence;
+  for (int i = 0; i < 300 && w.sequence < seq + 2; i++) run_loop_for(0.02);
+  assert_true(w.sequence >= seq + 2); /* probes were answered */
+  run_loop_for(0.4);
+  assert_int_equal(fake_count_placed(), 1);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(none_placed, NULL));
 }
 
 /* An heir has nothing but the log: it starts what is placed and absent, with a higher token. */
@@ -173,53 +175,54 @@
   up(a);
   uint64_t token = w.token;
   w.mute = true;
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(placed, NULL));
-  controller_end(a);
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(placed, NULL));
+  stop_controller(a);
   w.mute = false;
   w.executed_starts = 0;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
-  worker_report(&w, a);
-  if (w.status == 200) worker_do(&w);
-  assert_true(pump(running, NULL));
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  fake_worker_send_heartbeat(&w, a);
+  if (w.status == 200) fake_worker_execute_commands(&w);
+  assert_true(run_loop_until(running, NULL));
   assert_true(w.token > token);
-  assert_int_equal(fake_placed(), 1);
-  assert_int_equal(w.loads[0].attempt, 1);
+  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(w.tasks[0].attempt, 1);
 }
 
 static void restart(void) {
-  controller_end(a);
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  stop_controller(a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 /* Restarts at the later steps: with a result in the log that was not reaped, with a task running,
  * and with a cancellation whose tasks still run. */
 static void restart_at_later_steps(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "batch", 2, 2, "t");
-  for (int i = 0; i < 200 && w.executed_starts < 2; i++) pump_for(0.02);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  for (int i = 0; i < 200 && fake_placed() > 1; i++) pump_for(0.02);
-  assert_int_equal(fake_placed(), 1);
+  submit_simple_job(a, "wk-000001", "batch", 2, 2, "t");
+  for (int i = 0; i < 200 && w.executed_starts < 2; i++) run_loop_for(0.02);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  for (int i = 0; i < 200 && fake_count_placed() > 1; i++) run_loop_for(0.02);
+  assert_int_equal(fake_count_placed(), 1);
   restart();
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE); /* its reap never came */
-  worker_report(&w, a);
-  assert_true(worker_has(&w, WV_FORGET, "wk-000001/0", 1));
-  assert_false(worker_has(&w, WV_STOP, "wk-000001/1", 1)); /* the running one goes on */
-  worker_do(&w);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE); /* its reap never came */
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(fake_worker_was_commanded(&w, WV_FORGET, "wk-000001/0", 1));
+  assert_false(
+      fake_worker_was_commanded(&w, WV_STOP, "wk-000001/1", 1)); /* the running one goes on */
+  fake_worker_execute_commands(&w);
   assert_int_equal(w.executed_starts, 2);
   w.mute = true;
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   restart();
   w.mute = false;
-  worker_report(&w, a);
-  worker_do(&w);
+  fake_worker_send_heartbeat(&w, a);
+  fake_worker_execute_commands(&w);
   assert_string_equal(poll_job(a, "wk-000001").state, WV_CANCELLED);
-  worker_report(&w, a);
-  assert_true(pump(none_placed, NULL));
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(none_placed, NULL));
   assert_int_equal(w.executed_starts, 2);
 }
 
@@ -229,21 +232,21 @@
   (void)st;
   up(a);
   w.mute = true;
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(placed, NULL));
-  for (int i = 0; i < 100 && !w.commands; i++) pump_for(0.02);
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(placed, NULL));
+  for (int i = 0; i < 100 && !w.commands; i++) run_loop_for(0.02);
   assert_true(w.commands > 0);
-  controller_end(a);
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  stop_controller(a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   uint64_t before = w.token;
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   assert_true(w.token > before); /* the late command would be refused from here on */
-  pump_for(0.5);
-  assert_int_equal(fake_placed(), 1);
-  worker_report(&w, a);
-  assert_true(pump(none_placed, NULL));
+  run_loop_for(0.5);
+  assert_int_equal(fake_count_placed(), 1);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(none_placed, NULL));
 }
 
 /* Two that both take themselves for the leader: every batch was planned on all before it. */
@@ -254,53 +257,53 @@
   up_at_either();
   struct tmx_ctl *old = tmx_store_is_leader(a->link) ? a : b, *other = old == a ? b : a;
   assert_true(tmx_store_is_leader(old->link));
-  state.doors[old == a ? 0 : 1].freeze_watch = true;
+  fake_store.endpoints[old == a ? 0 : 1].freeze_watch = true;
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", other->set.node);
   tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(other->link));
   fake_put(TMX_KEY_LEADER, &value);
   tmx_buffer_free(&value);
-  for (int i = 0; i < 300 && !tmx_store_is_leader(other->link); i++) pump_for(0.02);
+  for (int i = 0; i < 300 && !tmx_store_is_leader(other->link); i++) run_loop_for(0.02);
   assert_true(tmx_store_is_leader(other->link) && tmx_store_is_leader(old->link));
   for (int i = 0; i < 6; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
-    submit(i % 2 ? a : b, id, "batch", 1, 2, "t");
+    submit_simple_job(i % 2 ? a : b, id, "batch", 1, 2, "t");
   }
-  for (int i = 0; i < 300 && fake_placed() < 4; i++) {
-    pump_for(0.02);
-    assert_in_range(fake_placed(), 0, 4);
+  for (int i = 0; i < 300 && fake_count_placed() < 4; i++) {
+    run_loop_for(0.02);
+    assert_in_range(fake_count_placed(), 0, 4);
     if (i == 20) {
-      state.doors[0].freeze_watch = state.doors[1].freeze_watch = false;
+      fake_store.endpoints[0].freeze_watch = fake_store.endpoints[1].freeze_watch = false;
       fake_free_watches();
     }
   }
-  pump_for(0.5);
-  assert_int_equal(fake_placed(), 4);
-  for (size_t i = 0; i < w.n_loads; i++) assert_int_equal(w.loads[i].attempt, 1);
+  run_loop_for(0.5);
+  assert_int_equal(fake_count_placed(), 4);
+  for (size_t i = 0; i < w.n_tasks; i++) assert_int_equal(w.tasks[i].attempt, 1);
 }
 
 /* A worker whose lease lapsed has forgotten its tasks; the attempt is started there again. */
 static void lapsed_lease(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "service", 1, 2, "t");
-  assert_true(pump(running, NULL));
+  submit_simple_job(a, "wk-000001", "service", 1, 2, "t");
+  assert_true(run_loop_until(running, NULL));
   w.session++;
-  w.n_loads = 0;
-  worker_report(&w, a);
-  worker_do(&w);
-  for (int i = 0; i < 100 && w.executed_starts < 2; i++) pump_for(0.02);
+  w.n_tasks = 0;
+  fake_worker_send_heartbeat(&w, a);
+  fake_worker_execute_commands(&w);
+  for (int i = 0; i < 100 && w.executed_starts < 2; i++) run_loop_for(0.02);
   assert_int_equal(w.executed_starts, 2);
   /* a late copy of a report of the earlier session says nothing */
-  uint64_t s = w.session, q = w.seq;
+  uint64_t s = w.session, q = w.sequence;
   w.session = 1;
-  w.seq = 1;
-  w.n_loads = 0;
-  worker_report(&w, a);
+  w.sequence = 1;
+  w.n_tasks = 0;
+  fake_worker_send_heartbeat(&w, a);
   assert_int_not_equal(w.status, 200);
   w.session = s;
-  w.seq = q;
-  assert_int_equal(fake_placed(), 1);
+  w.sequence = q;
+  assert_int_equal(fake_count_placed(), 1);
 }
 
 /* The token of another, newer owner: this controller must not hold the worker. */
@@ -308,7 +311,7 @@
   (void)st;
   up(a);
   w.token += 1ull << 40;
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 421);
 }
 
@@ -316,34 +319,34 @@
 static void quota_from_two_controllers(void **st) {
   (void)st;
   up_at_either();
-  state.doors[1].freeze_watch = true; /* b lags from here on */
+  fake_store.endpoints[1].freeze_watch = true; /* b lags from here on */
   char id[32];
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
-    submit(i % 2 ? a : b, id, "batch", 1, 2, "t");
+    submit_simple_job(i % 2 ? a : b, id, "batch", 1, 2, "t");
   }
-  pump_for(0.3);
-  state.doors[1].freeze_watch = false;
+  run_loop_for(0.3);
+  fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
   for (int i = 0, full = 0; i < 300 && full < 20; i++) {
-    pump_for(0.03);
-    full += fake_placed() == 4;
-    assert_in_range(fake_placed(), 0, 4); /* 4 tasks of 2 CPUs are the limit of 8 */
+    run_loop_for(0.03);
+    full += fake_count_placed() == 4;
+    assert_in_range(fake_count_placed(), 0, 4); /* 4 tasks of 2 CPUs are the limit of 8 */
   }
-  assert_int_equal(fake_placed(), 4);
+  assert_int_equal(fake_count_placed(), 4);
 }
 
 /* A controller whose copy lags gives no older answer, and no 404 for an accepted job. */
 static void polls_on_a_lagging_controller(void **st) {
   (void)st;
-  state.doors[1].freeze_watch = true;
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  fake_store.endpoints[1].freeze_watch = true;
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   struct fake_answer p = poll_job(b, "wk-000001");
   assert_int_equal(p.status, 503);
-  state.doors[1].freeze_watch = false;
+  fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
   assert_int_equal(poll_job(b, "wk-000001").status, 200);
-  state.doors[1].freeze_watch = true;
+  fake_store.endpoints[1].freeze_watch = true;
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   p = poll_job(b, "wk-000001");
   assert_true(p.status == 503 || !strcmp(p.state, WV_CANCELLED));
@@ -356,16 +359,16 @@
 static void withdrawal_during_a_cut(void **st) {
   (void)st;
   up(a);
-  state.doors[0].refuse = true;
-  pump_for(0.2);
-  worker_report(&w, a);
+  fake_store.endpoints[0].refuse = true;
+  run_loop_for(0.2);
+  fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 200); /* fresh enough: running work goes on */
   tmx_clock_advance(a->set.cancel_s - a->set.lease_s - TMX_FRESH_MARGIN_S + 0.1);
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 503);
-  struct fake_answer r = call(a, "GET", WP_READY, NULL);
+  struct fake_answer r = send_request(a, "GET", WP_READY, NULL);
   assert_int_equal(r.status, 503);
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 503);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 503);
 }
 
 /* A zone is cut off from everything: its workers' owner is outside, and no view can be written. The
@@ -374,34 +377,35 @@
 static void lease_kept_for_an_owner_out_of_reach(void **st) {
   (void)st;
   up_at_either();
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(running, NULL));
-  submit(a, "wk-000002", "batch", 1, 2, "t");
-  for (int i = 0; i < 100 && w.executed_starts < 2; i++) pump_for(0.02);
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(running, NULL));
+  submit_simple_job(a, "wk-000002", "batch", 1, 2, "t");
+  for (int i = 0; i < 100 && w.executed_starts < 2; i++) run_loop_for(0.02);
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
-  pump_for(0.3);
+  run_loop_for(0.3);
   bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
   struct tmx_ctl *inside = first ? b : a;
   assert_int_equal(tmx_job_find(&inside->rep, "wk-000002")->outcome, TMX_JOB_CANCELLED);
-  state.doors[0].refuse = state.doors[1].refuse = true;
-  controller_end(first ? a : b);
+  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  stop_controller(first ? a : b);
   if (first)
     a = NULL;
   else
     b = NULL;
-  pump_for(0.3);
-  worker_report(&w, inside);
+  run_loop_for(0.3);
+  fake_worker_send_heartbeat(&w, inside);
   assert_int_equal(w.status, 421); /* the owner may be back in a moment */
   tmx_clock_advance(TMX_STATE_LOST_S);
-  worker_set(&w, "wk-000002/0", 1, WV_RUNNING, NULL); /* it has not heard of the cancellation */
+  fake_worker_set_task(&w, "wk-000002/0", 1, WV_RUNNING,
+                       NULL); /* it has not heard of the cancellation */
   uint64_t token = w.token;
-  worker_report(&w, inside);
+  fake_worker_send_heartbeat(&w, inside);
   assert_int_equal(w.status, 200);
   assert_int_equal(w.answer_token, token);
-  assert_int_equal(w.n_orders, 1);
-  assert_true(worker_has(&w, WV_STOP, "wk-000002/0", 1));
+  assert_int_equal(w.n_commands_received, 1);
+  assert_true(fake_worker_was_commanded(&w, WV_STOP, "wk-000002/0", 1));
   tmx_clock_advance(inside->set.cancel_s - inside->set.lease_s - TMX_FRESH_MARGIN_S);
-  worker_report(&w, inside);
+  fake_worker_send_heartbeat(&w, inside);
   assert_int_equal(w.status, 503);
 }
 
@@ -409,49 +413,50 @@
  * as soon as the log shows it; the user does not wait for the answer. */
 static void lost_answer_to_a_commit(void **st) {
   (void)st;
-  state.doors[0].lose_next_txn = true;
-  strcpy(state.doors[0].lose_key, TMX_KEY_JOB);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 503);
+  fake_store.endpoints[0].lose_next_txn = true;
+  strcpy(fake_store.endpoints[0].lose_key, TMX_KEY_JOB);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 503);
   assert_non_null(fake_get(TMX_KEY_JOB "wk-000001"));
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 200);
-  state.doors[0].lose_next_txn = true;
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 200);
+  fake_store.endpoints[0].lose_next_txn = true;
   assert_int_equal(cancel_job(a, "wk-000001").status, 503);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  state.doors[0].lose_next_txn = state.doors[0].hold = true;
+  fake_store.endpoints[0].lose_next_txn = fake_store.endpoints[0].hold = true;
   double t = tmx_clock_steady();
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 200);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 200);
   assert_true(tmx_clock_steady() - t < TMX_STATE_TIMEOUT_S / 2);
-  pump_for(TMX_STATE_TIMEOUT_S +
-           0.2); /* the commit's own answer is given up on, and changes nothing */
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 200);
+  run_loop_for(TMX_STATE_TIMEOUT_S +
+               0.2); /* the commit's own answer is given up on, and changes nothing */
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 200);
 }
 
 /* A lost answer to a batch: what it placed is found in the log, once. */
 static void lost_answer_to_a_batch(void **st) {
   (void)st;
   up(a);
-  state.doors[0].lose_next_txn = true;
-  strcpy(state.doors[0].lose_key, TMX_KEY_BATCH);
-  submit(a, "wk-000001", "batch", 3, 2, "t");
-  for (int i = 0; i < 200 && w.executed_starts < 3; i++) pump_for(0.02);
+  fake_store.endpoints[0].lose_next_txn = true;
+  strcpy(fake_store.endpoints[0].lose_key, TMX_KEY_BATCH);
+  submit_simple_job(a, "wk-000001", "batch", 3, 2, "t");
+  for (int i = 0; i < 200 && w.executed_starts < 3; i++) run_loop_for(0.02);
   assert_int_equal(w.executed_starts, 3);
-  assert_int_equal(fake_placed(), 3);
-  for (size_t i = 0; i < w.n_loads; i++) assert_int_equal(w.loads[i].attempt, 1);
+  assert_int_equal(fake_count_placed(), 3);
+  for (size_t i = 0; i < w.n_tasks; i++) assert_int_equal(w.tasks[i].attempt, 1);
 }
 
 /* Cancelled: stopped, and nothing of it starts again. */
 static void cancelled_work_is_stopped(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "service", 2, 2, "t");
-  assert_true(pump(running, NULL));
+  submit_simple_job(a, "wk-000001", "service", 2, 2, "t");
+  assert_true(run_loop_until(running, NULL));
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  for (int i = 0; i < 100 && w.n_loads && strcmp(w.loads[0].state, WV_EXITED); i++) pump_for(0.02);
-  assert_string_equal(w.loads[0].state, WV_EXITED);
+  for (int i = 0; i < 100 && w.n_tasks && strcmp(w.tasks[0].state, WV_EXITED); i++)
+    run_loop_for(0.02);
+  assert_string_equal(w.tasks[0].state, WV_EXITED);
   unsigned starts = w.executed_starts;
-  worker_report(&w, a);
-  worker_do(&w);
-  assert_true(pump(none_placed, NULL));
+  fake_worker_send_heartbeat(&w, a);
+  fake_worker_execute_commands(&w);
+  assert_true(run_loop_until(none_placed, NULL));
   assert_int_equal(w.executed_starts, starts);
   assert_string_equal(poll_job(a, "wk-000001").state, WV_CANCELLED);
 }
@@ -460,21 +465,21 @@
 static void silent_machine(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(running, NULL));
-  cloud.refuse_delete = true;
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(running, NULL));
+  fake_cloud.refuse_delete = true;
   w.silent = true;
   tmx_clock_advance(12);
-  pump_for(3.5);
+  run_loop_for(3.5);
   tmx_clock_advance(12);
-  pump_for(1.5);
-  assert_int_equal(fake_placed(), 1);
-  assert_false(fake_logged("x n-000001"));
-  cloud.refuse_delete = false;
+  run_loop_for(1.5);
+  assert_int_equal(fake_count_placed(), 1);
+  assert_false(fake_log_contains("x n-000001"));
+  fake_cloud.refuse_delete = false;
   /* the clock was moved: to this leader the silence is older than its own time */
-  for (int i = 0; i < 800 && !fake_logged("x n-000001"); i++) pump_for(0.02);
-  assert_true(fake_logged("x n-000001"));
-  assert_string_equal(cloud.deleted[0], "n-000001");
+  for (int i = 0; i < 800 && !fake_log_contains("x n-000001"); i++) run_loop_for(0.02);
+  assert_true(fake_log_contains("x n-000001"));
+  assert_string_equal(fake_cloud.deleted[0], "n-000001");
 }
 
 /* A late copy of a report of a machine that was returned meanwhile brings nothing back, also at a
@@ -482,24 +487,24 @@
 static void late_copy_of_a_returned_machine(void **st) {
   (void)st;
   up(a);
-  uint64_t seq = w.seq, token = w.token;
-  cloud.refuse_delete = false;
+  uint64_t seq = w.sequence, token = w.token;
+  fake_cloud.refuse_delete = false;
   w.silent = true;
   tmx_clock_advance(12);
-  for (int i = 0; i < 800 && !fake_logged("x n-000001"); i++) pump_for(0.02);
-  assert_true(fake_logged("x n-000001"));
+  for (int i = 0; i < 800 && !fake_log_contains("x n-000001"); i++) run_loop_for(0.02);
+  assert_true(fake_log_contains("x n-000001"));
   for (int i = 0; i < 2; i++) {
-    w.seq = seq - 1; /* the copy, as it was sent long ago */
+    w.sequence = seq - 1; /* the copy, as it was sent long ago */
     w.token = token;
-    worker_report(&w, a);
+    fake_worker_send_heartbeat(&w, a);
     w.token = token; /* nobody reads the answer */
-    pump_for(0.3);
+    run_loop_for(0.3);
     assert_false(registered(a));
     restart();
   }
-  w.seq = seq - 1;
-  worker_report(&w, a);
-  pump_for(0.3);
+  w.sequence = seq - 1;
+  fake_worker_send_heartbeat(&w, a);
+  run_loop_for(0.3);
   assert_false(registered(a));
 }
 
@@ -508,33 +513,33 @@
 static void heard_and_not_reached(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(running, NULL));
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(running, NULL));
   w.mute = w.silent = true;
-  cloud.refuse_delete = true;
+  fake_cloud.refuse_delete = true;
   uint64_t token = w.token;
   for (int i = 0; i < 14; i++) { /* reports keep coming, their answers are lost */
     w.token = token;
-    worker_report(&w, a);
+    fake_worker_send_heartbeat(&w, a);
     w.token = token;
-    pump_for(0.25);
+    run_loop_for(0.25);
   }
   struct tmx_machine *machine = tmx_machine_find(&a->rep, w.id);
   assert_non_null(machine);
   assert_false(machine->usable);
-  submit(a, "wk-000002", "batch", 1, 2, "t");
-  pump_for(0.4);
-  assert_int_equal(fake_placed(), 1);
+  submit_simple_job(a, "wk-000002", "batch", 1, 2, "t");
+  run_loop_for(0.4);
+  assert_int_equal(fake_count_placed(), 1);
   tmx_clock_advance(a->set.lease_s);
-  cloud.refuse_delete = false;
-  for (int i = 0; i < 800 && !fake_logged("x n-000001"); i++) {
+  fake_cloud.refuse_delete = false;
+  for (int i = 0; i < 800 && !fake_log_contains("x n-000001"); i++) {
     if (i % 20 == 0) {
       w.token = token;
-      worker_report(&w, a);
+      fake_worker_send_heartbeat(&w, a);
     }
-    pump_for(0.02);
+    run_loop_for(0.02);
   }
-  assert_true(fake_logged("x n-000001"));
+  assert_true(fake_log_contains("x n-000001"));
 }
 
 /* A job's last end needs a put more than others. With few puts to spend it waits for them, and does
@@ -542,46 +547,47 @@
 static void last_ends_with_few_puts(void **st) {
   (void)st;
   up(a);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
-  assert_int_equal(submit(a, "wk-000002", "batch", 3, 2, "t"), 201);
-  for (int i = 0; i < 200 && w.executed_starts < 4; i++) pump_for(0.02);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 3, 2, "t"), 201);
+  for (int i = 0; i < 200 && w.executed_starts < 4; i++) run_loop_for(0.02);
   assert_int_equal(w.executed_starts, 4);
   a->set.write_rps = 3;
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000002/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000002/1", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(final_state, "wk-000001"));
-  for (int i = 0; i < 200 && tmx_job_find(&a->rep, "wk-000002")->n_done < 2; i++) pump_for(0.02);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000002/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000002/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(final_state, "wk-000001"));
+  for (int i = 0; i < 200 && tmx_job_find(&a->rep, "wk-000002")->n_done < 2; i++)
+    run_loop_for(0.02);
   assert_int_equal(tmx_job_find(&a->rep, "wk-000002")->n_done, 2);
 }
 
 /* The same submission at two controllers at once, one of them behind: the job is taken once. */
 static void one_name_at_two_controllers(void **st) {
   (void)st;
-  state.doors[1].freeze_watch = true; /* b does not see what a accepts */
-  assert_int_equal(submit(a, "wk-000001", "batch", 2, 2, "t"), 201);
-  assert_int_not_equal(submit(b, "wk-000001", "batch", 1, 2, "t"), 201);
-  state.doors[1].freeze_watch = false;
+  fake_store.endpoints[1].freeze_watch = true; /* b does not see what a accepts */
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 2, 2, "t"), 201);
+  assert_int_not_equal(submit_simple_job(b, "wk-000001", "batch", 1, 2, "t"), 201);
+  fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
-  assert_int_equal(submit(b, "wk-000001", "batch", 1, 2, "t"), 200);
+  assert_int_equal(submit_simple_job(b, "wk-000001", "batch", 1, 2, "t"), 200);
   assert_int_equal(tmx_job_find(&b->rep, "wk-000001")->spec.tasks, 2);
 }
 
 /* A controller whose state is out of reach sends submissions and polls on at once. */
 static void refused_at_once_without_state(void **st) {
   (void)st;
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
-  state.doors[0].refuse = true;
-  pump_for(1.5);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  fake_store.endpoints[0].refuse = true;
+  run_loop_for(1.5);
   double t = tmx_clock_steady();
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 503);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 503);
   assert_int_equal(poll_job(a, "wk-000001").status, 503);
   assert_true(tmx_clock_steady() - t < 0.5);
-  state.doors[0].refuse = false;
-  pump_for(1.0);
+  fake_store.endpoints[0].refuse = false;
+  run_loop_for(1.0);
   assert_int_equal(poll_job(a, "wk-000001").status, 200);
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 201);
 }
 
 struct count {
@@ -599,28 +605,29 @@
 static void polls_under_overload(void **st) {
   (void)st;
   struct count often = {0, 0}, late = {0, 0}, more = {0, 0};
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 201);
   assert_int_equal(poll_job(a, "wk-000001").status, 200);
   char addr[32];
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(a->server));
-  struct tmx_http_client *client = tmx_http_client_new(loop, addr, 300);
+  struct tmx_http_client *client = tmx_http_client_new(test_loop, addr, 300);
   assert_non_null(client);
-  state.doors[0].freeze_watch = true;
-  assert_int_equal(submit(a, "wk-000003", "batch", 1, 2, "t"), 201); /* the copy is behind now */
+  fake_store.endpoints[0].freeze_watch = true;
+  assert_int_equal(submit_simple_job(a, "wk-000003", "batch", 1, 2, "t"),
+                   201); /* the copy is behind now */
   for (int i = 0; i < TMX_USER_QUEUE / 2; i++)
     assert_true(
         tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, counted, &often));
-  pump_for(0.3);
+  run_loop_for(0.3);
   assert_int_equal(often.refused, 0);
   assert_true(tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, counted, &more));
   assert_true(tmx_http_client_call(client, "GET", WP_JOBS "/wk-000002", NULL, 5, counted, &late));
-  pump_for(0.3);
+  run_loop_for(0.3);
   assert_int_equal(more.refused, 1);
   assert_int_equal(late.refused, 0);
-  state.doors[0].freeze_watch = false;
+  fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
-  for (int i = 0; i < 100 && !late.answered; i++) pump_for(0.02);
+  for (int i = 0; i < 100 && !late.answered; i++) run_loop_for(0.02);
   assert_int_equal(late.answered, 1);
   tmx_http_client_free(client);
 }
@@ -638,34 +645,34 @@
 static void folding(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "batch", 3, 2, "t");
-  for (int i = 0; i < 200 && w.executed_starts < 3; i++) pump_for(0.02);
-  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/2", 1, WV_EXITED, WV_ERROR);
-  worker_report(&w, a);
+  submit_simple_job(a, "wk-000001", "batch", 3, 2, "t");
+  for (int i = 0; i < 200 && w.executed_starts < 3; i++) run_loop_for(0.02);
+  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/2", 1, WV_EXITED, WV_ERROR);
+  fake_worker_send_heartbeat(&w, a);
   for (int i = 0; i < 200 && w.executed_starts < 4; i++) {
-    pump_for(0.02);
-    worker_report(&w, a);
-    worker_do(&w);
+    run_loop_for(0.02);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
   }
   assert_int_equal(w.executed_starts, 4);
   tmx_compaction_set_threshold(a->fold, 0);
-  assert_true(pump(folded, NULL));
-  controller_end(a);
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  assert_true(run_loop_until(folded, NULL));
+  stop_controller(a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   struct tmx_job *job = tmx_job_find(&a->rep, "wk-000001");
   assert_int_equal(job->tasks[0].state, TMX_TASK_PLACED);
   assert_int_equal(job->tasks[1].state, TMX_TASK_DONE);
   assert_int_equal(job->tasks[2].attempt, 2);
-  worker_report(&w, a);
-  worker_do(&w);
-  pump_for(0.3);
+  fake_worker_send_heartbeat(&w, a);
+  fake_worker_execute_commands(&w);
+  run_loop_for(0.3);
   assert_int_equal(w.executed_starts, 4);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(final_state, "wk-000001"));
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(final_state, "wk-000001"));
   assert_string_equal(poll_job(a, "wk-000001").state, WV_DONE);
   /* log keys are written over from here on: another start still finds the whole story */
   struct tmx_log_key *key, *kt;
@@ -682,27 +689,29 @@
 static void answers_to_submissions(void **st) {
   (void)st;
   struct tmx_buffer body = {0};
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 200);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 200);
   /* known ids are answered before any validation */
-  assert_int_equal(submit(a, "wk-000001", "nonsense", 1, 2, "t"), 200);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 99, "nobody"), 200);
-  assert_int_equal(submit(a, "wk-000002", "nonsense", 1, 2, "t"), 400);
-  assert_int_equal(submit(a, "job-2", "batch", 1, 2, "t"), 400);
-  assert_int_equal(submit(a, "wk-000002", "batch", 0, 2, "t"), 400);
-  assert_int_equal(submit(a, "wk-000002", "batch", 100001, 2, "t"), 400);
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 2, "nobody"), 422);
-  assert_int_equal(submit(a, "wk-000002", "batch", 1, 9, "t"), 422);   /* over the team's limit */
-  assert_int_equal(submit(a, "wk-000002", "service", 5, 2, "t"), 422); /* all of a service count */
-  assert_int_equal(submit(a, "wk-000002", "batch", 5, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "nonsense", 1, 2, "t"), 200);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 99, "nobody"), 200);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "nonsense", 1, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(a, "job-2", "batch", 1, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 0, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 100001, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "nobody"), 422);
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 9, "t"),
+                   422); /* over the team's limit */
+  assert_int_equal(submit_simple_job(a, "wk-000002", "service", 5, 2, "t"),
+                   422); /* all of a service count */
+  assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 5, 2, "t"), 201);
   tmx_buffer_append(&body, "\xa1\x62", 2);
-  assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 400);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 400);
   tmx_buffer_free(&body);
   tmx_cbor_put_list(&body, 0);
-  assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 400);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 400);
   tmx_buffer_free(&body);
-  assert_int_equal(call(a, "GET", WP_JOBS "/nothing", NULL).status, 404);
-  assert_int_equal(call(a, "GET", "/elsewhere", NULL).status, 404);
+  assert_int_equal(send_request(a, "GET", WP_JOBS "/nothing", NULL).status, 404);
+  assert_int_equal(send_request(a, "GET", "/elsewhere", NULL).status, 404);
   assert_int_equal(cancel_job(a, "wk-777777").status, 404);
 }
 
@@ -719,10 +728,10 @@
   memset(junk, 'x', sizeof junk);
   for (size_t i = 0; i < fill; i += sizeof junk) {
     if (send(fd, junk, sizeof junk, MSG_NOSIGNAL | MSG_DONTWAIT) < 0) break;
-    pump_for(0.001);
+    run_loop_for(0.001);
   }
   for (int i = 0; i < 200; i++) {
-    pump_for(0.01);
+    run_loop_for(0.01);
     if (recv(fd, buf, sizeof buf - 1, MSG_DONTWAIT) > 0) break;
   }
   sscanf(buf, "HTTP/1.1 %d", &status);
@@ -735,7 +744,7 @@
   assert_int_equal(raw("POST /v2/runs HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 2048), 413);
   assert_int_equal(
       raw("POST /v2/runs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n", 131072), 413);
-  assert_int_equal(submit(a, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
 }
 
 /* A leader that has just come takes machines back that the one before was about to return, when
@@ -744,20 +753,20 @@
 static void a_new_leader_takes_machines_back(void **st) {
   (void)st;
   up(a);
-  submit(a, "wk-000001", "batch", 1, 2, "t");
-  assert_true(pump(running, NULL));
+  submit_simple_job(a, "wk-000001", "batch", 1, 2, "t");
+  assert_true(run_loop_until(running, NULL));
   struct tmx_buffer value = {0}, list = {0};
   tmx_cbor_put_text(&list, "d n-000001 1");
   tmx_log_value_encode(&value, NULL, 0, &list, 1);
   fake_put(TMX_KEY_BATCH "hand-9/1", &value);
   tmx_buffer_free(&value);
   tmx_buffer_free(&list);
-  for (int i = 0; i < 100 && !tmx_machine_find(&a->rep, w.id)->draining; i++) pump_for(0.02);
+  for (int i = 0; i < 100 && !tmx_machine_find(&a->rep, w.id)->draining; i++) run_loop_for(0.02);
   assert_true(tmx_machine_find(&a->rep, w.id)->draining);
-  submit(a, "wk-000002", "batch", 3, 2, "t");
-  for (int i = 0; i < 300 && fake_placed() < 4; i++) pump_for(0.02);
-  assert_true(fake_logged("d n-000001 0"));
-  assert_int_equal(fake_placed(), 4);
+  submit_simple_job(a, "wk-000002", "batch", 3, 2, "t");
+  for (int i = 0; i < 300 && fake_count_placed() < 4; i++) run_loop_for(0.02);
+  assert_true(fake_log_contains("d n-000001 0"));
+  assert_int_equal(fake_count_placed(), 4);
 }
 
 /* A controller that stands still again and again finds timeouts where answers lie in its buffers:
@@ -766,12 +775,12 @@
   (void)st;
   up(a);
   for (int i = 0; i < 10; i++) {
-    ev_run(loop, EVRUN_NOWAIT);
+    ev_run(test_loop, EVRUN_NOWAIT);
     usleep((useconds_t)((TMX_PROBE_S + 0.1) * 1e6));
   }
-  pump_for(0.4);
-  assert_int_equal(cloud.deletes, 0);
-  assert_false(fake_logged("x n-000001"));
+  run_loop_for(0.4);
+  assert_int_equal(fake_cloud.deletes, 0);
+  assert_false(fake_log_contains("x n-000001"));
 }
 
 /* A member that was cut off still tells of the machines that it owned before, none of which it
@@ -779,7 +788,7 @@
 static void old_views_give_nothing_up(void **st) {
   (void)st;
   up_at_either();
-  pump_for(1); /* they hear each other */
+  run_loop_for(1); /* they hear each other */
   const char *owner = tmx_machine_owner(&a->rep, w.id);
   struct tmx_ctl *other = !strcmp(owner, a->set.node) ? b : a;
   struct tmx_machine *machine = tmx_machine_find(&other->rep, w.id);
@@ -804,7 +813,7 @@
 static int ask_once(struct tmx_http_client *client) {
   int status = -2;
   assert_true(tmx_http_client_call(client, "GET", "/", NULL, 1, on_status, &status));
-  for (int i = 0; i < 100 && status == -2; i++) pump_for(0.01);
+  for (int i = 0; i < 100 && status == -2; i++) run_loop_for(0.01);
   return status;
 }
 
@@ -812,15 +821,16 @@
  * longest makes room for a newcomer, and none that was just used does. */
 static void idle_connections_make_room(void **st) {
   (void)st;
-  struct tmx_http_server *server = tmx_http_server_new(loop, "127.0.0.1:0", 2, 60, on_any, NULL);
+  struct tmx_http_server *server =
+      tmx_http_server_new(test_loop, "127.0.0.1:0", 2, 60, on_any, NULL);
   char addr[32];
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(server));
   struct tmx_http_client *c[3];
-  for (int i = 0; i < 3; i++) c[i] = tmx_http_client_new(loop, addr, 1);
+  for (int i = 0; i < 3; i++) c[i] = tmx_http_client_new(test_loop, addr, 1);
   assert_int_equal(ask_once(c[0]), 200);
   assert_int_equal(ask_once(c[1]), 200);
   assert_int_not_equal(ask_once(c[2]), 200);
-  pump_for(TMX_IDLE_LEAST_S + 0.1);
+  run_loop_for(TMX_IDLE_LEAST_S + 0.1);
   assert_int_equal(ask_once(c[0]), 200); /* so the other one is the longest unused */
   assert_int_equal(ask_once(c[2]), 200);
   assert_int_equal(ask_once(c[0]), 200);
@@ -838,20 +848,20 @@
   struct tmx_http_client *c[MANY];
   char addr[32], id[32];
   a->set.value_kb = 4;
-  state.value_max = 4096;
+  fake_store.value_max = 4096;
   tmx_compaction_set_threshold(a->fold, 3);
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(a->server));
   for (int i = 0; i < MANY; i++) {
     struct tmx_buffer buffer = {0};
     snprintf(id, sizeof id, "wk-%06d", i);
-    submission(&buffer, id, "batch", 3, 1.0 / 3, "t");
-    c[i] = tmx_http_client_new(loop, addr, 1);
+    encode_submission(&buffer, id, "batch", 3, 1.0 / 3, "t");
+    c[i] = tmx_http_client_new(test_loop, addr, 1);
     status[i] = -2;
     assert_true(tmx_http_client_call(c[i], "POST", WP_JOBS, &buffer, 5, on_status, &status[i]));
     tmx_buffer_free(&buffer);
   }
   for (int i = 0, busy = 1; i < 400 && busy; i++) {
-    pump_for(0.01);
+    run_loop_for(0.01);
     busy = 0;
     for (int k = 0; k < MANY; k++) busy += status[k] == -2;
   }
@@ -859,9 +869,9 @@
     assert_int_equal(status[i], 201);
     tmx_http_client_free(c[i]);
   }
-  for (int i = 0; i < 400 && !fake_get(TMX_KEY_COMPACTION); i++) pump_for(0.02);
+  for (int i = 0; i < 400 && !fake_get(TMX_KEY_COMPACTION); i++) run_loop_for(0.02);
   assert_non_null(fake_get(TMX_KEY_COMPACTION));
-  assert_int_equal(state.too_large, 0);
+  assert_int_equal(fake_store.too_large, 0);
 }
 
 int main(void) {
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -15,17 +15,17 @@
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
+  fake_start();
+  fake_worker_open(&w, "n-000001");
   a = b = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
-  tmx_http_server_free(w.srv);
-  fake_close();
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 
@@ -54,12 +54,12 @@
 static void doubts_beyond_one_record(void **st) {
   (void)st;
   enum { MACHINES = 5000 };
-  a = controller(0, 2);
-  assert_true(pump(fake_ready, a));
-  b = controller(1, 2);
-  assert_true(pump(fake_ready, b));
+  a = start_controller(0, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  b = start_controller(1, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, b));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
-  pump_for(8); /* none of them reports */
+  run_loop_for(8); /* none of them reports */
   struct tmx_machine *machine, *next;
   size_t of_other = 0, heard_of = 0;
   struct tmx_suspicion suspicion;
@@ -77,17 +77,17 @@
 static void gone_thousands_of_machines_ago(void **st) {
   (void)st;
   enum { GONE = 20000 };
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
-  worker_report(&w, a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  fake_worker_send_heartbeat(&w, a);
   uint64_t token = w.token;
   put_lines("x n-%06zu", 1, GONE);
-  pump_for(0.5);
+  run_loop_for(0.5);
   assert_true(tmx_machine_was_removed(&a->rep, "n-000001"));
   w.token = token;
   for (int i = 0; i < 5; i++) {
-    worker_report(&w, a);
-    pump_for(0.2);
+    fake_worker_send_heartbeat(&w, a);
+    run_loop_for(0.2);
   }
   assert_null(tmx_machine_find(&a->rep, "n-000001"));
 }
@@ -97,12 +97,12 @@
   (void)st;
   enum { MACHINES = 9000 };
   struct tmx_buffer body = {0};
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
-  pump_for(1);
+  run_loop_for(1);
   assert_int_equal(HASH_COUNT(a->rep.machines), MACHINES);
-  worker_report(&w, a);
+  fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 200);
   tmx_buffer_free(&body);
 }
@@ -112,25 +112,25 @@
 /* A listing of many pages is read to its end, also when it grows between them. */
 static void listing_of_many_pages(void **st) {
   (void)st;
-  cloud.listed = 6100;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
-  for (int i = 0; i < 100 && cloud.pages < 5; i++) pump_for(0.1);
-  cloud.listed = 6900;
-  for (int i = 0; i < 400 && listed() < 6900; i++) pump_for(0.1);
+  fake_cloud.listed = 6100;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  for (int i = 0; i < 100 && fake_cloud.pages < 5; i++) run_loop_for(0.1);
+  fake_cloud.listed = 6900;
+  for (int i = 0; i < 400 && listed() < 6900; i++) run_loop_for(0.1);
   assert_int_equal(listed(), 6900);
 }
 
 /* A listing that says it goes on and brings the same names is given up, and read anew later. */
 static void listing_that_does_not_go_on(void **st) {
   (void)st;
-  cloud.listed = 2000;
-  cloud.same_page = true;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
-  cloud.pages = 0;
-  pump_for(10);
-  assert_in_range(cloud.pages, 2, 14); /* two a pass, a pass each 2 s */
+  fake_cloud.listed = 2000;
+  fake_cloud.same_page = true;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  fake_cloud.pages = 0;
+  run_loop_for(10);
+  assert_in_range(fake_cloud.pages, 2, 14); /* two a pass, a pass each 2 s */
   assert_int_equal(listed(), 500);
 }
 
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -15,24 +15,24 @@
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
+  fake_start();
+  fake_worker_open(&w, "n-000001");
   a = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  tmx_http_server_free(w.srv);
-  fake_close();
+  if (a) stop_controller(a);
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 static void begin(void) {
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 static void restart(void) {
-  controller_end(a);
+  stop_controller(a);
   begin();
 }
 
@@ -64,12 +64,12 @@
     assert_int_equal(sscanf(line, "%200s %llu %16000s", key, &version, hex), 3);
     size_t n = from_hex(hex, bytes, sizeof bytes);
     struct tmx_buffer buffer = {.data = bytes, .length = n};
-    state.rev = version - 1; /* which the put counts up */
+    fake_store.revision = version - 1; /* which the put counts up */
     fake_put(key, &buffer);
     if (version > last) last = version;
   }
   fclose(f);
-  state.rev = last;
+  fake_store.revision = last;
 }
 
 static void as_production_left_it(const struct tmx_replica *replica) {
@@ -95,12 +95,12 @@
 }
 
 static void machine_as_production_left_it(void) {
-  worker_set(&w, "wk-000002/0", 1, WV_RUNNING, "");
-  worker_set(&w, "wk-000001/0", 1, WV_RUNNING, "");
-  worker_set(&w, "wk-000001/2", 2, WV_RUNNING, "");
-  worker_set(&w, "wk-000006/1", 1, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000002/0", 1, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000001/2", 2, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000006/1", 1, WV_RUNNING, "");
   w.token = 16777216; /* of its first view */
-  w.seq = 30;
+  w.sequence = 30;
 }
 
 static bool job_done(void *arg) {
@@ -115,21 +115,21 @@
   as_production_left_it(&a->rep);
   tmx_compaction_set_threshold(a->fold, 0); /* folded by this version, and read again */
   uint64_t mark = a->rep.compaction_point;
-  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) pump_for(0.02);
+  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) run_loop_for(0.02);
   assert_true(a->rep.compaction_point > mark);
   restart();
   as_production_left_it(&a->rep);
   tmx_compaction_set_threshold(a->fold, 1000);
   machine_as_production_left_it();
   for (int i = 0; i < 5; i++) {
-    worker_report(&w, a);
-    worker_do(&w);
-    pump_for(0.2);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.2);
   }
   assert_int_equal(w.executed_starts, 0); /* what runs is not started once more */
-  worker_set(&w, "wk-000006/1", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(job_done, "wk-000006"));
+  fake_worker_set_task(&w, "wk-000006/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(job_done, "wk-000006"));
   assert_string_equal(poll_job(a, "wk-000003").state, WV_DONE);
   assert_string_equal(poll_job(a, "wk-000004").state, WV_CANCELLED);
   /* and jobs may await those that production accepted */
@@ -137,14 +137,14 @@
   tmx_cbor_put_list(&list, 2);
   tmx_cbor_put_text(&list, "wk-000003");
   tmx_cbor_put_text(&list, "wk-000001");
-  submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
-  assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 201);
-  pump_for(0.5);
+  encode_submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 201);
+  run_loop_for(0.5);
   assert_true(tmx_job_is_blocked(tmx_job_find(&a->rep, "wk-000007")));
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(job_done, "wk-000001"));
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(job_done, "wk-000001"));
   assert_false(tmx_job_is_blocked(tmx_job_find(&a->rep, "wk-000007")));
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
@@ -183,8 +183,8 @@
 }
 
 static void all_as_production_reads(void) {
-  for (size_t i = 0; i < state.n_e; i++) {
-    const struct fake_entry *e = &state.e[i];
+  for (size_t i = 0; i < fake_store.n_entries; i++) {
+    const struct fake_entry *e = &fake_store.entries[i];
     cbor_item_t *value = tmx_cbor_parse(e->value, e->len);
     if (is_under(e->key, TMX_KEY_JOB))
       record_as_production_reads(value);
@@ -205,26 +205,26 @@
   (void)st;
   begin();
   for (int i = 0; i < 5; i++) {
-    worker_report(&w, a);
-    pump_for(0.1);
+    fake_worker_send_heartbeat(&w, a);
+    run_loop_for(0.1);
   }
-  assert_int_equal(submit(a, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
-  assert_int_equal(submit(a, "wk-000002", WV_SERVICE, 1, 1, "t"), 201);
-  assert_int_equal(submit(a, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
-  pump_for(1);
+  assert_int_equal(submit_simple_job(a, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", WV_SERVICE, 1, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
+  run_loop_for(1);
   assert_int_equal(w.executed_starts, 6);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_ERROR);
-  worker_set(&w, "wk-000003/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000003/1", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(job_done, "wk-000003"));
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_ERROR);
+  fake_worker_set_task(&w, "wk-000003/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000003/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(job_done, "wk-000003"));
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
   all_as_production_reads();
   tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) pump_for(0.02);
+  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
   assert_true(a->rep.compaction_point > 0);
-  pump_for(1);
+  run_loop_for(1);
   all_as_production_reads();
 }
 
