--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -21,7 +21,7 @@
                                      const struct tmx_machine_size *present,
                                      const struct tmx_machine_size *largest) {
   struct tmx_rates rates;
-  double expected = fmax(guaranteed(settings, false), settings->op.admission.capacity_cpus);
+  double expected = fmax(guaranteed(settings, false), settings->operators.admission.capacity_cpus);
   double cpus = fmax(present->cpus, expected);
   double gpus = fmax(present->gpus, guaranteed(settings, true));
   double gb_per_cpu = largest->cpus > 0 ? largest->mem_gb / largest->cpus : 0;
@@ -33,7 +33,7 @@
   rates.per_s[TMX_ADMISSION_LOG] = puts * TMX_LINES_SHARE * (double)tmx_value_room(settings);
   rates.per_s[TMX_ADMISSION_PUTS] = puts * TMX_FINALS_SHARE;
   /* memory is not worked off: its share of the bound is that of what may be held */
-  rates.per_s[TMX_ADMISSION_HELD] = held_bytes / settings->op.admission.backlog_s;
+  rates.per_s[TMX_ADMISSION_HELD] = held_bytes / settings->operators.admission.backlog_s;
   return rates;
 }
 
@@ -99,7 +99,7 @@
 
 static struct tmx_ruling judge_team(const struct hearing *h) {
   double used[TMX_TEAMS_MAX];
-  const struct tmx_admission_settings *own = &h->settings->op.admission;
+  const struct tmx_admission_settings *own = &h->settings->operators.admission;
   size_t all = tmx_backlog_accounts(h->backlog), team = (size_t)h->candidate->team;
   for (size_t i = 0; i < h->backlog->n_teams; i++)
     used[i] = seconds_of(h->backlog, h->on_its_way, i, 0, all, h->rates);
@@ -120,8 +120,9 @@
   size_t party = account < listed ? account : listed;
   for (size_t i = 0; i < listed; i++) used[i] = range_seconds(h, i, i + 1, false);
   used[listed] = range_seconds(h, listed, tmx_backlog_accounts(h->backlog), false);
-  struct tmx_division division = {
-      .bound = team_ceiling, .reserve = h->settings->op.admission.reserve, .parties = listed + 1};
+  struct tmx_division division = {.bound = team_ceiling,
+                                  .reserve = h->settings->operators.admission.reserve,
+                                  .parties = listed + 1};
   double ceiling = tmx_share_ceiling(&division, used, party);
   size_t to = party < listed ? party + 1 : tmx_backlog_accounts(h->backlog);
   return rule(TMX_REFUSED_CLASS, range_seconds(h, party, to, true), ceiling);
@@ -134,7 +135,7 @@
   for (size_t i = 0; i < TMX_HASHED_ACCOUNTS; i++)
     used[i] = range_seconds(h, listed + i, listed + i + 1, false);
   struct tmx_division division = {.bound = unlisted_ceiling,
-                                  .reserve = h->settings->op.admission.reserve,
+                                  .reserve = h->settings->operators.admission.reserve,
                                   .parties = TMX_HASHED_ACCOUNTS};
   double ceiling = tmx_share_ceiling(&division, used, account - listed);
   return rule(TMX_REFUSED_CLASS, range_seconds(h, account, account + 1, true), ceiling);
@@ -179,7 +180,7 @@
 }
 
 bool tmx_admission_resolve(struct tmx_settings *settings, char *err, size_t cap) {
-  struct tmx_admission_settings *own = &settings->op.admission;
+  struct tmx_admission_settings *own = &settings->operators.admission;
   bool named[TMX_TEAMS_MAX] = {false};
   double sum = 0;
   for (size_t i = 0; i < own->n_named; i++) {
--- a/src/admission/gate.c
+++ b/src/admission/gate.c
@@ -9,8 +9,8 @@
 #include "controller.h"
 #include "net/log.h"
 
-struct tmx_gate {
-  struct tmx_ctl *controller;
+struct tmx_admission_control {
+  struct tmx_controller *controller;
   struct tmx_backlog backlog;    /* of the replica */
   struct tmx_backlog on_its_way; /* of this controller's commits without an answer */
   struct tmx_statistics *statistics;
@@ -18,72 +18,73 @@
 };
 
 static void on_begin(void *arg, struct tmx_job *job) {
-  struct tmx_ctl *controller = arg;
+  struct tmx_controller *controller = arg;
   if (job->team < 0 || !job->in_account) return;
-  tmx_statistics_start(controller->gate->statistics, (size_t)job->team, (size_t)job->account,
+  tmx_statistics_start(controller->admission->statistics, (size_t)job->team, (size_t)job->account,
                        tmx_clock_wall() - job->released_at);
 }
 
-struct tmx_gate *tmx_gate_new(struct tmx_ctl *controller) {
-  if (!controller->set.op.admission.enabled) return NULL;
-  struct tmx_gate *gate = calloc(1, sizeof *gate);
-  if (!gate) abort();
-  gate->controller = controller;
-  gate->statistics = tmx_statistics_new();
-  gate->reported_at = tmx_clock_steady();
-  tmx_backlog_init(&gate->backlog, &controller->set);
-  tmx_backlog_init(&gate->on_its_way, &controller->set);
-  controller->rep.backlog = &gate->backlog;
-  controller->rep.on_job_started = on_begin;
-  return gate;
+struct tmx_admission_control *tmx_admission_control_new(struct tmx_controller *controller) {
+  if (!controller->settings.operators.admission.enabled) return NULL;
+  struct tmx_admission_control *admission = calloc(1, sizeof *admission);
+  if (!admission) abort();
+  admission->controller = controller;
+  admission->statistics = tmx_statistics_new();
+  admission->reported_at = tmx_clock_steady();
+  tmx_backlog_init(&admission->backlog, &controller->settings);
+  tmx_backlog_init(&admission->on_its_way, &controller->settings);
+  controller->replica.backlog = &admission->backlog;
+  controller->replica.on_job_started = on_begin;
+  return admission;
 }
 
-void tmx_gate_free(struct tmx_gate *gate) {
-  if (!gate) return;
-  tmx_statistics_free(gate->statistics);
-  free(gate);
+void tmx_admission_control_free(struct tmx_admission_control *admission) {
+  if (!admission) return;
+  tmx_statistics_free(admission->statistics);
+  free(admission);
 }
 
 /* ------------------------------------------------------------ rates */
 
-static struct tmx_machine_size present_machines(const struct tmx_ctl *c) {
+static struct tmx_machine_size present_machines(const struct tmx_controller *controller) {
   struct tmx_machine_size sum = {0};
-  for (size_t i = 0; i < c->rep.n_type_counts; i++) {
-    const struct tmx_type_count *count = &c->rep.type_counts[i];
-    const struct tmx_type *type = tmx_cloud_type(c->cloud, count->type);
+  for (size_t i = 0; i < controller->replica.n_type_counts; i++) {
+    const struct tmx_type_count *count = &controller->replica.type_counts[i];
+    const struct tmx_machine_type *type = tmx_cloud_type(controller->cloud, count->type);
     if (!type) continue;
     sum.cpus += count->machines * type->cpus;
     sum.gpus += count->machines * type->gpus;
-    sum.mem_gb += count->machines * type->mem;
+    sum.mem_gb += count->machines * type->mem_gb;
   }
   return sum;
 }
 
-static struct tmx_machine_size largest_machine(const struct tmx_ctl *c) {
+static struct tmx_machine_size largest_machine(const struct tmx_controller *controller) {
   struct tmx_machine_size most = {0};
   size_t n;
-  const struct tmx_type *types = tmx_cloud_types(c->cloud, &n);
+  const struct tmx_machine_type *types = tmx_cloud_types(controller->cloud, &n);
   for (size_t i = 0; i < n; i++) {
     most.cpus = fmax(most.cpus, types[i].cpus);
     most.gpus = fmax(most.gpus, types[i].gpus);
-    most.mem_gb = fmax(most.mem_gb, types[i].mem);
+    most.mem_gb = fmax(most.mem_gb, types[i].mem_gb);
   }
   return most;
 }
 
-static struct tmx_rates rates_now(const struct tmx_gate *gate) {
-  const struct tmx_ctl *c = gate->controller;
-  struct tmx_machine_size present = present_machines(c), largest = largest_machine(c);
-  return tmx_admission_rates(&c->set, &present, &largest);
+static struct tmx_rates rates_now(const struct tmx_admission_control *admission) {
+  const struct tmx_controller *controller = admission->controller;
+  struct tmx_machine_size present = present_machines(controller),
+                          largest = largest_machine(controller);
+  return tmx_admission_rates(&controller->settings, &present, &largest);
 }
 
 /* ------------------------------------------------------------ judgement */
 
-struct tmx_candidate tmx_gate_candidate(const struct tmx_gate *gate,
-                                        const struct tmx_job_spec *spec, int team) {
+struct tmx_candidate tmx_admission_control_candidate(const struct tmx_admission_control *admission,
+                                                     const struct tmx_job_spec *spec, int team) {
   struct tmx_candidate candidate = {.team = team};
-  if (!gate || team < 0) return candidate;
-  candidate.account = tmx_backlog_account(&gate->backlog, spec->class);
+  if (!admission || team < 0) return candidate;
+  candidate.account = tmx_backlog_account(&admission->backlog, spec->class);
   candidate.load = tmx_load_of(spec, spec->tasks);
   return candidate;
 }
@@ -96,43 +97,48 @@
   return false;
 }
 
-struct tmx_ruling tmx_gate_judge(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                                 const struct tmx_job_ids *awaits) {
-  if (!gate || candidate->team < 0) return (struct tmx_ruling){.verdict = TMX_ADMITTED};
-  struct tmx_rates rates = rates_now(gate);
-  candidate->awaits_open = any_open(&gate->controller->rep, awaits);
-  return tmx_admission_judge(&gate->controller->set, &gate->backlog, &gate->on_its_way, &rates,
-                             candidate);
+struct tmx_ruling tmx_admission_control_judge(const struct tmx_admission_control *admission,
+                                              struct tmx_candidate *candidate,
+                                              const struct tmx_job_ids *awaits) {
+  if (!admission || candidate->team < 0) return (struct tmx_ruling){.verdict = TMX_ADMITTED};
+  struct tmx_rates rates = rates_now(admission);
+  candidate->awaits_open = any_open(&admission->controller->replica, awaits);
+  return tmx_admission_judge(&admission->controller->settings, &admission->backlog,
+                             &admission->on_its_way, &rates, candidate);
 }
 
-bool tmx_gate_may_go_alone(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                           const struct tmx_job_ids *awaits) {
-  if (!gate || candidate->team < 0) return true;
-  struct tmx_ruling ruling = tmx_gate_judge(gate, candidate, awaits);
+bool tmx_admission_control_may_commit_alone(const struct tmx_admission_control *admission,
+                                            struct tmx_candidate *candidate,
+                                            const struct tmx_job_ids *awaits) {
+  if (!admission || candidate->team < 0) return true;
+  struct tmx_ruling ruling = tmx_admission_control_judge(admission, candidate, awaits);
   if (ruling.verdict != TMX_ADMITTED) return false;
   if (ruling.backlog_s > TMX_DIRECT_ADMISSION * ruling.ceiling_s) return false;
-  struct tmx_rates rates = rates_now(gate);
-  double bound = gate->controller->set.op.admission.backlog_s;
+  struct tmx_rates rates = rates_now(admission);
+  double bound = admission->controller->settings.operators.admission.backlog_s;
   return tmx_load_seconds(&candidate->load, &rates) <= TMX_DIRECT_LOAD * bound;
 }
 
-static void count_on_its_way(struct tmx_gate *gate, const struct tmx_candidate *candidate,
-                             int sign) {
-  if (!gate || candidate->team < 0) return;
-  struct tmx_account *account = &gate->on_its_way.accounts[candidate->team][candidate->account];
+static void count_on_its_way(struct tmx_admission_control *admission,
+                             const struct tmx_candidate *candidate, int sign) {
+  if (!admission || candidate->team < 0) return;
+  struct tmx_account *account =
+      &admission->on_its_way.accounts[candidate->team][candidate->account];
   tmx_load_add(&account->load, &candidate->load, sign);
   account->jobs += (uint32_t)sign;
 }
 
-void tmx_gate_hold(struct tmx_gate *gate, const struct tmx_candidate *candidate) {
-  count_on_its_way(gate, candidate, 1);
+void tmx_admission_control_hold(struct tmx_admission_control *admission,
+                                const struct tmx_candidate *candidate) {
+  count_on_its_way(admission, candidate, 1);
 }
 
-void tmx_gate_release(struct tmx_gate *gate, const struct tmx_candidate *candidate) {
-  count_on_its_way(gate, candidate, -1);
+void tmx_admission_control_release(struct tmx_admission_control *admission,
+                                   const struct tmx_candidate *candidate) {
+  count_on_its_way(admission, candidate, -1);
 }
 
-int tmx_gate_retry_after(const struct tmx_ruling *ruling) {
+int tmx_admission_control_retry_after(const struct tmx_ruling *ruling) {
   double wait = tmx_admission_retry_s(ruling);
   int spread = (int)ceil(wait * TMX_ADMISSION_SPREAD);
   return (int)wait + tmx_random_below(spread + 1);
@@ -140,10 +146,12 @@
 
 /* ------------------------------------------------------------ what is seen */
 
-void tmx_gate_told(struct tmx_gate *gate, const struct tmx_candidate *candidate,
-                   enum tmx_admission_verdict verdict) {
-  if (!gate || candidate->team < 0) return;
-  tmx_statistics_ruling(gate->statistics, (size_t)candidate->team, candidate->account, verdict);
+void tmx_admission_control_count_answer(struct tmx_admission_control *admission,
+                                        const struct tmx_candidate *candidate,
+                                        enum tmx_admission_verdict verdict) {
+  if (!admission || candidate->team < 0) return;
+  tmx_statistics_ruling(admission->statistics, (size_t)candidate->team, candidate->account,
+                        verdict);
 }
 
 /* By account: how long its oldest job has waited for its first task, s. */
@@ -168,39 +176,40 @@
     snprintf(out, cap, "(other classes, %zu)", account - backlog->n_listed);
 }
 
-static void report_account(const struct tmx_gate *gate, size_t team, size_t i, double oldest_s,
-                           const struct tmx_rates *rates) {
-  const struct tmx_account *account = &gate->backlog.accounts[team][i];
-  struct tmx_account_figures f = tmx_statistics_figures(gate->statistics, team, i);
+static void report_account(const struct tmx_admission_control *admission, size_t team, size_t i,
+                           double oldest_s, const struct tmx_rates *rates) {
+  const struct tmx_account *account = &admission->backlog.accounts[team][i];
+  struct tmx_account_figures f = tmx_statistics_figures(admission->statistics, team, i);
   char name[TMX_NAME_MAX];
   if (!account->jobs && !f.admitted && !f.refused_team && !f.refused_class && !f.starts) return;
-  account_name(&gate->backlog, i, name, sizeof name);
+  account_name(&admission->backlog, i, name, sizeof name);
   tmx_log(TMX_LOG_INFO,
           "admission: %s %s: %u jobs, backlog %.1f s, oldest waits %.0f s; admitted %lu, refused "
           "%lu by team, %lu by class; %lu began, after %.1f s (median), %.1f s (99%%), %.1f s "
           "(most)",
-          gate->controller->set.teams[team].name, name, account->jobs,
+          admission->controller->settings.teams[team].name, name, account->jobs,
           tmx_load_seconds(&account->load, rates), oldest_s, f.admitted, f.refused_team,
           f.refused_class, f.starts, f.start_median_s, f.start_p99_s, f.start_most_s);
 }
 
-void tmx_gate_report(const struct tmx_gate *gate) {
-  if (!gate) return;
+void tmx_admission_control_log_accounts(const struct tmx_admission_control *admission) {
+  if (!admission) return;
   struct oldest *oldest = calloc(1, sizeof *oldest);
   if (!oldest) abort();
-  find_oldest(&gate->controller->rep, oldest);
-  struct tmx_rates rates = rates_now(gate);
+  find_oldest(&admission->controller->replica, oldest);
+  struct tmx_rates rates = rates_now(admission);
   tmx_log(TMX_LOG_INFO, "admission: backlog %.1f s of %.0f s, %.0f CPUs",
-          tmx_total_seconds(&gate->backlog, &rates), gate->controller->set.op.admission.backlog_s,
+          tmx_total_seconds(&admission->backlog, &rates),
+          admission->controller->settings.operators.admission.backlog_s,
           rates.per_s[TMX_ADMISSION_CPU] / TMX_MILLI);
-  for (size_t team = 0; team < gate->backlog.n_teams; team++)
-    for (size_t i = 0; i < tmx_backlog_accounts(&gate->backlog); i++)
-      report_account(gate, team, i, oldest->wait_s[team][i], &rates);
+  for (size_t team = 0; team < admission->backlog.n_teams; team++)
+    for (size_t i = 0; i < tmx_backlog_accounts(&admission->backlog); i++)
+      report_account(admission, team, i, oldest->wait_s[team][i], &rates);
   free(oldest);
 }
 
-void tmx_gate_tick(struct tmx_gate *gate) {
-  if (!gate || tmx_clock_steady() - gate->reported_at < TMX_ADMISSION_LOG_S) return;
-  gate->reported_at = tmx_clock_steady();
-  tmx_gate_report(gate);
+void tmx_admission_control_tick(struct tmx_admission_control *admission) {
+  if (!admission || tmx_clock_steady() - admission->reported_at < TMX_ADMISSION_LOG_S) return;
+  admission->reported_at = tmx_clock_steady();
+  tmx_admission_control_log_accounts(admission);
 }
--- a/src/admission/gate.h
+++ b/src/admission/gate.h
@@ -5,31 +5,36 @@
 #include "admission/admission.h"
 #include "state/depend.h"
 
-struct tmx_ctl;
-struct tmx_gate;
+struct tmx_controller;
+struct tmx_admission_control;
 
 /* NULL: admission is not enabled. Every function below takes NULL for a gate that admits all. */
-struct tmx_gate *tmx_gate_new(struct tmx_ctl *controller);
-void tmx_gate_free(struct tmx_gate *gate);
+struct tmx_admission_control *tmx_admission_control_new(struct tmx_controller *controller);
+void tmx_admission_control_free(struct tmx_admission_control *admission);
 
-struct tmx_candidate tmx_gate_candidate(const struct tmx_gate *gate,
-                                        const struct tmx_job_spec *spec, int team);
+struct tmx_candidate tmx_admission_control_candidate(const struct tmx_admission_control *admission,
+                                                     const struct tmx_job_spec *spec, int team);
 /* Judges on the replica as it stands, and on what this controller is committing. */
-struct tmx_ruling tmx_gate_judge(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                                 const struct tmx_job_ids *awaits);
+struct tmx_ruling tmx_admission_control_judge(const struct tmx_admission_control *admission,
+                                              struct tmx_candidate *candidate,
+                                              const struct tmx_job_ids *awaits);
 /* Is it admitted even if it is committed by itself, without head being rewritten. Near a ceiling
  * two such commits could both take the last room. */
-bool tmx_gate_may_go_alone(const struct tmx_gate *gate, struct tmx_candidate *candidate,
-                           const struct tmx_job_ids *awaits);
+bool tmx_admission_control_may_commit_alone(const struct tmx_admission_control *admission,
+                                            struct tmx_candidate *candidate,
+                                            const struct tmx_job_ids *awaits);
 /* A commit of it is under way; it has been answered. */
-void tmx_gate_hold(struct tmx_gate *gate, const struct tmx_candidate *candidate);
-void tmx_gate_release(struct tmx_gate *gate, const struct tmx_candidate *candidate);
+void tmx_admission_control_hold(struct tmx_admission_control *admission,
+                                const struct tmx_candidate *candidate);
+void tmx_admission_control_release(struct tmx_admission_control *admission,
+                                   const struct tmx_candidate *candidate);
 /* Counts what a user was told. */
-void tmx_gate_told(struct tmx_gate *gate, const struct tmx_candidate *candidate,
-                   enum tmx_admission_verdict verdict);
+void tmx_admission_control_count_answer(struct tmx_admission_control *admission,
+                                        const struct tmx_candidate *candidate,
+                                        enum tmx_admission_verdict verdict);
 /* s, for the answer to a refused submission; with a random part, so that returns come apart. */
-int tmx_gate_retry_after(const struct tmx_ruling *ruling);
-void tmx_gate_tick(struct tmx_gate *gate);
+int tmx_admission_control_retry_after(const struct tmx_ruling *ruling);
+void tmx_admission_control_tick(struct tmx_admission_control *admission);
 /* Writes a line for every account that has work or was asked for since the start. */
-void tmx_gate_report(const struct tmx_gate *gate);
+void tmx_admission_control_log_accounts(const struct tmx_admission_control *admission);
 #endif
--- a/src/admission/turns.c
+++ b/src/admission/turns.c
@@ -5,7 +5,7 @@
 
 void tmx_turns_fill(struct tmx_turns *turns, const struct tmx_backlog *backlog,
                     const struct tmx_settings *settings, double now) {
-  turns->start_s = backlog ? settings->op.admission.start_s : 0;
+  turns->start_s = backlog ? settings->operators.admission.start_s : 0;
   if (!backlog) return;
   size_t accounts = tmx_backlog_accounts(backlog);
   for (size_t team = 0; team < backlog->n_teams; team++)
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -3,59 +3,61 @@
 #define TMX_CLOUD_H
 #include "controller.h"
 
-enum { LS_BOOTING, LS_RUNNING, LS_FAILED };
-struct listed { /* a machine that the cloud lists, or that a rental answer named */
+enum { TMX_INSTANCE_BOOTING, TMX_INSTANCE_RUNNING, TMX_INSTANCE_FAILED };
+struct tmx_instance { /* a machine that the cloud lists, or that a rental answer named */
   char id[TMX_ID_MAX], type[TMX_ID_MAX];
   int zone, state;
   bool spot;
-  double held, at;      /* held_s as of the list read at `at` */
-  double rented_at;     /* by this controller; 0: from a list */
-  double unheard_since; /* up by the list, but no report */
-  unsigned pass;        /* list pass that showed it */
+  double age_s, age_as_of; /* held_s as of the list read at `at` */
+  double rented_at;        /* by this controller; 0: from a list */
+  double unheard_since;    /* up by the list, but no report */
+  unsigned list_pass;      /* list pass that showed it */
   bool deleting;
   UT_hash_handle hh;
 };
-struct blocked { /* a refused type, zone and kind */
+struct offer_backoff { /* a refused type, zone and kind */
   char type[TMX_ID_MAX];
   int zone;
   bool spot;
-  double until, wait;
+  double until, wait_s;
 };
-struct empty { /* since when a machine has had no task, as seen by this leader */
+struct idle_machine { /* since when a machine has had no task, as seen by this leader */
   char id[TMX_ID_MAX];
   double since;
-  unsigned pass;
+  unsigned sweep_pass;
   UT_hash_handle hh;
 };
 
 struct tmx_cloud {
-  struct tmx_ctl *c;
+  struct tmx_controller *controller;
   struct tmx_http_client *http;
-  struct tmx_type types[TMX_TYPES_MAX];
+  struct tmx_machine_type types[TMX_TYPES_MAX];
   size_t n_types;
-  double types_at, list_at, rent_at, sweep_at, tokens, tokens_at, led_since;
-  bool types_busy, list_busy, delete_busy;
-  int hires_busy;
-  unsigned pass;
-  char from[TMX_ID_MAX];
-  struct listed *listed;
-  struct empty *empties;
-  struct blocked blocked[TMX_TYPES_MAX * TMX_ZONES_MAX * 2];
-  size_t n_blocked;
-  uint64_t hire_seq;
-  double booked[TMX_PEAK_S]; /* CPUs booked and asked for, the most in each of the last seconds */
-  int booked_at;             /* second of the latest entry */
-  double demand_since;       /* entries have been made without a gap since */
-  double drain_at, use_at;
-  double cut_until[TMX_ZONES_MAX];    /* zones that seem cut off */
-  double spared_until[TMX_ZONES_MAX]; /* ... and none of it is given up for silence */
+  double types_read_at, list_read_at, scale_out_at, reclaim_at, call_tokens, call_tokens_at,
+      leading_since;
+  bool types_read_in_flight, list_read_in_flight, delete_in_flight;
+  int scale_outs_in_flight;
+  unsigned list_pass;
+  char list_cursor[TMX_ID_MAX];
+  struct tmx_instance *instances;
+  struct idle_machine *idle_machines;
+  struct offer_backoff offer_backoffs[TMX_TYPES_MAX * TMX_ZONES_MAX * 2];
+  size_t n_offer_backoffs;
+  uint64_t next_request_number;
+  double demand_by_second[TMX_PEAK_S]; /* CPUs booked and asked for, the most in each of the last
+                                          seconds */
+  int demand_second;                   /* second of the latest entry */
+  double demand_since;                 /* entries have been made without a gap since */
+  double drain_chosen_at, usage_logged_at;
+  double zone_partitioned_until[TMX_ZONES_MAX]; /* zones that seem cut off */
+  double zone_spared_until[TMX_ZONES_MAX];      /* ... and none of it is given up for silence */
 };
 
 /* The rate of calls is shared by all controllers; the leader makes nearly all of them. */
-bool tmx_cloud_may_call(struct tmx_cloud *k);
-struct listed *tmx_cloud_listed(struct tmx_cloud *k, const char *id);
+bool tmx_cloud_may_call(struct tmx_cloud *cloud);
+struct tmx_instance *tmx_cloud_find_instance(struct tmx_cloud *cloud, const char *id);
 /* src/cloud/returns.c: gives up what is dead, returns what is not needed */
-void tmx_cloud_sweep(struct tmx_cloud *k);
-void tmx_cloud_note_demand(struct tmx_cloud *k, double now);
-void tmx_cloud_log_use(struct tmx_cloud *k, double now);
+void tmx_cloud_reclaim(struct tmx_cloud *cloud);
+void tmx_cloud_record_demand(struct tmx_cloud *cloud, double now);
+void tmx_cloud_log_usage(struct tmx_cloud *cloud, double now);
 #endif
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -64,7 +64,7 @@
   if (!v.as_table().count("enabled")) throw invalid_key{"admission.enabled", "missing"};
 }
 
-void read_all(const toml::value &root, tmx_operator *o) {
+void read_all(const toml::value &root, tmx_operator_settings *o) {
   for (const auto &kv : root.as_table()) {
     if (kv.first == "idle_return_s")
       o->idle_return_s = number(kv.first, kv.second, 10, 86400);
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-extern "C" bool tmx_operator_load(struct tmx_operator *o, const char *path, char *err, size_t cap) {
+extern "C" bool tmx_operator_load(struct tmx_operator_settings *o, const char *path, char *err, size_t cap) {
   try {
     read_all(toml::parse(path), o);
     return true;
--- a/src/controller.h
+++ b/src/controller.h
@@ -18,50 +18,57 @@
 struct tmx_scheduler;
 struct tmx_compaction;
 
-struct tmx_ctl {
+struct tmx_controller {
   struct ev_loop *loop;
-  struct tmx_settings set;
-  struct tmx_replica rep;
-  struct tmx_store *link;
+  struct tmx_settings settings;
+  struct tmx_replica replica;
+  struct tmx_store *store;
   struct tmx_workers *workers;
   struct tmx_users *users;
   struct tmx_cloud *cloud;
   struct tmx_peers *peers;
   struct tmx_http_server *server;
-  struct tmx_scheduler *rounds;
-  struct tmx_compaction *fold;
-  struct tmx_gate *gate; /* NULL: every submission that can run is admitted */
-  ev_timer tick;
+  struct tmx_scheduler *scheduler;
+  struct tmx_compaction *compaction;
+  struct tmx_admission_control *admission; /* NULL: every submission that can run is admitted */
+  ev_timer tick_timer;
   ev_prepare prepare;
-  bool view_busy;
-  double view_at, split_at, started_at;
-  double led_at;           /* this controller has led since */
-  double trouble_at;       /* it was late, without state or without peers, until then */
-  double tick_at, late_at; /* latest tick, and the latest one that came late */
+  bool view_commit_in_flight;
+  double view_committed_at, zones_partitioned_at, started_at;
+  double leading_since; /* this controller has led since */
+  double impaired_at;   /* it was late, without state or without peers, until then */
+  double last_tick_at, last_late_tick_at; /* latest tick, and the latest one that came late */
 };
 
 /* false: err says why */
-struct tmx_ctl *tmx_ctl_new(struct ev_loop *loop, const struct tmx_settings *s, char *err,
-                            size_t cap);
-void tmx_ctl_free(struct tmx_ctl *c);
-int tmx_ctl_self(const struct tmx_ctl *c);        /* member index; -1: none */
-bool tmx_ctl_fresh(const struct tmx_ctl *c);      /* may act for the controllers */
-bool tmx_ctl_may_start(const struct tmx_ctl *c);  /* ... and have tasks begin */
-bool tmx_ctl_cut_off(const struct tmx_ctl *c);    /* from a state service that others reach */
-bool tmx_ctl_no_workers(const struct tmx_ctl *c); /* it reaches hardly any of its own */
-uint64_t tmx_ctl_token(const struct tmx_ctl *c, uint32_t bump);
+struct tmx_controller *tmx_controller_new(struct ev_loop *loop, const struct tmx_settings *settings,
+                                          char *err, size_t cap);
+void tmx_controller_free(struct tmx_controller *controller);
+int tmx_controller_member_index(
+    const struct tmx_controller *controller); /* member index; -1: none */
+bool tmx_controller_may_act(
+    const struct tmx_controller *controller); /* may act for the controllers */
+bool tmx_controller_may_start_tasks(
+    const struct tmx_controller *controller); /* ... and have tasks begin */
+bool tmx_controller_lost_store_alone(
+    const struct tmx_controller *controller); /* from a state service that others reach */
+bool tmx_controller_lost_workers(
+    const struct tmx_controller *controller); /* it reaches hardly any of its own */
+uint64_t tmx_controller_fencing_token(const struct tmx_controller *controller, uint32_t bump);
 /* Takes machines over from owners that they cannot reach. */
-void tmx_ctl_take(struct tmx_ctl *c, const char *const *machines, size_t n);
+void tmx_controller_take_over(struct tmx_controller *controller, const char *const *machines,
+                              size_t n);
 int tmx_retry_after(void);
 int tmx_random_below(int n); /* 0 to n - 1 */
 
 /* src/rounds: rounds of placing, and the batches that they write */
-struct tmx_scheduler *tmx_scheduler_new(struct tmx_ctl *c);
+struct tmx_scheduler *tmx_scheduler_new(struct tmx_controller *controller);
 void tmx_scheduler_free(struct tmx_scheduler *scheduler);
 bool tmx_scheduler_is_planning(
-    const struct tmx_scheduler *scheduler);    /* for the tests: the planner has work */
-void tmx_scheduler_trigger(struct tmx_ctl *c); /* something is worth a round now */
-void tmx_scheduler_trigger_within(struct tmx_ctl *c, double s); /* ... within this time */
+    const struct tmx_scheduler *scheduler); /* for the tests: the planner has work */
+void tmx_scheduler_trigger(struct tmx_controller *controller); /* something is worth a round now */
+void tmx_scheduler_trigger_within(struct tmx_controller *controller,
+                                  double s); /* ... within this time */
 void tmx_scheduler_machine_changed(struct tmx_scheduler *scheduler,
                                    struct tmx_machine *machine); /* it changed */
 void tmx_scheduler_job_changed(struct tmx_scheduler *scheduler, struct tmx_job *job);
@@ -84,20 +91,20 @@
   struct tmx_job_ids dependencies;
   double submitted_at; /* time of day, s */
 };
-enum tmx_submit_result tmx_scheduler_submit(struct tmx_ctl *c,
+enum tmx_submit_result tmx_scheduler_submit(struct tmx_controller *controller,
                                             const struct tmx_submission *submission, double within,
                                             tmx_submission_cb cb, void *arg);
 void tmx_scheduler_flush(struct tmx_scheduler *scheduler); /* after each turn of the loop */
 
 /* src/state: folding of old batches, by the leader */
-struct tmx_compaction *tmx_compaction_new(struct tmx_ctl *c);
+struct tmx_compaction *tmx_compaction_new(struct tmx_controller *controller);
 void tmx_compaction_free(struct tmx_compaction *compaction);
 void tmx_compaction_tick(struct tmx_compaction *compaction);
 void tmx_compaction_set_threshold(struct tmx_compaction *compaction,
                                   size_t keys); /* for the tests: another threshold */
 
 /* src/worker */
-struct tmx_workers *tmx_workers_new(struct tmx_ctl *c);
+struct tmx_workers *tmx_workers_new(struct tmx_controller *controller);
 void tmx_workers_free(struct tmx_workers *workers);
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request);
 void tmx_workers_machine_changed(struct tmx_workers *workers,
@@ -133,7 +140,8 @@
   unsigned owned, reached;
   double report_age_s; /* s since any worker's report came here; 1e9: never */
 };
-double tmx_workers_probe_rate(const struct tmx_ctl *c); /* a second, of one controller */
+double tmx_workers_probe_rate(
+    const struct tmx_controller *controller); /* a second, of one controller */
 struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers);
 /* Signs of life of the machines that this controller owns, by zone. */
 const struct tmx_zone_liveness *tmx_workers_zone_liveness(const struct tmx_workers *workers);
@@ -142,32 +150,37 @@
                                 const struct tmx_machine *machine, struct tmx_suspicion *out);
 
 /* src/user */
-struct tmx_users *tmx_users_new(struct tmx_ctl *c);
-void tmx_users_free(struct tmx_users *u);
-bool tmx_users_handle(struct tmx_users *u,
+struct tmx_users *tmx_users_new(struct tmx_controller *controller);
+void tmx_users_free(struct tmx_users *users);
+bool tmx_users_handle(struct tmx_users *users,
                       struct tmx_http_request *request); /* false: not its path */
 
 /* src/cloud */
-struct tmx_type {
+struct tmx_machine_type {
   char name[TMX_ID_MAX];
-  double cpus, gpus, mem, cache_gb, fetch, price, spot_price, boot_s;
+  double cpus, gpus, mem_gb, cache_gb, fetch_gb_per_s, price, spot_price, boot_s;
   bool zones[TMX_ZONES_MAX];
 };
-struct tmx_cloud *tmx_cloud_new(struct tmx_ctl *c);
-void tmx_cloud_free(struct tmx_cloud *k);
-void tmx_cloud_tick(struct tmx_cloud *k);
-const struct tmx_type *tmx_cloud_types(const struct tmx_cloud *k, size_t *n); /* n 0: not known */
-const struct tmx_type *tmx_cloud_type(const struct tmx_cloud *k, const char *name);
+struct tmx_cloud *tmx_cloud_new(struct tmx_controller *controller);
+void tmx_cloud_free(struct tmx_cloud *cloud);
+void tmx_cloud_tick(struct tmx_cloud *cloud);
+const struct tmx_machine_type *tmx_cloud_types(const struct tmx_cloud *cloud,
+                                               size_t *n); /* n 0: not known */
+const struct tmx_machine_type *tmx_cloud_type(const struct tmx_cloud *cloud, const char *name);
 
 /* src/peer */
-struct tmx_peers *tmx_peers_new(struct tmx_ctl *c);
-void tmx_peers_free(struct tmx_peers *p);
-void tmx_peers_tick(struct tmx_peers *p);
-double tmx_peers_silence(const struct tmx_peers *p, const char *node); /* s; 1e9: never heard */
-bool tmx_peers_refused(const struct tmx_peers *p, const char *node);   /* seems down */
-bool tmx_peers_any(const struct tmx_peers *p);                         /* is any heard */
-double tmx_peers_state_age(const struct tmx_peers *p); /* s: the freshest state among those heard */
-bool tmx_peers_cut(const struct tmx_peers *p, const char *node); /* it says it reaches no workers */
+struct tmx_peers *tmx_peers_new(struct tmx_controller *controller);
+void tmx_peers_free(struct tmx_peers *peers);
+void tmx_peers_tick(struct tmx_peers *peers);
+double tmx_peers_silence(const struct tmx_peers *peers, const char *node); /* s; 1e9: never heard */
+bool tmx_peers_refuses_connections(const struct tmx_peers *peers,
+                                   const char *node);    /* seems down */
+bool tmx_peers_any_alive(const struct tmx_peers *peers); /* is any heard */
+double tmx_peers_store_age(
+    const struct tmx_peers *peers); /* s: the freshest state among those heard */
+bool tmx_peers_reports_no_workers(const struct tmx_peers *peers,
+                                  const char *node); /* it says it reaches no workers */
 /* What it says of its machines by zone; NULL: nothing that counts by the view that stands. */
-const struct tmx_zone_liveness *tmx_peers_zones(const struct tmx_peers *p, const char *node);
+const struct tmx_zone_liveness *tmx_peers_zone_liveness(const struct tmx_peers *peers,
+                                                        const char *node);
 #endif
--- a/src/core/capacity.h
+++ b/src/core/capacity.h
@@ -10,23 +10,24 @@
   double run_s; /* expected of a task */
 };
 struct tmx_offer { /* one type, zone and kind that may be rented now */
-  const struct tmx_type *type;
+  const struct tmx_machine_type *type;
   int zone;
   bool spot;
   double price;
 };
 struct tmx_coming { /* room of a machine that is up, or rented and on its way */
-  const struct tmx_type *type;
+  const struct tmx_machine_type *type;
   int zone;
   bool spot;
   double cpus, gpus, mem;
 };
-struct tmx_hire {
+struct tmx_scale_out {
   int offer;
   uint32_t count;
 };
 /* Returns the number of hires written to out. have_cpus: room of the machines that are up. */
-size_t tmx_capacity(const struct tmx_demand *d, size_t n_d, const struct tmx_offer *o, size_t n_o,
-                    const struct tmx_coming *c, size_t n_c, double have_cpus, struct tmx_hire *out,
-                    size_t max);
+size_t tmx_plan_scale_out(const struct tmx_demand *demands, size_t n_d,
+                          const struct tmx_offer *offers, size_t n_o,
+                          const struct tmx_coming *coming, size_t n_c, double have_cpus,
+                          struct tmx_scale_out *out, size_t max);
 #endif
--- a/src/core/fit.c
+++ b/src/core/fit.c
@@ -99,7 +99,7 @@
 
 bool tmx_fit_within_quota(const struct round *round, const struct planner_job *job) {
   if (job->record.team < 0) return false;
-  const struct tmx_team_conf *team = &round->input->teams[job->record.team];
+  const struct tmx_team_settings *team = &round->input->teams[job->record.team];
   const struct tmx_usage *usage = &round->usage[job->record.team];
   if (team->cpus_max > 0 &&
       usage->cpus + job->record.spec->cpus > team->cpus_max + RESOURCE_EPSILON)
@@ -130,7 +130,7 @@
   if (!job->guaranteed || other->record.team == job->record.team || other->record.team < 0 ||
       other->record.spec->service)
     return false;
-  const struct tmx_team_conf *team = &round->input->teams[other->record.team];
+  const struct tmx_team_settings *team = &round->input->teams[other->record.team];
   return round->usage[other->record.team].cpus - other->record.spec->cpus >=
              team->cpus - RESOURCE_EPSILON &&
          round->usage[other->record.team].gpus - other->record.spec->gpus >=
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -132,7 +132,7 @@
     job->order = scheduling_order(input, &job->record);
     job->guaranteed = false;
     if (job->record.team < 0) continue;
-    const struct tmx_team_conf *team = &input->teams[job->record.team];
+    const struct tmx_team_settings *team = &input->teams[job->record.team];
     struct tmx_usage *usage = &asked[job->record.team];
     uint32_t left = spec->tasks - job->record.n_done;
     usage->cpus += left * spec->cpus;
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -67,7 +67,7 @@
   size_t n_zones;
   double own_planner_grace_s; /* s: a job's own controller goes first this long */
   struct tmx_usage usage[TMX_TEAMS_MAX];
-  struct tmx_team_conf teams[TMX_TEAMS_MAX];
+  struct tmx_team_settings teams[TMX_TEAMS_MAX];
   size_t n_teams, max_operations;
   size_t max_visits; /* machines and tasks looked at */
   struct tmx_turns turns;
--- a/src/main.c
+++ b/src/main.c
@@ -12,16 +12,16 @@
 static void on_report_signal(struct ev_loop *loop, ev_signal *watcher, int events) {
   (void)loop;
   (void)events;
-  const struct tmx_ctl *c = watcher->data;
-  tmx_gate_report(c->gate);
+  const struct tmx_controller *controller = watcher->data;
+  tmx_admission_control_log_accounts(controller->admission);
 }
 
 /* SIGUSR1 writes the accounts of admission to the log. */
-static void report_on_signal(struct ev_loop *loop, struct tmx_ctl *c) {
+static void report_on_signal(struct ev_loop *loop, struct tmx_controller *controller) {
   static ev_signal watcher;
-  if (!c->gate) return;
+  if (!controller->admission) return;
   ev_signal_init(&watcher, on_report_signal, SIGUSR1);
-  watcher.data = c;
+  watcher.data = controller;
   ev_signal_start(loop, &watcher);
 }
 
@@ -55,29 +55,30 @@
     fprintf(stderr, "tallymux: --config: missing (see --help)\n");
     return EXIT_SETTINGS;
   }
-  static struct tmx_settings set;
+  static struct tmx_settings settings;
   char err[1024];
-  if (!tmx_settings_load(&set, conf, err, sizeof err) ||
-      (op && !tmx_operator_load(&set.op, op, err, sizeof err)) ||
-      !tmx_admission_resolve(&set, err, sizeof err)) {
+  if (!tmx_settings_load(&settings, conf, err, sizeof err) ||
+      (op && !tmx_operator_load(&settings.operators, op, err, sizeof err)) ||
+      !tmx_admission_resolve(&settings, err, sizeof err)) {
     fprintf(stderr, "tallymux: %s\n", err);
     return EXIT_SETTINGS;
   }
   poptFreeContext(pc);
   if (check) {
-    printf("settings of %s are valid\n", set.node);
+    printf("settings of %s are valid\n", settings.node_name);
     return 0;
   }
   signal(SIGPIPE, SIG_IGN);
-  tmx_log_init(set.node);
+  tmx_log_init(settings.node_name);
   struct ev_loop *loop = ev_default_loop(EVFLAG_NOSIGMASK);
-  struct tmx_ctl *c = loop ? tmx_ctl_new(loop, &set, err, sizeof err) : NULL;
-  if (!c) {
+  struct tmx_controller *controller =
+      loop ? tmx_controller_new(loop, &settings, err, sizeof err) : NULL;
+  if (!controller) {
     fprintf(stderr, "tallymux: %s\n", loop ? err : "no event loop");
     return EXIT_SETTINGS;
   }
-  report_on_signal(loop, c);
-  tmx_log(TMX_LOG_INFO, "tallymux %s serves %s", TMX_VERSION, set.listen);
+  report_on_signal(loop, controller);
+  tmx_log(TMX_LOG_INFO, "tallymux %s serves %s", TMX_VERSION, settings.listen);
   ev_run(loop, 0);
   return 0;
 }
--- a/src/peer/beat.x
+++ b/src/peer/beat.x
@@ -4,7 +4,7 @@
 const TMX_BEAT_MACHINES = 2048;
 const TMX_BEAT_ZONES = 16;
 
-struct tmx_beat_suspect {    /* a machine of the sender's with which something is wrong */
+struct tmx_heartbeat_suspicion {    /* a machine of the sender's with which something is wrong */
   string id<TMX_BEAT_NAME>;
   unsigned int silence_ms;   /* since its last sign of life, at the sender */
   unsigned int lost;         /* probes in a row */
@@ -12,19 +12,19 @@
   bool notice;               /* the cloud is about to take it */
 };
 
-struct tmx_beat_zone {       /* signs of life from the sender's machines in one zone */
+struct tmx_heartbeat_zone {       /* signs of life from the sender's machines in one zone */
   string name<TMX_BEAT_NAME>;
   unsigned int machines;
   unsigned int lost;
   unsigned int alive;
 };
 
-struct tmx_beat {
+struct tmx_heartbeat {
   string node<TMX_BEAT_NAME>;
   unsigned hyper revision;   /* of the sender's replica */
   unsigned hyper term;       /* of the view by which it owns its machines */
   unsigned int state_age_ms; /* since state was last confirmed */
   bool no_workers;           /* the sender reaches hardly any of its machines */
-  tmx_beat_suspect suspects<TMX_BEAT_MACHINES>;
-  tmx_beat_zone zones<TMX_BEAT_ZONES>;
+  tmx_heartbeat_suspicion suspects<TMX_BEAT_MACHINES>;
+  tmx_heartbeat_zone zones<TMX_BEAT_ZONES>;
 };
--- a/src/rounds/feed.c
+++ b/src/rounds/feed.c
@@ -12,43 +12,46 @@
   return isfinite(job->urgency.due_at) ? fmax(job->urgency.due_at - job->released_at, 0) : -1;
 }
 
-static bool is_finish_aim(const struct tmx_objective *o, const struct tmx_job_spec *spec) {
-  return !strcmp(o->class_name, spec->class) && !strcmp(o->kind, "finished");
+static bool is_finish_aim(const struct tmx_objective *objective, const struct tmx_job_spec *spec) {
+  return !strcmp(objective->class_name, spec->class) && !strcmp(objective->kind, "finished");
 }
 
 /* When a job should be done, at the latest: its class's last aim, or its deadline. */
-static double last_aim(const struct tmx_ctl *c, const struct tmx_job *job) {
+static double last_aim(const struct tmx_controller *controller, const struct tmx_job *job) {
   double last = 0;
-  for (size_t i = 0; i < c->set.n_objectives; i++)
-    if (is_finish_aim(&c->set.objectives[i], &job->spec))
-      last = fmax(last, c->set.objectives[i].within_s);
+  for (size_t i = 0; i < controller->settings.n_objectives; i++)
+    if (is_finish_aim(&controller->settings.objectives[i], &job->spec))
+      last = fmax(last, controller->settings.objectives[i].within_s);
   last = fmax(last, aim_due_in(job));
   return last > 0 ? last : TMX_NO_AIM_S;
 }
 
 /* The first of those that is still ahead, s after the release. */
-static double next_aim(const struct tmx_ctl *c, const struct tmx_job *job, double waited) {
-  double next = last_aim(c, job), due = aim_due_in(job);
-  for (size_t i = 0; i < c->set.n_objectives; i++) {
-    double within = c->set.objectives[i].within_s;
-    if (is_finish_aim(&c->set.objectives[i], &job->spec) && within > waited)
+static double next_aim(const struct tmx_controller *controller, const struct tmx_job *job,
+                       double waited) {
+  double next = last_aim(controller, job), due = aim_due_in(job);
+  for (size_t i = 0; i < controller->settings.n_objectives; i++) {
+    double within = controller->settings.objectives[i].within_s;
+    if (is_finish_aim(&controller->settings.objectives[i], &job->spec) && within > waited)
       next = fmin(next, within);
   }
   return due > waited ? fmin(next, due) : next;
 }
 
 /* How long a start may take: the class's own aim, or a plain wait. */
-static double patience_of(const struct tmx_ctl *c, const struct tmx_job_spec *spec) {
-  for (size_t i = 0; i < c->set.n_objectives; i++)
-    if (!strcmp(c->set.objectives[i].class_name, spec->class) &&
-        !strcmp(c->set.objectives[i].kind, "wait") && c->set.objectives[i].within_s > 0)
-      return c->set.objectives[i].within_s;
+static double patience_of(const struct tmx_controller *controller,
+                          const struct tmx_job_spec *spec) {
+  for (size_t i = 0; i < controller->settings.n_objectives; i++)
+    if (!strcmp(controller->settings.objectives[i].class_name, spec->class) &&
+        !strcmp(controller->settings.objectives[i].kind, "wait") &&
+        controller->settings.objectives[i].within_s > 0)
+      return controller->settings.objectives[i].within_s;
   return TMX_PATIENCE_S;
 }
 
 static void describe_machine(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
-  struct tmx_ctl *c = scheduler->controller;
-  const struct tmx_type *ty = tmx_cloud_type(c->cloud, machine->type);
+  struct tmx_controller *controller = scheduler->controller;
+  const struct tmx_machine_type *type = tmx_cloud_type(controller->cloud, machine->type);
   machine->planner_update_due = false;
   if (!machine->registered) return;
   struct tmx_plan_machine *record = tmx_planner_delta_machine(&scheduler->delta);
@@ -60,13 +63,13 @@
   record->draining = machine->draining;
   record->owner = machine->owner;
   record->usable =
-      ty && machine->usable &&
+      type && machine->usable &&
       !(machine->consecutive_errors >= TMX_SICK_ERRORS && machine->errors_of_several_jobs);
-  if (ty) {
-    machine->size_cpus = record->cpus = ty->cpus;
-    machine->size_gpus = record->gpus = ty->gpus;
-    machine->size_mem_gb = record->mem_gb = ty->mem;
-    record->fetch_gb_per_s = ty->fetch;
+  if (type) {
+    machine->size_cpus = record->cpus = type->cpus;
+    machine->size_gpus = record->gpus = type->gpus;
+    machine->size_mem_gb = record->mem_gb = type->mem_gb;
+    record->fetch_gb_per_s = type->fetch_gb_per_s;
   }
   record->booked_cpus = machine->booked_cpus;
   record->booked_gpus = machine->booked_gpus;
@@ -95,7 +98,7 @@
 }
 
 static void describe_job(struct tmx_scheduler *scheduler, struct tmx_job *job) {
-  struct tmx_ctl *c = scheduler->controller;
+  struct tmx_controller *controller = scheduler->controller;
   job->planner_update_due = false;
   bool open = !job->outcome && job->tasks && !tmx_job_is_blocked(job);
   if (!open && !job->n_placed && !job->known_to_planner) return;
@@ -106,20 +109,21 @@
     record->spec = malloc(sizeof *record->spec);
     if (!record->spec) abort();
     *record->spec = job->spec;
-    record->spec->fetch_tolerance_s = patience_of(c, &job->spec);
+    record->spec->fetch_tolerance_s = patience_of(controller, &job->spec);
     job->known_to_planner = true;
   }
-  record->zone = job->spec.zone[0] ? tmx_zone_index(&c->set, job->spec.zone) : -1;
+  record->zone = job->spec.zone[0] ? tmx_zone_index(&controller->settings, job->spec.zone) : -1;
   record->team = job->team;
   record->account = job->account;
-  record->planner = tmx_job_planner_index(&c->rep, job->id);
+  record->planner = tmx_job_planner_index(&controller->replica, job->id);
   record->priority = job->urgency.priority;
   record->released_at = job->released_at;
   record->unplaced_since = job->unplaced_since;
   record->retry_at = job->retry_at;
-  record->target_s = last_aim(c, job);
-  record->next_target_s = next_aim(c, job, tmx_clock_wall() - job->released_at);
-  record->run_s = fmax(tmx_run_estimate_expected(&c->rep, &job->spec), job->longest_run_s);
+  record->target_s = last_aim(controller, job);
+  record->next_target_s = next_aim(controller, job, tmx_clock_wall() - job->released_at);
+  record->run_s =
+      fmax(tmx_run_estimate_expected(&controller->replica, &job->spec), job->longest_run_s);
   record->n_done = job->n_done;
   record->n_placed = job->n_placed;
   record->open = open;
@@ -140,31 +144,32 @@
     record->waiting[record->n_waiting++] = (struct tmx_plan_waiting_task){k, task->attempt + 1};
   }
   double wait = job->retry_at - tmx_clock_steady();
-  if (record->n_waiting && wait > 0) tmx_scheduler_trigger_within(c, wait + 0.05);
+  if (record->n_waiting && wait > 0) tmx_scheduler_trigger_within(controller, wait + 0.05);
 }
 
 /* Fills the feed and the round from what is dirty. The ends that reports prove count as room: they
  * stand in the batch before whatever is placed into it, so their machines stay dirty. */
 void tmx_scheduler_collect_delta(struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
-  struct tmx_ctl *c = scheduler->controller;
-  struct tmx_replica *replica = &c->rep;
+  struct tmx_controller *controller = scheduler->controller;
+  struct tmx_replica *replica = &controller->replica;
   memset(input, 0, sizeof *input);
   input->now_steady = tmx_clock_steady();
   input->now_wall = tmx_clock_wall();
-  input->self_member = tmx_ctl_self(c);
-  input->leading = tmx_store_is_leader(c->link);
-  input->n_zones = c->set.n_zones;
+  input->self_member = tmx_controller_member_index(controller);
+  input->leading = tmx_store_is_leader(controller->store);
+  input->n_zones = controller->settings.n_zones;
   input->own_planner_grace_s = TMX_LEADER_GRACE_S;
-  if (!tmx_store_is_write_load_low(c->link))
-    input->own_planner_grace_s += tmx_commit_slot_length(c) * (double)(replica->view.n_members + 1);
-  tmx_turns_fill(&input->turns, replica->backlog, &c->set, input->now_steady);
-  input->n_teams = c->set.n_teams;
-  memcpy(input->teams, c->set.teams, sizeof input->teams);
+  if (!tmx_store_is_write_load_low(controller->store))
+    input->own_planner_grace_s +=
+        tmx_commit_slot_length(controller) * (double)(replica->view.n_members + 1);
+  tmx_turns_fill(&input->turns, replica->backlog, &controller->settings, input->now_steady);
+  input->n_teams = controller->settings.n_teams;
+  memcpy(input->teams, controller->settings.teams, sizeof input->teams);
   memcpy(input->usage, replica->team_usage, sizeof input->usage);
-  double room = (double)tmx_value_room(&c->set) * (c->set.txn_ops - 1);
-  input->max_visits =
-      (size_t)fmax(fmin(c->set.core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S, TMX_PLAN_VISITS),
-                   TMX_PLAN_VISITS_LEAST);
+  double room = (double)tmx_value_room(&controller->settings) * (controller->settings.txn_ops - 1);
+  input->max_visits = (size_t)fmax(
+      fmin(controller->settings.core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S, TMX_PLAN_VISITS),
+      TMX_PLAN_VISITS_LEAST);
   input->max_operations =
       (size_t)(fmin(room, TMX_TXN_BYTES) /
                (replica->dependencies_in_use ? TMX_ITEM_TYPICAL : TMX_LINE_TYPICAL));
--- a/src/rounds/internal.h
+++ b/src/rounds/internal.h
@@ -39,7 +39,7 @@
 };
 
 struct tmx_scheduler {
-  struct tmx_ctl *controller;
+  struct tmx_controller *controller;
   ev_timer timer;
   enum tmx_scheduler_phase phase;
   bool batch_in_flight; /* a batch is under way */
@@ -77,7 +77,7 @@
 struct tmx_task *tmx_operation_task(const struct tmx_replica *replica,
                                     const struct tmx_operation *operation);
 /* Of the time of day, for one batch: s. */
-double tmx_commit_slot_length(const struct tmx_ctl *c);
+double tmx_commit_slot_length(const struct tmx_controller *controller);
 /* Does the replica hold the latest revision that a commit told of: the next step needs it. */
 bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler);
 /* Gives up what was planned; the next round begins anew. */
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -45,13 +45,15 @@
   ev_timer_set(&scheduler->timer, after > 0.0005 ? after : 0.0005, 0);
   ev_timer_start(scheduler->controller->loop, &scheduler->timer);
 }
-void tmx_scheduler_trigger_within(struct tmx_ctl *c, double s) {
-  struct tmx_scheduler *scheduler = c->rounds;
+void tmx_scheduler_trigger_within(struct tmx_controller *controller, double s) {
+  struct tmx_scheduler *scheduler = controller->scheduler;
   if (!scheduler) return;
   double spaced = scheduler->round_started_at + TMX_ROUND_SPACING_S - tmx_clock_steady();
   start_round_timer(scheduler, s > spaced ? s : spaced);
 }
-void tmx_scheduler_trigger(struct tmx_ctl *c) { tmx_scheduler_trigger_within(c, 0); }
+void tmx_scheduler_trigger(struct tmx_controller *controller) {
+  tmx_scheduler_trigger_within(controller, 0);
+}
 
 /* ------------------------------------------------------------ what changed */
 
@@ -106,13 +108,13 @@
 }
 
 /* Of the time of day, for one batch. */
-double tmx_commit_slot_length(const struct tmx_ctl *c) {
-  return TMX_TURN_PUTS / (c->set.write_rps * TMX_WRITE_SHARE);
+double tmx_commit_slot_length(const struct tmx_controller *controller) {
+  return TMX_TURN_PUTS / (controller->settings.write_rps * TMX_WRITE_SHARE);
 }
 
 /* The next step needs the replica to hold the latest revision that a commit told of. */
 bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler) {
-  return scheduler->awaited_revision <= scheduler->controller->rep.revision ||
+  return scheduler->awaited_revision <= scheduler->controller->replica.revision ||
          tmx_clock_steady() - scheduler->awaited_revision_since > TMX_STATE_TIMEOUT_S;
 }
 
@@ -126,13 +128,13 @@
  * puts for nothing, so while puts are short each member keeps to its turn of the time of day; the
  * leader has two. A batch that is late finds out by its condition: nothing depends on clocks. */
 static double next_commit_slot(struct tmx_scheduler *scheduler) {
-  struct tmx_ctl *c = scheduler->controller;
-  size_t n = c->rep.view.n_members;
-  int self = tmx_ctl_self(c);
-  if (n < 2 || self < 0 || tmx_store_is_write_load_low(c->link)) return 0;
-  double slot = tmx_commit_slot_length(c), period = slot * (double)(n + 1);
+  struct tmx_controller *controller = scheduler->controller;
+  size_t n = controller->replica.view.n_members;
+  int self = tmx_controller_member_index(controller);
+  if (n < 2 || self < 0 || tmx_store_is_write_load_low(controller->store)) return 0;
+  double slot = tmx_commit_slot_length(controller), period = slot * (double)(n + 1);
   double at = fmod(tmx_clock_wall(), period), wait = period;
-  for (int k = 0; k < 1 + tmx_store_is_leader(c->link); k++) {
+  for (int k = 0; k < 1 + tmx_store_is_leader(controller->store); k++) {
     double into = at - slot * (k ? (double)n : self);
     if (into >= 0 && into < slot * TMX_TURN_BEGIN) return 0;
     wait = fmin(wait, into < 0 ? -into : period - into);
@@ -144,7 +146,7 @@
   (void)l;
   (void)ev;
   struct tmx_scheduler *scheduler = w->data;
-  struct tmx_ctl *c = scheduler->controller;
+  struct tmx_controller *controller = scheduler->controller;
   pthread_mutex_lock(&scheduler->lock);
   bool ready = scheduler->ready;
   if (ready) scheduler->plan = scheduler->output;
@@ -152,9 +154,9 @@
   pthread_mutex_unlock(&scheduler->lock);
   if (!ready || scheduler->phase != TMX_SCHEDULER_PLANNING) return;
   scheduler->phase = TMX_SCHEDULER_PLANNED;
-  if (!tmx_store_is_member(c->link) || !tmx_ctl_fresh(c)) {
+  if (!tmx_store_is_member(controller->store) || !tmx_controller_may_act(controller)) {
     tmx_scheduler_abandon_round(scheduler);
-    tmx_scheduler_trigger_within(c, TMX_STATE_RETRY_S);
+    tmx_scheduler_trigger_within(controller, TMX_STATE_RETRY_S);
     return;
   }
   if (!scheduler->batch_in_flight && tmx_scheduler_caught_up(scheduler))
@@ -162,24 +164,25 @@
 }
 
 static void begin_round(struct tmx_scheduler *scheduler) {
-  struct tmx_ctl *c = scheduler->controller;
-  double now = tmx_clock_steady(), budget = tmx_store_write_budget(c->link);
+  struct tmx_controller *controller = scheduler->controller;
+  double now = tmx_clock_steady(), budget = tmx_store_write_budget(controller->store);
   /* Rounds are paced by this member's share of the puts. Submissions draw on it too; a round a
    * second goes out in any case, or nothing accepted would ever start. */
   if (budget < scheduler->needed_writes && now - scheduler->round_started_at < 1.0) {
     tmx_scheduler_trigger_within(
-        c, fmin(tmx_store_write_budget_delay(c->link, scheduler->needed_writes), 1.0));
+        controller,
+        fmin(tmx_store_write_budget_delay(controller->store, scheduler->needed_writes), 1.0));
     return;
   }
   double wait = next_commit_slot(scheduler);
   if (wait > 0) {
-    tmx_scheduler_trigger_within(c, wait);
+    tmx_scheduler_trigger_within(controller, wait);
     return;
   }
   scheduler->round_started_at = now;
   scheduler->resends = 0;
   scheduler->n_completions =
-      tmx_workers_collect_completions(c->workers, scheduler->completions, TMX_ENDS_ROUND);
+      tmx_workers_collect_completions(controller->workers, scheduler->completions, TMX_ENDS_ROUND);
   struct tmx_round_input input;
   tmx_scheduler_collect_delta(scheduler, &input);
   scheduler->phase = TMX_SCHEDULER_PLANNING;
@@ -196,17 +199,17 @@
   (void)l;
   (void)ev;
   struct tmx_scheduler *scheduler = w->data;
-  struct tmx_ctl *c = scheduler->controller;
+  struct tmx_controller *controller = scheduler->controller;
   if (scheduler->phase == TMX_SCHEDULER_PLANNING || scheduler->batch_in_flight)
     return; /* its end kicks the next one */
   start_round_timer(scheduler, TMX_ROUND_IDLE_S);
-  bool may = tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
+  bool may = tmx_store_is_member(controller->store) && tmx_controller_may_act(controller);
   if (!may) {
     if (scheduler->phase == TMX_SCHEDULER_PLANNED) tmx_scheduler_abandon_round(scheduler);
     return;
   }
   if (!tmx_scheduler_caught_up(scheduler)) {
-    tmx_scheduler_trigger_within(c, 0.05); /* events kick it sooner */
+    tmx_scheduler_trigger_within(controller, 0.05); /* events kick it sooner */
     return;
   }
   if (scheduler->phase == TMX_SCHEDULER_PLANNED)
@@ -219,11 +222,11 @@
   return scheduler->phase == TMX_SCHEDULER_PLANNING;
 }
 
-struct tmx_scheduler *tmx_scheduler_new(struct tmx_ctl *c) {
+struct tmx_scheduler *tmx_scheduler_new(struct tmx_controller *controller) {
   struct tmx_scheduler *scheduler = calloc(1, sizeof *scheduler);
   pthread_attr_t a;
   if (!scheduler) abort();
-  scheduler->controller = c;
+  scheduler->controller = controller;
   scheduler->needed_writes = TMX_ROUND_PUTS;
   pthread_mutex_init(&scheduler->lock, NULL);
   pthread_cond_init(&scheduler->work_available, NULL);
@@ -231,7 +234,7 @@
   scheduler->timer.data = scheduler;
   ev_async_init(&scheduler->planned_event, on_planned);
   scheduler->planned_event.data = scheduler;
-  ev_async_start(c->loop, &scheduler->planned_event);
+  ev_async_start(controller->loop, &scheduler->planned_event);
   pthread_attr_init(&a);
   pthread_attr_setstacksize(&a, TMX_PLANNER_STACK);
   if (pthread_create(&scheduler->planner_thread, &a, planner_main, scheduler)) abort();
--- a/src/rounds/submissions.c
+++ b/src/rounds/submissions.c
@@ -17,7 +17,8 @@
   if (!pending->answered) pending->cb(pending->arg, res);
   pending->answered = true;
   if (pending->sent_alone) return; /* goes with the answer to its commit */
-  if (pending->in_batch) tmx_gate_release(scheduler->controller->gate, &pending->candidate);
+  if (pending->in_batch)
+    tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
   scheduler->submissions[i] = scheduler->submissions[--scheduler->n_submissions];
   tmx_pending_submission_free(pending);
 }
@@ -31,7 +32,7 @@
     bool busy = pending->sent_alone || pending->in_batch;
     size_t n = scheduler->n_submissions;
     if (!pending->answered && (!busy || now - pending->sent_at > TMX_STATE_SLOW_S) &&
-        tmx_job_find(&scheduler->controller->rep, pending->id))
+        tmx_job_find(&scheduler->controller->replica, pending->id))
       settle_submission(scheduler, i, TMX_TRANSACTION_CONFLICT);
     else if (!busy && now > pending->deadline)
       settle_submission(scheduler, i, TMX_TRANSACTION_NOT_EXECUTED);
@@ -72,7 +73,8 @@
 /* The judgement that counts: on the replica whose head is the commit's condition. */
 static bool admitted(const struct tmx_scheduler *scheduler,
                      struct tmx_pending_submission *pending) {
-  return tmx_gate_judge(scheduler->controller->gate, &pending->candidate, &pending->dependencies)
+  return tmx_admission_control_judge(scheduler->controller->admission, &pending->candidate,
+                                     &pending->dependencies)
              .verdict == TMX_ADMITTED;
 }
 
@@ -92,7 +94,7 @@
 void tmx_submission_queue_add_to_batch(struct tmx_scheduler *scheduler,
                                        struct tmx_log_batch *batch) {
   bool full = false;
-  int conds = scheduler->controller->set.txn_ops *
+  int conds = scheduler->controller->settings.txn_ops *
               3; /* PROTOCOL allows four times as many; finished jobs need some */
   sort_submissions(scheduler);
   refuse_overload(scheduler);
@@ -103,7 +105,7 @@
     pending->in_batch = !full && admitted(scheduler, pending);
     pending->sent_at = tmx_clock_steady();
     if (!pending->in_batch) continue;
-    tmx_gate_hold(scheduler->controller->gate, &pending->candidate);
+    tmx_admission_control_hold(scheduler->controller->admission, &pending->candidate);
     require_unknown(&batch->transaction, pending->id);
     add_submission(batch, pending);
   }
@@ -114,7 +116,7 @@
     struct tmx_pending_submission *pending = scheduler->submissions[i];
     bool sent = pending->in_batch;
     pending->in_batch = false;
-    if (sent) tmx_gate_release(scheduler->controller->gate, &pending->candidate);
+    if (sent) tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
     if (sent && res != TMX_TRANSACTION_CONFLICT)
       settle_submission(scheduler, i, res);
     else
@@ -126,7 +128,7 @@
   struct tmx_pending_submission *pending = arg;
   struct tmx_scheduler *scheduler = pending->scheduler;
   pending->sent_alone = false;
-  tmx_gate_release(scheduler->controller->gate, &pending->candidate);
+  tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
   if (res == TMX_TRANSACTION_CONFLICT &&
       !pending->answered) { /* again once the replica has what won */
     pending->tries++;
@@ -142,9 +144,9 @@
 }
 
 /* Keys that a submission takes: its record, and lines for the ids that have no room there. */
-static int n_values_of(const struct tmx_settings *set,
+static int n_values_of(const struct tmx_settings *settings,
                        const struct tmx_pending_submission *pending) {
-  size_t room = tmx_value_room(set), used = room; /* lines begin in a value of their own */
+  size_t room = tmx_value_room(settings), used = room; /* lines begin in a value of their own */
   int values = 1;
   char line[TMX_LINE_MAX];
   for (uint32_t at = pending->ids_in_record; at < pending->dependencies.count;) {
@@ -156,10 +158,10 @@
   return values;
 }
 
-static bool too_large(const struct tmx_settings *set,
+static bool too_large(const struct tmx_settings *settings,
                       const struct tmx_pending_submission *pending) {
-  size_t room = tmx_value_room(set);
-  return pending->record_json_length > room || pending->n_values > set->txn_ops - 1 ||
+  size_t room = tmx_value_room(settings);
+  return pending->record_json_length > room || pending->n_values > settings->txn_ops - 1 ||
          (size_t)pending->n_values * (room + TMX_JSON_FRAME) > TMX_TXN_BYTES;
 }
 
@@ -170,7 +172,7 @@
   memcpy(pending->id, submission->id, sizeof pending->id);
   pending->ids_in_record = tmx_job_encode_open(&pending->value, submission->id, &submission->spec,
                                                submission->submitted_at, &submission->dependencies,
-                                               tmx_value_room(&scheduler->controller->set));
+                                               tmx_value_room(&scheduler->controller->settings));
   pending->record_json_length = tmx_json_length(&pending->value);
   pending->dependencies.count = submission->dependencies.count;
   pending->dependencies.ids =
@@ -179,24 +181,24 @@
   if (submission->dependencies.count)
     memcpy(pending->dependencies.ids, submission->dependencies.ids,
            submission->dependencies.count * sizeof *submission->dependencies.ids);
-  pending->n_values = n_values_of(&scheduler->controller->set, pending);
-  pending->candidate =
-      tmx_gate_candidate(scheduler->controller->gate, &submission->spec,
-                         tmx_team_index(&scheduler->controller->set, submission->spec.team));
+  pending->n_values = n_values_of(&scheduler->controller->settings, pending);
+  pending->candidate = tmx_admission_control_candidate(
+      scheduler->controller->admission, &submission->spec,
+      tmx_team_index(&scheduler->controller->settings, submission->spec.team));
   pending->scheduler = scheduler;
   return pending;
 }
 
-enum tmx_submit_result tmx_scheduler_submit(struct tmx_ctl *c,
+enum tmx_submit_result tmx_scheduler_submit(struct tmx_controller *controller,
                                             const struct tmx_submission *submission, double within,
                                             tmx_submission_cb cb, void *arg) {
-  struct tmx_scheduler *scheduler = c->rounds;
+  struct tmx_scheduler *scheduler = controller->scheduler;
   if (scheduler->n_submissions == TMX_ARRIVALS_MAX) return TMX_SUBMIT_QUEUE_FULL;
   for (size_t i = 0; i < scheduler->n_submissions; i++)
     if (!strcmp(scheduler->submissions[i]->id, submission->id))
       return TMX_SUBMIT_QUEUE_FULL; /* it is on its way already */
   struct tmx_pending_submission *pending = new_pending_submission(scheduler, submission);
-  if (too_large(&c->set, pending)) {
+  if (too_large(&controller->settings, pending)) {
     tmx_log(TMX_LOG_INFO,
             "job: %s refused: %zu bytes and %u awaited jobs take more than a transaction",
             submission->id, pending->record_json_length, submission->dependencies.count);
@@ -211,16 +213,16 @@
 }
 
 static void send_alone(struct tmx_scheduler *scheduler, struct tmx_pending_submission *pending) {
-  struct tmx_ctl *c = scheduler->controller;
+  struct tmx_controller *controller = scheduler->controller;
   struct tmx_transaction transaction = {0};
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_KEY_JOB "%s", pending->id);
-  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, c->rep.head_version);
+  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, controller->replica.head_version);
   require_unknown(&transaction, pending->id);
   tmx_transaction_put(&transaction, key, &pending->value, 0);
   pending->sent_at = tmx_clock_steady();
-  pending->sent_alone = tmx_store_commit(c->link, &transaction, true, on_direct, pending);
-  if (pending->sent_alone) tmx_gate_hold(c->gate, &pending->candidate);
+  pending->sent_alone = tmx_store_commit(controller->store, &transaction, true, on_direct, pending);
+  if (pending->sent_alone) tmx_admission_control_hold(controller->admission, &pending->candidate);
 }
 
 static bool may_go_alone(const struct tmx_scheduler *scheduler,
@@ -228,16 +230,16 @@
   if (pending->sent_alone || pending->in_batch || pending->n_values > 1 ||
       pending->tries >= TMX_DIRECT_TRIES)
     return false;
-  if (!tmx_gate_may_go_alone(scheduler->controller->gate, &pending->candidate,
-                             &pending->dependencies))
+  if (!tmx_admission_control_may_commit_alone(scheduler->controller->admission, &pending->candidate,
+                                              &pending->dependencies))
     return false;
-  return tmx_store_reserve_submission_write(scheduler->controller->link);
+  return tmx_store_reserve_submission_write(scheduler->controller->store);
 }
 
 /* A few submissions go out at once, each as a put; when there are many, or puts are short, they
  * wait for the next batch, which holds dozens in one. */
 void tmx_scheduler_flush(struct tmx_scheduler *scheduler) {
-  struct tmx_ctl *c = scheduler->controller;
+  struct tmx_controller *controller = scheduler->controller;
   size_t idle = 0;
   if (!scheduler->n_submissions) return;
   sort_submissions(scheduler);
@@ -245,8 +247,10 @@
     idle += !scheduler->submissions[i]->sent_alone && !scheduler->submissions[i]->in_batch;
   if (!idle) return;
   /* a batch under way is decided once head has moved, whenever its answer comes */
-  bool decided = !scheduler->batch_in_flight || c->rep.head_version != scheduler->sent_head_version;
-  if (idle <= TMX_DIRECT_MAX && c->rep.loaded && decided && tmx_scheduler_caught_up(scheduler)) {
+  bool decided = !scheduler->batch_in_flight ||
+                 controller->replica.head_version != scheduler->sent_head_version;
+  if (idle <= TMX_DIRECT_MAX && controller->replica.loaded && decided &&
+      tmx_scheduler_caught_up(scheduler)) {
     for (size_t i = 0; i < scheduler->n_submissions; i++) {
       struct tmx_pending_submission *pending = scheduler->submissions[i];
       if (!may_go_alone(scheduler, pending)) continue;
@@ -254,5 +258,5 @@
       idle -= pending->sent_alone;
     }
   }
-  if (idle) tmx_scheduler_trigger_within(c, 0.02);
+  if (idle) tmx_scheduler_trigger_within(controller, 0.02);
 }
--- a/src/state/check.c
+++ b/src/state/check.c
@@ -43,25 +43,26 @@
 static bool placement_is_allowed(const struct tmx_operation_check *check, const struct tmx_job *job,
                                  const struct tmx_machine *machine, uint32_t cap) {
   const struct tmx_job_spec *spec = &job->spec;
-  const struct tmx_settings *set = check->replica->settings;
+  const struct tmx_settings *settings = check->replica->settings;
   if (!machine->registered || machine->draining || machine->zone < 0 || job->team < 0 ||
       (machine->spot && !spec->spot_allowed))
     return false;
   if (!tmx_type_allowed(spec, machine->type)) return false;
-  if (spec->zone[0] && tmx_zone_index(set, spec->zone) != machine->zone) return false;
+  if (spec->zone[0] && tmx_zone_index(settings, spec->zone) != machine->zone) return false;
   if (machine->check_cpus + spec->cpus > machine->size_cpus + RESOURCE_EPSILON ||
       machine->check_gpus + spec->gpus > machine->size_gpus + RESOURCE_EPSILON ||
       machine->check_mem_gb + spec->mem_gb > machine->size_mem_gb + RESOURCE_EPSILON)
     return false;
-  const struct tmx_team_conf *team = &set->teams[job->team];
+  const struct tmx_team_settings *team = &settings->teams[job->team];
   const struct tmx_usage *usage = &check->usage[job->team];
   if (team->cpus_max > 0 && usage->cpus + spec->cpus > team->cpus_max + RESOURCE_EPSILON)
     return false;
   if (team->gpus_max > 0 && usage->gpus + spec->gpus > team->gpus_max + RESOURCE_EPSILON)
     return false;
-  if (job->check_placed_in_zone[machine->zone] >= tmx_zone_cap(spec, set->n_zones)) return false;
+  if (job->check_placed_in_zone[machine->zone] >= tmx_zone_cap(spec, settings->n_zones))
+    return false;
   if (spec->same_zone)
-    for (size_t z = 0; z < set->n_zones; z++)
+    for (size_t z = 0; z < settings->n_zones; z++)
       if ((int)z != machine->zone && job->check_placed_in_zone[z]) return false;
   if (spec->service && cap) {
     uint32_t on = 0;
--- a/src/state/link.c
+++ b/src/state/link.c
@@ -353,13 +353,13 @@
 bool tmx_store_is_reachable(const struct tmx_store *store) { return !store->last_read_failed; }
 uint64_t tmx_store_incarnation(const struct tmx_store *store) { return store->incarnation; }
 bool tmx_store_is_member(const struct tmx_store *store) {
-  const struct tmx_member *member = tmx_member_find(store->replica, store->settings->node);
+  const struct tmx_member *member = tmx_member_find(store->replica, store->settings->node_name);
   return store->replica->loaded && store->incarnation && member &&
          member->incarnation == store->incarnation;
 }
 bool tmx_store_is_leader(const struct tmx_store *store) {
   return tmx_store_is_member(store) && store->replica->leader_version &&
-         !strcmp(store->replica->leader, store->settings->node) &&
+         !strcmp(store->replica->leader, store->settings->node_name) &&
          store->replica->leader_incarnation == store->incarnation;
 }
 
@@ -607,7 +607,7 @@
   if (!store->incarnation || !replica->loaded || replica->revision < store->incarnation)
     return false;
   for (size_t i = 0; i < replica->n_registered_members; i++)
-    if (!strcmp(replica->registered_members[i].name, store->settings->node))
+    if (!strcmp(replica->registered_members[i].name, store->settings->node_name))
       return replica->registered_members[i].incarnation != store->incarnation;
   return true;
 }
@@ -636,9 +636,9 @@
       now - store->election_attempted_at < TMX_STATE_RETRY_S)
     return;
   if (store->abstains_from_election) return;
-  bool mine = !strcmp(replica->leader, store->settings->node) &&
+  bool mine = !strcmp(replica->leader, store->settings->node_name) &&
               replica->leader_incarnation == store->incarnation;
-  bool stale = !strcmp(replica->leader, store->settings->node) &&
+  bool stale = !strcmp(replica->leader, store->settings->node_name) &&
                replica->leader_incarnation != store->incarnation;
   bool suspect = replica->leader_version && !strcmp(replica->leader, store->suspected_leader);
   if (mine || (replica->leader_version && !stale && !suspect)) return;
@@ -646,7 +646,7 @@
   struct tmx_buffer value = {0};
   tmx_transaction_require_version(&transaction, TMX_KEY_LEADER, replica->leader_version);
   tmx_cbor_put_map(&value, 2);
-  tmx_cbor_put_text_field(&value, "name", store->settings->node);
+  tmx_cbor_put_text_field(&value, "name", store->settings->node_name);
   tmx_cbor_put_u64_field(&value, "inc", store->incarnation);
   tmx_transaction_put(&transaction, TMX_KEY_LEADER, &value, store->lease_id);
   tmx_buffer_free(&value);
@@ -678,22 +678,22 @@
   start_revision_read(store);
 }
 
-struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *s,
+struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *settings,
                                 struct tmx_replica *replica) {
   struct tmx_store *store = calloc(1, sizeof *store);
   if (!store) abort();
   store->loop = loop;
-  store->settings = s;
+  store->settings = settings;
   store->replica = replica;
-  store->watch_connection = tmx_http_client_new(loop, s->state, 2);
-  store->request_connections = tmx_http_client_new(loop, s->state, 24);
+  store->watch_connection = tmx_http_client_new(loop, settings->state, 2);
+  store->request_connections = tmx_http_client_new(loop, settings->state, 24);
   store->write_tokens_at = store->watch_tokens_at = store->shared_write_tokens_at =
       tmx_clock_steady();
   store->write_tokens = 4;
   store->last_read_at = -TMX_CONFIRM_IDLE_S;
   store->lease_attempted_at = -TMX_LEASE_RENEW_S;
   store->registration_attempted_at = store->election_attempted_at = -TMX_STATE_RETRY_S;
-  snprintf(store->member_key, sizeof store->member_key, TMX_KEY_MEMBER "%s", s->node);
+  snprintf(store->member_key, sizeof store->member_key, TMX_KEY_MEMBER "%s", settings->node_name);
   ev_timer_init(&store->watch_timer, on_watch_timer, 0, 0);
   ev_timer_init(&store->read_index_timer, on_read_index_timer, 0, 0);
   ev_timer_init(&store->waiter_timer, on_waiters_timer, 0.1, 0.1);
--- a/src/state/link.h
+++ b/src/state/link.h
@@ -6,7 +6,7 @@
 #include "state/replica.h"
 
 struct tmx_store;
-struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *s,
+struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *settings,
                                 struct tmx_replica *replica);
 void tmx_store_free(struct tmx_store *store);
 
--- a/src/state/replica.c
+++ b/src/state/replica.c
@@ -16,9 +16,9 @@
   return p;
 }
 
-void tmx_replica_init(struct tmx_replica *replica, const struct tmx_settings *s) {
+void tmx_replica_init(struct tmx_replica *replica, const struct tmx_settings *settings) {
   memset(replica, 0, sizeof *replica);
-  replica->settings = s;
+  replica->settings = settings;
 }
 
 static void log_keys_clear(struct tmx_log_key **table) {
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -217,7 +217,7 @@
   void (*on_cleared)(void *arg);                          /* all is forgotten: read anew */
 };
 
-void tmx_replica_init(struct tmx_replica *replica, const struct tmx_settings *s);
+void tmx_replica_init(struct tmx_replica *replica, const struct tmx_settings *settings);
 void tmx_replica_clear(struct tmx_replica *replica);
 struct tmx_store_entry { /* for loading: in order of version, then key */
   char *key;
--- a/src/user/user.c
+++ b/src/user/user.c
@@ -10,36 +10,36 @@
 #include "tmx/wire.h"
 
 struct tmx_users {
-  struct tmx_ctl *c;
-  int waiting;
+  struct tmx_controller *controller;
+  int n_waiting;
 };
 
-enum kind { ASK_POLL, ASK_SUBMIT, ASK_CANCEL };
-struct ask { /* a request that waits for the state */
-  struct tmx_users *u;
-  struct tmx_http_request *req;
-  enum kind kind;
+enum user_request_kind { USER_POLL, USER_SUBMIT, USER_CANCEL };
+struct user_request { /* a request that waits for the state */
+  struct tmx_users *users;
+  struct tmx_http_request *request;
+  enum user_request_kind kind;
   char id[TMX_ID_MAX];
-  int otherwise;                  /* status for an unknown job */
+  int answer_if_unknown;          /* status for an unknown job */
   bool overload;                  /* ... which is refused, as its team or class has no room */
   struct tmx_candidate candidate; /* ASK_SUBMIT: what admission judges */
   struct tmx_ruling ruling;       /* overload: the latest one */
   int tries;
-  double since, until;
+  double received_at, deadline;
   bool names_unknown;                /* ASK_SUBMIT: a job that it awaits is not known here */
   bool through_cancelled;            /* ASK_SUBMIT: it names a cancelled job */
   struct tmx_submission *submission; /* ASK_SUBMIT: judged anew once the state was read */
 };
 
-struct tmx_users *tmx_users_new(struct tmx_ctl *c) {
-  struct tmx_users *u = calloc(1, sizeof *u);
-  if (!u) abort();
-  u->c = c;
-  return u;
+struct tmx_users *tmx_users_new(struct tmx_controller *controller) {
+  struct tmx_users *users = calloc(1, sizeof *users);
+  if (!users) abort();
+  users->controller = controller;
+  return users;
 }
-void tmx_users_free(struct tmx_users *u) { free(u); }
+void tmx_users_free(struct tmx_users *users) { free(users); }
 
-static void refuse(struct tmx_http_request *request, const char *why) {
+static void reply_unavailable(struct tmx_http_request *request, const char *why) {
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: %s",
             request->method == HTTP_POST ? "request" : "poll", why);
@@ -75,109 +75,116 @@
   free(submission);
 }
 
-static void cancel_step(struct ask *a);
-static void submit_step(struct ask *a);
+static void cancel_step(struct user_request *ask);
+static void submit_step(struct user_request *ask);
 
-static void done(struct ask *a) {
-  a->u->waiting--;
-  free_submission(a->submission);
-  free(a);
+static void finish_request(struct user_request *ask) {
+  ask->users->n_waiting--;
+  free_submission(ask->submission);
+  free(ask);
 }
 
-static void refuse_overload(struct ask *a) {
+static void refuse_overload(struct user_request *ask) {
   if (tmx_log_enabled(TMX_LOG_DEBUG))
-    tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", a->id,
-            a->ruling.backlog_s, a->ruling.ceiling_s);
-  tmx_gate_told(a->u->c->gate, &a->candidate, a->ruling.verdict);
-  tmx_http_reply(a->req, 503, NULL, tmx_gate_retry_after(&a->ruling));
+    tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", ask->id,
+            ask->ruling.backlog_s, ask->ruling.ceiling_s);
+  tmx_admission_control_count_answer(ask->users->controller->admission, &ask->candidate,
+                                     ask->ruling.verdict);
+  tmx_http_reply(ask->request, 503, NULL, tmx_admission_control_retry_after(&ask->ruling));
 }
 
-static void on_confirm(void *arg, bool ok) {
-  struct ask *a = arg;
-  struct tmx_job *job = ok ? tmx_job_find(&a->u->c->rep, a->id) : NULL;
+static void on_read_index(void *arg, bool ok) {
+  struct user_request *ask = arg;
+  struct tmx_job *job = ok ? tmx_job_find(&ask->users->controller->replica, ask->id) : NULL;
   if (!ok)
-    refuse(a->req, "the state was not read in time");
-  else if (!job && a->submission) {
-    submit_step(a);
+    reply_unavailable(ask->request, "the state was not read in time");
+  else if (!job && ask->submission) {
+    submit_step(ask);
     return;
-  } else if (!job && a->overload)
-    refuse_overload(a);
+  } else if (!job && ask->overload)
+    refuse_overload(ask);
   else if (!job)
-    tmx_http_reply(a->req, a->otherwise, NULL, a->otherwise == 503 ? tmx_retry_after() : 0);
-  else if (a->kind == ASK_CANCEL && !job->outcome) {
-    cancel_step(a);
+    tmx_http_reply(ask->request, ask->answer_if_unknown, NULL,
+                   ask->answer_if_unknown == 503 ? tmx_retry_after() : 0);
+  else if (ask->kind == USER_CANCEL && !job->outcome) {
+    cancel_step(ask);
     return;
-  } else if (a->kind == ASK_CANCEL)
-    answer_named(a->req, 200, a->id, job->outcome == TMX_JOB_DONE ? WV_DONE : WV_CANCELLED, NULL);
+  } else if (ask->kind == USER_CANCEL)
+    answer_named(ask->request, 200, ask->id, job->outcome == TMX_JOB_DONE ? WV_DONE : WV_CANCELLED,
+                 NULL);
   else
-    answer_job(a->req, job);
-  done(a);
+    answer_job(ask->request, job);
+  finish_request(ask);
 }
 
 /* Waits until the replica holds all that was committed before this request came. A submission that
  * is handed over is judged then, if nobody has submitted the job meanwhile. */
-static void ask(struct tmx_users *u, struct tmx_http_request *request, const struct ask *what) {
+static void enqueue_request(struct tmx_users *users, struct tmx_http_request *request,
+                            const struct user_request *what) {
   /* Where the state is out of reach nothing can be decided: the sender goes elsewhere at once. When
    * more ask than can be answered, those go first of whose job nobody was told here of late, so
    * that none stays without an answer however many others ask. */
-  const struct tmx_job *job = tmx_job_find(&u->c->rep, what->id);
+  const struct tmx_job *job = tmx_job_find(&users->controller->replica, what->id);
   bool late =
-      what->kind != ASK_POLL || (job && tmx_clock_steady() - job->answered_at > TMX_POLL_FAIR_S);
-  struct ask *a = calloc(1, sizeof *a);
-  if (!a || !tmx_store_is_reachable(u->c->link) ||
-      u->waiting >= (late ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2)) {
+      what->kind != USER_POLL || (job && tmx_clock_steady() - job->answered_at > TMX_POLL_FAIR_S);
+  struct user_request *a = calloc(1, sizeof *a);
+  if (!a || !tmx_store_is_reachable(users->controller->store) ||
+      users->n_waiting >= (late ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2)) {
     free(a);
     free_submission(what->submission);
-    refuse(request, tmx_store_is_reachable(u->c->link) ? "too many wait" : "no state");
+    reply_unavailable(
+        request, tmx_store_is_reachable(users->controller->store) ? "too many wait" : "no state");
     return;
   }
-  double within = what->kind == ASK_POLL ? TMX_USER_WAIT_S : TMX_SUBMIT_WAIT_S;
+  double within = what->kind == USER_POLL ? TMX_USER_WAIT_S : TMX_SUBMIT_WAIT_S;
   *a = *what;
-  a->u = u;
-  a->req = request;
-  a->since = tmx_clock_steady();
-  a->until = tmx_clock_steady() + within;
-  u->waiting++;
-  if (!tmx_store_read_index(u->c->link, within, on_confirm, a)) {
-    refuse(request, "too many wait for the state");
-    done(a);
+  a->users = users;
+  a->request = request;
+  a->received_at = tmx_clock_steady();
+  a->deadline = tmx_clock_steady() + within;
+  users->n_waiting++;
+  if (!tmx_store_read_index(users->controller->store, within, on_read_index, a)) {
+    reply_unavailable(request, "too many wait for the state");
+    finish_request(a);
   }
 }
 
 /* ------------------------------------------------------------ cancellations */
 
 static void on_cancelled(void *arg, int res, uint64_t revision) {
-  struct ask *a = arg;
+  struct user_request *ask = arg;
   (void)revision;
   if (res == TMX_TRANSACTION_COMMITTED) {
-    answer_named(a->req, 200, a->id, WV_CANCELLED, NULL);
-    done(a);
+    answer_named(ask->request, 200, ask->id, WV_CANCELLED, NULL);
+    finish_request(ask);
     return;
   }
-  if (res == TMX_TRANSACTION_CONFLICT && ++a->tries < 8 && tmx_clock_steady() < a->until &&
-      tmx_store_read_index(a->u->c->link, a->until - tmx_clock_steady(), on_confirm, a))
+  if (res == TMX_TRANSACTION_CONFLICT && ++ask->tries < 8 && tmx_clock_steady() < ask->deadline &&
+      tmx_store_read_index(ask->users->controller->store, ask->deadline - tmx_clock_steady(),
+                           on_read_index, ask))
     return;
-  refuse(a->req, "not known whether it is cancelled"); /* the user asks again and is told then */
-  done(a);
+  reply_unavailable(ask->request,
+                    "not known whether it is cancelled"); /* the user asks again and is told then */
+  finish_request(ask);
 }
 
-static void cancel_step(struct ask *a) {
-  struct tmx_ctl *c = a->u->c;
-  struct tmx_job *job = tmx_job_find(&c->rep, a->id);
+static void cancel_step(struct user_request *ask) {
+  struct tmx_controller *controller = ask->users->controller;
+  struct tmx_job *job = tmx_job_find(&controller->replica, ask->id);
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
   char key[TMX_KEY_MAX + 1];
-  snprintf(key, sizeof key, TMX_KEY_JOB "%s", a->id);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", ask->id);
   /* Conditional on the job's own key, which also its completion rewrites; head is rewritten,
    * so that no batch planned before this can start one of its tasks. */
   tmx_transaction_require_version(&transaction, key, job->version);
-  tmx_job_encode_final(&value, job, TMX_JOB_CANCELLED, 0, tmx_value_room(&c->set));
+  tmx_job_encode_final(&value, job, TMX_JOB_CANCELLED, 0, tmx_value_room(&controller->settings));
   tmx_transaction_put(&transaction, key, &value, 0);
-  tmx_transaction_advance_head(&transaction, c->set.node);
+  tmx_transaction_advance_head(&transaction, controller->settings.node_name);
   tmx_buffer_free(&value);
-  if (!tmx_store_commit(c->link, &transaction, true, on_cancelled, a)) {
-    refuse(a->req, "no connection to the state");
-    done(a);
+  if (!tmx_store_commit(controller->store, &transaction, true, on_cancelled, ask)) {
+    reply_unavailable(ask->request, "no connection to the state");
+    finish_request(ask);
   }
 }
 
@@ -185,72 +192,79 @@
 
 /* Its team or class has no room. One that was accepted elsewhere is answered as such all the same:
  * the state is read before it is refused. */
-static void look_up_or_refuse(struct ask *a) {
+static void look_up_or_refuse(struct user_request *ask) {
   static const struct tmx_job_ids none;
-  a->ruling = tmx_gate_judge(a->u->c->gate, &a->candidate, &none);
-  a->overload = true;
-  if (tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
-  refuse_overload(a);
-  done(a);
+  ask->ruling =
+      tmx_admission_control_judge(ask->users->controller->admission, &ask->candidate, &none);
+  ask->overload = true;
+  if (tmx_store_read_index(ask->users->controller->store, TMX_SUBMIT_WAIT_S, on_read_index, ask))
+    return;
+  refuse_overload(ask);
+  finish_request(ask);
 }
 
 static void on_submitted(void *arg, int res) {
-  struct ask *a = arg;
+  struct user_request *ask = arg;
   if (res == TMX_TRANSACTION_COMMITTED) {
     if (tmx_log_enabled(TMX_LOG_DEBUG))
-      tmx_log(TMX_LOG_DEBUG, "job: %s accepted in %.0f ms", a->id,
-              (tmx_clock_steady() - a->since) * 1000);
-    answer_named(a->req, 201, a->id, a->through_cancelled ? WV_CANCELLED : WV_PENDING, NULL);
-    tmx_gate_told(a->u->c->gate, &a->candidate, TMX_ADMITTED);
-    done(a);
+      tmx_log(TMX_LOG_DEBUG, "job: %s accepted in %.0f ms", ask->id,
+              (tmx_clock_steady() - ask->received_at) * 1000);
+    answer_named(ask->request, 201, ask->id, ask->through_cancelled ? WV_CANCELLED : WV_PENDING,
+                 NULL);
+    tmx_admission_control_count_answer(ask->users->controller->admission, &ask->candidate,
+                                       TMX_ADMITTED);
+    finish_request(ask);
   } else if (res == TMX_SUBMIT_OVERLOAD) {
-    look_up_or_refuse(a);
+    look_up_or_refuse(ask);
   } else if (res == TMX_TRANSACTION_CONFLICT && /* known already: its state is read first */
-             tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) {
-    a->otherwise = 503;
-    tmx_store_expedite_read_index(a->u->c->link);
+             tmx_store_read_index(ask->users->controller->store, TMX_SUBMIT_WAIT_S, on_read_index,
+                                  ask)) {
+    ask->answer_if_unknown = 503;
+    tmx_store_expedite_read_index(ask->users->controller->store);
   } else {
-    refuse(a->req, res == TMX_TRANSACTION_NOT_EXECUTED ? "not committed in time"
-                                                       : "not known whether committed");
-    done(a);
+    reply_unavailable(ask->request, res == TMX_TRANSACTION_NOT_EXECUTED
+                                        ? "not committed in time"
+                                        : "not known whether committed");
+    finish_request(ask);
   }
 }
 
 /* 0: may run; 422: never; 503: cannot be told yet */
-static int judge(struct tmx_ctl *c, const struct tmx_job_spec *spec) {
+static int check_submission(struct tmx_controller *controller, const struct tmx_job_spec *spec) {
   size_t n;
-  const struct tmx_type *ty = tmx_cloud_types(c->cloud, &n);
-  int team = tmx_team_index(&c->set, spec->team);
+  const struct tmx_machine_type *type = tmx_cloud_types(controller->cloud, &n);
+  int team = tmx_team_index(&controller->settings, spec->team);
   if (team < 0) return 422;
-  const struct tmx_team_conf *t = &c->set.teams[team];
+  const struct tmx_team_settings *t = &controller->settings.teams[team];
   double k = spec->service ? spec->tasks : 1;
   if (t->cpus_max > 0 && k * spec->cpus > t->cpus_max + 1e-6) return 422;
   if (t->gpus_max > 0 && k * spec->gpus > t->gpus_max + 1e-6) return 422;
   if (!n) return 503;
-  int zone = spec->zone[0] ? tmx_zone_index(&c->set, spec->zone) : -1;
+  int zone = spec->zone[0] ? tmx_zone_index(&controller->settings, spec->zone) : -1;
   if (spec->zone[0] && zone < 0) return 422;
   for (size_t i = 0; i < n; i++) {
-    if (!tmx_type_allowed(spec, ty[i].name)) continue;
-    if (zone >= 0 && !ty[i].zones[zone]) continue;
-    if (spec->cpus <= ty[i].cpus + 1e-6 && spec->gpus <= ty[i].gpus + 1e-6 &&
-        spec->mem_gb <= ty[i].mem + 1e-6)
+    if (!tmx_type_allowed(spec, type[i].name)) continue;
+    if (zone >= 0 && !type[i].zones[zone]) continue;
+    if (spec->cpus <= type[i].cpus + 1e-6 && spec->gpus <= type[i].gpus + 1e-6 &&
+        spec->mem_gb <= type[i].mem_gb + 1e-6)
       return 0;
   }
   return 422;
 }
 
-enum awaits_verdict { AWAITS_OK, AWAITS_UNKNOWN, AWAITS_NEVER };
+enum dependency_verdict { DEPENDENCIES_VALID, DEPENDENCIES_UNKNOWN, DEPENDENCIES_NEVER_DONE };
 
 /* May the job wait for these. Jobs are never forgotten, so a name once known stays known; that one
  * is unknown can be said only after a read that began after the request. */
-static enum awaits_verdict judge_awaits(const struct tmx_replica *replica,
-                                        const struct tmx_submission *submission) {
-  enum awaits_verdict verdict = AWAITS_OK;
+static enum dependency_verdict check_dependencies(const struct tmx_replica *replica,
+                                                  const struct tmx_submission *submission) {
+  enum dependency_verdict verdict = DEPENDENCIES_VALID;
   for (uint32_t i = 0; i < submission->dependencies.count; i++) {
     const struct tmx_job *job = tmx_job_find(replica, submission->dependencies.ids[i]);
-    if (!strcmp(submission->dependencies.ids[i], submission->id)) return AWAITS_NEVER;
-    if (job && job->spec.service) return AWAITS_NEVER; /* it runs until it is cancelled */
-    if (!job) verdict = AWAITS_UNKNOWN;
+    if (!strcmp(submission->dependencies.ids[i], submission->id)) return DEPENDENCIES_NEVER_DONE;
+    if (job && job->spec.service)
+      return DEPENDENCIES_NEVER_DONE; /* it runs until it is cancelled */
+    if (!job) verdict = DEPENDENCIES_UNKNOWN;
   }
   return verdict;
 }
@@ -276,35 +290,36 @@
 }
 
 /* Hands a submission whose names are known over to the log. */
-static void send_arrival(struct ask *a) {
-  struct tmx_ctl *c = a->u->c;
-  struct tmx_submission *submission = a->submission;
-  a->submission = NULL;
-  drop_done(&c->rep, &submission->dependencies);
-  a->through_cancelled = names_cancelled(&c->rep, &submission->dependencies);
+static void send_submission(struct user_request *ask) {
+  struct tmx_controller *controller = ask->users->controller;
+  struct tmx_submission *submission = ask->submission;
+  ask->submission = NULL;
+  drop_done(&controller->replica, &submission->dependencies);
+  ask->through_cancelled = names_cancelled(&controller->replica, &submission->dependencies);
   enum tmx_submit_result result =
-      a->u->waiting > TMX_USER_QUEUE
+      ask->users->n_waiting > TMX_USER_QUEUE
           ? TMX_SUBMIT_QUEUE_FULL
-          : tmx_scheduler_submit(c, submission, TMX_SUBMIT_WAIT_S, on_submitted, a);
+          : tmx_scheduler_submit(controller, submission, TMX_SUBMIT_WAIT_S, on_submitted, ask);
   free_submission(submission);
   if (result == TMX_SUBMIT_QUEUED) return;
   if (result == TMX_SUBMIT_TOO_LARGE) {
     /* it may be known, by another body, to the others */
-    a->otherwise = 422;
-    if (tmx_store_read_index(a->u->c->link, TMX_SUBMIT_WAIT_S, on_confirm, a)) return;
+    ask->answer_if_unknown = 422;
+    if (tmx_store_read_index(ask->users->controller->store, TMX_SUBMIT_WAIT_S, on_read_index, ask))
+      return;
   }
-  refuse(a->req, "too many submissions");
-  done(a);
+  reply_unavailable(ask->request, "too many submissions");
+  finish_request(ask);
 }
 
 /* The state was read after the request came, and the job is not known. */
-static void submit_step(struct ask *a) {
-  if (judge_awaits(&a->u->c->rep, a->submission) == AWAITS_OK) {
-    send_arrival(a);
+static void submit_step(struct user_request *ask) {
+  if (check_dependencies(&ask->users->controller->replica, ask->submission) == DEPENDENCIES_VALID) {
+    send_submission(ask);
     return;
   }
-  tmx_http_reply(a->req, 422, NULL, 0);
-  done(a);
+  tmx_http_reply(ask->request, 422, NULL, 0);
+  finish_request(ask);
 }
 
 /* false: the body is not even a named submission. whole: nothing in it is malformed. */
@@ -321,26 +336,31 @@
 }
 
 /* What is known of a submission before the state is asked. */
-static struct ask first_look(struct tmx_ctl *c, struct tmx_submission *submission, bool whole,
-                             const struct tmx_job *known) {
-  struct ask look = {.kind = ASK_SUBMIT, .submission = submission};
-  memcpy(look.id, submission->id, sizeof look.id);
-  look.otherwise = known ? 503 : whole ? judge(c, &submission->spec) : 400;
-  if (look.otherwise) return look;
-  look.candidate = tmx_gate_candidate(c->gate, &submission->spec,
-                                      tmx_team_index(&c->set, submission->spec.team));
-  enum awaits_verdict awaits = judge_awaits(&c->rep, submission);
-  look.names_unknown = awaits == AWAITS_UNKNOWN;
-  if (awaits == AWAITS_NEVER) look.otherwise = 422;
-  if (awaits != AWAITS_OK) return look;
-  look.ruling = tmx_gate_judge(c->gate, &look.candidate, &submission->dependencies);
-  look.overload = look.ruling.verdict != TMX_ADMITTED;
-  if (look.overload) look.otherwise = 503;
-  return look;
+static struct user_request answer_early(struct tmx_controller *controller,
+                                        struct tmx_submission *submission, bool whole,
+                                        const struct tmx_job *known) {
+  struct user_request request_template = {.kind = USER_SUBMIT, .submission = submission};
+  memcpy(request_template.id, submission->id, sizeof request_template.id);
+  request_template.answer_if_unknown = known   ? 503
+                                       : whole ? check_submission(controller, &submission->spec)
+                                               : 400;
+  if (request_template.answer_if_unknown) return request_template;
+  request_template.candidate =
+      tmx_admission_control_candidate(controller->admission, &submission->spec,
+                                      tmx_team_index(&controller->settings, submission->spec.team));
+  enum dependency_verdict awaits = check_dependencies(&controller->replica, submission);
+  request_template.names_unknown = awaits == DEPENDENCIES_UNKNOWN;
+  if (awaits == DEPENDENCIES_NEVER_DONE) request_template.answer_if_unknown = 422;
+  if (awaits != DEPENDENCIES_VALID) return request_template;
+  request_template.ruling = tmx_admission_control_judge(
+      controller->admission, &request_template.candidate, &submission->dependencies);
+  request_template.overload = request_template.ruling.verdict != TMX_ADMITTED;
+  if (request_template.overload) request_template.answer_if_unknown = 503;
+  return request_template;
 }
 
-static void submit(struct tmx_users *u, struct tmx_http_request *request) {
-  struct tmx_ctl *c = u->c;
+static void submit(struct tmx_users *users, struct tmx_http_request *request) {
+  struct tmx_controller *controller = users->controller;
   struct tmx_submission *submission = calloc(1, sizeof *submission);
   bool whole;
   if (!submission) abort();
@@ -349,53 +369,53 @@
     tmx_http_reply(request, 400, NULL, 0);
     return;
   }
-  if (!c->rep.loaded || !tmx_store_is_reachable(c->link)) {
+  if (!controller->replica.loaded || !tmx_store_is_reachable(controller->store)) {
     free_submission(submission);
-    refuse(request, "no state");
+    reply_unavailable(request, "no state");
     return;
   }
   /* A known job is answered before any validation: what was accepted stays accepted. */
-  struct tmx_job *job = tmx_job_find(&c->rep, submission->id);
+  struct tmx_job *job = tmx_job_find(&controller->replica, submission->id);
   if (job && job->outcome) {
     free_submission(submission);
     answer_job(request, job);
     return;
   }
   submission->submitted_at = tmx_clock_wall();
-  struct ask look = first_look(c, submission, whole, job);
-  if (look.otherwise) {
+  struct user_request request_template = answer_early(controller, submission, whole, job);
+  if (request_template.answer_if_unknown) {
     free_submission(submission);
-    look.submission = NULL;
+    request_template.submission = NULL;
   }
-  if (look.otherwise || look.names_unknown) {
-    ask(u, request, &look);
+  if (request_template.answer_if_unknown || request_template.names_unknown) {
+    enqueue_request(users, request, &request_template);
     return;
   }
-  struct ask *a = malloc(sizeof *a);
-  if (!a) abort();
-  *a = look;
-  a->u = u;
-  a->req = request;
-  a->since = tmx_clock_steady();
-  u->waiting++;
-  send_arrival(a);
+  struct user_request *ask = malloc(sizeof *ask);
+  if (!ask) abort();
+  *ask = request_template;
+  ask->users = users;
+  ask->request = request;
+  ask->received_at = tmx_clock_steady();
+  users->n_waiting++;
+  send_submission(ask);
 }
 
-static void ask_about(struct tmx_users *u, struct tmx_http_request *request, enum kind kind,
-                      const char *id) {
-  struct ask what = {.kind = kind, .otherwise = 404};
-  snprintf(what.id, sizeof what.id, "%.*s", TMX_ID_MAX - 1, id);
-  ask(u, request, &what);
+static void enqueue_request_about(struct tmx_users *users, struct tmx_http_request *request,
+                                  enum user_request_kind kind, const char *id) {
+  struct user_request request_template = {.kind = kind, .answer_if_unknown = 404};
+  snprintf(request_template.id, sizeof request_template.id, "%.*s", TMX_ID_MAX - 1, id);
+  enqueue_request(users, request, &request_template);
 }
 
-bool tmx_users_handle(struct tmx_users *u, struct tmx_http_request *request) {
+bool tmx_users_handle(struct tmx_users *users, struct tmx_http_request *request) {
   static const char base[] = WP_JOBS;
   char id[TMX_PATH_MAX];
   if (strncmp(request->path, base, sizeof base - 1)) return false;
   const char *rest = request->path + sizeof base - 1;
   if (!*rest) {
     if (request->method == HTTP_POST)
-      submit(u, request);
+      submit(users, request);
     else
       tmx_http_reply(request, 405, NULL, 0);
     return true;
@@ -416,16 +436,16 @@
     tmx_http_reply(request, 404, NULL, 0);
     return true;
   }
-  if (!u->c->rep.loaded) {
-    refuse(request, "no state");
+  if (!users->controller->replica.loaded) {
+    reply_unavailable(request, "no state");
     return true;
   }
-  struct tmx_job *job = tmx_job_find(&u->c->rep, id);
+  struct tmx_job *job = tmx_job_find(&users->controller->replica, id);
   if (job && job->outcome && cancel)
     answer_named(request, 200, id, job->outcome == TMX_JOB_DONE ? WV_DONE : WV_CANCELLED, NULL);
   else if (job && job->outcome)
     answer_job(request, job); /* a final state never changes: no read is needed */
   else
-    ask_about(u, request, cancel ? ASK_CANCEL : ASK_POLL, id);
+    enqueue_request_about(users, request, cancel ? USER_CANCEL : USER_POLL, id);
   return true;
 }
--- a/src/worker/health.c
+++ b/src/worker/health.c
@@ -12,8 +12,8 @@
 /* An answer may lie in a buffer while this controller stands still or is behind with its own work:
  * then a probe that timed out says nothing of the machine. */
 static void probe_lost(struct tmx_worker *worker) {
-  if (worker->workers->controller->late_at < worker->probed_at &&
-      tmx_clock_steady() - worker->workers->controller->tick_at < TMX_TICK_S + TMX_LATE_S)
+  if (worker->workers->controller->last_late_tick_at < worker->probed_at &&
+      tmx_clock_steady() - worker->workers->controller->last_tick_at < TMX_TICK_S + TMX_LATE_S)
     worker->probes_lost++;
 }
 
@@ -31,8 +31,8 @@
 }
 
 /* How many probes a second this controller may send: a share of its processor. */
-double tmx_workers_probe_rate(const struct tmx_ctl *c) {
-  return fmax(c->set.core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
+double tmx_workers_probe_rate(const struct tmx_controller *controller) {
+  return fmax(controller->settings.core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
 }
 
 static void on_introduction_response(void *arg, int status, const uint8_t *body, size_t len) {
@@ -48,7 +48,8 @@
  * it may be executed late does no harm. */
 static bool introduce(struct tmx_worker *worker) {
   struct tmx_buffer buffer = {0};
-  uint64_t token = tmx_ctl_token(worker->workers->controller, worker->token_sequence);
+  uint64_t token =
+      tmx_controller_fencing_token(worker->workers->controller, worker->token_sequence);
   if (worker->highest_token > token) return false;
   tmx_cbor_put_map(&buffer, 3);
   tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
@@ -79,7 +80,7 @@
 
 /* Connections to workers are kept while there are sockets for them. */
 static void close_idle_clients(struct tmx_workers *workers) {
-  int max = tmx_sockets_out(&workers->controller->set);
+  int max = tmx_sockets_out(&workers->controller->settings);
   if (workers->n_clients <= max) return;
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
@@ -142,36 +143,36 @@
 /* In TMX_ALIVE_S only some of those that live can give a sign, as they are asked in turn: what was
  * heard stands for so many. */
 static void extrapolate(struct tmx_workers *workers, double rate) {
-  const struct tmx_settings *s = &workers->controller->set;
+  const struct tmx_settings *settings = &workers->controller->settings;
   double lost = 0, others = 0;
-  for (size_t z = 0; z < s->n_zones; z++) {
+  for (size_t z = 0; z < settings->n_zones; z++) {
     lost += workers->zone_liveness[z].lost;
     others += workers->zone_liveness[z].machines - workers->zone_liveness[z].lost;
   }
   if (lost > 0) rate *= 1 - TMX_SUSPECTS_SHARE;
-  double heard = fmin(1, TMX_ALIVE_S * (rate / fmax(others, 1) + 1 / s->report_s));
-  for (size_t z = 0; z < s->n_zones; z++) {
+  double heard = fmin(1, TMX_ALIVE_S * (rate / fmax(others, 1) + 1 / settings->report_s));
+  for (size_t z = 0; z < settings->n_zones; z++) {
     struct tmx_zone_liveness *zone = &workers->zone_liveness[z];
     zone->alive = (unsigned)fmin(zone->alive / heard, zone->machines - zone->lost);
   }
 }
 
 void tmx_workers_tick(struct tmx_workers *workers) {
-  struct tmx_ctl *c = workers->controller;
-  double now = tmx_clock_steady(), rate = tmx_workers_probe_rate(c);
+  struct tmx_controller *controller = workers->controller;
+  double now = tmx_clock_steady(), rate = tmx_workers_probe_rate(controller);
   if (now - workers->swept_at < TMX_SWEEP_S) return;
   workers->probe_tokens =
       fmin(workers->probe_tokens + rate * (now - workers->swept_at), rate * 2 * TMX_SWEEP_S);
   workers->swept_at = now;
-  int self = tmx_ctl_self(c);
-  bool member = tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
-  double heard_s = c->set.report_s * 1.25 + TMX_REPORT_LATE_S;
+  int self = tmx_controller_member_index(controller);
+  bool member = tmx_store_is_member(controller->store) && tmx_controller_may_act(controller);
+  double heard_s = controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S;
   struct tmx_reachability reach = {
       .report_age_s = workers->last_report_at ? now - workers->last_report_at : 1e9};
   unsigned unreported = 0; /* two reports are missing: it may reach no controller */
   struct tmx_machine *machine, *t;
   memset(workers->zone_liveness, 0, sizeof workers->zone_liveness);
-  HASH_ITER(hh, c->rep.machines, machine, t) {
+  HASH_ITER(hh, controller->replica.machines, machine, t) {
     if (!machine->registered) continue;
     bool mine = member && machine->owner == self && self >= 0, usable;
     struct tmx_worker *worker = machine->worker;
@@ -185,7 +186,8 @@
       reach.owned++;
       reach.reached += now - fmax(worker->acknowledged_at, worker->owned_since) <
                        3 * fmax(1, reach.owned / rate) + 2;
-      bool reports = tmx_worker_heartbeat_age(worker, now) < heard_s + c->set.report_s;
+      bool reports =
+          tmx_worker_heartbeat_age(worker, now) < heard_s + controller->settings.report_s;
       unreported += !reports;
       usable = worker->session && tmx_worker_is_acknowledged(worker) && !worker->probes_lost &&
                !worker->spot_notice && reports && life_sign_age(worker, now) < heard_s;
@@ -195,8 +197,8 @@
     }
     if (usable != machine->usable) {
       machine->usable = usable;
-      tmx_scheduler_machine_changed(c->rounds, machine);
-      if (usable) tmx_scheduler_trigger(c);
+      tmx_scheduler_machine_changed(controller->scheduler, machine);
+      if (usable) tmx_scheduler_trigger(controller);
     }
   }
   extrapolate(workers, rate);
@@ -236,12 +238,12 @@
     suspicion->unacknowledged_s =
         fmax(suspicion->unacknowledged_s, now - fmax(worker->acknowledged_at, worker->owned_since));
   /* one that was cut off and is heard again has not had the time yet to show that it hears us */
-  if (back < worker->workers->controller->set.lease_s * TMX_BACK_LEASES)
+  if (back < worker->workers->controller->settings.lease_s * TMX_BACK_LEASES)
     suspicion->unacknowledged_s = fmin(suspicion->unacknowledged_s, back + 0.001);
   /* It answers and cannot report: direct commands renew no lease, so by now all that ran is over,
    * and would be again a lease later. */
   double unreported = tmx_worker_heartbeat_age(worker, now);
-  if (unreported > worker->workers->controller->set.lease_s &&
+  if (unreported > worker->workers->controller->settings.lease_s &&
       !worker->workers->most_are_unreported)
     suspicion->unacknowledged_s = fmax(suspicion->unacknowledged_s, unreported);
   suspicion->spot_notice = worker->spot_notice;
@@ -252,7 +254,7 @@
 
 void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg) {
   double now = tmx_clock_steady(),
-         heard_s = workers->controller->set.report_s * 1.25 + TMX_REPORT_LATE_S;
+         heard_s = workers->controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S;
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
     struct tmx_suspicion suspicion;
@@ -267,7 +269,7 @@
   struct tmx_worker *worker;
   HASH_FIND_STR(workers->all, suspicion->id, worker);
   if (!worker) {
-    if (!tmx_machine_find(&workers->controller->rep, suspicion->id)) return;
+    if (!tmx_machine_find(&workers->controller->replica, suspicion->id)) return;
     worker = tmx_worker_create(workers, suspicion->id);
     if (!worker) return;
   }
@@ -282,13 +284,13 @@
   const struct tmx_worker *worker = machine->worker;
   double now = tmx_clock_steady();
   if (!worker || machine->owner < 0) return false;
-  if (machine->owner == tmx_ctl_self(workers->controller))
-    return suspicion_of(worker, now, workers->controller->set.report_s * 1.25 + TMX_REPORT_LATE_S,
-                        out);
-  const char *owner = workers->controller->rep.view.members[machine->owner].name;
+  if (machine->owner == tmx_controller_member_index(workers->controller))
+    return suspicion_of(worker, now,
+                        workers->controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S, out);
+  const char *owner = workers->controller->replica.view.members[machine->owner].name;
   /* In its latest heartbeat, or not at all, and by the view that stands: a controller that was cut
    * off still tells of what it owned before, none of which it could reach. */
-  if (!worker->suspicion_at || worker->suspicion_term < workers->controller->rep.view.term ||
+  if (!worker->suspicion_at || worker->suspicion_term < workers->controller->replica.view.term ||
       strcmp(worker->suspicion_reporter, owner) ||
       now - worker->suspicion_at >
           tmx_peers_silence(workers->controller->peers, owner) + TMX_BEAT_S / 2 ||
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -58,7 +58,7 @@
 };
 
 struct tmx_workers {
-  struct tmx_ctl *controller;
+  struct tmx_controller *controller;
   struct tmx_worker *all;
   struct tmx_worker **command_queue; /* whose orders may differ */
   size_t n_command_queue, cap_command_queue;
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -81,7 +81,7 @@
 }
 
 static double smallest_reserve(const struct history *h) {
-  const struct tmx_admission_settings *own = &h->settings.op.admission;
+  const struct tmx_admission_settings *own = &h->settings.operators.admission;
   double parties = (double)(h->live.backlog.n_listed + 1);
   return own->backlog_s * pow(own->reserve, 3) / TEAMS / parties / TMX_HASHED_ACCOUNTS;
 }
@@ -107,7 +107,7 @@
   tmx_job_encode(&append(h, key)->value, id, spec, 100, TMX_JOB_OPEN);
   committed(h);
   h->n_jobs++;
-  double limit = h->settings.op.admission.backlog_s + h->allowance;
+  double limit = h->settings.operators.admission.backlog_s + h->allowance;
   h->report.over_bound += sum(h) > limit + 1e-6;
 }
 
@@ -236,22 +236,23 @@
 }
 
 static void open_history(struct history *h) {
-  struct tmx_settings *s = &h->settings;
+  struct tmx_settings *settings = &h->settings;
   char err[128];
-  *s = (struct tmx_settings){.n_teams = TEAMS, .write_rps = 1000, .value_kb = 16, .ram_mb = 4096};
-  tmx_operator_defaults(&s->op);
-  s->op.admission.enabled = true;
-  s->op.admission.backlog_s = 200;
-  for (int i = 0; i < TEAMS; i++) snprintf(s->teams[i].name, TMX_NAME_MAX, "team-%d", i);
-  strcpy(s->objectives[0].class_name, "class-0");
-  strcpy(s->objectives[1].class_name, "class-20");
-  s->n_objectives = 2;
-  strcpy(s->zones[0], "a");
-  s->n_zones = 1;
-  if (!tmx_admission_resolve(s, err, sizeof err)) abort();
+  *settings =
+      (struct tmx_settings){.n_teams = TEAMS, .write_rps = 1000, .value_kb = 16, .ram_mb = 4096};
+  tmx_operator_defaults(&settings->operators);
+  settings->operators.admission.enabled = true;
+  settings->operators.admission.backlog_s = 200;
+  for (int i = 0; i < TEAMS; i++) snprintf(settings->teams[i].name, TMX_NAME_MAX, "team-%d", i);
+  strcpy(settings->objectives[0].class_name, "class-0");
+  strcpy(settings->objectives[1].class_name, "class-20");
+  settings->n_objectives = 2;
+  strcpy(settings->zones[0], "a");
+  settings->n_zones = 1;
+  if (!tmx_admission_resolve(settings, err, sizeof err)) abort();
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
-  h->rates = tmx_admission_rates(s, &machines, &machines);
-  open_copy(&h->live, s);
+  h->rates = tmx_admission_rates(settings, &machines, &machines);
+  open_copy(&h->live, settings);
   tmx_replica_advance_to(&h->live.replica, 0);
   commit_line(h, "m n-1 127.0.0.1:1 big a 0 0");
 }
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -29,27 +29,27 @@
 static bool submitting;
 static unsigned state_commits, state_reads;
 
-static void adjust(struct tmx_settings *s) {
+static void adjust(struct tmx_settings *settings) {
   static const char *const teams[] = {"t", "u", "v"};
   static const char *const listed[] = {"small", "tally", "refresh", "live"};
-  s->n_teams = sizeof teams / sizeof *teams;
-  for (size_t i = 0; i < s->n_teams; i++) {
-    memset(&s->teams[i], 0, sizeof s->teams[i]);
-    strcpy(s->teams[i].name, teams[i]);
+  settings->n_teams = sizeof teams / sizeof *teams;
+  for (size_t i = 0; i < settings->n_teams; i++) {
+    memset(&settings->teams[i], 0, sizeof settings->teams[i]);
+    strcpy(settings->teams[i].name, teams[i]);
   }
-  s->n_objectives = sizeof listed / sizeof *listed;
-  for (size_t i = 0; i < s->n_objectives; i++) {
-    strcpy(s->objectives[i].kind, "served");
-    strcpy(s->objectives[i].class_name, listed[i]);
+  settings->n_objectives = sizeof listed / sizeof *listed;
+  for (size_t i = 0; i < settings->n_objectives; i++) {
+    strcpy(settings->objectives[i].kind, "served");
+    strcpy(settings->objectives[i].class_name, listed[i]);
   }
-  s->report_s = report_s;
-  s->lease_s = 42;
-  s->cancel_s = 62;
-  s->state_rps = 200;
-  s->write_rps = 40;
-  s->sockets = 5000;
-  s->core_share = 0.096;
-  s->ram_mb = 162;
+  settings->report_s = report_s;
+  settings->lease_s = 42;
+  settings->cancel_s = 62;
+  settings->state_rps = 200;
+  settings->write_rps = 40;
+  settings->sockets = 5000;
+  settings->core_share = 0.096;
+  settings->ram_mb = 162;
 }
 
 /* Twice what the machines can serve, say, of which one team asks for most, in small jobs. */
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -32,35 +32,38 @@
 
 static json_t *address(int port) { return json_sprintf("127.0.0.1:%d", port); }
 
-static json_t *cluster_json(const struct tmx_settings *s) {
+static json_t *cluster_json(const struct tmx_settings *settings) {
   json_t *teams = json_array(), *objectives = json_array();
-  for (size_t i = 0; i < s->n_teams; i++)
-    json_array_append_new(teams, json_pack("{ss sf sf}", "name", s->teams[i].name, "cpus",
-                                           s->teams[i].cpus, "cpus_max", s->teams[i].cpus_max));
-  for (size_t i = 0; i < s->n_objectives; i++)
+  for (size_t i = 0; i < settings->n_teams; i++)
     json_array_append_new(
-        objectives, json_pack("{ss ss sf}", "kind", s->objectives[i].kind, "class",
-                              s->objectives[i].class_name, "within_s", s->objectives[i].within_s));
+        teams, json_pack("{ss sf sf}", "name", settings->teams[i].name, "cpus",
+                         settings->teams[i].cpus, "cpus_max", settings->teams[i].cpus_max));
+  for (size_t i = 0; i < settings->n_objectives; i++)
+    json_array_append_new(objectives, json_pack("{ss ss sf}", "kind", settings->objectives[i].kind,
+                                                "class", settings->objectives[i].class_name,
+                                                "within_s", settings->objectives[i].within_s));
   return json_pack("{s[s] so so s{sf sf sf} s{sf sf sf si} s{sf sf} s{sf sf si} sf}", "zones",
-                   s->zones[0], "teams", teams, "objectives", objectives, "workers", "report_s",
-                   s->report_s, "lease_s", s->lease_s, "cancel_s", s->cancel_s, "state", "rps",
-                   s->state_rps, "write_rps", s->write_rps, "value_kb", s->value_kb, "txn_ops",
-                   s->txn_ops, "cloud", "rps", s->cloud_rps, "list_lag_s", s->list_lag_s, "quota",
-                   "core_share", s->core_share, "ram_mb", s->ram_mb, "sockets", s->sockets,
-                   "clock_off_ms", 0.0);
+                   settings->zones[0], "teams", teams, "objectives", objectives, "workers",
+                   "report_s", settings->report_s, "lease_s", settings->lease_s, "cancel_s",
+                   settings->cancel_s, "state", "rps", settings->state_rps, "write_rps",
+                   settings->write_rps, "value_kb", settings->value_kb, "txn_ops",
+                   settings->txn_ops, "cloud", "rps", settings->cloud_rps, "list_lag_s",
+                   settings->list_lag_s, "quota", "core_share", settings->core_share, "ram_mb",
+                   settings->ram_mb, "sockets", settings->sockets, "clock_off_ms", 0.0);
 }
 
-static void write_settings(int k, const struct tmx_settings *s) {
+static void write_settings(int k, const struct tmx_settings *settings) {
   json_t *peers = json_array();
   for (int i = 0; i < n_nodes; i++)
     if (i != k)
       json_array_append_new(
           peers, json_pack("{so ss so}", "host_name", json_sprintf("hand-%d", i), "location",
-                           s->zone, "address", address(link_port(peer_link(k, i)))));
-  json_t *root = json_pack(
-      "{ss ss so ss so s{so ss} so}", "host_name", s->node, "location", s->zone, "listen",
-      address(node[k].port), "peer_listen", s->peer_listen, "peers", peers, "services", "state",
-      address(link_port(links[k][TO_STATE])), "cloud", s->cloud, "cluster", cluster_json(s));
+                           settings->zone, "address", address(link_port(peer_link(k, i)))));
+  json_t *root = json_pack("{ss ss so ss so s{so ss} so}", "host_name", settings->node_name,
+                           "location", settings->zone, "listen", address(node[k].port),
+                           "peer_listen", settings->peer_listen, "peers", peers, "services",
+                           "state", address(link_port(links[k][TO_STATE])), "cloud",
+                           settings->cloud, "cluster", cluster_json(settings));
   int fd = mkstemp(strcpy(settings_path[k], "/tmp/tmx-cluster-XXXXXX"));
   FILE *f = fd >= 0 ? fdopen(fd, "w") : NULL;
   if (!f || json_dumpf(root, f, 0)) abort();
@@ -70,24 +73,25 @@
 
 static int port_of(const char *addr) { return atoi(strchr(addr, ':') + 1); }
 
-void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *s),
+void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *settings),
                 int connections) {
-  static struct tmx_settings s[FAKE_NODES];
+  static struct tmx_settings settings[FAKE_NODES];
   char addr[32];
   n_nodes = n;
   operator_path = operator_config;
   for (int k = 0; k < n; k++) {
-    fake_settings(&s[k], k, n);
-    adjust(&s[k]);
+    fake_settings(&settings[k], k, n);
+    adjust(&settings[k]);
     node[k].port = fake_listen_port(k);
   }
   for (int k = 0; k < n; k++) {
-    links[k][TO_STATE] = link_new(test_loop, port_of(s[k].state));
+    links[k][TO_STATE] = link_new(test_loop, port_of(settings[k].state));
     links[k][TO_USERS] = link_new(test_loop, node[k].port);
     links[k][TO_WORKERS] = link_new(test_loop, node[k].port);
     for (int i = 0; i < n; i++)
-      if (i != k) links[k][DESTINATIONS + i] = link_new(test_loop, port_of(s[i].peer_listen));
-    write_settings(k, &s[k]);
+      if (i != k)
+        links[k][DESTINATIONS + i] = link_new(test_loop, port_of(settings[i].peer_listen));
+    write_settings(k, &settings[k]);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_USERS]));
     node[k].users = tmx_http_client_new(test_loop, addr, 256);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_WORKERS]));
--- a/tests/cluster/nodes.h
+++ b/tests/cluster/nodes.h
@@ -17,7 +17,7 @@
 extern struct node node[FAKE_NODES];
 
 /* operator_config: TOML; NULL: none. adjust: changes the settings of every controller. */
-void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *s),
+void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *settings),
                 int connections);
 void node_begin(int k);
 void nodes_close(void); /* ends the processes */
--- a/tests/fake.c
+++ b/tests/fake.c
@@ -13,7 +13,7 @@
 
 struct ev_loop *test_loop;
 bool fake_peers_unreachable;
-void (*fake_adjust_settings)(struct tmx_settings *s);
+void (*fake_adjust_settings)(struct tmx_settings *settings);
 static int ports[FAKE_NODES][2];     /* of heartbeats: port, and the socket that reserves it */
 static int listeners[FAKE_NODES][2]; /* of users and workers */
 
@@ -55,11 +55,11 @@
   tmx_cbor_free(map);
 }
 
-struct fake_answer send_request(struct tmx_ctl *c, const char *method, const char *path,
-                                const struct tmx_buffer *body) {
+struct fake_answer send_request(struct tmx_controller *controller, const char *method,
+                                const char *path, const struct tmx_buffer *body) {
   struct fake_waiting x = {0};
   struct fake_answer answer = {0};
-  struct tmx_http_client *k = client_of(c);
+  struct tmx_http_client *k = client_of(controller);
   assert_true(tmx_http_client_call(k, method, path, body, 5, on_answer, &x));
   answer.done = run_loop_until(fake_is_done, &x);
   answer.status = x.status;
@@ -110,35 +110,35 @@
   tmx_cbor_put_number_field(buffer, W_SAVE, 0);
 }
 
-int submit_job(struct tmx_ctl *c, const struct fake_job *job) {
+int submit_job(struct tmx_controller *controller, const struct fake_job *job) {
   struct tmx_buffer buffer = {0};
   encode_submission_of(&buffer, job);
-  struct fake_answer answer = send_request(c, "POST", WP_JOBS, &buffer);
+  struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &buffer);
   tmx_buffer_free(&buffer);
   return answer.status;
 }
 
-int submit_simple_job(struct tmx_ctl *c, const char *id, const char *kind, uint32_t tasks,
-                      double cpus, const char *team) {
+int submit_simple_job(struct tmx_controller *controller, const char *id, const char *kind,
+                      uint32_t tasks, double cpus, const char *team) {
   struct fake_job job = {.id = id, .kind = kind, .team = team, .tasks = tasks, .cpus = cpus};
-  return submit_job(c, &job);
+  return submit_job(controller, &job);
 }
-struct fake_answer poll_job(struct tmx_ctl *c, const char *id) {
+struct fake_answer poll_job(struct tmx_controller *controller, const char *id) {
   char path[128];
   snprintf(path, sizeof path, WP_JOBS "/%s", id);
-  return send_request(c, "GET", path, NULL);
+  return send_request(controller, "GET", path, NULL);
 }
-struct fake_answer cancel_job(struct tmx_ctl *c, const char *id) {
+struct fake_answer cancel_job(struct tmx_controller *controller, const char *id) {
   char path[128];
   snprintf(path, sizeof path, WP_JOBS "/%s" WP_CANCEL, id);
-  return send_request(c, "POST", path, NULL);
+  return send_request(controller, "POST", path, NULL);
 }
 
 /* ------------------------------------------------------------ controllers */
 
-struct tmx_http_client *client_of(struct tmx_ctl *c) {
+struct tmx_http_client *client_of(struct tmx_controller *controller) {
   char addr[32];
-  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(c->server));
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(controller->server));
   struct tmx_http_client *k = tmx_http_client_new(test_loop, addr, 4);
   assert_non_null(k);
   return k;
@@ -163,69 +163,70 @@
   return listeners[k][0];
 }
 
-void fake_settings(struct tmx_settings *s, int k, int of) {
-  memset(s, 0, sizeof *s);
-  tmx_operator_defaults(&s->op);
-  snprintf(s->node, sizeof s->node, "hand-%d", k);
-  strcpy(s->zone, "a");
-  strcpy(s->listen, "127.0.0.1:0");
-  snprintf(s->peer_listen, sizeof s->peer_listen, "127.0.0.1:%d", ports[k][0]);
-  snprintf(s->state, sizeof s->state, "127.0.0.1:%d",
+void fake_settings(struct tmx_settings *settings, int k, int of) {
+  memset(settings, 0, sizeof *settings);
+  tmx_operator_defaults(&settings->operators);
+  snprintf(settings->node_name, sizeof settings->node_name, "hand-%d", k);
+  strcpy(settings->zone, "a");
+  strcpy(settings->listen, "127.0.0.1:0");
+  snprintf(settings->peer_listen, sizeof settings->peer_listen, "127.0.0.1:%d", ports[k][0]);
+  snprintf(settings->state, sizeof settings->state, "127.0.0.1:%d",
            tmx_http_server_port(fake_store.endpoints[k].server));
-  snprintf(s->cloud, sizeof s->cloud, "127.0.0.1:%d", tmx_http_server_port(fake_cloud.server));
+  snprintf(settings->cloud, sizeof settings->cloud, "127.0.0.1:%d",
+           tmx_http_server_port(fake_cloud.server));
   for (int i = 0; i < of; i++) {
     if (i == k) continue;
-    struct tmx_peer_conf *p = &s->peers[s->n_peers++];
+    struct tmx_peer_settings *p = &settings->peers[settings->n_peers++];
     snprintf(p->name, sizeof p->name, "hand-%d", i);
     snprintf(p->addr, sizeof p->addr, "127.0.0.1:%d", fake_peers_unreachable ? 1 : ports[i][0]);
   }
-  strcpy(s->zones[0], "a");
-  s->n_zones = 1;
-  strcpy(s->teams[0].name, "t");
-  s->teams[0].cpus_max = 8;
-  s->n_teams = 1;
-  s->report_s = 3;
-  s->lease_s = 20;
-  s->cancel_s = 40;
-  s->state_rps = 1000;
-  s->write_rps = 1000;
-  s->value_kb = 16;
-  s->txn_ops = 32;
-  s->cloud_rps = 100;
-  s->list_lag_s = 8;
-  s->ram_mb = 128;
-  s->sockets = 500;
-}
-
-static struct tmx_ctl *running[FAKE_NODES];
-
-struct tmx_ctl *start_controller(int k, int of) {
+  strcpy(settings->zones[0], "a");
+  settings->n_zones = 1;
+  strcpy(settings->teams[0].name, "t");
+  settings->teams[0].cpus_max = 8;
+  settings->n_teams = 1;
+  settings->report_s = 3;
+  settings->lease_s = 20;
+  settings->cancel_s = 40;
+  settings->state_rps = 1000;
+  settings->write_rps = 1000;
+  settings->value_kb = 16;
+  settings->txn_ops = 32;
+  settings->cloud_rps = 100;
+  settings->list_lag_s = 8;
+  settings->ram_mb = 128;
+  settings->sockets = 500;
+}
+
+static struct tmx_controller *running[FAKE_NODES];
+
+struct tmx_controller *start_controller(int k, int of) {
   static struct tmx_settings s;
   char err[256];
   fake_settings(&s, k, of);
   if (fake_adjust_settings) fake_adjust_settings(&s);
-  struct tmx_ctl *c = tmx_ctl_new(test_loop, &s, err, sizeof err);
-  if (!c) fail_msg("%s", err);
+  struct tmx_controller *controller = tmx_controller_new(test_loop, &s, err, sizeof err);
+  if (!controller) fail_msg("%s", err);
   assert_null(running[k]);
-  return running[k] = c;
+  return running[k] = controller;
 }
 
-void stop_controller(struct tmx_ctl *c) {
+void stop_controller(struct tmx_controller *controller) {
   for (int k = 0; k < FAKE_NODES; k++)
-    if (running[k] == c) running[k] = NULL;
-  tmx_ctl_free(c);
+    if (running[k] == controller) running[k] = NULL;
+  tmx_controller_free(controller);
 }
 
 bool fake_controller_is_ready(void *controller) {
-  struct tmx_ctl *c = controller;
+  struct tmx_controller *c = controller;
   size_t n;
   tmx_cloud_types(c->cloud, &n);
-  return n > 0 && tmx_store_is_member(c->link) && tmx_ctl_fresh(c);
+  return n > 0 && tmx_store_is_member(c->store) && tmx_controller_may_act(c);
 }
 
 bool fake_any_planner_busy(void) {
   for (int k = 0; k < FAKE_NODES; k++)
-    if (running[k] && tmx_scheduler_is_planning(running[k]->rounds)) return true;
+    if (running[k] && tmx_scheduler_is_planning(running[k]->scheduler)) return true;
   return false;
 }
 
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -111,7 +111,7 @@
 extern struct fake_state fake_store;
 extern struct fake_cloud fake_cloud;
 /* Changes the settings of controllers made from now on; NULL: nothing. */
-extern void (*fake_adjust_settings)(struct tmx_settings *s);
+extern void (*fake_adjust_settings)(struct tmx_settings *settings);
 extern bool fake_peers_unreachable; /* controllers made from now on do not reach their peers */
 
 void fake_start(void);
@@ -119,13 +119,15 @@
 /* Called for every key that is written; NULL: nobody is told. */
 extern void (*fake_on_write)(const char *key, const uint8_t *value, size_t len);
 int fake_listen_port(int k); /* reserved for the users and workers of hand-k's process */
-void fake_settings(struct tmx_settings *s, int k, int of); /* of hand-k among `of` controllers */
-struct tmx_ctl *start_controller(int k, int of);
-void stop_controller(struct tmx_ctl *c); /* it ends without a word, as a killed process does */
-bool fake_any_planner_busy(void);        /* a planner's thread has work */
+void fake_settings(struct tmx_settings *settings, int k,
+                   int of); /* of hand-k among `of` controllers */
+struct tmx_controller *start_controller(int k, int of);
+void stop_controller(
+    struct tmx_controller *controller); /* it ends without a word, as a killed process does */
+bool fake_any_planner_busy(void);       /* a planner's thread has work */
 bool fake_controller_is_ready(
     void *controller); /* for pump: it is a member, fresh, and knows the types */
-struct tmx_http_client *client_of(struct tmx_ctl *c);
+struct tmx_http_client *client_of(struct tmx_controller *controller);
 bool run_loop_until(bool (*done)(void *),
                     void *arg); /* runs the loop until done; false after 10 s */
 void run_loop_for(double s);
@@ -143,8 +145,9 @@
 unsigned fake_count_placed(void);         /* place lines in the log that have no end */
 
 void fake_worker_open(struct fake_worker *worker, const char *id);
-void fake_worker_send_heartbeat(struct fake_worker *worker,
-                                struct tmx_ctl *c); /* sends one and waits for its answer */
+void fake_worker_send_heartbeat(
+    struct fake_worker *worker,
+    struct tmx_controller *controller); /* sends one and waits for its answer */
 void fake_worker_encode_report(const struct fake_worker *worker,
                                struct tmx_buffer *buffer); /* its report as it stands */
 void fake_worker_take_response(struct fake_worker *worker, int status, const uint8_t *body,
@@ -163,17 +166,18 @@
   const struct tmx_buffer *awaits, *types; /* the encoded lists; NULL: none */
 };
 void encode_submission_of(struct tmx_buffer *buffer, const struct fake_job *job);
-int submit_job(struct tmx_ctl *c, const struct fake_job *job); /* the answer's status */
+int submit_job(struct tmx_controller *controller,
+               const struct fake_job *job); /* the answer's status */
 void encode_submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
                        double cpus, const char *team);
 /* One that awaits others: a submission with the encoded list in place of nothing. */
 void encode_submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
                                 uint32_t tasks, double cpus, const char *team,
                                 const struct tmx_buffer *awaits);
-int submit_simple_job(struct tmx_ctl *c, const char *id, const char *kind, uint32_t tasks,
-                      double cpus, const char *team);
-struct fake_answer send_request(struct tmx_ctl *c, const char *method, const char *path,
-                                const struct tmx_buffer *body);
-struct fake_answer poll_job(struct tmx_ctl *c, const char *id);
-struct fake_answer cancel_job(struct tmx_ctl *c, const char *id);
+int submit_simple_job(struct tmx_controller *controller, const char *id, const char *kind,
+                      uint32_t tasks, double cpus, const char *team);
+struct fake_answer send_request(struct tmx_controller *controller, const char *method,
+                                const char *path, const struct tmx_buffer *body);
+struct fake_answer poll_job(struct tmx_controller *controller, const char *id);
+struct fake_answer cancel_job(struct tmx_controller *controller, const char *id);
 #endif
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -143,10 +143,10 @@
   fake_worker_take_response(x->w, status, body, len);
 }
 
-void fake_worker_send_heartbeat(struct fake_worker *worker, struct tmx_ctl *c) {
+void fake_worker_send_heartbeat(struct fake_worker *worker, struct tmx_controller *controller) {
   struct fake_waiting x = {.w = worker};
   struct tmx_buffer buffer = {0};
-  struct tmx_http_client *k = client_of(c);
+  struct tmx_http_client *k = client_of(controller);
   worker->sequence++;
   fake_worker_encode_report(worker, &buffer);
   assert_true(tmx_http_client_call(k, "POST", WP_REPORT, &buffer, 5, on_reported, &x));
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -27,15 +27,15 @@
 
 static struct tmx_settings platform(void) {
   struct tmx_settings s = {.n_teams = 2, .write_rps = 1000, .value_kb = 16, .ram_mb = 128};
-  tmx_operator_defaults(&s.op);
+  tmx_operator_defaults(&s.operators);
   strcpy(s.teams[0].name, "t");
   strcpy(s.teams[1].name, "u");
   strcpy(s.objectives[0].class_name, "c");
   strcpy(s.objectives[1].class_name, "d");
   strcpy(s.objectives[2].class_name, "c");
   s.n_objectives = 3;
-  s.op.admission.enabled = true;
-  s.op.admission.backlog_s = 100;
+  s.operators.admission.enabled = true;
+  s.operators.admission.backlog_s = 100;
   char err[128];
   assert_true(tmx_admission_resolve(&s, err, sizeof err));
   return s;
@@ -101,7 +101,7 @@
                                 .load = tmx_load_of(&spec, tasks)};
 }
 
-static unsigned admit_until_refused(const struct tmx_settings *s, struct tmx_backlog *b,
+static unsigned admit_until_refused(const struct tmx_settings *settings, struct tmx_backlog *b,
                                     const struct tmx_rates *rates, int team, const char *prefix,
                                     unsigned classes, uint32_t tasks) {
   char name[64];
@@ -109,7 +109,7 @@
   for (unsigned i = 0; refused < classes * 4 && i < 100000; i++) {
     snprintf(name, sizeof name, classes > 1 ? "%s-%u" : "%s", prefix, i % classes);
     struct tmx_candidate x = candidate(b, team, name, tasks);
-    if (tmx_admission_judge(s, b, NULL, rates, &x).verdict != TMX_ADMITTED) {
+    if (tmx_admission_judge(settings, b, NULL, rates, &x).verdict != TMX_ADMITTED) {
       refused++;
       continue;
     }
@@ -173,7 +173,7 @@
   struct tmx_backlog b;
   tmx_backlog_init(&b, &s);
   admit_until_refused(&s, &b, &before, 0, "c", 1, 4);
-  assert_true(tmx_total_seconds(&b, &after) > s.op.admission.backlog_s);
+  assert_true(tmx_total_seconds(&b, &after) > s.operators.admission.backlog_s);
   struct tmx_candidate more = candidate(&b, 0, "c", 1), newcomer = candidate(&b, 1, "c", 1);
   assert_int_equal(tmx_admission_judge(&s, &b, NULL, &after, &more).verdict, TMX_REFUSED_TEAM);
   assert_int_equal(tmx_admission_judge(&s, &b, NULL, &after, &newcomer).verdict, TMX_ADMITTED);
@@ -193,7 +193,7 @@
     tmx_load_add(&b.accounts[0][x.account].load, &x.load, 1);
     b.accounts[0][x.account].jobs++;
   }
-  s.op.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
+  s.operators.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
   struct tmx_rates expected = tmx_admission_rates(&s, &none, &one);
   struct tmx_candidate more = candidate(&b, 0, "c", 1);
   assert_int_equal(tmx_admission_judge(&s, &b, NULL, &expected, &more).verdict, TMX_REFUSED_TEAM);
@@ -206,20 +206,21 @@
   struct tmx_ruling little = {TMX_REFUSED_TEAM, 10.2, 10}, much = {TMX_REFUSED_TEAM, 1e9, 10};
   assert_true(tmx_admission_retry_s(&little) == 1);
   assert_true(tmx_admission_retry_s(&much) == TMX_ADMISSION_RETRY_MAX_S);
-  for (int i = 0; i < 100; i++) assert_in_range(tmx_gate_retry_after(&much), 20, 30);
+  for (int i = 0; i < 100; i++) assert_in_range(tmx_admission_control_retry_after(&much), 20, 30);
 }
 
 /* ------------------------------------------------------------ settings */
 
-static bool load_operator(struct tmx_settings *s, const char *text, char *err, size_t cap) {
+static bool load_operator(struct tmx_settings *settings, const char *text, char *err, size_t cap) {
   char path[] = "/tmp/tmx-operator-XXXXXX";
   int fd = mkstemp(path);
   FILE *f = fd >= 0 ? fdopen(fd, "w") : NULL;
   assert_non_null(f);
   fputs(text, f);
   fclose(f);
-  tmx_operator_defaults(&s->op);
-  bool ok = tmx_operator_load(&s->op, path, err, cap) && tmx_admission_resolve(s, err, cap);
+  tmx_operator_defaults(&settings->operators);
+  bool ok = tmx_operator_load(&settings->operators, path, err, cap) &&
+            tmx_admission_resolve(settings, err, cap);
   remove(path);
   return ok;
 }
@@ -255,37 +256,37 @@
   }
   assert_true(load_operator(&s, "[admission]\nenabled = true\n[admission.team_shares]\nt = 0.8\n",
                             err, sizeof err));
-  assert_true(s.op.admission.share[0] > 0.79 && s.op.admission.share[1] < 0.21);
+  assert_true(s.operators.admission.share[0] > 0.79 && s.operators.admission.share[1] < 0.21);
   assert_true(load_operator(&s, "headroom = 0.1\n", err, sizeof err));
-  assert_false(s.op.admission.enabled);
+  assert_false(s.operators.admission.enabled);
 }
 
 /* ------------------------------------------------------------ controllers */
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static unsigned next_job;
 
-static void with_admission(struct tmx_settings *s) {
-  s->n_teams = 2;
-  strcpy(s->teams[1].name, "u");
-  s->teams[1].cpus_max = 8;
-  strcpy(s->objectives[0].class_name, "c");
-  strcpy(s->objectives[1].class_name, "d");
-  s->n_objectives = 2;
-  s->op.admission.enabled = true;
-  s->op.admission.backlog_s = 100;
-  s->op.admission.capacity_cpus = 16; /* no machine is registered */
+static void with_admission(struct tmx_settings *settings) {
+  settings->n_teams = 2;
+  strcpy(settings->teams[1].name, "u");
+  settings->teams[1].cpus_max = 8;
+  strcpy(settings->objectives[0].class_name, "c");
+  strcpy(settings->objectives[1].class_name, "d");
+  settings->n_objectives = 2;
+  settings->operators.admission.enabled = true;
+  settings->operators.admission.backlog_s = 100;
+  settings->operators.admission.capacity_cpus = 16; /* no machine is registered */
   char err[128];
-  assert_true(tmx_admission_resolve(s, err, sizeof err));
+  assert_true(tmx_admission_resolve(settings, err, sizeof err));
 }
-static void without_admission(struct tmx_settings *s) {
-  with_admission(s);
-  s->op.admission.enabled = false;
+static void without_admission(struct tmx_settings *settings) {
+  with_admission(settings);
+  settings->operators.admission.enabled = false;
 }
-static struct tmx_ctl *begin(int k) {
-  struct tmx_ctl *c = start_controller(k, 2);
-  assert_true(run_loop_until(fake_controller_is_ready, c));
-  return c;
+static struct tmx_controller *begin(int k) {
+  struct tmx_controller *controller = start_controller(k, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, controller));
+  return controller;
 }
 static int setup(void **st) {
   (void)st;
@@ -307,22 +308,23 @@
 }
 
 /* 40 CPU seconds of the class: 2.5 s of the one machine that may be rented. */
-static int submit_some(struct tmx_ctl *c, const char *team, const char *class_name) {
+static int submit_some(struct tmx_controller *controller, const char *team,
+                       const char *class_name) {
   char id[TMX_ID_MAX];
   snprintf(id, sizeof id, "wk-%06u", ++next_job);
   struct fake_job job = {.id = id, .class = class_name, .team = team, .tasks = 4, .cpus = 1};
-  return submit_job(c, &job);
+  return submit_job(controller, &job);
 }
-static unsigned flood(struct tmx_ctl *c, const char *team, const char *class_name) {
+static unsigned flood(struct tmx_controller *controller, const char *team, const char *class_name) {
   unsigned n = 0;
   int status;
-  while ((status = submit_some(c, team, class_name)) == 201 && n < 200) n++;
+  while ((status = submit_some(controller, team, class_name)) == 201 && n < 200) n++;
   assert_int_equal(status, 503);
   return n;
 }
-static double backlog_of(const struct tmx_ctl *c) {
+static double backlog_of(const struct tmx_controller *controller) {
   struct tmx_rates one_per_s = {{1, 1, 1}};
-  return tmx_total_seconds(c->rep.backlog, &one_per_s);
+  return tmx_total_seconds(controller->replica.backlog, &one_per_s);
 }
 
 static void a_surge_at_one_controller_is_known_at_the_other(void **st) {
@@ -375,7 +377,7 @@
               1); /* refused as soon as it is known, not when time is up */
   run_loop_for(0.2);
   assert_in_range(x.accepted, 5, 30);
-  assert_int_equal(a->rep.backlog->accounts[0][0].jobs, x.accepted);
+  assert_int_equal(a->replica.backlog->accounts[0][0].jobs, x.accepted);
   unsigned alone = x.accepted;
   for (unsigned i = 0; i < AT_ONCE; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
@@ -395,8 +397,8 @@
   fake_free_watches();
   run_loop_for(3);
   assert_int_equal(submit_some(b, "t", "c"), 503);
-  assert_int_equal(a->rep.backlog->accounts[0][0].jobs, n);
-  assert_int_equal(b->rep.backlog->accounts[0][0].jobs, n);
+  assert_int_equal(a->replica.backlog->accounts[0][0].jobs, n);
+  assert_int_equal(b->replica.backlog->accounts[0][0].jobs, n);
 }
 
 static void retries_questions_and_cancellations_pass(void **st) {
@@ -451,9 +453,9 @@
   a = NULL;
   run_loop_for(8);
   assert_int_equal(submit_some(b, "t", "c"), 503);
-  tmx_compaction_set_threshold(b->fold, 0);
+  tmx_compaction_set_threshold(b->compaction, 0);
   run_loop_for(5);
-  tmx_compaction_set_threshold(b->fold, 1000);
+  tmx_compaction_set_threshold(b->compaction, 1000);
   assert_int_equal(submit_some(b, "t", "c"), 503);
   stop_controller(b);
   b = NULL;
@@ -485,12 +487,12 @@
   run_loop_for(0.5);
   assert_int_equal(submit_some(a, "t", "c"), 503); /* what the other admitted counts */
   assert_int_equal(submit_some(a, "u", "c"), 201);
-  assert_null(b->rep.backlog);
+  assert_null(b->replica.backlog);
 }
 
-static void smaller(struct tmx_settings *s) {
-  with_admission(s);
-  s->op.admission.backlog_s = 20;
+static void smaller(struct tmx_settings *settings) {
+  with_admission(settings);
+  settings->operators.admission.backlog_s = 20;
 }
 static void settings_changed_between_restarts(void **st) {
   (void)st;
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -532,24 +532,26 @@
 
 static void rents_for_what_waits(void **st) {
   (void)st;
-  struct tmx_type small = {.name = "small", .cpus = 4, .mem = 16, .price = 0.2, .boot_s = 30};
-  struct tmx_type big = {.name = "big", .cpus = 16, .mem = 64, .price = 1.0, .boot_s = 30};
+  struct tmx_machine_type small = {
+      .name = "small", .cpus = 4, .mem_gb = 16, .price = 0.2, .boot_s = 30};
+  struct tmx_machine_type big = {
+      .name = "big", .cpus = 16, .mem_gb = 64, .price = 1.0, .boot_s = 30};
   struct tmx_job_spec s = {.service = true, .tasks = 1, .cpus = 2, .mem_gb = 4};
   struct tmx_demand d = {&s, 1, -1, 0};
-  struct tmx_offer o[2] = {{&small, 0, false, 0.2}, {&big, 0, false, 1.0}};
-  struct tmx_hire h[4];
-  assert_int_equal(tmx_capacity(&d, 1, o, 2, NULL, 0, 10, h, 4), 1);
+  struct tmx_offer offers[2] = {{&small, 0, false, 0.2}, {&big, 0, false, 1.0}};
+  struct tmx_scale_out h[4];
+  assert_int_equal(tmx_plan_scale_out(&d, 1, offers, 2, NULL, 0, 10, h, 4), 1);
   assert_int_equal(h[0].offer, 0);
   assert_int_equal(h[0].count, 1);
   /* what is on its way is counted */
   struct tmx_coming c = {&small, 0, false, 4, 0, 16};
-  assert_int_equal(tmx_capacity(&d, 1, o, 2, &c, 1, 10, h, 4), 0);
+  assert_int_equal(tmx_plan_scale_out(&d, 1, offers, 2, &c, 1, 10, h, 4), 0);
   /* a service never gets a spot machine */
   struct tmx_offer spot = {&small, 0, true, 0.05};
-  assert_int_equal(tmx_capacity(&d, 1, &spot, 1, NULL, 0, 10, h, 4), 0);
+  assert_int_equal(tmx_plan_scale_out(&d, 1, &spot, 1, NULL, 0, 10, h, 4), 0);
   /* a large demand does not wait until the cheapest offer is exhausted */
   d.tasks = 2000;
-  assert_int_equal(tmx_capacity(&d, 1, o, 2, NULL, 0, 10, h, 4), 2);
+  assert_int_equal(tmx_plan_scale_out(&d, 1, offers, 2, NULL, 0, 10, h, 4), 2);
   assert_int_equal(h[0].count, TMX_HIRE_OFFER_MAX);
   assert_int_equal(h[1].count, TMX_HIRE_OFFER_MAX);
 }
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -9,7 +9,7 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static struct fake_worker w, others[2];
 
 static int setup(void **st) {
@@ -47,8 +47,8 @@
   return 0;
 }
 
-static bool registered(const struct tmx_ctl *c, const struct fake_worker *x) {
-  struct tmx_machine *machine = tmx_machine_find(&c->rep, x->id);
+static bool registered(const struct tmx_controller *controller, const struct fake_worker *x) {
+  struct tmx_machine *machine = tmx_machine_find(&controller->replica, x->id);
   return machine && machine->registered;
 }
 static void up(struct fake_worker *x) {
@@ -100,10 +100,10 @@
   up(&w);
   assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_starts(2);
-  bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
-  struct tmx_ctl *owner = first ? a : b, *other = first ? b : a;
+  bool first = !strcmp(tmx_machine_owner(&a->replica, w.id), a->settings.node_name);
+  struct tmx_controller *owner = first ? a : b, *other = first ? b : a;
   struct fake_endpoint *door = &fake_store.endpoints[first ? 0 : 1];
-  double lease = a->set.lease_s, cancel = a->set.cancel_s;
+  double lease = a->settings.lease_s, cancel = a->settings.cancel_s;
   w.mute = true; /* stops sent by command do not arrive */
   door->slow_s = slow_s;
   door->refuse = !slow_s;
@@ -117,7 +117,7 @@
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   unsigned begun = w.executed_starts, answered = 0;
   for (double t = 0; t < cancel + 5; t += 0.5) {
-    struct tmx_ctl *asked[] = {owner, other};
+    struct tmx_controller *asked[] = {owner, other};
     for (int i = 0; i < 2; i++) {
       double sent = tmx_clock_steady();
       fake_worker_send_heartbeat(&w, asked[i]);
@@ -159,8 +159,8 @@
   assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_placed(1);
   wait_command(0);
-  bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
-  struct tmx_ctl *keeper = first ? b : a;
+  bool first = !strcmp(tmx_machine_owner(&a->replica, w.id), a->settings.node_name);
+  struct tmx_controller *keeper = first ? b : a;
   assert_string_equal(cancel_job(keeper, "wk-000001").state, WV_CANCELLED);
   double confirmed = tmx_clock_steady();
   run_loop_for(0.3);
@@ -179,9 +179,10 @@
   tmx_clock_advance(TMX_STATE_LOST_S);
   fake_worker_send_heartbeat(&w, keeper);
   assert_int_equal(w.status, 200); /* a lease from now on ends in time */
-  assert_true(tmx_clock_steady() + keeper->set.lease_s < confirmed + keeper->set.cancel_s);
+  assert_true(tmx_clock_steady() + keeper->settings.lease_s <
+              confirmed + keeper->settings.cancel_s);
   tmx_clock_advance(7);
-  assert_true(tmx_ctl_fresh(keeper));
+  assert_true(tmx_controller_may_act(keeper));
   fake_worker_send_heartbeat(&w, keeper);
   assert_int_not_equal(w.status, 200);
 }
@@ -390,15 +391,15 @@
 static void late_put_of_the_node_key(void **st) {
   (void)st;
   up(&w);
-  uint64_t run = tmx_store_incarnation(a->link);
+  uint64_t run = tmx_store_incarnation(a->store);
   struct tmx_buffer value = {0};
   tmx_cbor_put_map(&value, 1);
-  tmx_cbor_put_text_field(&value, "listen", a->set.listen);
+  tmx_cbor_put_text_field(&value, "listen", a->settings.listen);
   fake_put(TMX_KEY_MEMBER "hand-0", &value);
   tmx_buffer_free(&value);
   run_loop_for(0.1);
   assert_true(run_loop_until(fake_controller_is_ready, a));
-  assert_true(tmx_store_incarnation(a->link) > run);
+  assert_true(tmx_store_incarnation(a->store) > run);
   assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 1, 2, "t"), 201);
   for (int i = 0; i < 100 && !w.executed_starts; i++) {
     fake_worker_send_heartbeat(&w, a);
@@ -412,12 +413,12 @@
  * lease is over: it does not try again with it until a renewal says so. */
 static void lapsed_lease_of_a_controller(void **st) {
   (void)st;
-  uint64_t run = tmx_store_incarnation(a->link);
+  uint64_t run = tmx_store_incarnation(a->store);
   fake_store.lapsed = fake_store.leases;
   fake_drop(TMX_KEY_MEMBER "hand-0");
   run_loop_for(0.3);
   assert_true(run_loop_until(fake_controller_is_ready, a));
-  assert_true(tmx_store_incarnation(a->link) > run);
+  assert_true(tmx_store_incarnation(a->store) > run);
   assert_int_equal(fake_store.lapsed_puts, 1);
 }
 
@@ -433,9 +434,9 @@
   fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&w, a);
   wait_placed(1);
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 300 && !a->rep.compaction_point; i++) run_loop_for(0.02);
-  assert_true(a->rep.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 300 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
   restart();
   assert_string_equal(poll_job(a, "wk-000001").state, WV_RUNNING);
   stop_controller(a);
@@ -461,11 +462,11 @@
   assert_string_equal(poll_job(a, "wk-000001").state, WV_DONE);
 }
 
-static void lead(const struct tmx_ctl *next) {
+static void lead(const struct tmx_controller *next) {
   struct tmx_buffer value = {0};
   tmx_cbor_put_map(&value, 2);
-  tmx_cbor_put_text_field(&value, "name", next->set.node);
-  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(next->link));
+  tmx_cbor_put_text_field(&value, "name", next->settings.node_name);
+  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(next->store));
   fake_put(TMX_KEY_LEADER, &value);
   tmx_buffer_free(&value);
 }
@@ -487,7 +488,7 @@
   char id[32];
   unsigned done = 0;
   for (int i = 0; i < 10; i++) {
-    struct tmx_ctl *next = i % 2 ? a : b;
+    struct tmx_controller *next = i % 2 ? a : b;
     if (i == 5)
       fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse =
           true; /* also inside an outage */
@@ -514,7 +515,7 @@
     done = 0;
     for (int k = 0; k < 10; k++) {
       snprintf(id, sizeof id, "wk-%06d", k);
-      struct tmx_job *job = tmx_job_find(&a->rep, id);
+      struct tmx_job *job = tmx_job_find(&a->replica, id);
       done += job && job->outcome == TMX_JOB_DONE;
     }
   }
@@ -563,7 +564,7 @@
   (void)st;
   up(&w);
   for (int i = 0; i < 2; i++) up(&others[i]);
-  struct tmx_ctl *old = tmx_store_is_leader(a->link) ? a : b, *next = old == a ? b : a;
+  struct tmx_controller *old = tmx_store_is_leader(a->store) ? a : b, *next = old == a ? b : a;
   struct fake_worker *all[] = {&w, &others[0], &others[1]};
   /* one task more than the limit of the team: while it waits nothing is returned */
   assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 5, 2, "t"), 201);
@@ -577,7 +578,7 @@
   }
   lead(next);
   bool drained = false;
-  for (int k = 0; k < 3; k++) assert_false(tmx_machine_find(&next->rep, all[k]->id)->draining);
+  for (int k = 0; k < 3; k++) assert_false(tmx_machine_find(&next->replica, all[k]->id)->draining);
   assert_int_equal(fake_cloud.deletes, 0);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   double since = tmx_clock_steady();
@@ -585,18 +586,18 @@
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(all[k], a);
       if (all[k]->status != 200) fake_worker_send_heartbeat(all[k], b);
-      struct tmx_machine *machine = tmx_machine_find(&next->rep, all[k]->id);
+      struct tmx_machine *machine = tmx_machine_find(&next->replica, all[k]->id);
       drained |= !machine || machine->draining;
     }
     run_loop_for(0.5);
   }
-  assert_true(tmx_store_is_leader(next->link));
+  assert_true(tmx_store_is_leader(next->store));
   assert_true(drained);
 }
 
 /* ------------------------------------------------------------ the copy read anew */
 
-static bool loaded(void *arg) { return ((struct tmx_ctl *)arg)->rep.loaded; }
+static bool loaded(void *arg) { return ((struct tmx_controller *)arg)->replica.loaded; }
 
 /* The watch fell behind while an answer with a start is on its way, and the copy is read anew under
  * the same view: that answer has the token which the worker has seen, so its lack of the task
@@ -611,13 +612,13 @@
   fake_worker_send_heartbeat(&w, a);
   fake_worker_send_heartbeat(&w, a); /* shows the token that the unanswered command raised */
   assert_true(fake_worker_was_commanded(&w, WV_START, "wk-000001/0", 1)); /* still on its way */
-  uint64_t before = w.token, term = a->rep.view.term;
+  uint64_t before = w.token, term = a->replica.view.term;
   fake_store.endpoints[0].gone_watch = true;
   fake_free_watches();
-  for (int i = 0; i < 200 && (fake_store.endpoints[0].gone_watch || a->rep.loaded); i++)
+  for (int i = 0; i < 200 && (fake_store.endpoints[0].gone_watch || a->replica.loaded); i++)
     run_loop_for(0.005);
   assert_true(run_loop_until(loaded, a));
-  assert_int_equal(a->rep.view.term, term);
+  assert_int_equal(a->replica.view.term, term);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   stays_placed(1, 1.0);
   fake_worker_send_heartbeat(&w, a);
@@ -634,11 +635,11 @@
   up(&w);
   assert_int_equal(submit_simple_job(a, "wk-000001", "service", 1, 2, "t"), 201);
   wait_starts(1);
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
-  uint64_t mark = a->rep.compaction_point;
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  uint64_t mark = a->replica.compaction_point;
   assert_true(mark > 0);
-  tmx_compaction_set_threshold(a->fold, 1000);
+  tmx_compaction_set_threshold(a->compaction, 1000);
   run_loop_for(3); /* what the first fold leaves is dropped */
   struct fake_endpoint *endpoint = &fake_store.endpoints[1];
   endpoint->page_max = 1;
@@ -648,20 +649,20 @@
   const struct tmx_http_request *held = endpoint->held_read;
   assert_non_null(held);
   assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 201);
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) run_loop_for(0.02);
-  assert_true(a->rep.compaction_point > mark);
-  tmx_compaction_set_threshold(a->fold, 1000);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && a->replica.compaction_point == mark; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > mark);
+  tmx_compaction_set_threshold(a->compaction, 1000);
   run_loop_for(1);
   endpoint->page_max = 0;
   assert_ptr_equal(endpoint->held_read, held); /* it was not given up in the meantime */
   fake_release_held_read(endpoint);
   assert_true(run_loop_until(loaded, b));
-  assert_int_equal(b->rep.compaction_point, a->rep.compaction_point);
-  struct tmx_job *job = tmx_job_find(&b->rep, "wk-000001");
+  assert_int_equal(b->replica.compaction_point, a->replica.compaction_point);
+  struct tmx_job *job = tmx_job_find(&b->replica, "wk-000001");
   assert_non_null(job);
   assert_int_equal(job->n_placed, 1);
-  assert_non_null(tmx_job_find(&b->rep, "wk-000002"));
+  assert_non_null(tmx_job_find(&b->replica, "wk-000002"));
   assert_int_equal(poll_job(b, "wk-000001").status, 200);
 }
 
@@ -674,9 +675,9 @@
   (void)st;
   up(&w);
   static const char *ids[] = {"wk-000001", "wk-000002", "wk-000003", "wk-000004"};
-  struct tmx_ctl *at[] = {a, b};
+  struct tmx_controller *at[] = {a, b};
   for (int i = 0; i < 4; i++) {
-    struct tmx_ctl *one = at[i % 2], *other = at[1 - i % 2];
+    struct tmx_controller *one = at[i % 2], *other = at[1 - i % 2];
     struct fake_endpoint *lags = &fake_store.endpoints[1 - i % 2];
     lags->freeze_watch = true;
     assert_int_equal(submit_simple_job(one, ids[i], "batch", 1, 2, "t"), 201);
@@ -734,8 +735,8 @@
   char id[32];
   up(&w);
   for (unsigned i = 0; i < 4; i++) {
-    bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
-    struct tmx_ctl *owner = first ? a : b, *heir = first ? b : a;
+    bool first = !strcmp(tmx_machine_owner(&a->replica, w.id), a->settings.node_name);
+    struct tmx_controller *owner = first ? a : b, *heir = first ? b : a;
     w.mute = true;
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(submit_simple_job(heir, id, "batch", 2, 2, "t"), 201);
@@ -772,7 +773,7 @@
   up(&w);
   char id[32], told[N][16] = {{0}};
   for (int i = 0; i < N; i++) {
-    struct tmx_ctl *at = i % 3 ? a : b;
+    struct tmx_controller *at = i % 3 ? a : b;
     snprintf(id, sizeof id, "wk-%06d", i);
     int status = submit_simple_job(at, id, "batch", 1, 2, "t");
     for (int k = 0; k < 20 && status == 503; k++)
@@ -819,12 +820,12 @@
     strcpy(fake_store.endpoints[i].lose_key, TMX_KEY_BATCH);
   }
   up(x);
-  bool first = tmx_store_is_leader(a->link);
+  bool first = tmx_store_is_leader(a->store);
   fake_drop(first ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
   fake_drop(TMX_KEY_LEADER);
   stop_controller(first ? a : b);
   *(first ? &a : &b) = NULL;
-  struct tmx_ctl *heir = first ? b : a;
+  struct tmx_controller *heir = first ? b : a;
   for (int i = 0; i < 200 && x->executed_starts < 1; i++) {
     run_loop_for(0.05);
     fake_worker_send_heartbeat(x, heir);
@@ -850,17 +851,17 @@
   (void)st;
   struct fake_worker *all[] = {&w, &others[0], &others[1]};
   for (int i = 0; i < 3; i++) up(all[i]);
-  struct tmx_machine *machine = tmx_machine_find(&a->rep, w.id);
+  struct tmx_machine *machine = tmx_machine_find(&a->replica, w.id);
   run_loop_for(0.5);
   assert_true(machine->usable);
-  double step = a->set.report_s;
+  double step = a->settings.report_s;
   for (int k = 0; k < 3; k++) { /* the others report on */
     tmx_clock_advance(step);
     for (int i = 1; i < 3; i++) fake_worker_send_heartbeat(all[i], a);
     run_loop_for(0.4);
   }
   assert_false(machine->usable);
-  assert_true(tmx_machine_find(&a->rep, others[0].id)->usable);
+  assert_true(tmx_machine_find(&a->replica, others[0].id)->usable);
   assert_int_equal(fake_cloud.deletes, 0);
   for (int k = 0; k < 8 && !fake_cloud.deletes; k++) {
     tmx_clock_advance(step);
@@ -944,9 +945,9 @@
   for (int i = 0; i < TMX_TYPES_MAX; i++) tmx_cbor_put_text(&list, "big");
   tmx_buffer_append(&large, list.data, list.length);
   tmx_buffer_append(&large, ok.data + 1, ok.length - 1);
-  a->set.value_kb = 0.4;
+  a->settings.value_kb = 0.4;
   assert_int_equal(send_request(a, "POST", WP_JOBS, &large).status, 200);
-  a->set.value_kb = 16;
+  a->settings.value_kb = 16;
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   assert_int_equal(send_request(a, "POST", WP_JOBS, &large).status, 200);
   tmx_buffer_free(&ok);
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -177,7 +177,7 @@
   struct tmx_settings s;
   char err[256], text[2048];
   assert_true(tmx_settings_parse(&s, good, err, sizeof err));
-  assert_string_equal(s.node, "hand-0");
+  assert_string_equal(s.node_name, "hand-0");
   assert_int_equal(s.txn_ops, 32);
   static const char *fields[] = {"host_name", "peer_listen", "zones", "lease_s",
                                  "txn_ops",   "sockets",     "state"};
@@ -220,7 +220,7 @@
 }
 
 static bool operator_file(const char *text, char *err, size_t cap) {
-  struct tmx_operator o;
+  struct tmx_operator_settings o;
   char path[] = "/tmp/tmx-op-XXXXXX";
   int fd = mkstemp(path);
   FILE *f = fdopen(fd, "w");
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -11,7 +11,7 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static struct fake_worker w;
 
 static int setup(void **st) {
@@ -44,8 +44,8 @@
   return 0;
 }
 
-static bool registered(const struct tmx_ctl *c) {
-  struct tmx_machine *machine = tmx_machine_find(&c->rep, w.id);
+static bool registered(const struct tmx_controller *controller) {
+  struct tmx_machine *machine = tmx_machine_find(&controller->replica, w.id);
   return machine && machine->registered;
 }
 static void report(void) { /* to whichever of the two owns the machine */
@@ -104,7 +104,8 @@
 }
 
 /* A list of ids, each a text, set apart by spaces in `names`. */
-static struct fake_answer submit_named(struct tmx_ctl *c, const char *id, const char *names) {
+static struct fake_answer submit_named(struct tmx_controller *controller, const char *id,
+                                       const char *names) {
   struct tmx_buffer list = {0}, body = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
@@ -112,7 +113,7 @@
   tmx_cbor_put_list(&list, n);
   for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, name[i]);
   encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
-  struct fake_answer r = send_request(c, "POST", WP_JOBS, &body);
+  struct fake_answer r = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
   return r;
@@ -179,11 +180,11 @@
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   for (int i = 0; i < 2; i++) {
-    struct tmx_ctl *c = i ? b : a;
-    assert_string_equal(poll_job(c, "wk-000002").state, WV_CANCELLED);
-    assert_string_equal(poll_job(c, "wk-000003").state, WV_CANCELLED);
-    assert_string_equal(cancel_job(c, "wk-000003").state, WV_CANCELLED);
-    assert_int_equal(submit_named(c, "wk-000003", "wk-000002").status, 200);
+    struct tmx_controller *controller = i ? b : a;
+    assert_string_equal(poll_job(controller, "wk-000002").state, WV_CANCELLED);
+    assert_string_equal(poll_job(controller, "wk-000003").state, WV_CANCELLED);
+    assert_string_equal(cancel_job(controller, "wk-000003").state, WV_CANCELLED);
+    assert_int_equal(submit_named(controller, "wk-000003", "wk-000002").status, 200);
   }
   struct fake_answer late = submit_named(b, "wk-000004", "wk-000003");
   assert_int_equal(late.status, 201);
@@ -192,9 +193,9 @@
 }
 
 static bool all_stored(void *arg) {
-  struct tmx_ctl *c = arg;
-  tmx_replica_prune_unstored(&c->rep);
-  return !c->rep.n_unstored_outcomes;
+  struct tmx_controller *controller = arg;
+  tmx_replica_prune_unstored(&controller->replica);
+  return !controller->replica.n_unstored_outcomes;
 }
 
 /* What follows from a cancellation gets a final state of its own; a fold in between keeps it. */
@@ -209,7 +210,7 @@
   const struct fake_entry *e = fake_get(TMX_KEY_JOB "wk-000002");
   assert_non_null(e);
   restart();
-  assert_true(tmx_job_find(&a->rep, "wk-000002")->outcome_stored);
+  assert_true(tmx_job_find(&a->replica, "wk-000002")->outcome_stored);
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
 }
 
@@ -222,12 +223,12 @@
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  a->rep.n_unstored_outcomes = 0;     /* as if no put were ever to spare for it */
+  a->replica.n_unstored_outcomes = 0; /* as if no put were ever to spare for it */
   fake_drop(TMX_KEY_JOB "wk-000002"); /* as if it had come with a batch */
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
-  assert_true(a->rep.compaction_point > 0);
-  tmx_compaction_set_threshold(a->fold, 1000);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 1000);
   run_loop_for(2);
   restart();
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
@@ -245,14 +246,14 @@
   wait_starts(1);
   ends("wk-000001/0", 1);
   wait_starts(2);
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
-  assert_true(a->rep.compaction_point > 0);
-  tmx_compaction_set_threshold(a->fold, 1000);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 1000);
   run_loop_for(2);
-  double released = tmx_job_find(&a->rep, "wk-000002")->released_at;
+  double released = tmx_job_find(&a->replica, "wk-000002")->released_at;
   restart();
-  assert_true(tmx_job_find(&a->rep, "wk-000002")->released_at == released);
+  assert_true(tmx_job_find(&a->replica, "wk-000002")->released_at == released);
   for (int i = 0; i < 10; i++) report();
   stays_pending("wk-000003", 2);
   stays_pending("wk-000004", 1);
@@ -400,7 +401,7 @@
   tmx_cbor_put_null(&list);
   assert_int_equal(submit_list(&list), 201);
   accepted("wk-000003", "wk-000001 wk-000001 wk-000001");
-  assert_int_equal(tmx_job_find(&a->rep, "wk-000003")->dependencies.named.count, 1);
+  assert_int_equal(tmx_job_find(&a->replica, "wk-000003")->dependencies.named.count, 1);
   /* what is known is answered before anything is judged */
   assert_int_equal(submit_named(a, "wk-000003", "job-1").status, 200);
   assert_int_equal(submit_named(a, "wk-000003", "wk-000777").status, 200);
@@ -424,8 +425,8 @@
   (void)st;
   enum { SOME = 650, FAR_TOO_MANY = 1300 };
   up();
-  a->set.value_kb = 1;
-  a->set.txn_ops = 8;
+  a->settings.value_kb = 1;
+  a->settings.txn_ops = 8;
   fake_store.value_max = 1024;
   fake_store.txn_max = 8;
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
@@ -444,18 +445,18 @@
   assert_int_equal(submit_list(&list), 422);
   tmx_buffer_free(&list);
   list = many_names(SOME);
-  a->set.write_rps = 4; /* fewer puts at hand than it needs: it goes out whole all the same */
+  a->settings.write_rps = 4; /* fewer puts at hand than it needs: it goes out whole all the same */
   assert_int_equal(submit_list(&list), 201);
-  a->set.write_rps = 1000;
+  a->settings.write_rps = 1000;
   tmx_buffer_free(&list);
-  const struct tmx_job *j = tmx_job_find(&a->rep, "wk-000009");
+  const struct tmx_job *j = tmx_job_find(&a->replica, "wk-000009");
   assert_int_equal(j->dependencies.n_unfinished, SOME);
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 3000 && !a->rep.compaction_point; i++) run_loop_for(0.02);
-  assert_true(a->rep.compaction_point > 0);
-  tmx_compaction_set_threshold(a->fold, 100000);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 3000 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 100000);
   restart();
-  j = tmx_job_find(&a->rep, "wk-000009");
+  j = tmx_job_find(&a->replica, "wk-000009");
   assert_int_equal(j->dependencies.n_unfinished, SOME);
   assert_int_equal(fake_store.too_large, 0);
 }
@@ -464,8 +465,8 @@
  * from the start, so nothing is refused, and all comes to its end. */
 static void limits_lowered_under_way(void **st) {
   (void)st;
-  a->set.value_kb = 1;
-  a->set.txn_ops = 4;
+  a->settings.value_kb = 1;
+  a->settings.txn_ops = 4;
   up();
   char id[TMX_ID_MAX], before[TMX_ID_MAX] = "";
   for (int i = 0; i < 12; i++) {
@@ -477,7 +478,7 @@
       fake_store.txn_max = 4;
     }
   }
-  for (int i = 0; i < 400 && tmx_job_find(&a->rep, id)->outcome != TMX_JOB_DONE; i++) {
+  for (int i = 0; i < 400 && tmx_job_find(&a->replica, id)->outcome != TMX_JOB_DONE; i++) {
     all_end();
     run_loop_for(0.2);
   }
@@ -516,15 +517,15 @@
   assert_true(run_loop_until(all_accepted, &answered));
   tmx_http_client_free(client);
   assert_null(fake_get(TMX_KEY_JOB "wk-000001")); /* it has no key of its own to be read from */
-  a->set.value_kb = 1;
+  a->settings.value_kb = 1;
   fake_store.value_max = 1024;
-  uint64_t folded = a->rep.compaction_point;
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 100 && a->rep.compaction_point == folded; i++) run_loop_for(0.2);
-  tmx_compaction_set_threshold(a->fold, 1000);
-  assert_true(a->rep.compaction_point > folded);
+  uint64_t folded = a->replica.compaction_point;
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 100 && a->replica.compaction_point == folded; i++) run_loop_for(0.2);
+  tmx_compaction_set_threshold(a->compaction, 1000);
+  assert_true(a->replica.compaction_point > folded);
   restart();
-  const struct tmx_job *job = tmx_job_find(&a->rep, "wk-000001");
+  const struct tmx_job *job = tmx_job_find(&a->replica, "wk-000001");
   assert_int_equal(job->spec.n_types, 30);
   assert_true(tmx_type_allowed(&job->spec, "big"));
   for (int i = 1; i < 30; i++) {
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -12,7 +12,7 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static struct fake_worker w;
 
 static int setup(void **st) {
@@ -45,7 +45,7 @@
 }
 
 static bool registered(void *arg) {
-  struct tmx_machine *machine = tmx_machine_find(&((struct tmx_ctl *)arg)->rep, w.id);
+  struct tmx_machine *machine = tmx_machine_find(&((struct tmx_controller *)arg)->replica, w.id);
   return machine && machine->registered;
 }
 static bool placed(void *arg) {
@@ -60,13 +60,14 @@
   (void)arg;
   return w.executed_starts > 0;
 }
-static void up(struct tmx_ctl *c) { /* the worker reports, shows the token, and is registered */
-  for (int i = 0; i < 10 && !registered(c); i++) {
-    fake_worker_send_heartbeat(&w, c);
+static void
+up(struct tmx_controller *controller) { /* the worker reports, shows the token, and is registered */
+  for (int i = 0; i < 10 && !registered(controller); i++) {
+    fake_worker_send_heartbeat(&w, controller);
     assert_int_equal(w.status, 200);
     run_loop_for(0.1);
   }
-  assert_true(run_loop_until(registered, c));
+  assert_true(run_loop_until(registered, controller));
 }
 static void up_at_either(void) { /* whichever of the two owns it */
   for (int i = 0; i < 10 && !registered(a); i++) {
@@ -79,7 +80,7 @@
   assert_true(run_loop_until(registered, b));
 }
 static bool final_state(void *arg) {
-  struct tmx_job *job = tmx_job_find(&a->rep, arg);
+  struct tmx_job *job = tmx_job_find(&a->replica, arg);
   return job && job->outcome;
 }
 
@@ -255,16 +256,16 @@
   struct tmx_buffer value = {0};
   char id[32];
   up_at_either();
-  struct tmx_ctl *old = tmx_store_is_leader(a->link) ? a : b, *other = old == a ? b : a;
-  assert_true(tmx_store_is_leader(old->link));
+  struct tmx_controller *old = tmx_store_is_leader(a->store) ? a : b, *other = old == a ? b : a;
+  assert_true(tmx_store_is_leader(old->store));
   fake_store.endpoints[old == a ? 0 : 1].freeze_watch = true;
   tmx_cbor_put_map(&value, 2);
-  tmx_cbor_put_text_field(&value, "name", other->set.node);
-  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(other->link));
+  tmx_cbor_put_text_field(&value, "name", other->settings.node_name);
+  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(other->store));
   fake_put(TMX_KEY_LEADER, &value);
   tmx_buffer_free(&value);
-  for (int i = 0; i < 300 && !tmx_store_is_leader(other->link); i++) run_loop_for(0.02);
-  assert_true(tmx_store_is_leader(other->link) && tmx_store_is_leader(old->link));
+  for (int i = 0; i < 300 && !tmx_store_is_leader(other->store); i++) run_loop_for(0.02);
+  assert_true(tmx_store_is_leader(other->store) && tmx_store_is_leader(old->store));
   for (int i = 0; i < 6; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     submit_simple_job(i % 2 ? a : b, id, "batch", 1, 2, "t");
@@ -363,7 +364,7 @@
   run_loop_for(0.2);
   fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 200); /* fresh enough: running work goes on */
-  tmx_clock_advance(a->set.cancel_s - a->set.lease_s - TMX_FRESH_MARGIN_S + 0.1);
+  tmx_clock_advance(a->settings.cancel_s - a->settings.lease_s - TMX_FRESH_MARGIN_S + 0.1);
   fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 503);
   struct fake_answer r = send_request(a, "GET", WP_READY, NULL);
@@ -383,9 +384,9 @@
   for (int i = 0; i < 100 && w.executed_starts < 2; i++) run_loop_for(0.02);
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
   run_loop_for(0.3);
-  bool first = !strcmp(tmx_machine_owner(&a->rep, w.id), a->set.node);
-  struct tmx_ctl *inside = first ? b : a;
-  assert_int_equal(tmx_job_find(&inside->rep, "wk-000002")->outcome, TMX_JOB_CANCELLED);
+  bool first = !strcmp(tmx_machine_owner(&a->replica, w.id), a->settings.node_name);
+  struct tmx_controller *inside = first ? b : a;
+  assert_int_equal(tmx_job_find(&inside->replica, "wk-000002")->outcome, TMX_JOB_CANCELLED);
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   stop_controller(first ? a : b);
   if (first)
@@ -404,7 +405,7 @@
   assert_int_equal(w.answer_token, token);
   assert_int_equal(w.n_commands_received, 1);
   assert_true(fake_worker_was_commanded(&w, WV_STOP, "wk-000002/0", 1));
-  tmx_clock_advance(inside->set.cancel_s - inside->set.lease_s - TMX_FRESH_MARGIN_S);
+  tmx_clock_advance(inside->settings.cancel_s - inside->settings.lease_s - TMX_FRESH_MARGIN_S);
   fake_worker_send_heartbeat(&w, inside);
   assert_int_equal(w.status, 503);
 }
@@ -524,13 +525,13 @@
     w.token = token;
     run_loop_for(0.25);
   }
-  struct tmx_machine *machine = tmx_machine_find(&a->rep, w.id);
+  struct tmx_machine *machine = tmx_machine_find(&a->replica, w.id);
   assert_non_null(machine);
   assert_false(machine->usable);
   submit_simple_job(a, "wk-000002", "batch", 1, 2, "t");
   run_loop_for(0.4);
   assert_int_equal(fake_count_placed(), 1);
-  tmx_clock_advance(a->set.lease_s);
+  tmx_clock_advance(a->settings.lease_s);
   fake_cloud.refuse_delete = false;
   for (int i = 0; i < 800 && !fake_log_contains("x n-000001"); i++) {
     if (i % 20 == 0) {
@@ -551,15 +552,15 @@
   assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 3, 2, "t"), 201);
   for (int i = 0; i < 200 && w.executed_starts < 4; i++) run_loop_for(0.02);
   assert_int_equal(w.executed_starts, 4);
-  a->set.write_rps = 3;
+  a->settings.write_rps = 3;
   fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&w, "wk-000002/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&w, "wk-000002/1", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&w, a);
   assert_true(run_loop_until(final_state, "wk-000001"));
-  for (int i = 0; i < 200 && tmx_job_find(&a->rep, "wk-000002")->n_done < 2; i++)
+  for (int i = 0; i < 200 && tmx_job_find(&a->replica, "wk-000002")->n_done < 2; i++)
     run_loop_for(0.02);
-  assert_int_equal(tmx_job_find(&a->rep, "wk-000002")->n_done, 2);
+  assert_int_equal(tmx_job_find(&a->replica, "wk-000002")->n_done, 2);
 }
 
 /* The same submission at two controllers at once, one of them behind: the job is taken once. */
@@ -571,7 +572,7 @@
   fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
   assert_int_equal(submit_simple_job(b, "wk-000001", "batch", 1, 2, "t"), 200);
-  assert_int_equal(tmx_job_find(&b->rep, "wk-000001")->spec.tasks, 2);
+  assert_int_equal(tmx_job_find(&b->replica, "wk-000001")->spec.tasks, 2);
 }
 
 /* A controller whose state is out of reach sends submissions and polls on at once. */
@@ -635,9 +636,9 @@
 static bool folded(void *arg) {
   (void)arg;
   struct tmx_log_key *key, *next_key;
-  if (!a->rep.compaction_point || !HASH_COUNT(a->rep.page_keys)) return false;
-  HASH_ITER(hh, a->rep.batch_keys, key, next_key)
-  if (key->version > a->rep.compaction_point) return false;
+  if (!a->replica.compaction_point || !HASH_COUNT(a->replica.page_keys)) return false;
+  HASH_ITER(hh, a->replica.batch_keys, key, next_key)
+  if (key->version > a->replica.compaction_point) return false;
   return true;
 }
 /* Folding loses nothing: a controller that starts from the pages alone knows attempts, results
@@ -656,12 +657,12 @@
     fake_worker_execute_commands(&w);
   }
   assert_int_equal(w.executed_starts, 4);
-  tmx_compaction_set_threshold(a->fold, 0);
+  tmx_compaction_set_threshold(a->compaction, 0);
   assert_true(run_loop_until(folded, NULL));
   stop_controller(a);
   a = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, a));
-  struct tmx_job *job = tmx_job_find(&a->rep, "wk-000001");
+  struct tmx_job *job = tmx_job_find(&a->replica, "wk-000001");
   assert_int_equal(job->tasks[0].state, TMX_TASK_PLACED);
   assert_int_equal(job->tasks[1].state, TMX_TASK_DONE);
   assert_int_equal(job->tasks[2].attempt, 2);
@@ -677,13 +678,13 @@
   /* log keys are written over from here on: another start still finds the whole story */
   struct tmx_log_key *key, *kt;
   bool reused = false;
-  HASH_ITER(hh, a->rep.batch_keys, key, kt)
-  reused |= key->version > a->rep.compaction_point && strstr(key->key, "/000000") != NULL;
+  HASH_ITER(hh, a->replica.batch_keys, key, kt)
+  reused |= key->version > a->replica.compaction_point && strstr(key->key, "/000000") != NULL;
   assert_true(reused);
   restart();
   assert_true(registered(a));
   assert_string_equal(poll_job(a, "wk-000001").state, WV_DONE);
-  assert_int_equal(tmx_job_find(&a->rep, "wk-000001")->n_placed, 0);
+  assert_int_equal(tmx_job_find(&a->replica, "wk-000001")->n_placed, 0);
 }
 
 static void answers_to_submissions(void **st) {
@@ -761,8 +762,9 @@
   fake_put(TMX_KEY_BATCH "hand-9/1", &value);
   tmx_buffer_free(&value);
   tmx_buffer_free(&list);
-  for (int i = 0; i < 100 && !tmx_machine_find(&a->rep, w.id)->draining; i++) run_loop_for(0.02);
-  assert_true(tmx_machine_find(&a->rep, w.id)->draining);
+  for (int i = 0; i < 100 && !tmx_machine_find(&a->replica, w.id)->draining; i++)
+    run_loop_for(0.02);
+  assert_true(tmx_machine_find(&a->replica, w.id)->draining);
   submit_simple_job(a, "wk-000002", "batch", 3, 2, "t");
   for (int i = 0; i < 300 && fake_count_placed() < 4; i++) run_loop_for(0.02);
   assert_true(fake_log_contains("d n-000001 0"));
@@ -789,12 +791,12 @@
   (void)st;
   up_at_either();
   run_loop_for(1); /* they hear each other */
-  const char *owner = tmx_machine_owner(&a->rep, w.id);
-  struct tmx_ctl *other = !strcmp(owner, a->set.node) ? b : a;
-  struct tmx_machine *machine = tmx_machine_find(&other->rep, w.id);
+  const char *owner = tmx_machine_owner(&a->replica, w.id);
+  struct tmx_controller *other = !strcmp(owner, a->settings.node_name) ? b : a;
+  struct tmx_machine *machine = tmx_machine_find(&other->replica, w.id);
   struct tmx_suspicion says = {.silence_s = 60, .probes_lost = 9}, suspicion;
   snprintf(says.id, sizeof says.id, "%s", w.id);
-  uint64_t term = other->rep.view.term;
+  uint64_t term = other->replica.view.term;
   tmx_workers_take_suspicion(other->workers, owner, term - 1, &says);
   assert_false(tmx_workers_find_suspicion(other->workers, machine, &suspicion));
   tmx_workers_take_suspicion(other->workers, owner, term, &says);
@@ -847,9 +849,9 @@
   static int status[MANY];
   struct tmx_http_client *c[MANY];
   char addr[32], id[32];
-  a->set.value_kb = 4;
+  a->settings.value_kb = 4;
   fake_store.value_max = 4096;
-  tmx_compaction_set_threshold(a->fold, 3);
+  tmx_compaction_set_threshold(a->compaction, 3);
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(a->server));
   for (int i = 0; i < MANY; i++) {
     struct tmx_buffer buffer = {0};
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -10,7 +10,7 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static struct fake_worker w;
 
 static int setup(void **st) {
@@ -63,8 +63,8 @@
   struct tmx_machine *machine, *next;
   size_t of_other = 0, heard_of = 0;
   struct tmx_suspicion suspicion;
-  HASH_ITER(hh, b->rep.machines, machine, next) {
-    if (machine->owner == tmx_ctl_self(b)) continue;
+  HASH_ITER(hh, b->replica.machines, machine, next) {
+    if (machine->owner == tmx_controller_member_index(b)) continue;
     of_other++;
     heard_of += tmx_workers_find_suspicion(b->workers, machine, &suspicion);
   }
@@ -83,13 +83,13 @@
   uint64_t token = w.token;
   put_lines("x n-%06zu", 1, GONE);
   run_loop_for(0.5);
-  assert_true(tmx_machine_was_removed(&a->rep, "n-000001"));
+  assert_true(tmx_machine_was_removed(&a->replica, "n-000001"));
   w.token = token;
   for (int i = 0; i < 5; i++) {
     fake_worker_send_heartbeat(&w, a);
     run_loop_for(0.2);
   }
-  assert_null(tmx_machine_find(&a->rep, "n-000001"));
+  assert_null(tmx_machine_find(&a->replica, "n-000001"));
 }
 
 /* More machines report than were ever allowed for at once. */
@@ -101,13 +101,13 @@
   assert_true(run_loop_until(fake_controller_is_ready, a));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
   run_loop_for(1);
-  assert_int_equal(HASH_COUNT(a->rep.machines), MACHINES);
+  assert_int_equal(HASH_COUNT(a->replica.machines), MACHINES);
   fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 200);
   tmx_buffer_free(&body);
 }
 
-static size_t listed(void) { return HASH_COUNT(a->cloud->listed); }
+static size_t listed(void) { return HASH_COUNT(a->cloud->instances); }
 
 /* A listing of many pages is read to its end, also when it grows between them. */
 static void listing_of_many_pages(void **st) {
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -10,7 +10,7 @@
 #include "net/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a;
+static struct tmx_controller *a;
 static struct fake_worker w;
 
 static int setup(void **st) {
@@ -104,7 +104,7 @@
 }
 
 static bool job_done(void *arg) {
-  struct tmx_job *job = tmx_job_find(&a->rep, arg);
+  struct tmx_job *job = tmx_job_find(&a->replica, arg);
   return job && job->outcome == TMX_JOB_DONE;
 }
 
@@ -112,14 +112,14 @@
   (void)st;
   load_production_state();
   begin();
-  as_production_left_it(&a->rep);
-  tmx_compaction_set_threshold(a->fold, 0); /* folded by this version, and read again */
-  uint64_t mark = a->rep.compaction_point;
-  for (int i = 0; i < 600 && a->rep.compaction_point == mark; i++) run_loop_for(0.02);
-  assert_true(a->rep.compaction_point > mark);
+  as_production_left_it(&a->replica);
+  tmx_compaction_set_threshold(a->compaction, 0); /* folded by this version, and read again */
+  uint64_t mark = a->replica.compaction_point;
+  for (int i = 0; i < 600 && a->replica.compaction_point == mark; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > mark);
   restart();
-  as_production_left_it(&a->rep);
-  tmx_compaction_set_threshold(a->fold, 1000);
+  as_production_left_it(&a->replica);
+  tmx_compaction_set_threshold(a->compaction, 1000);
   machine_as_production_left_it();
   for (int i = 0; i < 5; i++) {
     fake_worker_send_heartbeat(&w, a);
@@ -140,12 +140,12 @@
   encode_submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
   assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 201);
   run_loop_for(0.5);
-  assert_true(tmx_job_is_blocked(tmx_job_find(&a->rep, "wk-000007")));
+  assert_true(tmx_job_is_blocked(tmx_job_find(&a->replica, "wk-000007")));
   fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&w, a);
   assert_true(run_loop_until(job_done, "wk-000001"));
-  assert_false(tmx_job_is_blocked(tmx_job_find(&a->rep, "wk-000007")));
+  assert_false(tmx_job_is_blocked(tmx_job_find(&a->replica, "wk-000007")));
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
 }
@@ -221,9 +221,9 @@
   assert_true(run_loop_until(job_done, "wk-000003"));
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
   all_as_production_reads();
-  tmx_compaction_set_threshold(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.compaction_point; i++) run_loop_for(0.02);
-  assert_true(a->rep.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
   run_loop_for(1);
   all_as_production_reads();
 }
@@ -239,21 +239,21 @@
   while (hex[0] == '#');
   fclose(f);
   size_t n = from_hex(hex, bytes, sizeof bytes);
-  struct tmx_beat beat;
+  struct tmx_heartbeat beat;
   XDR x;
   memset(&beat, 0, sizeof beat);
   xdrmem_create(&x, (char *)bytes, (u_int)n, XDR_DECODE);
-  assert_true(xdr_tmx_beat(&x, &beat));
+  assert_true(xdr_tmx_heartbeat(&x, &beat));
   assert_int_equal(xdr_getpos(&x), n);
   assert_string_equal(beat.node, "hand-1");
   assert_int_equal(beat.revision, 4711);
   assert_int_equal(beat.suspects.suspects_len, 2);
   assert_string_equal(beat.zones.zones_val[0].name, "a");
   xdrmem_create(&x, again, sizeof again, XDR_ENCODE);
-  assert_true(xdr_tmx_beat(&x, &beat));
+  assert_true(xdr_tmx_heartbeat(&x, &beat));
   assert_int_equal(xdr_getpos(&x), n);
   assert_memory_equal(again, bytes, n);
-  xdr_free((xdrproc_t)xdr_tmx_beat, (char *)&beat);
+  xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&beat);
 }
 
 int main(void) {
