--- a/src/admission/gate.c
+++ b/src/admission/admission_control.c
@@ -1,4 +1,4 @@
-#include "admission/gate.h"
+#include "admission/admission_control.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -6,8 +6,8 @@
 #include <string.h>
 
 #include "admission/statistics.h"
-#include "controller.h"
-#include "net/log.h"
+#include "controller/controller.h"
+#include "base/log.h"
 
 struct tmx_admission_control {
   struct tmx_controller *controller;
--- a/src/admission/gate.h
+++ b/src/admission/admission_control.h
@@ -2,8 +2,8 @@
  * that are being committed, and tells what it did. */
 #ifndef TMX_GATE_H
 #define TMX_GATE_H
-#include "admission/admission.h"
-#include "state/depend.h"
+#include "admission/admission_policy.h"
+#include "replica/job_dependencies.h"
 
 struct tmx_controller;
 struct tmx_admission_control;
--- a/src/admission/admission.c
+++ b/src/admission/admission_policy.c
@@ -1,4 +1,4 @@
-#include "admission/admission.h"
+#include "admission/admission_policy.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/src/admission/backlog.c
+++ b/src/admission/backlog.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#include "state/replica.h"
+#include "replica/replica.h"
 
 void tmx_backlog_init(struct tmx_backlog *backlog, const struct tmx_settings *settings) {
   memset(backlog, 0, sizeof *backlog);
--- a/src/admission/turns.c
+++ b/src/admission/start_rotation.c
@@ -1,4 +1,4 @@
-#include "admission/turns.h"
+#include "admission/start_rotation.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/admission/statistics.h
+++ b/src/admission/statistics.h
@@ -1,7 +1,7 @@
 /* Counters and distributions of admission, by account. */
 #ifndef TMX_STATISTICS_H
 #define TMX_STATISTICS_H
-#include "admission/admission.h"
+#include "admission/admission_policy.h"
 
 struct tmx_statistics;
 struct tmx_statistics *tmx_statistics_new(void);
--- a/src/net/log.c
+++ b/src/base/log.c
@@ -1,4 +1,4 @@
-#include "net/log.h"
+#include "base/log.h"
 
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cloud/cloud.h"
-#include "core/capacity.h"
-#include "net/log.h"
+#include "cloud/cloud_internal.h"
+#include "planner/scale_out_plan.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 struct scale_out_call {
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud_internal.h
@@ -1,7 +1,7 @@
 /* Shared by the files of src/cloud only. */
 #ifndef TMX_CLOUD_H
 #define TMX_CLOUD_H
-#include "controller.h"
+#include "controller/controller.h"
 
 enum { TMX_INSTANCE_BOOTING, TMX_INSTANCE_RUNNING, TMX_INSTANCE_FAILED };
 struct tmx_instance { /* a machine that the cloud lists, or that a rental answer named */
@@ -56,7 +56,7 @@
 /* The rate of calls is shared by all controllers; the leader makes nearly all of them. */
 bool tmx_cloud_may_call(struct tmx_cloud *cloud);
 struct tmx_instance *tmx_cloud_find_instance(struct tmx_cloud *cloud, const char *id);
-/* src/cloud/returns.c: gives up what is dead, returns what is not needed */
+/* src/cloud/scale_in.c: gives up what is dead, returns what is not needed */
 void tmx_cloud_reclaim(struct tmx_cloud *cloud);
 void tmx_cloud_record_demand(struct tmx_cloud *cloud, double now);
 void tmx_cloud_log_usage(struct tmx_cloud *cloud, double now);
--- a/src/cloud/returns.c
+++ b/src/cloud/scale_in.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cloud/cloud.h"
-#include "net/log.h"
+#include "cloud/cloud_internal.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 struct scale_in_call {
--- a/src/controller.c
+++ b/src/controller/controller.c
@@ -1,7 +1,7 @@
 /* One controller: routes requests, makes rounds, keeps the view. The loop's thread owns all
  * state; the planner's thread gets a copy under a short lock, plans without it and hands the
  * result back. */
-#include "controller.h"
+#include "controller/controller.h"
 
 #include <gsl/gsl_rng.h>
 #include <http_parser.h>
@@ -12,8 +12,8 @@
 #include <time.h>
 #include <unistd.h>
 
-#include "core/outlook.h"
-#include "net/log.h"
+#include "controller/failure_detector.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 /* ------------------------------------------------------------ random numbers */
--- a/src/controller.h
+++ b/src/controller/controller.h
@@ -3,13 +3,13 @@
 #define TMX_CONTROLLER_H
 #include <ev.h>
 
-#include "admission/gate.h"
+#include "admission/admission_control.h"
 #include "config/settings.h"
-#include "core/outlook.h"
-#include "core/plan.h"
+#include "controller/failure_detector.h"
+#include "planner/planner.h"
 #include "net/http.h"
-#include "state/link.h"
-#include "state/replica.h"
+#include "store/store.h"
+#include "replica/replica.h"
 
 struct tmx_workers;
 struct tmx_users;
--- a/src/core/outlook.c
+++ b/src/controller/failure_detector.c
@@ -1,4 +1,4 @@
-#include "core/outlook.h"
+#include "controller/failure_detector.h"
 
 #include "tmx/constants.h"
 
--- a/src/main.c
+++ b/src/main.c
@@ -3,9 +3,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "admission/admission.h"
-#include "controller.h"
-#include "net/log.h"
+#include "admission/admission_policy.h"
+#include "controller/controller.h"
+#include "base/log.h"
 
 #define EXIT_SETTINGS 2
 
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -12,7 +12,7 @@
 #include <unistd.h>
 #include <utlist.h>
 
-#include "net/log.h"
+#include "base/log.h"
 
 static void *xcalloc(size_t n) {
   void *p = calloc(1, n);
--- a/src/peer/peer.c
+++ b/src/peer/peers.c
@@ -13,9 +13,9 @@
 #include <unistd.h>
 #include <utlist.h>
 
-#include "beat.h"
-#include "controller.h"
-#include "net/log.h"
+#include "heartbeat.h"
+#include "controller/controller.h"
+#include "base/log.h"
 
 #define BEAT_BYTES_MAX (256u << 10)
 
--- a/src/core/fit.c
+++ b/src/planner/fit.c
@@ -1,5 +1,5 @@
 /* What fits where: the machines that may take a task, and their order. */
-#include "core/round.h"
+#include "planner/round.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/core/place.c
+++ b/src/planner/placement.c
@@ -1,5 +1,5 @@
 /* Placing the tasks of one job after the other. */
-#include "core/round.h"
+#include "planner/round.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/core/plan.c
+++ b/src/planner/planner.c
@@ -1,12 +1,12 @@
 /* The greedy round after the affinity draft: its order and its parts. See docs/design.md for what
  * was kept. */
-#include "core/plan.h"
+#include "planner/planner.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/round.h"
+#include "planner/round.h"
 
 uint32_t tmx_zone_cap(const struct tmx_job_spec *spec, size_t zones) {
   if (spec->same_zone || spec->zone[0] || zones < 2) {
--- a/src/core/plan.h
+++ b/src/planner/planner.h
@@ -3,8 +3,8 @@
  * since only what is committed comes back in the next feed. */
 #ifndef TMX_PLAN_H
 #define TMX_PLAN_H
-#include "admission/turns.h"
-#include "state/replica.h"
+#include "admission/start_rotation.h"
+#include "replica/replica.h"
 
 struct tmx_plan_task { /* placed on a machine */
   int job;             /* slot */
--- a/src/core/model.c
+++ b/src/planner/planner_tables.c
@@ -1,4 +1,4 @@
-#include "core/model.h"
+#include "planner/planner_tables.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/model.h
+++ b/src/planner/planner_tables.h
@@ -1,7 +1,7 @@
 /* The planner's tables, shared by the files of the round only. */
 #ifndef TMX_MODEL_H
 #define TMX_MODEL_H
-#include "core/plan.h"
+#include "planner/planner.h"
 
 struct machine_snapshot { /* of a machine, before the round's own steps */
   double booked_cpus, booked_gpus, booked_mem_gb, releasing_cpus, releasing_gpus, releasing_mem_gb;
--- a/src/core/round.h
+++ b/src/planner/round.h
@@ -1,7 +1,7 @@
 /* A round under way: shared by the files of src/core that plan it. Pure. */
 #ifndef TMX_ROUND_H
 #define TMX_ROUND_H
-#include "core/model.h"
+#include "planner/planner_tables.h"
 
 #define RESOURCE_EPSILON 1e-6
 
--- a/src/core/capacity.c
+++ b/src/planner/scale_out_plan.c
@@ -1,4 +1,4 @@
-#include "core/capacity.h"
+#include "planner/scale_out_plan.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/core/capacity.h
+++ b/src/planner/scale_out_plan.h
@@ -1,7 +1,7 @@
 /* How many machines to rent, and of which kind: pure functions. */
 #ifndef TMX_CAPACITY_H
 #define TMX_CAPACITY_H
-#include "controller.h"
+#include "controller/controller.h"
 
 struct tmx_demand { /* waiting tasks of one job that found no room */
   const struct tmx_job_spec *spec;
--- a/src/state/depend.c
+++ b/src/replica/job_dependencies.c
@@ -1,13 +1,13 @@
-#include "state/depend.h"
+#include "replica/job_dependencies.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/plan.h"
-#include "net/log.h"
-#include "state/replica.h"
+#include "planner/planner.h"
+#include "base/log.h"
+#include "replica/replica.h"
 
 /* Jobs still to be looked at. Chains are as long as users make them, so nothing here recurses. */
 struct work_list {
--- a/src/state/lines.c
+++ b/src/replica/log_codec.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "state/replica.h"
+#include "replica/replica.h"
 #include "tmx/wire.h"
 
 static const char *prio_names[] = {"idle", "normal", "high", "prod"};
--- a/src/state/members.c
+++ b/src/replica/membership.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "state/internal.h"
+#include "replica/replica_internal.h"
 
 const struct tmx_member *tmx_member_find(const struct tmx_replica *replica, const char *name) {
   for (size_t i = 0; i < replica->view.n_members; i++)
--- a/src/state/check.c
+++ b/src/replica/operation_check.c
@@ -1,8 +1,8 @@
-#include "state/check.h"
+#include "replica/operation_check.h"
 
 #include <string.h>
 
-#include "core/plan.h"
+#include "planner/planner.h"
 
 #define RESOURCE_EPSILON 1e-6
 
--- a/src/state/check.h
+++ b/src/replica/operation_check.h
@@ -2,7 +2,7 @@
  * by line on the replica as it stands when it is sent, each line after those before it. */
 #ifndef TMX_CHECK_H
 #define TMX_CHECK_H
-#include "state/replica.h"
+#include "replica/replica.h"
 
 struct tmx_operation_check {
   struct tmx_replica *replica;
--- a/src/state/replica.c
+++ b/src/replica/replica.c
@@ -1,4 +1,4 @@
-#include "state/internal.h"
+#include "replica/replica_internal.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -6,8 +6,8 @@
 #include <string.h>
 #include <utlist.h>
 
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 void *tmx_replica_allocate(size_t n) {
--- a/src/state/replica.h
+++ b/src/replica/replica.h
@@ -8,7 +8,7 @@
 #include "admission/backlog.h"
 #include "config/settings.h"
 #include "net/cbor.h"
-#include "state/depend.h"
+#include "replica/job_dependencies.h"
 
 #define TMX_KEY_PREFIX "t/"
 #define TMX_KEY_MAX 200 /* bytes; PROTOCOL's limit */
@@ -231,7 +231,8 @@
 void tmx_replica_advance_to(struct tmx_replica *replica,
                             uint64_t revision); /* all events to rev applied */
 
-/* For src/state/depend.c: a final state that was derived; what the planner knows has changed. */
+/* For src/replica/job_dependencies.c: a final state that was derived; what the planner knows has
+ * changed. */
 void tmx_replica_set_outcome(struct tmx_replica *replica, struct tmx_job *job, int fin);
 void tmx_replica_job_changed(struct tmx_replica *replica, struct tmx_job *job);
 /* Drops from `unstored` what has been stored meanwhile. */
--- a/src/state/internal.h
+++ b/src/replica/replica_internal.h
@@ -1,7 +1,7 @@
 /* What the files of the replica share. */
 #ifndef TMX_STATE_INTERNAL_H
 #define TMX_STATE_INTERNAL_H
-#include "state/replica.h"
+#include "replica/replica.h"
 
 void *tmx_replica_allocate(size_t n); /* zeroed; ends the process when memory is out */
 /* The machine's tasks, orders or owner changed; something worth a round happened. */
--- a/src/state/learn.c
+++ b/src/replica/run_estimate.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "state/replica.h"
+#include "replica/replica.h"
 
 static const struct tmx_run_estimate *class_of(const struct tmx_replica *replica,
                                                const char *name) {
--- a/src/rounds/batch.c
+++ b/src/scheduler/log_batch.c
@@ -1,10 +1,10 @@
 /* Values and lines of a batch, within the limits of the state service. */
-#include "rounds/batch.h"
+#include "scheduler/log_batch.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#include "net/log.h"
+#include "base/log.h"
 
 /* Keys are written over once a fold has taken their batches into its pages: nothing has to be
  * dropped, which would cost as much as a put. */
--- a/src/rounds/batch.h
+++ b/src/scheduler/log_batch.h
@@ -1,7 +1,7 @@
 /* A batch in the making: values of bounded size, and the puts that hold them. */
 #ifndef TMX_BATCH_H
 #define TMX_BATCH_H
-#include "rounds/internal.h"
+#include "scheduler/scheduler_internal.h"
 
 struct tmx_log_batch {
   struct tmx_scheduler *scheduler;
--- a/src/rounds/feed.c
+++ b/src/scheduler/planner_delta.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
-#include "rounds/internal.h"
+#include "base/log.h"
+#include "scheduler/scheduler_internal.h"
 
 /* s from the job's release to its deadline, or to that of a job which needs it; <0: none */
 static double aim_due_in(const struct tmx_job *job) {
--- a/src/rounds/commit.c
+++ b/src/scheduler/round_commit.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
-#include "rounds/batch.h"
+#include "base/log.h"
+#include "scheduler/log_batch.h"
 
 static void on_batch(void *arg, int res, uint64_t revision) {
   struct tmx_scheduler *scheduler = arg;
--- a/src/rounds/rounds.c
+++ b/src/scheduler/scheduler.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
-#include "rounds/internal.h"
+#include "base/log.h"
+#include "scheduler/scheduler_internal.h"
 
 /* ------------------------------------------------------------ planner thread */
 
--- a/src/rounds/internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -5,8 +5,8 @@
 #define TMX_ROUNDS_INTERNAL_H
 #include <pthread.h>
 
-#include "controller.h"
-#include "state/check.h"
+#include "controller/controller.h"
+#include "replica/operation_check.h"
 
 /* Where a round is. */
 enum tmx_scheduler_phase { TMX_SCHEDULER_IDLE, TMX_SCHEDULER_PLANNING, TMX_SCHEDULER_PLANNED };
--- a/src/rounds/submissions.c
+++ b/src/scheduler/submission_queue.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
-#include "rounds/batch.h"
+#include "base/log.h"
+#include "scheduler/log_batch.h"
 
 void tmx_pending_submission_free(struct tmx_pending_submission *pending) {
   tmx_buffer_free(&pending->value);
--- a/src/state/fold.c
+++ b/src/store/compaction.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "controller.h"
-#include "net/log.h"
+#include "controller/controller.h"
+#include "base/log.h"
 
 enum {
   COMPACTION_IDLE,
--- a/src/state/link.c
+++ b/src/store/store.c
@@ -1,4 +1,4 @@
-#include "state/link.h"
+#include "store/store.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <utlist.h>
 
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 struct read_waiter {
--- a/src/state/link.h
+++ b/src/store/store.h
@@ -3,7 +3,7 @@
 #ifndef TMX_LINK_H
 #define TMX_LINK_H
 #include "net/http.h"
-#include "state/replica.h"
+#include "replica/replica.h"
 
 struct tmx_store;
 struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *settings,
--- a/src/user/user.c
+++ b/src/user/user_api.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "controller.h"
-#include "net/log.h"
+#include "controller/controller.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 struct tmx_users {
--- a/src/worker/health.c
+++ b/src/worker/machine_health.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
-#include "worker/worker.h"
+#include "worker/workers_internal.h"
 
 /* An answer may lie in a buffer while this controller stands still or is behind with its own work:
  * then a probe that timed out says nothing of the machine. */
--- a/src/worker/worker.c
+++ b/src/worker/workers.c
@@ -1,14 +1,14 @@
 /* Workers: reports, tokens, orders. Orders are derived anew each time from the log (what
  * should be on the machine) and the latest report (what is), so that an heir needs nothing but
  * the log. */
-#include "worker/worker.h"
+#include "worker/workers_internal.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 static struct tmx_worker *find(struct tmx_workers *workers, const char *id) {
--- a/src/worker/worker.h
+++ b/src/worker/workers_internal.h
@@ -1,7 +1,7 @@
 /* Shared by the files of src/worker only. */
 #ifndef TMX_WORKER_H
 #define TMX_WORKER_H
-#include "controller.h"
+#include "controller/controller.h"
 
 struct tmx_reported_task {
   char job[TMX_ID_MAX];
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "admission/admission.h"
-#include "state/replica.h"
+#include "admission/admission_policy.h"
+#include "replica/replica.h"
 
 enum { ENTRIES_MAX = 2000, JOBS_MAX = 512, TEAMS = 3, CLASSES = 40 };
 
--- a/tests/cluster/history.c
+++ b/tests/cluster/history.c
@@ -2,7 +2,7 @@
 
 #include <jansson.h>
 
-#include "net/log.h"
+#include "base/log.h"
 
 static FILE *file;
 
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 #include <utlist.h>
 
-#include "net/log.h"
+#include "base/log.h"
 
 enum { CHUNK_BYTES = 65536, BACKLOG = 512 };
 static const double flush_s = 0.002;
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -13,8 +13,8 @@
 #include "cluster/nodes.h"
 #include "cluster/users.h"
 #include "cluster/workers.h"
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 enum { MACHINE_CPUS = 16, TROUBLES_MAX = 16, SPARE_CONNECTIONS = 16 };
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 #include "cluster/link.h"
-#include "net/log.h"
+#include "base/log.h"
 
 enum { TO_STATE, TO_PEERS, TO_USERS, TO_WORKERS, DESTINATIONS };
 static const char *const destinations[] = {"state", "peers", "users", "workers"};
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -10,8 +10,8 @@
 
 #include "cluster/history.h"
 #include "cluster/nodes.h"
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 enum { KINDS_MAX = 8 };
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -8,7 +8,7 @@
 
 #include "cluster/history.h"
 #include "cluster/nodes.h"
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 struct worker {
--- a/tests/fake.c
+++ b/tests/fake.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 struct ev_loop *test_loop;
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -6,7 +6,7 @@
 
 #include <ev.h>
 
-#include "controller.h"
+#include "controller/controller.h"
 
 #define FAKE_NODES 5
 #define FAKE_LOADS 64 /* tasks that a worker shows, those that ended included */
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 struct fake_cloud fake_cloud;
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 void fake_worker_encode_report(const struct fake_worker *worker, struct tmx_buffer *buffer) {
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 #include "admission/shares.h"
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 /* ------------------------------------------------------------ shares and accounts */
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -7,9 +7,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/capacity.h"
-#include "core/outlook.h"
-#include "core/plan.h"
+#include "planner/scale_out_plan.h"
+#include "controller/failure_detector.h"
+#include "planner/planner.h"
 #include "tmx/constants.h"
 
 /* A cluster on paper: fed to a planner of its own for each round. */
--- a/tests/test_depend.c
+++ b/tests/test_depend.c
@@ -8,9 +8,9 @@
 #include <string.h>
 
 #include "config/settings.h"
-#include "core/plan.h"
-#include "state/check.h"
-#include "state/replica.h"
+#include "planner/planner.h"
+#include "replica/operation_check.h"
+#include "replica/replica.h"
 
 static struct tmx_settings set;
 static struct tmx_replica rep;
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -8,7 +8,7 @@
 
 #include "config/settings.h"
 #include "net/cbor.h"
-#include "state/replica.h"
+#include "replica/replica.h"
 #include "tmx/wire.h"
 #include "tmx/constants.h"
 
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 static struct tmx_controller *a, *b;
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -9,7 +9,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "net/log.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 static struct tmx_controller *a, *b;
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "beat.h"
-#include "cloud/cloud.h"
-#include "net/log.h"
+#include "heartbeat.h"
+#include "cloud/cloud_internal.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 static struct tmx_controller *a, *b;
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "state/check.h"
-#include "state/replica.h"
+#include "replica/operation_check.h"
+#include "replica/replica.h"
 
 static struct tmx_settings set;
 static struct tmx_replica rep;
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "beat.h"
-#include "net/log.h"
+#include "heartbeat.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 static struct tmx_controller *a;
