--- a/src/admission/admission_control.c
+++ b/src/admission/admission_control.c
@@ -113,10 +113,10 @@
   if (!admission || candidate->team < 0) return true;
   struct tmx_ruling ruling = tmx_admission_control_judge(admission, candidate, awaits);
   if (ruling.verdict != TMX_ADMITTED) return false;
-  if (ruling.backlog_s > TMX_DIRECT_ADMISSION * ruling.ceiling_s) return false;
+  if (ruling.backlog_s > TMX_SINGLE_ADMISSION_SHARE * ruling.ceiling_s) return false;
   struct tmx_rates rates = rates_now(admission);
   double bound = admission->controller->settings.operators.admission.backlog_s;
-  return tmx_load_seconds(&candidate->load, &rates) <= TMX_DIRECT_LOAD * bound;
+  return tmx_load_seconds(&candidate->load, &rates) <= TMX_SINGLE_LOAD_SHARE * bound;
 }
 
 static void count_on_its_way(struct tmx_admission_control *admission,
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -1,7 +1,7 @@
 /* Admission in a running controller: judges submissions on its replica, keeps account of its own
  * that are being committed, and tells what it did. */
-#ifndef TMX_GATE_H
-#define TMX_GATE_H
+#ifndef TMX_ADMISSION_CONTROL_H
+#define TMX_ADMISSION_CONTROL_H
 #include "admission/admission_policy.h"
 #include "replica/job_dependencies.h"
 
--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -1,7 +1,7 @@
 /* The judgement whether a submission is admitted: a pure function of the accounts that the log
  * gives, of the settings, and of the sizes of the machine types. See docs/admission.md. */
-#ifndef TMX_ADMISSION_H
-#define TMX_ADMISSION_H
+#ifndef TMX_ADMISSION_POLICY_H
+#define TMX_ADMISSION_POLICY_H
 #include "admission/backlog.h"
 
 /* What the cluster works off in a second, by resource. 0: it has none, which then bounds nothing.
--- a/src/admission/backlog.c
+++ b/src/admission/backlog.c
@@ -35,7 +35,7 @@
 struct tmx_load tmx_load_of(const struct tmx_job_spec *spec, uint32_t tasks_left) {
   struct tmx_load load = {{0}};
   if (!tasks_left) return load;
-  double run_s = spec->service ? TMX_ADMISSION_SERVICE_S : fmax(spec->estimate_s, TMX_RUN_LEAST_S);
+  double run_s = spec->service ? TMX_ADMISSION_SERVICE_S : fmax(spec->estimate_s, TMX_RUN_MIN_S);
   double task_seconds = tasks_left * run_s;
   load.amount[TMX_ADMISSION_CPU] = bounded(task_seconds * spec->cpus * TMX_MILLI);
   load.amount[TMX_ADMISSION_GPU] = bounded(task_seconds * spec->gpus * TMX_MILLI);
--- a/src/admission/start_rotation.h
+++ b/src/admission/start_rotation.h
@@ -1,7 +1,7 @@
 /* Starts by turn: a class whose work waits gets a first task placed at least every start_s,
  * whatever else the order of the round would serve first. Pure. */
-#ifndef TMX_TURNS_H
-#define TMX_TURNS_H
+#ifndef TMX_START_ROTATION_H
+#define TMX_START_ROTATION_H
 #include "admission/backlog.h"
 
 struct tmx_turns {
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -219,7 +219,7 @@
 
 static void back_off_offer(struct tmx_cloud *cloud, const struct scale_out_call *call) {
   struct offer_backoff *backoff = offer_backoff_of(cloud, call->type, call->zone, call->spot);
-  backoff->wait_s = fmin(fmax(backoff->wait_s * 2, TMX_REFUSED_S), TMX_REFUSED_MAX_S);
+  backoff->wait_s = fmin(fmax(backoff->wait_s * 2, TMX_OFFER_BACKOFF_S), TMX_OFFER_BACKOFF_MAX_S);
   backoff->until = tmx_clock_steady() + backoff->wait_s;
 }
 
@@ -287,13 +287,13 @@
 
 /* The name holds the run of this process, which no other run has: nobody uses it again. */
 static void scale_out(struct tmx_cloud *cloud, const struct tmx_offer *offers, uint32_t count) {
-  for (; count; count -= count < TMX_HIRE_MAX ? count : TMX_HIRE_MAX) {
+  for (; count; count -= count < TMX_SCALE_OUT_MAX ? count : TMX_SCALE_OUT_MAX) {
     struct scale_out_call *call = calloc(1, sizeof *call);
     if (!call) abort();
     call->cloud = cloud;
     call->zone = offers->zone;
     call->spot = offers->spot;
-    call->count = count < TMX_HIRE_MAX ? count : TMX_HIRE_MAX;
+    call->count = count < TMX_SCALE_OUT_MAX ? count : TMX_SCALE_OUT_MAX;
     call->started = tmx_clock_steady();
     snprintf(call->type, sizeof call->type, "%s", offers->type->name);
     snprintf(call->name, sizeof call->name, "%s-%llu-%llu", cloud->controller->settings.node_name,
@@ -461,7 +461,7 @@
   tmx_cloud_record_demand(cloud, now);
   /* a leader that lost the state service may have been replaced: it gives nothing up */
   if (!tmx_store_is_leader(cloud->controller->store) ||
-      now - tmx_store_fresh_as_of(cloud->controller->store) > TMX_STATE_LOST_S) {
+      now - tmx_store_fresh_as_of(cloud->controller->store) > TMX_STORE_LOST_S) {
     cloud->leading_since = now;
     cloud->list_cursor[0] = 0;
     return;
@@ -470,12 +470,12 @@
     cloud->list_read_at = now;
     read_list(cloud);
   }
-  if (now - cloud->reclaim_at > TMX_SWEEP_S) {
+  if (now - cloud->reclaim_at > TMX_RECLAIM_PERIOD_S) {
     cloud->reclaim_at = now;
     tmx_cloud_reclaim(cloud);
   }
   tmx_cloud_log_usage(cloud, now);
-  if (now - cloud->scale_out_at > TMX_RENT_S && cloud->n_types) {
+  if (now - cloud->scale_out_at > TMX_SCALE_OUT_PERIOD_S && cloud->n_types) {
     cloud->scale_out_at = now;
     if (!cloud->scale_outs_in_flight && now - cloud->leading_since > TMX_LIST_S)
       plan_scale_out(cloud);
--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -1,6 +1,6 @@
 /* Shared by the files of src/cloud only. */
-#ifndef TMX_CLOUD_H
-#define TMX_CLOUD_H
+#ifndef TMX_CLOUD_INTERNAL_H
+#define TMX_CLOUD_INTERNAL_H
 #include "controller/controller.h"
 
 enum { TMX_INSTANCE_BOOTING, TMX_INSTANCE_RUNNING, TMX_INSTANCE_FAILED };
@@ -44,10 +44,10 @@
   struct offer_backoff offer_backoffs[TMX_TYPES_MAX * TMX_ZONES_MAX * 2];
   size_t n_offer_backoffs;
   uint64_t next_request_number;
-  double demand_by_second[TMX_PEAK_S]; /* CPUs booked and asked for, the most in each of the last
-                                          seconds */
-  int demand_second;                   /* second of the latest entry */
-  double demand_since;                 /* entries have been made without a gap since */
+  double demand_by_second[TMX_PEAK_DEMAND_S]; /* CPUs booked and asked for, the most in each of the
+                                          last seconds */
+  int demand_second;                          /* second of the latest entry */
+  double demand_since;                        /* entries have been made without a gap since */
   double drain_chosen_at, usage_logged_at;
   double zone_partitioned_until[TMX_ZONES_MAX]; /* zones that seem cut off */
   double zone_spared_until[TMX_ZONES_MAX];      /* ... and none of it is given up for silence */
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -10,7 +10,7 @@
 
 struct scale_in_call {
   struct tmx_cloud *cloud;
-  char ids[TMX_DELETE_MAX][TMX_ID_MAX];
+  char ids[TMX_SCALE_IN_MAX][TMX_ID_MAX];
   size_t n;
 };
 
@@ -49,12 +49,12 @@
 }
 
 /* Every controller keeps the peak of what is in use or asked for, so that one that comes to lead
- * knows it: else nothing would be returned for TMX_PEAK_S after every change of leader. */
+ * knows it: else nothing would be returned for TMX_PEAK_DEMAND_S after every change of leader. */
 void tmx_cloud_record_demand(struct tmx_cloud *cloud, double now) {
   const struct tmx_controller *controller = cloud->controller;
   int sec = (int)now;
   if (!controller->replica.loaded ||
-      now - tmx_store_fresh_as_of(controller->store) > TMX_STATE_LOST_S)
+      now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_LOST_S)
     return;
   if (sec - cloud->demand_second > TMX_DEMAND_GAP_S) { /* it did not see what came in between */
     memset(cloud->demand_by_second, 0, sizeof cloud->demand_by_second);
@@ -62,14 +62,14 @@
     cloud->demand_second = sec;
   }
   while (cloud->demand_second < sec)
-    cloud->demand_by_second[++cloud->demand_second % TMX_PEAK_S] = 0;
-  double *b = &cloud->demand_by_second[sec % TMX_PEAK_S];
+    cloud->demand_by_second[++cloud->demand_second % TMX_PEAK_DEMAND_S] = 0;
+  double *b = &cloud->demand_by_second[sec % TMX_PEAK_DEMAND_S];
   *b = fmax(*b, controller->replica.booked_cpus + controller->replica.waiting_cpus);
 }
 
 static double peak_demand(const struct tmx_cloud *cloud) {
   double most = 0;
-  for (int i = 0; i < TMX_PEAK_S; i++) most = fmax(most, cloud->demand_by_second[i]);
+  for (int i = 0; i < TMX_PEAK_DEMAND_S; i++) most = fmax(most, cloud->demand_by_second[i]);
   return most;
 }
 
@@ -102,7 +102,8 @@
     if (machine->draining) {
       /* work waits: what is about to be returned is nearer than anything that must boot */
       if (waiting && machine->tasks &&
-          !(machine->consecutive_errors >= TMX_SICK_ERRORS && machine->errors_of_several_jobs))
+          !(machine->consecutive_errors >= TMX_FAULTY_MACHINE_ERRORS &&
+            machine->errors_of_several_jobs))
         set_draining(cloud, machine, false);
       else if (machine->service_cpus > 0) /* arrays that run out hold up nothing else */
         draining += type->cpus;
@@ -114,12 +115,12 @@
   }
   double step = TMX_DRAIN_SHARE * have;
   /* the more machines, the less a chance arrival is beside the rest */
-  double over = fmin(TMX_ROOM_OVER_PEAK, 1 / sqrt(fmax(known, 1)));
-  double after = fmin(TMX_ROOM_AFTER, 2 * over);
+  double over = fmin(TMX_PEAK_MARGIN, 1 / sqrt(fmax(known, 1)));
+  double after = fmin(TMX_MOVE_ROOM_SHARE, 2 * over);
   /* One that has just started does not know the peak yet; what is about to be returned it takes
    * back at once. */
-  if (waiting || now - cloud->leading_since < TMX_SETTLE_S ||
-      now - cloud->demand_since < TMX_PEAK_S)
+  if (waiting || now - cloud->leading_since < TMX_LEADER_SETTLE_S ||
+      now - cloud->demand_since < TMX_PEAK_DEMAND_S)
     return;
   struct drain_candidate *v = calloc(known + 1, sizeof *v);
   if (!v) abort();
@@ -128,8 +129,8 @@
     if (!machine->registered || !type || machine->draining || machine->zone < 0) continue;
     double services = machine->service_cpus;
     double spare = zone_free[machine->zone] - (type->cpus - machine->booked_cpus);
-    if (services > 0 &&
-        spare < TMX_ROOM_TO_MOVE * services + after * peak / (double)controller->settings.n_zones)
+    if (services > 0 && spare < TMX_MOVE_ROOM_FACTOR * services +
+                                    after * peak / (double)controller->settings.n_zones)
       continue;
     /* price of a CPU, less for work under way and for replicas that must move */
     v[n++] = (struct drain_candidate){
@@ -143,7 +144,7 @@
     double cpus = tmx_cloud_type(cloud, other->type)->cpus;
     bool holds = other->service_cpus > 0;
     if (have - cpus < peak * (1 + over)) continue;
-    if (holds && draining > 0 && draining + cpus > TMX_DRAIN_HELD * have) continue;
+    if (holds && draining > 0 && draining + cpus > TMX_DRAINING_SHARE_MAX * have) continue;
     if (holds) draining += cpus;
     have -= cpus;
     returning += cpus;
@@ -157,7 +158,7 @@
   double cpus[2] = {0, 0}, booked[2] = {0, 0}, drain = 0, services = 0;
   size_t n = 0, unusable = 0;
   struct tmx_machine *machine, *next_machine;
-  if (!tmx_log_enabled(TMX_LOG_INFO) || now - cloud->usage_logged_at < TMX_USE_LOG_S) return;
+  if (!tmx_log_enabled(TMX_LOG_INFO) || now - cloud->usage_logged_at < TMX_USAGE_LOG_S) return;
   cloud->usage_logged_at = now;
   HASH_ITER(hh, cloud->controller->replica.machines, machine, next_machine) {
     const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
@@ -185,11 +186,11 @@
   struct scale_in_call *call = calloc(1, sizeof *call);
   if (!call) abort();
   call->cloud = cloud;
-  size_t max = TMX_DELETE_MAX;
+  size_t max = TMX_SCALE_IN_MAX;
   double silent = controller->settings.operators.silent_s > 0
                       ? controller->settings.operators.silent_s
-                      : TMX_SILENT_S;
-  bool settled = now - cloud->leading_since > TMX_SETTLE_S;
+                      : TMX_MACHINE_SILENCE_S;
+  bool settled = now - cloud->leading_since > TMX_LEADER_SETTLE_S;
   struct tmx_machine *machine, *next_machine;
   struct tmx_zone_liveness signs[TMX_ZONES_MAX] = {{0}};
   double room = 0, services = 0;
@@ -199,7 +200,7 @@
     const char *n = replica->view.members[i].name;
     bool self = !strcmp(n, controller->settings.node_name);
     heard[i] = self ? !tmx_controller_lost_workers(controller)
-                    : tmx_peers_silence(controller->peers, n) < TMX_BEAT_DEAD_S &&
+                    : tmx_peers_silence(controller->peers, n) < TMX_HEARTBEAT_DEAD_S &&
                           !tmx_peers_reports_no_workers(controller->peers, n);
     n_heard += heard[i];
     const struct tmx_zone_liveness *said = self ? tmx_workers_zone_liveness(controller->workers)
@@ -226,11 +227,11 @@
   double spare[TMX_ZONES_MAX];
   for (size_t z = 0; z < controller->settings.n_zones; z++) {
     /* when a cut is over its machines are asked one after the other again, the last ones late */
-    spare[z] = TMX_ZONE_CUT_S + TMX_PROBE_S * (1 << TMX_PROBE_DOUBLINGS) +
-               signs[z].machines /
-                   (TMX_SUSPECTS_SHARE * fmax(1, n_heard) * tmx_workers_probe_rate(controller));
+    spare[z] = TMX_ZONE_PARTITION_S + TMX_PROBE_TIMEOUT_S * (1 << TMX_PROBE_DOUBLINGS) +
+               signs[z].machines / (TMX_SUSPECT_PROBES_SHARE * fmax(1, n_heard) *
+                                    tmx_workers_probe_rate(controller));
     if (tmx_zone_is_partitioned(&signs[z])) {
-      cloud->zone_partitioned_until[z] = now + TMX_ZONE_CUT_S;
+      cloud->zone_partitioned_until[z] = now + TMX_ZONE_PARTITION_S;
       cloud->zone_spared_until[z] = now + spare[z];
     }
     cut |= cloud->zone_partitioned_until[z] > now;
@@ -250,9 +251,10 @@
     /* The leader before would have given up what was silent for so long, unless it spared it: a new
      * one does as much, as it cannot know of a cut that has just ended. */
     double led = now - cloud->leading_since;
-    bool spared = machine->zone >= 0 &&
-                  (now < cloud->zone_spared_until[machine->zone] ||
-                   (led < spare[machine->zone] && suspicion.silence_s > led + TMX_INHERIT_S));
+    bool spared =
+        machine->zone >= 0 &&
+        (now < cloud->zone_spared_until[machine->zone] ||
+         (led < spare[machine->zone] && suspicion.silence_s > led + TMX_INHERITED_SILENCE_S));
     const char *why = NULL;
     if (instance && instance->state == TMX_INSTANCE_FAILED)
       why = "failed";
@@ -261,12 +263,12 @@
       why = "silent";
     else if (settled && doubt && !spared &&
              suspicion.silence_s < controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S &&
-             suspicion.unacknowledged_s > controller->settings.lease_s * TMX_UNREACHED_LEASES)
+             suspicion.unacknowledged_s > controller->settings.lease_s * TMX_UNACKNOWLEDGED_LEASES)
       why = "not both heard and reached";
     else if (machine->draining && !machine->tasks)
       why = "drained";
-    else if (machine->consecutive_errors >= TMX_SICK_ERRORS && machine->errors_of_several_jobs &&
-             !machine->tasks)
+    else if (machine->consecutive_errors >= TMX_FAULTY_MACHINE_ERRORS &&
+             machine->errors_of_several_jobs && !machine->tasks)
       why = "faulty";
     if (why) {
       tmx_log(TMX_LOG_INFO, "cloud: deleting %s: %s", machine->id, why);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -171,7 +171,7 @@
   settings->lease_s = get_num(reader, w, "cluster.workers.", "lease_s", 1, 3600);
   settings->cancel_s = get_num(reader, w, "cluster.workers.", "cancel_s", 1, 7200);
   /* The freshness bound is what lies between them: it must leave time for a read of the state. */
-  if (!reader->failed && tmx_fresh_bound(settings) < TMX_FRESH_LEAST_S)
+  if (!reader->failed && tmx_fresh_bound(settings) < TMX_FRESH_MIN_S)
     fail(
         reader, "cluster.workers.", "cancel_s",
         "exceeds lease_s by too little to renew leases safely: 3 s are needed, more for long ones");
@@ -244,7 +244,7 @@
 }
 
 double tmx_fresh_bound(const struct tmx_settings *settings) {
-  double margin = TMX_DRIFT * settings->cancel_s + TMX_FRESH_MARGIN_S / 2;
+  double margin = TMX_CLOCK_DRIFT * settings->cancel_s + TMX_FRESH_MARGIN_S / 2;
   return settings->cancel_s - settings->lease_s -
          (margin > TMX_FRESH_MARGIN_S ? margin : TMX_FRESH_MARGIN_S);
 }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -53,8 +53,8 @@
  * answers nobody, everybody stays at work as far as freshness allows. */
 bool tmx_controller_lost_store_alone(const struct tmx_controller *controller) {
   double at = tmx_store_fresh_as_of(controller->store);
-  if (controller->replica.loaded && tmx_clock_steady() - at < TMX_STATE_LOST_S) return false;
-  return tmx_peers_store_age(controller->peers) < TMX_STATE_LOST_S / 2;
+  if (controller->replica.loaded && tmx_clock_steady() - at < TMX_STORE_LOST_S) return false;
+  return tmx_peers_store_age(controller->peers) < TMX_STORE_LOST_S / 2;
 }
 
 /* Users are sent elsewhere sooner than workers: nothing runs on for them here. */
@@ -62,7 +62,7 @@
   double at = tmx_store_fresh_as_of(controller->store);
   if (!tmx_controller_may_act(controller) || tmx_controller_lost_store_alone(controller))
     return false;
-  return tmx_clock_steady() - at < TMX_STATE_LOST_S || tmx_peers_any_alive(controller->peers);
+  return tmx_clock_steady() - at < TMX_STORE_LOST_S || tmx_peers_any_alive(controller->peers);
 }
 
 int tmx_controller_member_index(const struct tmx_controller *controller) {
@@ -70,7 +70,7 @@
 }
 
 uint64_t tmx_controller_fencing_token(const struct tmx_controller *controller, uint32_t bump) {
-  return (controller->replica.view.term << TMX_BUMP_BITS) + bump;
+  return (controller->replica.view.term << TMX_TOKEN_SEQUENCE_BITS) + bump;
 }
 
 /* ------------------------------------------------------------ view */
@@ -137,7 +137,7 @@
   for (size_t i = 0; i < controller->replica.n_registered_members; i++) {
     const char *n = controller->replica.registered_members[i].name;
     if (!strcmp(n, controller->settings.node_name)) continue;
-    bool heard = tmx_peers_silence(controller->peers, n) < TMX_BEAT_LOST_S;
+    bool heard = tmx_peers_silence(controller->peers, n) < TMX_HEARTBEAT_LOST_S;
     bool near = tmx_node_zone(&controller->settings, n) == zone;
     census.others++;
     census.heard += heard;
@@ -176,8 +176,8 @@
   struct tmx_peer_census census = observe_peers(controller);
   /* back to the hash only when both have been heard for a while */
   if (tmx_zones_are_partitioned(&census)) controller->zones_partitioned_at = now;
-  view.zones_partitioned =
-      controller->zones_partitioned_at && now - controller->zones_partitioned_at < TMX_SPLIT_HOLD_S;
+  view.zones_partitioned = controller->zones_partitioned_at &&
+                           now - controller->zones_partitioned_at < TMX_ZONE_PARTITION_HOLD_S;
   for (size_t i = 0; i < replica->n_registered_members; i++)
     if (!is_suspected(controller, replica->registered_members[i].name, &census,
                       controller->leading_since))
@@ -205,7 +205,8 @@
 /* Whether this controller reaches hardly any of its workers: others should drive them. */
 bool tmx_controller_lost_workers(const struct tmx_controller *controller) {
   struct tmx_reachability reachability = tmx_workers_reachability(controller->workers);
-  return reachability.owned >= TMX_REACH_LEAST && reachability.reached * 4 < reachability.owned;
+  return reachability.owned >= TMX_REACHABILITY_MACHINES_MIN &&
+         reachability.reached * 4 < reachability.owned;
 }
 
 /* ------------------------------------------------------------ events of the replica */
@@ -267,14 +268,14 @@
   struct tmx_controller *controller = w->data;
   double now = tmx_clock_steady();
   /* it stood still, or has more to do than its processor allows: time is missing here */
-  if (controller->last_tick_at && now - controller->last_tick_at > TMX_TICK_S + TMX_LATE_S) {
+  if (controller->last_tick_at && now - controller->last_tick_at > TMX_TICK_S + TMX_LOOP_LATE_S) {
     controller->last_late_tick_at = now;
     tmx_log(TMX_LOG_INFO, "loop: %.2f s late", now - controller->last_tick_at - TMX_TICK_S);
   }
   controller->last_tick_at = now;
   /* coming back from a cut it hears the others one after the other: the last one is not lost */
   if (controller->last_late_tick_at == now ||
-      now - tmx_store_fresh_as_of(controller->store) > TMX_STATE_LOST_S ||
+      now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_LOST_S ||
       !tmx_peers_any_alive(controller->peers))
     controller->impaired_at = now;
   tmx_peers_tick(controller->peers);
--- a/src/controller/failure_detector.h
+++ b/src/controller/failure_detector.h
@@ -1,6 +1,6 @@
 /* How the other controllers look from one of them, and what to make of it: pure. */
-#ifndef TMX_OUTLOOK_H
-#define TMX_OUTLOOK_H
+#ifndef TMX_FAILURE_DETECTOR_H
+#define TMX_FAILURE_DETECTOR_H
 #include <stdbool.h>
 #include <stddef.h>
 
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -262,7 +262,8 @@
                              struct suspicion_list *list) {
   size_t at = 0;
   do {
-    size_t part = list->count - at < TMX_BEAT_MACHINES ? list->count - at : TMX_BEAT_MACHINES;
+    size_t part = list->count - at < TMX_HEARTBEAT_SUSPICIONS_MAX ? list->count - at
+                                                                  : TMX_HEARTBEAT_SUSPICIONS_MAX;
     heartbeat->suspects.suspects_len = (u_int)part;
     heartbeat->suspects.suspects_val = list->suspicions + at;
     if (!append_record(out, heartbeat)) return;
@@ -304,12 +305,12 @@
 
 void tmx_peers_tick(struct tmx_peers *peers) {
   double now = tmx_clock_steady();
-  if (now - peers->sent_at < TMX_BEAT_S) return;
+  if (now - peers->sent_at < TMX_HEARTBEAT_PERIOD_S) return;
   peers->sent_at = now;
   for (size_t i = 0; i < peers->n; i++) {
     struct peer_connection *peer = &peers->peers[i];
     if (!peer->unsent.length && !peer->connecting) peer->blocked_since = now;
-    if (peer->fd >= 0 && now - peer->blocked_since > TMX_BEAT_LOST_S) close_outgoing(peer);
+    if (peer->fd >= 0 && now - peer->blocked_since > TMX_HEARTBEAT_LOST_S) close_outgoing(peer);
     if (peer->fd < 0) connect_to(peer, now);
   }
   send_heartbeats(peers);
@@ -327,8 +328,8 @@
   for (size_t i = 0; i < peers->n; i++) {
     const struct peer_connection *peer = &peers->peers[i];
     if (!strcmp(peer->name, node))
-      return peer->refusals >= 2 && now - peer->refused_at < 2 * TMX_BEAT_DEAD_S &&
-             now - peer->heartbeat_at > TMX_BEAT_DEAD_S;
+      return peer->refusals >= 2 && now - peer->refused_at < 2 * TMX_HEARTBEAT_DEAD_S &&
+             now - peer->heartbeat_at > TMX_HEARTBEAT_DEAD_S;
   }
   return false;
 }
@@ -336,7 +337,7 @@
 bool tmx_peers_any_alive(const struct tmx_peers *peers) {
   double now = tmx_clock_steady();
   for (size_t i = 0; i < peers->n; i++)
-    if (peers->peers[i].heartbeat_at && now - peers->peers[i].heartbeat_at < TMX_BEAT_LOST_S)
+    if (peers->peers[i].heartbeat_at && now - peers->peers[i].heartbeat_at < TMX_HEARTBEAT_LOST_S)
       return true;
   return false;
 }
@@ -356,7 +357,7 @@
   for (size_t i = 0; i < peers->n; i++)
     if (!strcmp(peers->peers[i].name, node))
       return peers->peers[i].reports_no_workers &&
-             now - peers->peers[i].heartbeat_at < TMX_BEAT_LOST_S;
+             now - peers->peers[i].heartbeat_at < TMX_HEARTBEAT_LOST_S;
   return false;
 }
 
--- a/src/planner/fit.c
+++ b/src/planner/fit.c
@@ -67,7 +67,7 @@
   double left = job->record.next_target_s - (round->input->now_wall - job->record.released_at);
   double lost =
       spec->checkpoint_s > 0 ? fmin(spec->checkpoint_s, job->record.run_s) : job->record.run_s;
-  return spot == (left < job->record.run_s + lost + TMX_PATIENCE_S);
+  return spot == (left < job->record.run_s + lost + TMX_FETCH_TOLERANCE_S);
 }
 
 static double placement_cost(const struct round *round, const struct planner_job *job,
--- a/src/planner/planner.c
+++ b/src/planner/planner.c
@@ -80,7 +80,7 @@
         if (!machine->record.draining) continue;
         if (pass == 0) moves += task->stopping;
         if (pass == 0 || task->stopping || machine->record.zone < 0 || !job->record.open) continue;
-        if (moves >= TMX_MOVES_LEAST + (size_t)(TMX_MOVES_SHARE * (double)replicas)) return;
+        if (moves >= TMX_MOVES_MIN + (size_t)(TMX_MOVES_SHARE * (double)replicas)) return;
         tmx_fit_begin_job(round, job);
         tmx_round_touch_job(round, job);
         job->record.placed_in_zone[machine->record.zone]--;
@@ -161,7 +161,7 @@
  * on machines of its own part: it alone places there beside the owner. */
 static void reserve_machine(struct round *round, const struct planner_job *job) {
   struct planner_machine *emptiest = NULL;
-  if (!round->input->leading || round->n_kept_machines == TMX_KEPT_MAX ||
+  if (!round->input->leading || round->n_kept_machines == TMX_RESERVED_MACHINES_MAX ||
       job->record.retry_at > round->input->now_steady)
     return;
   if (job->next_waiting >= job->record.n_waiting || !tmx_fit_within_quota(round, job)) return;
@@ -191,7 +191,8 @@
 /* One task of the oldest job that finds room, for each account whose turn it is. */
 static uint32_t place_by_rotation(struct round *round, struct planner_job **by_age, size_t n) {
   bool served[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX] = {{false}};
-  struct planner_job *without[TMX_KEPT_MAX]; /* the first of each account that found no room */
+  struct planner_job
+      *without[TMX_RESERVED_MACHINES_MAX]; /* the first of each account that found no room */
   size_t n_without = 0;
   uint32_t placed = 0;
   if (round->input->turns.start_s <= 0) return 0;
@@ -205,7 +206,7 @@
     uint32_t got = tmx_place_job(round, job, 1);
     served[team][account] = got > 0;
     placed += got;
-    if (!got && n_without < TMX_KEPT_MAX && !is_listed(without, n_without, job))
+    if (!got && n_without < TMX_RESERVED_MACHINES_MAX && !is_listed(without, n_without, job))
       without[n_without++] = job;
   }
   for (size_t k = 0; k < n_without; k++)
@@ -239,7 +240,7 @@
   if (!begin) abort();
   for (size_t k = 0; k < n; k++) {
     struct planner_job *job = by_age[k];
-    if (waited_s(round, job) < TMX_BEGIN_S || tmx_fit_precedence(job) == 2) continue;
+    if (waited_s(round, job) < TMX_AGED_JOB_S || tmx_fit_precedence(job) == 2) continue;
     if (!job->record.n_done && !job->record.n_placed) begin[n_begin++] = job;
   }
   order_by_rotation(round, begin, n_begin);
@@ -254,7 +255,7 @@
   for (size_t k = 0; k < n && planner->aged_job_credit >= 1 && round->visited <= round->visit_limit;
        k++) {
     struct planner_job *job = by_age[k];
-    if (waited_s(round, job) < TMX_BEGIN_S || tmx_fit_precedence(job) == 2) continue;
+    if (waited_s(round, job) < TMX_AGED_JOB_S || tmx_fit_precedence(job) == 2) continue;
     uint32_t got = tmx_place_job(round, job, (uint32_t)planner->aged_job_credit);
     planner->aged_job_credit -= got;
     placed += got;
@@ -297,7 +298,7 @@
   uint32_t rest =
       tmx_place_jobs(&round, order + services, n - services, UINT32_MAX, &planner->resume_arrays);
   planner->aged_job_credit =
-      fmin(planner->aged_job_credit + TMX_LANE_SHARE * (rest + aside), TMX_PLAN_TASKS);
+      fmin(planner->aged_job_credit + TMX_AGED_JOB_SHARE * (rest + aside), TMX_PLAN_TASKS);
   if (input->leading && !output->unplaced && !output->truncated) move_services(&round);
   end_round(&round);
   free(order);
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -1,8 +1,8 @@
 /* The greedy round: pure. The planner keeps its own tables of machines and jobs, fed with what
  * changed since the last round; a round works on them and takes its own steps back at its end,
  * since only what is committed comes back in the next feed. */
-#ifndef TMX_PLAN_H
-#define TMX_PLAN_H
+#ifndef TMX_PLANNER_H
+#define TMX_PLANNER_H
 #include "admission/start_rotation.h"
 #include "replica/replica.h"
 
--- a/src/planner/planner_tables.h
+++ b/src/planner/planner_tables.h
@@ -1,6 +1,6 @@
 /* The planner's tables, shared by the files of the round only. */
-#ifndef TMX_MODEL_H
-#define TMX_MODEL_H
+#ifndef TMX_PLANNER_TABLES_H
+#define TMX_PLANNER_TABLES_H
 #include "planner/planner.h"
 
 struct machine_snapshot { /* of a machine, before the round's own steps */
--- a/src/planner/round.h
+++ b/src/planner/round.h
@@ -60,8 +60,8 @@
   size_t n_releasing_machines, cap_releasing_machines;
   struct candidate_set candidate_sets[POOL_COUNT]; /* of the job at hand; their memory is kept */
   uint32_t n_eligible, machine_cap;
-  struct planner_machine
-      *kept_machines[TMX_KEPT_MAX]; /* machines that nothing else is placed on, see plan.c */
+  struct planner_machine *kept_machines[TMX_RESERVED_MACHINES_MAX]; /* machines that nothing else is
+                                                                       placed on, see plan.c */
   size_t n_kept_machines;
 };
 
--- a/src/planner/scale_out_plan.c
+++ b/src/planner/scale_out_plan.c
@@ -36,7 +36,7 @@
                           const struct tmx_offer *offers, size_t n_o,
                           const struct tmx_coming *coming, size_t n_c, double have,
                           struct tmx_scale_out *out, size_t max) {
-  size_t n_out = 0, n_bins = 0, cap = n_c + TMX_HIRES_ROUND;
+  size_t n_out = 0, n_bins = 0, cap = n_c + TMX_SCALE_OUTS_MAX;
   struct bin *bins = calloc(cap, sizeof *bins);
   if (!bins) abort();
   for (size_t i = 0; i < n_c; i++)
@@ -51,7 +51,8 @@
     const struct tmx_job_spec *spec = demands[i].spec;
     uint32_t left = demands[i].tasks;
     if (!spec->service) {
-      if (have > 0 && backlog / have < TMX_CLEAR_S) continue; /* cleared soon as it stands */
+      if (have > 0 && backlog / have < TMX_BACKLOG_CLEAR_S)
+        continue; /* cleared soon as it stands */
       /* enough to be done in one more run time, rather than a machine for every task */
       left = (uint32_t)ceil(left * fmin(1.0, fmax(demands[i].run_s, 5) / 45.0));
     }
@@ -71,7 +72,7 @@
         if (!suits(spec, offers[k].type, offers[k].zone, offers[k].spot, &demands[i])) continue;
         /* how many there are is not published: a large demand asks several offers at once, rather
          * than all of it of the cheapest, round after round, until that one is exhausted */
-        if (asked_of(out, n_out, k) >= TMX_HIRE_OFFER_MAX) continue;
+        if (asked_of(out, n_out, k) >= TMX_SCALE_OUT_OFFER_MAX) continue;
         uint32_t in =
             fits(spec, offers[k].type->cpus, offers[k].type->gpus, offers[k].type->mem_gb);
         if (!in) continue;
--- a/src/planner/scale_out_plan.h
+++ b/src/planner/scale_out_plan.h
@@ -1,6 +1,6 @@
 /* How many machines to rent, and of which kind: pure functions. */
-#ifndef TMX_CAPACITY_H
-#define TMX_CAPACITY_H
+#ifndef TMX_SCALE_OUT_PLAN_H
+#define TMX_SCALE_OUT_PLAN_H
 #include "controller/controller.h"
 
 struct tmx_demand { /* waiting tasks of one job that found no room */
--- a/src/replica/job_dependencies.h
+++ b/src/replica/job_dependencies.h
@@ -1,8 +1,8 @@
 /* Dependencies between jobs, derived from the log as each replica applies it: pure. A job that
  * names others is blocked until all of them are done; one that names a cancelled job, directly or
  * through others, is cancelled at the same revision. */
-#ifndef TMX_DEPEND_H
-#define TMX_DEPEND_H
+#ifndef TMX_JOB_DEPENDENCIES_H
+#define TMX_JOB_DEPENDENCIES_H
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
--- a/src/replica/operation_check.h
+++ b/src/replica/operation_check.h
@@ -1,7 +1,7 @@
 /* Is an operation that was planned on an earlier state still right: pure. A batch is checked line
  * by line on the replica as it stands when it is sent, each line after those before it. */
-#ifndef TMX_CHECK_H
-#define TMX_CHECK_H
+#ifndef TMX_OPERATION_CHECK_H
+#define TMX_OPERATION_CHECK_H
 #include "replica/replica.h"
 
 struct tmx_operation_check {
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -444,8 +444,8 @@
 }
 
 static size_t removed_machines_kept(const struct tmx_replica *replica) {
-  return 1 +
-         (size_t)(replica->settings->ram_mb * TMX_BYTES_PER_MB * TMX_GONE_SHARE / TMX_GONE_BYTES);
+  return 1 + (size_t)(replica->settings->ram_mb * TMX_BYTES_PER_MB *
+                      TMX_REMOVED_MACHINES_MEMORY_SHARE / TMX_REMOVED_MACHINE_BYTES);
 }
 
 static void count_type(struct tmx_replica *replica, const struct tmx_machine *machine, int sign) {
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -194,7 +194,7 @@
   struct tmx_job *
       *unstored_outcomes; /* cancelled through others; their own keys do not say so yet */
   size_t n_unstored_outcomes, cap_unstored_outcomes;
-  struct tmx_run_estimate run_estimates[TMX_CLASSES_MAX];
+  struct tmx_run_estimate run_estimates[TMX_RUN_ESTIMATES_MAX];
   size_t n_run_estimates;
   struct tmx_image_name *images; /* names are compared once: numbers from here on */
   struct tmx_usage team_usage[TMX_TEAMS_MAX];
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -1,6 +1,6 @@
 /* What the files of the replica share. */
-#ifndef TMX_STATE_INTERNAL_H
-#define TMX_STATE_INTERNAL_H
+#ifndef TMX_REPLICA_INTERNAL_H
+#define TMX_REPLICA_INTERNAL_H
 #include "replica/replica.h"
 
 void *tmx_replica_allocate(size_t n); /* zeroed; ends the process when memory is out */
--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -51,7 +51,7 @@
 bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t n, int more_puts) {
   size_t all = batch->transaction_json_length + batch->value_json_length + n +
                (size_t)batch->transaction.n_conditions * TMX_JSON_FRAME;
-  if (all > TMX_TXN_BYTES) return false;
+  if (all > TMX_TRANSACTION_BYTES) return false;
   if (batch->value_json_length + n > batch->value_json_max) tmx_log_batch_end_value(batch);
   return batch->writes_left - more_puts >= 1;
 }
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -1,6 +1,6 @@
 /* A batch in the making: values of bounded size, and the puts that hold them. */
-#ifndef TMX_BATCH_H
-#define TMX_BATCH_H
+#ifndef TMX_LOG_BATCH_H
+#define TMX_LOG_BATCH_H
 #include "scheduler/scheduler_internal.h"
 
 struct tmx_log_batch {
--- a/src/scheduler/planner_delta.c
+++ b/src/scheduler/planner_delta.c
@@ -23,7 +23,7 @@
     if (is_finish_aim(&controller->settings.objectives[i], &job->spec))
       last = fmax(last, controller->settings.objectives[i].within_s);
   last = fmax(last, aim_due_in(job));
-  return last > 0 ? last : TMX_NO_AIM_S;
+  return last > 0 ? last : TMX_NO_OBJECTIVE_S;
 }
 
 /* The first of those that is still ahead, s after the release. */
@@ -46,7 +46,7 @@
         !strcmp(controller->settings.objectives[i].kind, "wait") &&
         controller->settings.objectives[i].within_s > 0)
       return controller->settings.objectives[i].within_s;
-  return TMX_PATIENCE_S;
+  return TMX_FETCH_TOLERANCE_S;
 }
 
 static void describe_machine(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
@@ -62,9 +62,9 @@
   record->spot = machine->spot;
   record->draining = machine->draining;
   record->owner = machine->owner;
-  record->usable =
-      type && machine->usable &&
-      !(machine->consecutive_errors >= TMX_SICK_ERRORS && machine->errors_of_several_jobs);
+  record->usable = type && machine->usable &&
+                   !(machine->consecutive_errors >= TMX_FAULTY_MACHINE_ERRORS &&
+                     machine->errors_of_several_jobs);
   if (type) {
     machine->size_cpus = record->cpus = type->cpus;
     machine->size_gpus = record->gpus = type->gpus;
@@ -158,7 +158,7 @@
   input->self_member = tmx_controller_member_index(controller);
   input->leading = tmx_store_is_leader(controller->store);
   input->n_zones = controller->settings.n_zones;
-  input->own_planner_grace_s = TMX_LEADER_GRACE_S;
+  input->own_planner_grace_s = TMX_OWN_PLANNER_GRACE_S;
   if (!tmx_store_is_write_load_low(controller->store))
     input->own_planner_grace_s +=
         tmx_commit_slot_length(controller) * (double)(replica->view.n_members + 1);
@@ -167,11 +167,12 @@
   memcpy(input->teams, controller->settings.teams, sizeof input->teams);
   memcpy(input->usage, replica->team_usage, sizeof input->usage);
   double room = (double)tmx_value_room(&controller->settings) * (controller->settings.txn_ops - 1);
-  input->max_visits = (size_t)fmax(
-      fmin(controller->settings.core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S, TMX_PLAN_VISITS),
-      TMX_PLAN_VISITS_LEAST);
+  input->max_visits =
+      (size_t)fmax(fmin(controller->settings.core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S,
+                        TMX_PLAN_VISITS_MAX),
+                   TMX_PLAN_VISITS_MIN);
   input->max_operations =
-      (size_t)(fmin(room, TMX_TXN_BYTES) /
+      (size_t)(fmin(room, TMX_TRANSACTION_BYTES) /
                (replica->dependencies_in_use ? TMX_ITEM_TYPICAL : TMX_LINE_TYPICAL));
   for (size_t i = 0; i < scheduler->n_completions; i++) {
     struct tmx_task *task = tmx_operation_task(replica, &scheduler->completions[i]);
--- a/src/scheduler/round_commit.c
+++ b/src/scheduler/round_commit.c
@@ -14,7 +14,7 @@
   if (revision > scheduler->awaited_revision) scheduler->awaited_revision = revision;
   scheduler->awaited_revision_since = tmx_clock_steady();
   tmx_submission_queue_settle(scheduler, res);
-  if (res == TMX_TRANSACTION_CONFLICT && ++scheduler->resends <= TMX_RESENDS) {
+  if (res == TMX_TRANSACTION_CONFLICT && ++scheduler->resends <= TMX_RESENDS_MAX) {
     /* what was planned is checked again on the state that won, and sent anew */
     tmx_scheduler_trigger_within(controller, 0.05);
     return;
@@ -32,7 +32,7 @@
   tmx_scheduler_abandon_round(scheduler);
   tmx_scheduler_trigger_within(controller, res == TMX_TRANSACTION_COMMITTED
                                                ? (cut ? 0 : TMX_ROUND_SPACING_S)
-                                               : TMX_STATE_RETRY_S);
+                                               : TMX_STORE_RETRY_S);
 }
 
 static int compare_by_group(const void *a, const void *b) {
@@ -93,7 +93,7 @@
   bool last =
       counts && task->job->n_done + task->job->n_completions_in_batch + 1 == task->job->spec.tasks;
   if (last && (draft->n_finished_jobs == TMX_FINISHED_MAX || draft->batch.writes_left < 2)) {
-    scheduler->needed_writes = TMX_ROUND_PUTS + 1;
+    scheduler->needed_writes = TMX_ROUND_WRITES + 1;
     draft->later = true;
     if (tmx_log_enabled(TMX_LOG_DEBUG))
       tmx_log(TMX_LOG_DEBUG, "job: %s is done, and waits for a put", operation->job);
@@ -213,7 +213,7 @@
   tmx_submission_queue_settle(
       scheduler, TMX_TRANSACTION_CONFLICT); /* not sent: as if something else had won */
   tmx_scheduler_abandon_round(scheduler);
-  tmx_scheduler_trigger_within(controller, TMX_STATE_RETRY_S);
+  tmx_scheduler_trigger_within(controller, TMX_STORE_RETRY_S);
 }
 
 /* The log's order in a batch: submissions, ends, machines, placements and stops. The version in
@@ -224,7 +224,7 @@
                                         .value_json_max = tmx_value_room(&controller->settings),
                                         .grouped = controller->replica.dependencies_in_use,
                                         .writes_left = spare_writes(scheduler)}};
-  scheduler->needed_writes = TMX_ROUND_PUTS;
+  scheduler->needed_writes = TMX_ROUND_WRITES;
   tmx_transaction_require_version(&draft.batch.transaction, TMX_KEY_HEAD,
                                   controller->replica.head_version);
   tmx_operation_check_begin(&draft.check, &controller->replica);
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -109,13 +109,13 @@
 
 /* Of the time of day, for one batch. */
 double tmx_commit_slot_length(const struct tmx_controller *controller) {
-  return TMX_TURN_PUTS / (controller->settings.write_rps * TMX_WRITE_SHARE);
+  return TMX_COMMIT_SLOT_WRITES / (controller->settings.write_rps * TMX_WRITE_SHARE);
 }
 
 /* The next step needs the replica to hold the latest revision that a commit told of. */
 bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler) {
   return scheduler->awaited_revision <= scheduler->controller->replica.revision ||
-         tmx_clock_steady() - scheduler->awaited_revision_since > TMX_STATE_TIMEOUT_S;
+         tmx_clock_steady() - scheduler->awaited_revision_since > TMX_STORE_TIMEOUT_S;
 }
 
 void tmx_scheduler_abandon_round(struct tmx_scheduler *scheduler) {
@@ -136,7 +136,7 @@
   double at = fmod(tmx_clock_wall(), period), wait = period;
   for (int k = 0; k < 1 + tmx_store_is_leader(controller->store); k++) {
     double into = at - slot * (k ? (double)n : self);
-    if (into >= 0 && into < slot * TMX_TURN_BEGIN) return 0;
+    if (into >= 0 && into < slot * TMX_COMMIT_SLOT_START_SHARE) return 0;
     wait = fmin(wait, into < 0 ? -into : period - into);
   }
   return wait + 0.001;
@@ -156,7 +156,7 @@
   scheduler->phase = TMX_SCHEDULER_PLANNED;
   if (!tmx_store_is_member(controller->store) || !tmx_controller_may_act(controller)) {
     tmx_scheduler_abandon_round(scheduler);
-    tmx_scheduler_trigger_within(controller, TMX_STATE_RETRY_S);
+    tmx_scheduler_trigger_within(controller, TMX_STORE_RETRY_S);
     return;
   }
   if (!scheduler->batch_in_flight && tmx_scheduler_caught_up(scheduler))
@@ -181,8 +181,8 @@
   }
   scheduler->round_started_at = now;
   scheduler->resends = 0;
-  scheduler->n_completions =
-      tmx_workers_collect_completions(controller->workers, scheduler->completions, TMX_ENDS_ROUND);
+  scheduler->n_completions = tmx_workers_collect_completions(
+      controller->workers, scheduler->completions, TMX_COMPLETIONS_MAX);
   struct tmx_round_input input;
   tmx_scheduler_collect_delta(scheduler, &input);
   scheduler->phase = TMX_SCHEDULER_PLANNING;
@@ -227,7 +227,7 @@
   pthread_attr_t a;
   if (!scheduler) abort();
   scheduler->controller = controller;
-  scheduler->needed_writes = TMX_ROUND_PUTS;
+  scheduler->needed_writes = TMX_ROUND_WRITES;
   pthread_mutex_init(&scheduler->lock, NULL);
   pthread_cond_init(&scheduler->work_available, NULL);
   ev_timer_init(&scheduler->timer, on_timer, 0, 0);
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -1,8 +1,8 @@
 /* What the files of a controller's rounds share. A round hands what changed to the planner's
  * thread, which plans on tables of its own; the result is checked line by line on the replica as it
  * then stands and goes out as one batch. All but the planner's thread runs on the loop's thread. */
-#ifndef TMX_ROUNDS_INTERNAL_H
-#define TMX_ROUNDS_INTERNAL_H
+#ifndef TMX_SCHEDULER_INTERNAL_H
+#define TMX_SCHEDULER_INTERNAL_H
 #include <pthread.h>
 
 #include "controller/controller.h"
@@ -43,7 +43,7 @@
   ev_timer timer;
   enum tmx_scheduler_phase phase;
   bool batch_in_flight; /* a batch is under way */
-  struct tmx_pending_submission *submissions[TMX_ARRIVALS_MAX];
+  struct tmx_pending_submission *submissions[TMX_PENDING_SUBMISSIONS_MAX];
   size_t n_submissions;
   double round_started_at, awaited_revision_since;
   double needed_writes;       /* that the next batch needs at least */
@@ -57,7 +57,7 @@
   size_t n_changed_machines, cap_changed_machines;
   struct tmx_job **changed_jobs;
   size_t n_changed_jobs, cap_changed_jobs;
-  struct tmx_operation completions[TMX_ENDS_ROUND];
+  struct tmx_operation completions[TMX_COMPLETIONS_MAX];
   size_t n_completions;
   struct tmx_round_output plan;
   struct tmx_pending_line *pending_lines;
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -31,7 +31,7 @@
     struct tmx_pending_submission *pending = scheduler->submissions[i];
     bool busy = pending->sent_alone || pending->in_batch;
     size_t n = scheduler->n_submissions;
-    if (!pending->answered && (!busy || now - pending->sent_at > TMX_STATE_SLOW_S) &&
+    if (!pending->answered && (!busy || now - pending->sent_at > TMX_STORE_SLOW_S) &&
         tmx_job_find(&scheduler->controller->replica, pending->id))
       settle_submission(scheduler, i, TMX_TRANSACTION_CONFLICT);
     else if (!busy && now > pending->deadline)
@@ -162,7 +162,7 @@
                       const struct tmx_pending_submission *pending) {
   size_t room = tmx_value_room(settings);
   return pending->record_json_length > room || pending->n_values > settings->txn_ops - 1 ||
-         (size_t)pending->n_values * (room + TMX_JSON_FRAME) > TMX_TXN_BYTES;
+         (size_t)pending->n_values * (room + TMX_JSON_FRAME) > TMX_TRANSACTION_BYTES;
 }
 
 static struct tmx_pending_submission *new_pending_submission(
@@ -193,7 +193,7 @@
                                             const struct tmx_submission *submission, double within,
                                             tmx_submission_cb cb, void *arg) {
   struct tmx_scheduler *scheduler = controller->scheduler;
-  if (scheduler->n_submissions == TMX_ARRIVALS_MAX) return TMX_SUBMIT_QUEUE_FULL;
+  if (scheduler->n_submissions == TMX_PENDING_SUBMISSIONS_MAX) return TMX_SUBMIT_QUEUE_FULL;
   for (size_t i = 0; i < scheduler->n_submissions; i++)
     if (!strcmp(scheduler->submissions[i]->id, submission->id))
       return TMX_SUBMIT_QUEUE_FULL; /* it is on its way already */
@@ -228,7 +228,7 @@
 static bool may_go_alone(const struct tmx_scheduler *scheduler,
                          struct tmx_pending_submission *pending) {
   if (pending->sent_alone || pending->in_batch || pending->n_values > 1 ||
-      pending->tries >= TMX_DIRECT_TRIES)
+      pending->tries >= TMX_SINGLE_SUBMISSION_TRIES)
     return false;
   if (!tmx_admission_control_may_commit_alone(scheduler->controller->admission, &pending->candidate,
                                               &pending->dependencies))
@@ -249,7 +249,7 @@
   /* a batch under way is decided once head has moved, whenever its answer comes */
   bool decided = !scheduler->batch_in_flight ||
                  controller->replica.head_version != scheduler->sent_head_version;
-  if (idle <= TMX_DIRECT_MAX && controller->replica.loaded && decided &&
+  if (idle <= TMX_SINGLE_SUBMISSIONS_MAX && controller->replica.loaded && decided &&
       tmx_scheduler_caught_up(scheduler)) {
     for (size_t i = 0; i < scheduler->n_submissions; i++) {
       struct tmx_pending_submission *pending = scheduler->submissions[i];
--- a/src/store/compaction.c
+++ b/src/store/compaction.c
@@ -40,7 +40,7 @@
   struct tmx_compaction *compaction = calloc(1, sizeof *compaction);
   if (!compaction) abort();
   compaction->controller = controller;
-  compaction->key_threshold = TMX_FOLD_KEYS;
+  compaction->key_threshold = TMX_COMPACTION_KEYS;
   return compaction;
 }
 void tmx_compaction_free(struct tmx_compaction *compaction) {
@@ -153,7 +153,8 @@
   if (puts > controller->settings.txn_ops) puts = controller->settings.txn_ops;
   bool more = true;
   tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, controller->replica.head_version);
-  while (more && transaction.n_operations < puts && all + max + TMX_JSON_FRAME < TMX_TXN_BYTES) {
+  while (more && transaction.n_operations < puts &&
+         all + max + TMX_JSON_FRAME < TMX_TRANSACTION_BYTES) {
     list.length = jobs.length = n = n_jobs = len = 0;
     for (;;) {
       struct place before = position;
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -56,7 +56,7 @@
   /* write budget */
   double write_tokens, write_tokens_at;
   double submission_tokens; /* puts kept apart for submissions */
-  double recent_writes;     /* puts of all over the last TMX_USED_S, older ones fading */
+  double recent_writes;     /* puts of all over the last TMX_RECENT_WRITES_S, older ones fading */
   double shared_write_tokens,
       shared_write_tokens_at; /* the service's own bucket of puts, as the events of all tell */
   double watch_tokens, watch_tokens_at;
@@ -97,7 +97,7 @@
   if (!map || !tmx_cbor_get_u64(map, W_REVISION, &revision)) {
     tmx_cbor_free(map);
     load_reset(store);
-    schedule_watch(store, TMX_STATE_RETRY_S);
+    schedule_watch(store, TMX_STORE_RETRY_S);
     return;
   }
   if (!store->first_page_revision) store->first_page_revision = revision;
@@ -154,10 +154,10 @@
   snprintf(path, sizeof path, WP_KV "?prefix=" TMX_KEY_PREFIX "%s%s&page=1000",
            store->load_cursor[0] ? "&from=" : "", store->load_cursor);
   store->load_in_flight = tmx_http_client_call(store->request_connections, "GET", path, NULL,
-                                               TMX_STATE_TIMEOUT_S * 2, on_page, store);
+                                               TMX_STORE_TIMEOUT_S * 2, on_page, store);
   if (!store->load_in_flight) {
     load_reset(store);
-    schedule_watch(store, TMX_STATE_RETRY_S);
+    schedule_watch(store, TMX_STORE_RETRY_S);
   }
 }
 
@@ -196,7 +196,7 @@
   uint64_t revision;
   if (!map || !tmx_cbor_get_u64(map, W_REVISION, &revision)) {
     tmx_cbor_free(map);
-    schedule_watch(store, TMX_STATE_RETRY_S);
+    schedule_watch(store, TMX_STORE_RETRY_S);
     return;
   }
   const cbor_item_t *events = tmx_cbor_get(map, W_EVENTS);
@@ -245,7 +245,7 @@
            (unsigned long long)store->replica->revision, TMX_WATCH_WAIT_MS);
   store->watch_in_flight = tmx_http_client_call(store->watch_connection, "GET", path, NULL,
                                                 TMX_WATCH_WAIT_MS / 1000.0 + 3, on_watch, store);
-  if (!store->watch_in_flight) schedule_watch(store, TMX_STATE_RETRY_S);
+  if (!store->watch_in_flight) schedule_watch(store, TMX_STORE_RETRY_S);
 }
 
 static void on_watch_timer(struct ev_loop *l, ev_timer *w, int ev) {
@@ -297,11 +297,11 @@
   if (store->read_in_flight || ev_is_active(&store->read_index_timer)) return;
   struct read_waiter *waiter;
   bool wanted = tmx_clock_steady() - store->last_read_at >
-                (store->last_read_failed ? TMX_STATE_RETRY_S : TMX_CONFIRM_IDLE_S);
+                (store->last_read_failed ? TMX_STORE_RETRY_S : TMX_READ_INDEX_IDLE_S);
   DL_FOREACH(store->waiters, waiter) if (!waiter->required_revision) wanted = true;
   if (!wanted) return;
   double wait = store->last_read_at +
-                members_sharing_rates(store) / (store->settings->state_rps * TMX_CONFIRM_SHARE) -
+                members_sharing_rates(store) / (store->settings->state_rps * TMX_READ_INDEX_SHARE) -
                 tmx_clock_steady();
   if (wait > 0.001 && !store->read_expedited) {
     ev_timer_set(&store->read_index_timer, wait, 0);
@@ -312,7 +312,7 @@
   store->read_started_at = store->last_read_at = tmx_clock_steady();
   store->read_in_flight = tmx_http_client_call(store->request_connections, "GET",
                                                WP_KV "?prefix=" TMX_KEY_HEAD "&page=1", NULL,
-                                               TMX_STATE_TIMEOUT_S, on_revision_read, store);
+                                               TMX_STORE_TIMEOUT_S, on_revision_read, store);
 }
 
 static void on_read_index_timer(struct ev_loop *l, ev_timer *w, int ev) {
@@ -405,17 +405,17 @@
 static void refill_write_budget(struct tmx_store *store) {
   double now = tmx_clock_steady(), rate = member_write_rate(store),
          all = store->settings->write_rps;
-  store->recent_writes *= exp(-(now - store->shared_write_tokens_at) / TMX_USED_S);
+  store->recent_writes *= exp(-(now - store->shared_write_tokens_at) / TMX_RECENT_WRITES_S);
   store->shared_write_tokens = fmin(
       fmax(store->shared_write_tokens, -all) + (now - store->shared_write_tokens_at) * all, all);
   store->shared_write_tokens_at = now;
-  double burst = fmax(rate * TMX_PUT_BURST_S,
-                      TMX_PUT_BURST_LEAST); /* together less than the service's one second */
+  double burst = fmax(rate * TMX_WRITE_BURST_S,
+                      TMX_WRITE_BURST_MIN); /* together less than the service's one second */
   store->write_tokens = fmin(store->write_tokens + (now - store->write_tokens_at) * rate, burst);
-  store->submission_tokens =
-      fmin(store->submission_tokens + (now - store->write_tokens_at) * store->settings->write_rps *
-                                          TMX_SUBMIT_SHARE / members_sharing_rates(store),
-           TMX_SUBMIT_BURST);
+  store->submission_tokens = fmin(
+      store->submission_tokens + (now - store->write_tokens_at) * store->settings->write_rps *
+                                     TMX_SINGLE_SUBMISSION_SHARE / members_sharing_rates(store),
+      TMX_SINGLE_SUBMISSION_BURST);
   store->write_tokens_at = now;
 }
 
@@ -423,14 +423,16 @@
  * the moment's, all would find room at the same moment, and rush. */
 bool tmx_store_is_write_load_low(struct tmx_store *store) {
   refill_write_budget(store);
-  return store->recent_writes / TMX_USED_S < store->settings->write_rps * TMX_RICH;
+  return store->recent_writes / TMX_RECENT_WRITES_S <
+         store->settings->write_rps * TMX_LOW_WRITE_LOAD_SHARE;
 }
 /* This controller's share, or, while the others leave theirs unused, half of what is free. */
 double tmx_store_write_budget(struct tmx_store *store) {
   refill_write_budget(store);
   if (!tmx_store_is_write_load_low(store)) return store->write_tokens;
-  return fmax(store->write_tokens,
-              (store->shared_write_tokens - store->settings->write_rps * TMX_POOL_KEPT) / 2);
+  return fmax(
+      store->write_tokens,
+      (store->shared_write_tokens - store->settings->write_rps * TMX_SHARED_WRITES_KEPT_SHARE) / 2);
 }
 double tmx_store_write_budget_delay(struct tmx_store *store, double puts) {
   return fmax(0, (puts - tmx_store_write_budget(store)) / member_write_rate(store)) + 0.002;
@@ -438,12 +440,15 @@
 bool tmx_store_has_housekeeping_budget(struct tmx_store *store) {
   refill_write_budget(store);
   return store->write_tokens >
-         fmax(member_write_rate(store) * TMX_PUT_BURST_S, TMX_PUT_BURST_LEAST) * TMX_FOLD_SPARE;
+         fmax(member_write_rate(store) * TMX_WRITE_BURST_S, TMX_WRITE_BURST_MIN) *
+             TMX_COMPACTION_SPARE_SHARE;
 }
 /* Puts of the service's rate that all leave unused: this controller's part of them. */
 static double unused_shared_writes(struct tmx_store *store) {
   refill_write_budget(store);
-  return fmax(0, (store->shared_write_tokens - store->settings->write_rps * TMX_POOL_UNUSED) / 2);
+  return fmax(0, (store->shared_write_tokens -
+                  store->settings->write_rps * TMX_SHARED_WRITES_UNUSED_SHARE) /
+                     2);
 }
 
 /* Takes a put for a submission; false: there is none for it now. What the others leave unused of
@@ -518,7 +523,7 @@
     pending->arg = arg;
     pending->lease_id = store->lease_id;
     ok = tmx_http_client_call(store->request_connections, "POST", WP_TXN, &buffer,
-                              TMX_STATE_TIMEOUT_S, on_transaction_response, pending);
+                              TMX_STORE_TIMEOUT_S, on_transaction_response, pending);
     if (!ok) free(pending);
     tmx_buffer_free(&buffer);
   }
@@ -579,13 +584,13 @@
   char path[128];
   if (store->lease_request_in_flight) return;
   if (!store->lease_id) {
-    if (now - store->lease_attempted_at < TMX_STATE_RETRY_S) return;
+    if (now - store->lease_attempted_at < TMX_STORE_RETRY_S) return;
     store->lease_attempted_at = now;
     tmx_cbor_put_map(&buffer, 1);
     tmx_cbor_put_u64_field(&buffer, W_TTL, TMX_LEASE_TTL_MS);
     store->lease_request_in_flight =
         tmx_http_client_call(store->request_connections, "POST", WP_LEASES, &buffer,
-                             TMX_STATE_TIMEOUT_S, on_lease_granted, store);
+                             TMX_STORE_TIMEOUT_S, on_lease_granted, store);
     tmx_buffer_free(&buffer);
     return;
   }
@@ -594,7 +599,7 @@
   tmx_cbor_put_map(&buffer, 0);
   snprintf(path, sizeof path, WP_LEASES "/%llu" WP_RENEW, (unsigned long long)store->lease_id);
   store->lease_request_in_flight =
-      tmx_http_client_call(store->request_connections, "POST", path, &buffer, TMX_STATE_TIMEOUT_S,
+      tmx_http_client_call(store->request_connections, "POST", path, &buffer, TMX_STORE_TIMEOUT_S,
                            on_lease_renewed, store);
   tmx_buffer_free(&buffer);
 }
@@ -618,7 +623,7 @@
     store->incarnation = 0;
   }
   if (!store->lease_id || store->incarnation || store->registration_in_flight ||
-      now - store->registration_attempted_at < TMX_STATE_RETRY_S)
+      now - store->registration_attempted_at < TMX_STORE_RETRY_S)
     return;
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
@@ -633,7 +638,7 @@
 static void run_for_leader(struct tmx_store *store, double now) {
   struct tmx_replica *replica = store->replica;
   if (!replica->loaded || !store->incarnation || store->election_in_flight ||
-      now - store->election_attempted_at < TMX_STATE_RETRY_S)
+      now - store->election_attempted_at < TMX_STORE_RETRY_S)
     return;
   if (store->abstains_from_election) return;
   bool mine = !strcmp(replica->leader, store->settings->node_name) &&
@@ -664,8 +669,8 @@
 }
 
 void tmx_store_note_peer_ahead(struct tmx_store *store) {
-  if (tmx_clock_steady() - store->last_read_at < TMX_BEAT_S) return;
-  store->last_read_at = -TMX_CONFIRM_IDLE_S;
+  if (tmx_clock_steady() - store->last_read_at < TMX_HEARTBEAT_PERIOD_S) return;
+  store->last_read_at = -TMX_READ_INDEX_IDLE_S;
   start_revision_read(store);
 }
 
@@ -690,9 +695,9 @@
   store->write_tokens_at = store->watch_tokens_at = store->shared_write_tokens_at =
       tmx_clock_steady();
   store->write_tokens = 4;
-  store->last_read_at = -TMX_CONFIRM_IDLE_S;
+  store->last_read_at = -TMX_READ_INDEX_IDLE_S;
   store->lease_attempted_at = -TMX_LEASE_RENEW_S;
-  store->registration_attempted_at = store->election_attempted_at = -TMX_STATE_RETRY_S;
+  store->registration_attempted_at = store->election_attempted_at = -TMX_STORE_RETRY_S;
   snprintf(store->member_key, sizeof store->member_key, TMX_KEY_MEMBER "%s", settings->node_name);
   ev_timer_init(&store->watch_timer, on_watch_timer, 0, 0);
   ev_timer_init(&store->read_index_timer, on_read_index_timer, 0, 0);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,7 +1,7 @@
 /* The link to the state service: loads and follows the replica, holds this controller's
  * lease, reads revisions for waiting answers, and sends transactions. */
-#ifndef TMX_LINK_H
-#define TMX_LINK_H
+#ifndef TMX_STORE_H
+#define TMX_STORE_H
 #include "net/http.h"
 #include "replica/replica.h"
 
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -13,7 +13,7 @@
  * then a probe that timed out says nothing of the machine. */
 static void probe_lost(struct tmx_worker *worker) {
   if (worker->workers->controller->last_late_tick_at < worker->probed_at &&
-      tmx_clock_steady() - worker->workers->controller->last_tick_at < TMX_TICK_S + TMX_LATE_S)
+      tmx_clock_steady() - worker->workers->controller->last_tick_at < TMX_TICK_S + TMX_LOOP_LATE_S)
     worker->probes_lost++;
 }
 
@@ -56,8 +56,9 @@
   tmx_cbor_put_u64_field(&buffer, W_SESSION, worker->session);
   tmx_cbor_put_text(&buffer, W_COMMANDS);
   tmx_cbor_put_list(&buffer, 0);
-  worker->command_in_flight = tmx_http_client_call(worker->client, "POST", WP_COMMANDS, &buffer,
-                                                   TMX_PROBE_S, on_introduction_response, worker);
+  worker->command_in_flight =
+      tmx_http_client_call(worker->client, "POST", WP_COMMANDS, &buffer, TMX_PROBE_TIMEOUT_S,
+                           on_introduction_response, worker);
   tmx_buffer_free(&buffer);
   return worker->command_in_flight;
 }
@@ -74,7 +75,7 @@
       !(worker->probes_lost & 1) && introduce(worker))
     return true;
   worker->probe_in_flight = tmx_http_client_call(worker->client, "GET", WP_STATUS, NULL,
-                                                 TMX_PROBE_S, on_probe_response, worker);
+                                                 TMX_PROBE_TIMEOUT_S, on_probe_response, worker);
   return true;
 }
 
@@ -98,7 +99,7 @@
   if (!worker->probes_lost && tmx_worker_is_acknowledged(worker)) return false;
   int over = worker->probes_lost - TMX_PROBES_LOST;
   int doublings = over < 0 ? 0 : over > TMX_PROBE_DOUBLINGS ? TMX_PROBE_DOUBLINGS : over;
-  return now - worker->probed_at >= TMX_PROBE_S * (1 << doublings);
+  return now - worker->probed_at >= TMX_PROBE_TIMEOUT_S * (1 << doublings);
 }
 
 /* Asks in turn, from where the last turn ended, while there are probes to spend. */
@@ -123,7 +124,7 @@
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
     if (!worker->machine || !worker->machine->registered) continue;
-    if (reach->owned >= TMX_REACH_LEAST) return;
+    if (reach->owned >= TMX_REACHABILITY_MACHINES_MIN) return;
     reach->owned++;
     reach->reached += now - worker->acknowledged_at < 3;
     if (now - fmax(worker->acknowledged_at, worker->probed_at) >= 1)
@@ -149,7 +150,7 @@
     lost += workers->zone_liveness[z].lost;
     others += workers->zone_liveness[z].machines - workers->zone_liveness[z].lost;
   }
-  if (lost > 0) rate *= 1 - TMX_SUSPECTS_SHARE;
+  if (lost > 0) rate *= 1 - TMX_SUSPECT_PROBES_SHARE;
   double heard = fmin(1, TMX_ALIVE_S * (rate / fmax(others, 1) + 1 / settings->report_s));
   for (size_t z = 0; z < settings->n_zones; z++) {
     struct tmx_zone_liveness *zone = &workers->zone_liveness[z];
@@ -160,9 +161,9 @@
 void tmx_workers_tick(struct tmx_workers *workers) {
   struct tmx_controller *controller = workers->controller;
   double now = tmx_clock_steady(), rate = tmx_workers_probe_rate(controller);
-  if (now - workers->swept_at < TMX_SWEEP_S) return;
-  workers->probe_tokens =
-      fmin(workers->probe_tokens + rate * (now - workers->swept_at), rate * 2 * TMX_SWEEP_S);
+  if (now - workers->swept_at < TMX_RECLAIM_PERIOD_S) return;
+  workers->probe_tokens = fmin(workers->probe_tokens + rate * (now - workers->swept_at),
+                               rate * 2 * TMX_RECLAIM_PERIOD_S);
   workers->swept_at = now;
   int self = tmx_controller_member_index(controller);
   bool member = tmx_store_is_member(controller->store) && tmx_controller_may_act(controller);
@@ -203,7 +204,7 @@
   }
   extrapolate(workers, rate);
   if (member) {
-    double keep = workers->probe_tokens * (1 - TMX_SUSPECTS_SHARE);
+    double keep = workers->probe_tokens * (1 - TMX_SUSPECT_PROBES_SHARE);
     double period = fmax(TMX_PROBE_AFTER_S, reach.owned / rate);
     workers->next_suspect_probe =
         probe_in_turn(workers, workers->next_suspect_probe, true, true, period, keep, now);
@@ -238,7 +239,7 @@
     suspicion->unacknowledged_s =
         fmax(suspicion->unacknowledged_s, now - fmax(worker->acknowledged_at, worker->owned_since));
   /* one that was cut off and is heard again has not had the time yet to show that it hears us */
-  if (back < worker->workers->controller->settings.lease_s * TMX_BACK_LEASES)
+  if (back < worker->workers->controller->settings.lease_s * TMX_RECOVERY_LEASES)
     suspicion->unacknowledged_s = fmin(suspicion->unacknowledged_s, back + 0.001);
   /* It answers and cannot report: direct commands renew no lease, so by now all that ran is over,
    * and would be again a lease later. */
@@ -293,8 +294,8 @@
   if (!worker->suspicion_at || worker->suspicion_term < workers->controller->replica.view.term ||
       strcmp(worker->suspicion_reporter, owner) ||
       now - worker->suspicion_at >
-          tmx_peers_silence(workers->controller->peers, owner) + TMX_BEAT_S / 2 ||
-      now - worker->suspicion_at > TMX_BEAT_LOST_S)
+          tmx_peers_silence(workers->controller->peers, owner) + TMX_HEARTBEAT_PERIOD_S / 2 ||
+      now - worker->suspicion_at > TMX_HEARTBEAT_LOST_S)
     return false;
   *out = worker->owner_suspicion;
   out->silence_s += now - worker->suspicion_at;
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -21,8 +21,8 @@
 
 /* Machines that a controller's memory allows for: far more than it is run for. */
 static size_t max_workers(const struct tmx_workers *workers) {
-  return (size_t)(workers->controller->settings.ram_mb * TMX_BYTES_PER_MB * TMX_WORKERS_SHARE /
-                  TMX_WORKER_BYTES);
+  return (size_t)(workers->controller->settings.ram_mb * TMX_BYTES_PER_MB *
+                  TMX_WORKERS_MEMORY_SHARE / TMX_WORKER_BYTES);
 }
 
 /* The table is full: of machines that were heard once and never registered, the one that was silent
@@ -148,7 +148,7 @@
   if (now && (!worker->owned || term > worker->owned_as_of_term + 1)) {
     /* By the same view as before (the copy was read anew): an answer with starts may be under way
      * with the very token that the worker has seen. */
-    if (term == worker->owned_as_of_term && worker->token_sequence < TMX_BUMP_MAX)
+    if (term == worker->owned_as_of_term && worker->token_sequence < TMX_TOKEN_SEQUENCE_MAX)
       worker->token_sequence++;
     worker->required_token =
         tmx_controller_fencing_token(workers->controller, worker->token_sequence);
@@ -269,7 +269,7 @@
     if (listed && task->reported_state == TMX_REPORTED_EXITED && task->stop_mode)
       tmx_scheduler_trigger(workers->controller); /* somebody waits for this room */
     else
-      tmx_scheduler_trigger_within(workers->controller, TMX_ENDS_DELAY_S);
+      tmx_scheduler_trigger_within(workers->controller, TMX_COMPLETIONS_DELAY_S);
   }
 }
 
@@ -281,10 +281,10 @@
   if (!worker->owned ||
       worker->highest_token <=
           tmx_controller_fencing_token(worker->workers->controller, worker->token_sequence) ||
-      worker->highest_token - first > TMX_BUMP_MAX)
+      worker->highest_token - first > TMX_TOKEN_SEQUENCE_MAX)
     return;
   worker->token_sequence = (uint32_t)(worker->highest_token - first);
-  if (worker->token_sequence < TMX_BUMP_MAX) worker->token_sequence++;
+  if (worker->token_sequence < TMX_TOKEN_SEQUENCE_MAX) worker->token_sequence++;
   worker->required_token =
       tmx_controller_fencing_token(worker->workers->controller, worker->token_sequence);
 }
@@ -389,7 +389,7 @@
   if (!machine || !machine->registered) return 0;
   reconcile_report(worker);
   /* stops first: they make the room that starts need */
-  for (struct tmx_task *task = machine->tasks; task && n < TMX_ORDERS_MAX; task = task->next) {
+  for (struct tmx_task *task = machine->tasks; task && n < TMX_COMMANDS_MAX; task = task->next) {
     if (!reported(worker, task) || task->reported_state == TMX_REPORTED_EXITED ||
         (!task->stop_mode && !task->job->outcome))
       continue;
@@ -399,7 +399,7 @@
                 save ? task->job->spec.checkpoint_save_s + 1.0 : 0.0);
     n++;
   }
-  for (size_t i = 0; i < worker->n_tasks && n < TMX_ORDERS_MAX; i++) {
+  for (size_t i = 0; i < worker->n_tasks && n < TMX_COMMANDS_MAX; i++) {
     const struct tmx_reported_task *reported = &worker->tasks[i];
     if (reported->in_log || (stops_only && reported->state == TMX_REPORTED_EXITED)) continue;
     /* The log has settled this attempt: an exited one may be forgotten. One that still runs
@@ -410,7 +410,7 @@
     n++;
   }
   if (stops_only || !may_start) return n;
-  for (struct tmx_task *task = machine->tasks; task && n < TMX_ORDERS_MAX; task = task->next) {
+  for (struct tmx_task *task = machine->tasks; task && n < TMX_COMMANDS_MAX; task = task->next) {
     if (task->stop_mode || task->job->outcome || reported(worker, task)) continue;
     put_command(buffer, WV_START, task->job->id, tmx_task_index(task), task->attempt, -1);
     *starts = true;
@@ -446,7 +446,7 @@
      * may have been for an earlier session, and that one's end says nothing of this one. */
     if (tmx_worker_is_acknowledged(worker)) worker->required_token_at = tmx_clock_steady();
     worker->command_unanswered = true;
-    if (worker->token_sequence < TMX_BUMP_MAX) worker->token_sequence++;
+    if (worker->token_sequence < TMX_TOKEN_SEQUENCE_MAX) worker->token_sequence++;
     worker->required_token =
         tmx_controller_fencing_token(workers->controller, worker->token_sequence);
     if (!worker->inherited) worker->required_token_session = worker->session;
@@ -544,16 +544,17 @@
   }
   workers->n_command_queue = 0;
   if (!workers->n_parked) return;
-  const char *take[TMX_TAKE_MAX];
+  const char *take[TMX_FAILOVER_MACHINES_MAX];
   size_t n = 0;
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
     if (!worker->parked_request) continue;
-    if (!worker->parked_request->conn || tmx_clock_steady() - worker->parked_at > TMX_TAKE_HOLD_S)
+    if (!worker->parked_request->conn ||
+        tmx_clock_steady() - worker->parked_at > TMX_FAILOVER_PARK_S)
       reply_redirect(answer_parked_request(worker), NULL);
     else if (tmx_controller_may_act(workers->controller) && tmx_worker_is_owned(workers, worker))
       reply_as_owner(workers, worker, answer_parked_request(worker), false);
-    else if (n < TMX_TAKE_MAX)
+    else if (n < TMX_FAILOVER_MACHINES_MAX)
       take[n++] = worker->id;
   }
   if (n) tmx_controller_take_over(workers->controller, take, n);
@@ -566,11 +567,12 @@
                                   const char *owner, double now) {
   double back = now - worker->redirected_at;
   double silence = tmx_peers_silence(workers->controller->peers, owner);
-  if (worker->redirected_at && back >= TMX_TAKE_AFTER_S && back <= TMX_TAKE_WITHIN_S) return true;
-  if (silence > TMX_BEAT_LOST_S) return worker->redirected_at && back < TMX_TAKE_WITHIN_S;
+  if (worker->redirected_at && back >= TMX_FAILOVER_AFTER_S && back <= TMX_FAILOVER_WITHIN_S)
+    return true;
+  if (silence > TMX_HEARTBEAT_LOST_S) return worker->redirected_at && back < TMX_FAILOVER_WITHIN_S;
   struct tmx_suspicion suspicion;
   return worker->machine && tmx_workers_find_suspicion(workers, worker->machine, &suspicion) &&
-         suspicion.silence_s > TMX_TAKE_SILENT_S && suspicion.probes_lost >= TMX_PROBES_LOST;
+         suspicion.silence_s > TMX_FAILOVER_SILENT_S && suspicion.probes_lost >= TMX_PROBES_LOST;
 }
 
 /* A command of the owner's that starts a task may still be under way, and the task's job is over by
@@ -595,13 +597,13 @@
                                       const char *owner, double now) {
   const struct tmx_controller *controller = workers->controller;
   if (!tmx_store_is_member(controller->store) ||
-      now - tmx_store_fresh_as_of(controller->store) < TMX_STATE_LOST_S)
+      now - tmx_store_fresh_as_of(controller->store) < TMX_STORE_LOST_S)
     return false;
-  if (worker->highest_token > tmx_controller_fencing_token(controller, TMX_BUMP_MAX) ||
+  if (worker->highest_token > tmx_controller_fencing_token(controller, TMX_TOKEN_SEQUENCE_MAX) ||
       starts_in_doubt(worker, now))
     return false;
-  return tmx_peers_silence(controller->peers, owner) > TMX_BEAT_LOST_S ||
-         (worker->redirected_at && now - worker->redirected_at >= TMX_TAKE_AFTER_S);
+  return tmx_peers_silence(controller->peers, owner) > TMX_HEARTBEAT_LOST_S ||
+         (worker->redirected_at && now - worker->redirected_at >= TMX_FAILOVER_AFTER_S);
 }
 
 /* Answers a report with orders, which are freed. */
@@ -622,7 +624,7 @@
                             struct tmx_http_request *request) {
   struct tmx_buffer commands = {0};
   size_t n = 0;
-  for (size_t i = 0; i < worker->n_tasks && n < TMX_ORDERS_MAX; i++) {
+  for (size_t i = 0; i < worker->n_tasks && n < TMX_COMMANDS_MAX; i++) {
     const struct tmx_reported_task *reported = &worker->tasks[i];
     const struct tmx_job *job = tmx_job_find(&workers->controller->replica, reported->job);
     if (reported->state == TMX_REPORTED_EXITED || !job || !job->outcome) continue;
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -1,6 +1,6 @@
 /* Shared by the files of src/worker only. */
-#ifndef TMX_WORKER_H
-#define TMX_WORKER_H
+#ifndef TMX_WORKERS_INTERNAL_H
+#define TMX_WORKERS_INTERNAL_H
 #include "controller/controller.h"
 
 struct tmx_reported_task {
--- a/tests/cluster/check.c
+++ b/tests/cluster/check.c
@@ -91,7 +91,7 @@
 static void on_order(struct check *c, const char *machine_id, int node, uint64_t token) {
   struct machine *machine;
   RECORD(c->machines, machine_id, machine);
-  uint64_t term = token >> TMX_BUMP_BITS;
+  uint64_t term = token >> TMX_TOKEN_SEQUENCE_BITS;
   bool other = term == machine->term && node != machine->node;
   if (term < machine->term || other) found(c, &c->findings.two_owners, "orders of two owners");
   machine->term = term;
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -333,7 +333,7 @@
   job(in, 0, false, 200, 4); /* large, so last in the order */
   job(in, 1, false, 200, 2);
   in->in.now_wall = in->in.now_steady = 1000;
-  in->jobs[0].released_at = 1000 - TMX_BEGIN_S - 1;
+  in->jobs[0].released_at = 1000 - TMX_AGED_JOB_S - 1;
   in->jobs[1].released_at = 999;
   in->machines[0].booked_cpus = 12;
   plan(in, &output);
@@ -345,7 +345,7 @@
   assert_string_equal(output.operations[0].job, "wk-000001");
   free(output.operations);
   /* begun, it still gets its share of what is placed over many rounds */
-  in->jobs[0].released_at = 1000 - TMX_BEGIN_S - 1;
+  in->jobs[0].released_at = 1000 - TMX_AGED_JOB_S - 1;
   in->jobs[0].n_done = 1;
   struct tmx_planner *planner = tell(in);
   int large = 0, all = 0;
@@ -355,7 +355,7 @@
       large += !strcmp(output.operations[k].job, "wk-000000");
     free(output.operations);
   }
-  assert_true(large >= all * TMX_LANE_SHARE / 2 && large < all / 2);
+  assert_true(large >= all * TMX_AGED_JOB_SHARE / 2 && large < all / 2);
   tmx_planner_free(planner);
   paper_free(in);
 }
@@ -552,8 +552,8 @@
   /* a large demand does not wait until the cheapest offer is exhausted */
   d.tasks = 2000;
   assert_int_equal(tmx_plan_scale_out(&d, 1, offers, 2, NULL, 0, 10, h, 4), 2);
-  assert_int_equal(h[0].count, TMX_HIRE_OFFER_MAX);
-  assert_int_equal(h[1].count, TMX_HIRE_OFFER_MAX);
+  assert_int_equal(h[0].count, TMX_SCALE_OUT_OFFER_MAX);
+  assert_int_equal(h[1].count, TMX_SCALE_OUT_OFFER_MAX);
 }
 
 /* Arrays leave ordinary machines to others; a task that could not be run once more before its job's
--- a/tests/test_history.c
+++ b/tests/test_history.c
@@ -25,7 +25,7 @@
   "{\"what\":\"begin\",\"machine\":\"" machine "\",\"task\":\"wk-1/0\",\"attempt\":" attempt "}\n"
 #define END(how) \
   "{\"what\":\"end\",\"machine\":\"n-1\",\"task\":\"wk-1/0\",\"attempt\":1,\"how\":\"" how "\"}\n"
-#define TERM_2 "33554432" /* 2 << TMX_BUMP_BITS */
+#define TERM_2 "33554432" /* 2 << TMX_TOKEN_SEQUENCE_BITS */
 #define TERM_2_RAISED "33554433"
 #define TERM_1 "16777216"
 
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -132,7 +132,7 @@
     tmx_clock_advance(0.38);
   }
   assert_true(answered > 0); /* running work went on for a while */
-  assert_true(renewed + lease * (1 + TMX_DRIFT) < confirmed + cancel);
+  assert_true(renewed + lease * (1 + TMX_CLOCK_DRIFT) < confirmed + cancel);
   assert_int_equal(w.executed_starts, begun);
 }
 static void gap(void **st) {
@@ -176,7 +176,7 @@
   run_loop_for(0.2);
   assert_int_equal(fake_count_placed(), 1);
   fake_worker_send_heartbeat(&w, keeper);
-  tmx_clock_advance(TMX_STATE_LOST_S);
+  tmx_clock_advance(TMX_STORE_LOST_S);
   fake_worker_send_heartbeat(&w, keeper);
   assert_int_equal(w.status, 200); /* a lease from now on ends in time */
   assert_true(tmx_clock_steady() + keeper->settings.lease_s <
@@ -568,7 +568,7 @@
   struct fake_worker *all[] = {&w, &others[0], &others[1]};
   /* one task more than the limit of the team: while it waits nothing is returned */
   assert_int_equal(submit_simple_job(a, "wk-000001", "batch", 5, 2, "t"), 201);
-  for (int i = 0; i <= TMX_PEAK_S / TMX_DEMAND_GAP_S; i++) {
+  for (int i = 0; i <= TMX_PEAK_DEMAND_S / TMX_DEMAND_GAP_S; i++) {
     tmx_clock_advance(TMX_DEMAND_GAP_S - 1);
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(all[k], a);
@@ -582,7 +582,7 @@
   assert_int_equal(fake_cloud.deletes, 0);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   double since = tmx_clock_steady();
-  while (tmx_clock_steady() - since < TMX_SETTLE_S + TMX_DRAIN_SPACING_S + 2) {
+  while (tmx_clock_steady() - since < TMX_LEADER_SETTLE_S + TMX_DRAIN_SPACING_S + 2) {
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(all[k], a);
       if (all[k]->status != 200) fake_worker_send_heartbeat(all[k], b);
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -203,7 +203,7 @@
     snprintf(text, sizeof text, "%.*s%s\"cancel_s\":%s%s", (int)(lease - good), good, tight[i],
              cancel[i], rest + 4);
     assert_int_equal(tmx_settings_parse(&s, text, err, sizeof err), i != 0);
-    if (i) assert_true(tmx_fresh_bound(&s) + s.lease_s * (1 + TMX_DRIFT) < s.cancel_s);
+    if (i) assert_true(tmx_fresh_bound(&s) + s.lease_s * (1 + TMX_CLOCK_DRIFT) < s.cancel_s);
   }
   /* more than a table holds is refused, not cut short */
   char many[4096];
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -396,7 +396,7 @@
   run_loop_for(0.3);
   fake_worker_send_heartbeat(&w, inside);
   assert_int_equal(w.status, 421); /* the owner may be back in a moment */
-  tmx_clock_advance(TMX_STATE_LOST_S);
+  tmx_clock_advance(TMX_STORE_LOST_S);
   fake_worker_set_task(&w, "wk-000002/0", 1, WV_RUNNING,
                        NULL); /* it has not heard of the cancellation */
   uint64_t token = w.token;
@@ -425,8 +425,8 @@
   fake_store.endpoints[0].lose_next_txn = fake_store.endpoints[0].hold = true;
   double t = tmx_clock_steady();
   assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 200);
-  assert_true(tmx_clock_steady() - t < TMX_STATE_TIMEOUT_S / 2);
-  run_loop_for(TMX_STATE_TIMEOUT_S +
+  assert_true(tmx_clock_steady() - t < TMX_STORE_TIMEOUT_S / 2);
+  run_loop_for(TMX_STORE_TIMEOUT_S +
                0.2); /* the commit's own answer is given up on, and changes nothing */
   assert_int_equal(submit_simple_job(a, "wk-000002", "batch", 1, 2, "t"), 200);
 }
@@ -778,7 +778,7 @@
   up(a);
   for (int i = 0; i < 10; i++) {
     ev_run(test_loop, EVRUN_NOWAIT);
-    usleep((useconds_t)((TMX_PROBE_S + 0.1) * 1e6));
+    usleep((useconds_t)((TMX_PROBE_TIMEOUT_S + 0.1) * 1e6));
   }
   run_loop_for(0.4);
   assert_int_equal(fake_cloud.deletes, 0);
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -68,7 +68,7 @@
     of_other++;
     heard_of += tmx_workers_find_suspicion(b->workers, machine, &suspicion);
   }
-  assert_true(of_other > TMX_BEAT_MACHINES);
+  assert_true(of_other > TMX_HEARTBEAT_SUSPICIONS_MAX);
   assert_int_equal(heard_of, of_other);
 }
 
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -271,7 +271,7 @@
     snprintf(other.class, sizeof other.class, "x%d", i);
     tmx_run_estimate_observe(&rep, &other, 10);
   }
-  assert_int_equal(rep.n_run_estimates, TMX_CLASSES_MAX);
+  assert_int_equal(rep.n_run_estimates, TMX_RUN_ESTIMATES_MAX);
 }
 
 static struct tmx_operation op(char kind, uint32_t i, uint32_t attempt, const char *machine,
