--- a/include/tmx/constants.h
+++ b/include/tmx/constants.h
@@ -39,9 +39,10 @@
   0.45 /* of a turn: a round begins within this, the rest is for planning, \
           sending and clocks that differ */
 #define TMX_PENDING_SUBMISSIONS_MAX \
-  400                                /* submissions waiting for the log; more are refused at once */
-#define TMX_SINGLE_SUBMISSIONS_MAX 2 /* waiting submissions: so few go out at once, each as a put \
-                                      */
+  400 /* submissions waiting for the log; more are refused at once */
+#define TMX_SINGLE_SUBMISSIONS_MAX                               \
+  2 /* waiting submissions: so few go out at once, each as a put \
+     */
 #define TMX_SINGLE_SUBMISSION_TRIES \
   4                                 /* that lost against a batch: then it goes with the next one */
 #define TMX_LEASE_TTL_MS 6000       /* ms; refused peers are noticed sooner by heartbeats */
@@ -58,8 +59,9 @@
 #define TMX_TRANSACTION_BYTES 49152 /* bytes; PROTOCOL allows 64 KiB, counted as JSON */
 #define TMX_VALUE_SHARE 0.9         /* of the largest value, counted as JSON: what is used of it */
 #define TMX_JSON_FRAME 64           /* bytes; what stands round a list, a value or a condition */
-#define TMX_CLOCK_DRIFT 0.0005 /* steady clocks of different machines drift apart by at most this \
-                                */
+#define TMX_CLOCK_DRIFT                                                     \
+  0.0005 /* steady clocks of different machines drift apart by at most this \
+          */
 #define TMX_FRESH_MARGIN_S                                                                    \
   1.0 /* taken off cancel_s - lease_s: a lease counts from when the report was sent, which is \
          before it is answered, so only clocks that drift are left to allow for; more than    \
@@ -73,8 +75,9 @@
 #define TMX_COMPACTION_KEYS                                                \
   1500 /* batch keys since the last fold: about 1 MB, read within a second \
           when a controller starts */
-#define TMX_COMPACTION_SPARE_SHARE 0.5 /* of the write budget must be free for a step of folding \
-                                        */
+#define TMX_COMPACTION_SPARE_SHARE                              \
+  0.5 /* of the write budget must be free for a step of folding \
+       */
 
 #define TMX_STORE_LOST_S 3.5 /* no revision read for this long: ask whether peers get any */
 
@@ -93,8 +96,9 @@
 #define TMX_PLAN_BUSY_S 0.1        /* of a controller's share: a round takes no longer ... */
 #define TMX_PLAN_VISIT_S 5e-8      /* processor time of a machine or task looked at */
 #define TMX_PLAN_VISITS_MAX 400000 /* ... and looks at no more of them: about 20 ms */
-#define TMX_PLAN_VISITS_MIN 20000  /* with a share so small, a single job still finds its machine \
-                                    */
+#define TMX_PLAN_VISITS_MIN                                            \
+  20000 /* with a share so small, a single job still finds its machine \
+         */
 #define TMX_AGED_JOB_S                                                       \
   150.0 /* a job that waited this long gets a first task, and a share of the \
            room with others as old: the largest begin within four minutes */
@@ -153,10 +157,11 @@
 #define TMX_PROBE_COST_S 0.00025 /* processor time of a probe, measured */
 #define TMX_PROBE_TIMEOUT_S 0.5  /* between probes in doubt, and the wait for an answer */
 #define TMX_ZONE_PARTITION_S 4.0 /* a zone counts as cut off for this long after the last sign */
-#define TMX_INHERITED_SILENCE_S 8.0 /* silent for so long before this leader came: it was spared \
-                                     */
-#define TMX_PROBES_LOST 3           /* in a row: the machine is given up */
-#define TMX_MACHINE_SILENCE_S 1.5   /* ... if it gave no other sign for this long */
+#define TMX_INHERITED_SILENCE_S                                                                \
+  8.0                             /* silent for so long before this leader came: it was spared \
+                                   */
+#define TMX_PROBES_LOST 3         /* in a row: the machine is given up */
+#define TMX_MACHINE_SILENCE_S 1.5 /* ... if it gave no other sign for this long */
 #define TMX_ALIVE_S 1.2 /* a sign of life this young: shorter than it takes to lose a machine */
 #define TMX_SUSPECT_PROBES_SHARE \
   0.6                           /* of the probes, for those in doubt: the others are asked on */
@@ -206,17 +211,19 @@
 #define TMX_DRAIN_SHARE                                                     \
   0.03 /* ... and the share of all CPUs in one choice; one machine at least \
         */
-#define TMX_BACKLOG_CLEAR_S 10.0 /* a backlog that is cleared in this time needs no new machines \
-                                  */
+#define TMX_BACKLOG_CLEAR_S                                            \
+  10.0 /* a backlog that is cleared in this time needs no new machines \
+        */
 #define TMX_WAITING_SHARE \
   0.02 /* of the CPUs rented: less that waits is no reason to keep machines */
 #define TMX_DRAINING_SHARE_MAX \
   0.15                       /* of all CPUs on machines that wait for replicas to leave them */
 #define TMX_SCALE_OUT_MAX 50 /* machines; PROTOCOL's limit of one request */
-#define TMX_SCALE_OUT_OFFER_MAX 150 /* machines asked of one type, zone and kind in one weighing \
-                                     */
-#define TMX_SCALE_OUTS_MAX 1024     /* machines rented in one weighing */
-#define TMX_SCALE_IN_MAX 100        /* machines; PROTOCOL's limit of one request */
+#define TMX_SCALE_OUT_OFFER_MAX                                                              \
+  150                           /* machines asked of one type, zone and kind in one weighing \
+                                 */
+#define TMX_SCALE_OUTS_MAX 1024 /* machines rented in one weighing */
+#define TMX_SCALE_IN_MAX 100    /* machines; PROTOCOL's limit of one request */
 #define TMX_UNACKNOWLEDGED_LEASES \
   0.5                          /* of a lease: a machine that is heard and not reached is replaced */
 #define TMX_NEVER_HEARD_S 25.0 /* listed as running and silent for this long, and two reports */
--- a/src/admission/admission_control.c
+++ b/src/admission/admission_control.c
@@ -8,6 +8,9 @@
 #include "admission/statistics.h"
 #include "controller/controller.h"
 #include "base/log.h"
+#include "base/clock.h"
+#include "base/memory.h"
+#include "base/random.h"
 
 struct tmx_admission_control {
   struct tmx_controller *controller;
@@ -26,8 +29,7 @@
 
 struct tmx_admission_control *tmx_admission_control_new(struct tmx_controller *controller) {
   if (!controller->settings.operators.admission.enabled) return NULL;
-  struct tmx_admission_control *admission = calloc(1, sizeof *admission);
-  if (!admission) abort();
+  struct tmx_admission_control *admission = tmx_allocate(1, sizeof *admission);
   admission->controller = controller;
   admission->statistics = tmx_statistics_new();
   admission->reported_at = tmx_clock_steady();
@@ -194,8 +196,7 @@
 
 void tmx_admission_control_log_accounts(const struct tmx_admission_control *admission) {
   if (!admission) return;
-  struct oldest *oldest = calloc(1, sizeof *oldest);
-  if (!oldest) abort();
+  struct oldest *oldest = tmx_allocate(1, sizeof *oldest);
   find_oldest(&admission->controller->replica, oldest);
   struct tmx_rates rates = rates_now(admission);
   tmx_log(TMX_LOG_INFO, "admission: backlog %.1f s of %.0f s, %.0f CPUs",
--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -2,7 +2,7 @@
  * gives, of the settings, and of the sizes of the machine types. See docs/admission.md. */
 #ifndef TMX_ADMISSION_POLICY_H
 #define TMX_ADMISSION_POLICY_H
-#include "admission/backlog.h"
+#include "replica/backlog.h"
 
 /* What the cluster works off in a second, by resource. 0: it has none, which then bounds nothing.
  */
--- a/src/admission/start_rotation.h
+++ b/src/admission/start_rotation.h
@@ -2,7 +2,7 @@
  * whatever else the order of the round would serve first. Pure. */
 #ifndef TMX_START_ROTATION_H
 #define TMX_START_ROTATION_H
-#include "admission/backlog.h"
+#include "replica/backlog.h"
 
 struct tmx_turns {
   double start_s; /* 0: there are no turns */
--- a/src/admission/statistics.c
+++ b/src/admission/statistics.c
@@ -1,4 +1,5 @@
 #include "admission/statistics.h"
+#include "base/memory.h"
 
 #include <gsl/gsl_histogram.h>
 #include <math.h>
@@ -14,8 +15,7 @@
 };
 
 struct tmx_statistics *tmx_statistics_new(void) {
-  struct tmx_statistics *statistics = calloc(1, sizeof *statistics);
-  if (!statistics) abort();
+  struct tmx_statistics *statistics = tmx_allocate(1, sizeof *statistics);
   return statistics;
 }
 
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -4,43 +4,32 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include <time.h>
 
-static int g_level = TMX_LOG_INFO;
-static char g_node[64] = "-";
+#include "base/clock.h"
 
-void tmx_log_init(const char *node) {
-  const char *v = getenv("LOG_LEVEL");
-  if (v && !strcmp(v, "error")) g_level = TMX_LOG_ERROR;
-  if (v && !strcmp(v, "debug")) g_level = TMX_LOG_DEBUG;
-  snprintf(g_node, sizeof g_node, "%s", node);
-}
-
-int tmx_log_enabled(int level) { return level <= g_level; }
+#define LINE_MAX_BYTES 1024
 
-static double g_shift;
-void tmx_clock_advance(double s) { g_shift += s; }
-
-double tmx_clock_steady(void) {
-  struct timespec t;
-  clock_gettime(CLOCK_MONOTONIC, &t);
-  return (double)t.tv_sec + (double)t.tv_nsec * 1e-9 + g_shift;
-}
+static const char *const level_names[] = {"error", "info", "debug"};
+static enum tmx_log_level max_level = TMX_LOG_INFO;
+static char node[64] = "-";
 
-double tmx_clock_wall(void) {
-  struct timespec t;
-  clock_gettime(CLOCK_REALTIME, &t);
-  return (double)t.tv_sec + (double)t.tv_nsec * 1e-9;
+void tmx_log_init(const char *node_name) {
+  const char *level = getenv("LOG_LEVEL");
+  if (level && !strcmp(level, "error")) max_level = TMX_LOG_ERROR;
+  if (level && !strcmp(level, "debug")) max_level = TMX_LOG_DEBUG;
+  snprintf(node, sizeof node, "%s", node_name);
 }
 
-void tmx_log(int level, const char *fmt, ...) {
-  static const char *names[] = {"error", "info", "debug"};
-  if (level > g_level) return;
-  char line[1024];
-  int n = snprintf(line, sizeof line, "%.3f %s %s ", tmx_clock_wall(), g_node, names[level]);
-  va_list ap;
-  va_start(ap, fmt);
-  vsnprintf(line + n, sizeof line - (size_t)n, fmt, ap);
-  va_end(ap);
+bool tmx_log_enabled(enum tmx_log_level level) { return level <= max_level; }
+
+void tmx_log(enum tmx_log_level level, const char *format, ...) {
+  if (!tmx_log_enabled(level)) return;
+  char line[LINE_MAX_BYTES];
+  int length =
+      snprintf(line, sizeof line, "%.3f %s %s ", tmx_clock_wall(), node, level_names[level]);
+  va_list arguments;
+  va_start(arguments, format);
+  vsnprintf(line + length, sizeof line - (size_t)length, format, arguments);
+  va_end(arguments);
   fprintf(stderr, "%s\n", line);
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,10 +1,14 @@
+/* Log lines on standard error: time of day, controller, level, message. */
 #ifndef TMX_LOG_H
 #define TMX_LOG_H
-enum { TMX_LOG_ERROR, TMX_LOG_INFO, TMX_LOG_DEBUG };
-void tmx_log_init(const char *node);
-int tmx_log_enabled(int level);
-void tmx_log(int level, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-double tmx_clock_steady(void);    /* steady clock, s */
-void tmx_clock_advance(double s); /* for the tests: steady time that passes at once */
-double tmx_clock_wall(void);      /* time of day, s */
+#include <stdbool.h>
+
+enum tmx_log_level { TMX_LOG_ERROR, TMX_LOG_INFO, TMX_LOG_DEBUG };
+
+/* Reads the level from the environment variable LOG_LEVEL; `node_name` goes into each line. */
+void tmx_log_init(const char *node_name);
+/* Whether lines of this level are written, for arguments that are costly to compute. */
+bool tmx_log_enabled(enum tmx_log_level level);
+void tmx_log(enum tmx_log_level level, const char *format, ...)
+    __attribute__((format(printf, 2, 3)));
 #endif
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -8,6 +8,8 @@
 #include "planner/scale_out_plan.h"
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 struct scale_out_call {
   struct tmx_cloud *cloud;
@@ -18,8 +20,7 @@
   double started;
 };
 struct tmx_cloud *tmx_cloud_new(struct tmx_controller *controller) {
-  struct tmx_cloud *cloud = calloc(1, sizeof *cloud);
-  if (!cloud) abort();
+  struct tmx_cloud *cloud = tmx_allocate(1, sizeof *cloud);
   cloud->controller = controller;
   cloud->http = tmx_http_client_new(controller->loop, controller->settings.cloud, 8);
   cloud->types_read_at = -TMX_CATALOG_S;
@@ -122,8 +123,7 @@
   struct tmx_instance *instance;
   HASH_FIND_STR(cloud->instances, id, instance);
   if (instance) return instance;
-  instance = calloc(1, sizeof *instance);
-  if (!instance) abort();
+  instance = tmx_allocate(1, sizeof *instance);
   snprintf(instance->id, sizeof instance->id, "%s", id);
   HASH_ADD_STR(cloud->instances, id, instance);
   return instance;
@@ -288,8 +288,7 @@
 /* The name holds the run of this process, which no other run has: nobody uses it again. */
 static void scale_out(struct tmx_cloud *cloud, const struct tmx_offer *offers, uint32_t count) {
   for (; count; count -= count < TMX_SCALE_OUT_MAX ? count : TMX_SCALE_OUT_MAX) {
-    struct scale_out_call *call = calloc(1, sizeof *call);
-    if (!call) abort();
+    struct scale_out_call *call = tmx_allocate(1, sizeof *call);
     call->cloud = cloud;
     call->zone = offers->zone;
     call->spot = offers->spot;
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -7,6 +7,8 @@
 #include "cloud/cloud_internal.h"
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 struct scale_in_call {
   struct tmx_cloud *cloud;
@@ -122,8 +124,7 @@
   if (waiting || now - cloud->leading_since < TMX_LEADER_SETTLE_S ||
       now - cloud->demand_since < TMX_PEAK_DEMAND_S)
     return;
-  struct drain_candidate *v = calloc(known + 1, sizeof *v);
-  if (!v) abort();
+  struct drain_candidate *v = tmx_allocate(known + 1, sizeof *v);
   HASH_ITER(hh, replica->machines, machine, next_machine) {
     const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
     if (!machine->registered || !type || machine->draining || machine->zone < 0) continue;
@@ -183,8 +184,7 @@
   struct tmx_replica *replica = &controller->replica;
   double now = tmx_clock_steady();
   if (cloud->delete_in_flight) return;
-  struct scale_in_call *call = calloc(1, sizeof *call);
-  if (!call) abort();
+  struct scale_in_call *call = tmx_allocate(1, sizeof *call);
   call->cloud = cloud;
   size_t max = TMX_SCALE_IN_MAX;
   double silent = controller->settings.operators.silent_s > 0
@@ -278,8 +278,7 @@
     struct idle_machine *idle;
     HASH_FIND_STR(cloud->idle_machines, machine->id, idle);
     if (!idle) {
-      idle = calloc(1, sizeof *idle);
-      if (!idle) abort();
+      idle = tmx_allocate(1, sizeof *idle);
       snprintf(idle->id, sizeof idle->id, "%s", machine->id);
       idle->since = now;
       HASH_ADD_STR(cloud->idle_machines, id, idle);
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -3,7 +3,6 @@
  * result back. */
 #include "controller/controller.h"
 
-#include <gsl/gsl_rng.h>
 #include <http_parser.h>
 #include <math.h>
 #include <stdio.h>
@@ -15,24 +14,8 @@
 #include "controller/failure_detector.h"
 #include "base/log.h"
 #include "tmx/wire.h"
-
-/* ------------------------------------------------------------ random numbers */
-
-static gsl_rng *random_generator(void) {
-  static gsl_rng *g;
-  if (!g) {
-    struct timespec t;
-    clock_gettime(CLOCK_REALTIME, &t);
-    g = gsl_rng_alloc(gsl_rng_mt19937);
-    gsl_rng_set(
-        g, (unsigned long)t.tv_nsec ^ ((unsigned long)getpid() << 20) ^ (unsigned long)t.tv_sec);
-  }
-  return g;
-}
-int tmx_random_below(int n) {
-  return (int)gsl_rng_uniform_int(random_generator(), (unsigned long)n);
-}
-int tmx_retry_after(void) { return TMX_RETRY_AFTER_MIN + tmx_random_below(TMX_RETRY_AFTER_SPAN); }
+#include "base/clock.h"
+#include "base/memory.h"
 
 /* ------------------------------------------------------------ entitlement */
 
@@ -75,9 +58,9 @@
 
 /* ------------------------------------------------------------ view */
 
-static void on_view_committed(void *arg, int res, uint64_t revision) {
+static void on_view_committed(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_controller *controller = arg;
-  (void)res;
+  (void)result;
   (void)revision;
   controller->view_commit_in_flight = false;
 }
@@ -110,8 +93,7 @@
       tmx_clock_steady() - controller->view_committed_at < TMX_VIEW_SPACING_S)
     return;
   struct tmx_view view = controller->replica.view;
-  struct tmx_owner_override *override = calloc(view.n_overrides + n, sizeof *override);
-  if (!override) abort();
+  struct tmx_owner_override *override = tmx_allocate(view.n_overrides + n, sizeof *override);
   size_t at = 0;
   for (size_t i = 0; i < view.n_overrides; i++) {
     const char *m = view.overrides[i].machine;
@@ -189,8 +171,7 @@
     same = member && member->incarnation == view.members[i].incarnation;
   }
   if (same) return;
-  view.overrides = calloc(replica->view.n_overrides + 1, sizeof *view.overrides);
-  if (!view.overrides) abort();
+  view.overrides = tmx_allocate(replica->view.n_overrides + 1, sizeof *view.overrides);
   for (size_t i = 0; i < replica->view.n_overrides; i++)
     for (size_t k = 0; k < view.n_members; k++)
       if (!strcmp(view.members[k].name, replica->view.overrides[i].node) &&
@@ -309,8 +290,7 @@
 
 struct tmx_controller *tmx_controller_new(struct ev_loop *loop, const struct tmx_settings *settings,
                                           char *err, size_t cap) {
-  struct tmx_controller *controller = calloc(1, sizeof *controller);
-  if (!controller) abort();
+  struct tmx_controller *controller = tmx_allocate(1, sizeof *controller);
   controller->loop = loop;
   controller->settings = *settings;
   tmx_replica_init(&controller->replica, &controller->settings);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -58,8 +58,6 @@
 /* Takes machines over from owners that they cannot reach. */
 void tmx_controller_take_over(struct tmx_controller *controller, const char *const *machines,
                               size_t n);
-int tmx_retry_after(void);
-int tmx_random_below(int n); /* 0 to n - 1 */
 
 /* src/rounds: rounds of placing, and the batches that they write */
 struct tmx_scheduler *tmx_scheduler_new(struct tmx_controller *controller);
@@ -76,10 +74,15 @@
 void tmx_scheduler_reset(struct tmx_scheduler *scheduler);
 /* A line for the log, kept until it is committed: a machine to be returned, or gone by proof. */
 void tmx_scheduler_append_line(struct tmx_scheduler *scheduler, const char *line);
-/* A submission for the log; cb(arg, TMX_TXN_*): committed, known already, refused or unknown;
- * or TMX_SUBMIT_OVERLOAD: not sent, as its team or class had no room by then. */
-enum { TMX_SUBMIT_OVERLOAD = TMX_TRANSACTION_UNKNOWN + 1 };
-typedef void (*tmx_submission_cb)(void *arg, int result);
+/* What became of a submission that was queued. */
+enum tmx_submission_outcome {
+  TMX_SUBMISSION_COMMITTED,
+  TMX_SUBMISSION_KNOWN,         /* the job was accepted before */
+  TMX_SUBMISSION_NOT_COMMITTED, /* not in the log; the user may repeat it */
+  TMX_SUBMISSION_UNDECIDED,     /* the store's answer is missing: committed or not */
+  TMX_SUBMISSION_OVERLOAD,      /* not sent: its team or class had no room by then */
+};
+typedef void (*tmx_submission_cb)(void *arg, enum tmx_submission_outcome outcome);
 enum tmx_submit_result {
   TMX_SUBMIT_QUEUED,
   TMX_SUBMIT_QUEUE_FULL, /* no room for it now */
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -13,10 +13,10 @@
 #include <utlist.h>
 
 #include "base/log.h"
+#include "base/memory.h"
 
 static void *xcalloc(size_t n) {
-  void *p = calloc(1, n);
-  if (!p) abort();
+  void *p = tmx_allocate(1, n);
   return p;
 }
 
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -16,6 +16,8 @@
 #include "heartbeat.h"
 #include "controller/controller.h"
 #include "base/log.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 #define BEAT_BYTES_MAX (256u << 10)
 
@@ -143,8 +145,7 @@
   if (fd < 0) return;
   if (peers->n_incoming >= 4 * TMX_MEMBERS_MAX)
     close_incoming(peers->incoming); /* the oldest: likely dead */
-  struct incoming *connection = calloc(1, sizeof *connection);
-  if (!connection) abort();
+  struct incoming *connection = tmx_allocate(1, sizeof *connection);
   connection->peers = peers;
   connection->fd = fd;
   ev_io_init(&connection->read_watcher, on_readable, fd, EV_READ);
@@ -382,8 +383,7 @@
     close(fd);
     return NULL;
   }
-  struct tmx_peers *peers = calloc(1, sizeof *peers);
-  if (!peers) abort();
+  struct tmx_peers *peers = tmx_allocate(1, sizeof *peers);
   peers->controller = controller;
   peers->fd = fd;
   for (size_t i = 0; i < controller->settings.n_peers; i++) {
--- a/src/planner/fit.c
+++ b/src/planner/fit.c
@@ -1,5 +1,6 @@
 /* What fits where: the machines that may take a task, and their order. */
 #include "planner/round.h"
+#include "base/memory.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -176,8 +177,7 @@
       free(taken);
       return -1;
     }
-    if (!taken) taken = calloc(n, 1);
-    if (!taken) abort();
+    if (!taken) taken = tmx_allocate(n, 1);
     taken[best - machine->record.tasks] = true;
     chosen++;
     const struct planner_job *other = round->planner->jobs[best->job];
--- a/src/planner/planner.c
+++ b/src/planner/planner.c
@@ -7,6 +7,7 @@
 #include <string.h>
 
 #include "planner/round.h"
+#include "base/memory.h"
 
 uint32_t tmx_zone_cap(const struct tmx_job_spec *spec, size_t zones) {
   if (spec->same_zone || spec->zone[0] || zones < 2) {
@@ -100,8 +101,7 @@
 
 static struct planner_job **sorted_jobs(const struct tmx_planner *planner,
                                         int (*compare)(const void *, const void *)) {
-  struct planner_job **jobs = calloc(planner->n_open_jobs + 1, sizeof *jobs);
-  if (!jobs) abort();
+  struct planner_job **jobs = tmx_allocate(planner->n_open_jobs + 1, sizeof *jobs);
   for (size_t i = 0; i < planner->n_open_jobs; i++) jobs[i] = planner->open_jobs[i];
   qsort(jobs, planner->n_open_jobs, sizeof *jobs, compare);
   return jobs;
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -80,8 +80,6 @@
   size_t visits;     /* machines and tasks looked at */
 };
 
-void *tmx_grow(void *v, size_t *cap, size_t need, size_t size); /* zeroes what is new */
-
 struct tmx_planner;
 struct tmx_planner *tmx_planner_new(void);
 void tmx_planner_free(struct tmx_planner *planner);
--- a/src/planner/planner_tables.c
+++ b/src/planner/planner_tables.c
@@ -1,19 +1,9 @@
 #include "planner/planner_tables.h"
+#include "base/memory.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-void *tmx_grow(void *v, size_t *cap, size_t need, size_t size) {
-  if (need <= *cap) return v;
-  size_t n = *cap ? *cap : 16;
-  while (n < need) n *= 2;
-  v = realloc(v, n * size);
-  if (!v) abort();
-  memset((char *)v + *cap * size, 0, (n - *cap) * size);
-  *cap = n;
-  return v;
-}
-
 /* ------------------------------------------------------------ the feed */
 
 struct tmx_plan_machine *tmx_planner_delta_machine(struct tmx_planner_delta *delta) {
@@ -182,8 +172,7 @@
 }
 
 struct tmx_planner *tmx_planner_new(void) {
-  struct tmx_planner *planner = calloc(1, sizeof *planner);
-  if (!planner) abort();
+  struct tmx_planner *planner = tmx_allocate(1, sizeof *planner);
   planner->resume_services = planner->resume_oldest = planner->resume_arrays = -1;
   return planner;
 }
--- a/src/planner/round_undo.c
+++ b/src/planner/round_undo.c
@@ -1,6 +1,7 @@
 /* Steps of a round: what it takes and stops, taken back at its end, since only what is committed
  * comes back in the next feed. */
 #include "planner/round.h"
+#include "base/memory.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/planner/scale_out_plan.c
+++ b/src/planner/scale_out_plan.c
@@ -1,4 +1,5 @@
 #include "planner/scale_out_plan.h"
+#include "base/memory.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -37,8 +38,7 @@
                           const struct tmx_coming *coming, size_t n_c, double have,
                           struct tmx_scale_out *out, size_t max) {
   size_t n_out = 0, n_bins = 0, cap = n_c + TMX_SCALE_OUTS_MAX;
-  struct bin *bins = calloc(cap, sizeof *bins);
-  if (!bins) abort();
+  struct bin *bins = tmx_allocate(cap, sizeof *bins);
   for (size_t i = 0; i < n_c; i++)
     bins[n_bins++] = (struct bin){coming[i].cpus, coming[i].gpus, coming[i].mem,
                                   coming[i].type, coming[i].zone, coming[i].spot};
--- a/src/admission/backlog.c
+++ b/src/replica/backlog.c
@@ -1,4 +1,4 @@
-#include "admission/backlog.h"
+#include "replica/backlog.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/replica/job_dependencies.c
+++ b/src/replica/job_dependencies.c
@@ -8,6 +8,7 @@
 #include "planner/planner.h"
 #include "base/log.h"
 #include "replica/replica.h"
+#include "base/memory.h"
 
 /* Jobs still to be looked at. Chains are as long as users make them, so nothing here recurses. */
 struct work_list {
@@ -49,8 +50,7 @@
 void tmx_dependencies_declare(struct tmx_job *job, uint32_t total) {
   struct tmx_dependencies *dependencies = &job->dependencies;
   if (dependencies->named.count || !total) return;
-  dependencies->named.ids = calloc(total, sizeof *dependencies->named.ids);
-  if (!dependencies->named.ids) abort();
+  dependencies->named.ids = tmx_allocate(total, sizeof *dependencies->named.ids);
   dependencies->named.count = total;
 }
 
@@ -192,8 +192,7 @@
 /* false: one of them is not known */
 static bool find_needs(const struct tmx_replica *replica, struct tmx_job *job) {
   uint32_t n = job->dependencies.named.count;
-  struct tmx_job **needs = calloc(n, sizeof(struct tmx_job *));
-  if (!needs) abort();
+  struct tmx_job **needs = tmx_allocate(n, sizeof(struct tmx_job *));
   for (uint32_t i = 0; i < n; i++) {
     needs[i] = tmx_job_find(replica, job->dependencies.named.ids[i]);
     if (needs[i]) continue;
--- a/src/replica/log_codec.c
+++ b/src/replica/log_codec.c
@@ -5,6 +5,7 @@
 
 #include "replica/replica.h"
 #include "tmx/wire.h"
+#include "base/memory.h"
 
 static const char *prio_names[] = {"idle", "normal", "high", "prod"};
 
@@ -157,8 +158,7 @@
   size_t used = tmx_json_length(&bare);
   size_t left = room > used ? room - used : 0;
   uint32_t written = 0;
-  char *text = calloc(1, left + 1);
-  if (!text) abort();
+  char *text = tmx_allocate(1, left + 1);
   tmx_job_ids_to_text(text, left + 1, ids, &written);
   encode_awaiting(buffer, id, spec, submitted, ids->count, text);
   tmx_buffer_free(&bare);
@@ -211,8 +211,7 @@
   if (!cbor_isa_array(list)) return false;
   size_t n = tmx_cbor_list_length(list);
   if (!n) return true;
-  ids->ids = calloc(n, sizeof *ids->ids);
-  if (!ids->ids) abort();
+  ids->ids = tmx_allocate(n, sizeof *ids->ids);
   for (size_t i = 0; i < n; i++)
     if (!tmx_cbor_as_text(tmx_cbor_list_at(list, i), ids->ids[i], TMX_ID_MAX) ||
         !tmx_job_id_is_valid(ids->ids[i])) {
@@ -496,8 +495,7 @@
   /* by node, so that each name is written once: a value is small, a cut takes many machines */
   size_t n = 0;
   struct tmx_buffer list = {0};
-  bool *seen = calloc(view->n_overrides + 1, sizeof *seen);
-  if (!seen) abort();
+  bool *seen = tmx_allocate(view->n_overrides + 1, sizeof *seen);
   for (size_t i = 0; i < view->n_overrides; i++) {
     if (seen[i]) continue;
     struct tmx_buffer ids = {0};
--- a/src/replica/membership.c
+++ b/src/replica/membership.c
@@ -4,6 +4,7 @@
 #include <string.h>
 
 #include "replica/replica_internal.h"
+#include "base/memory.h"
 
 const struct tmx_member *tmx_member_find(const struct tmx_replica *replica, const char *name) {
   for (size_t i = 0; i < replica->view.n_members; i++)
@@ -117,7 +118,7 @@
   size_t n = 0;
   for (size_t i = 1; i < tmx_cbor_list_length(overrides); i += 2)
     n += tmx_cbor_list_length(tmx_cbor_list_at(overrides, i));
-  view->overrides = tmx_replica_allocate(sizeof *view->overrides * (n + 1));
+  view->overrides = tmx_allocate(1, sizeof *view->overrides * (n + 1));
   for (size_t i = 0; i + 1 < tmx_cbor_list_length(overrides); i += 2) {
     const cbor_item_t *ids = tmx_cbor_list_at(overrides, i + 1);
     for (size_t k = 0; k < tmx_cbor_list_length(ids); k++) {
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -9,12 +9,7 @@
 #include "planner/planner.h"
 #include "base/log.h"
 #include "tmx/wire.h"
-
-void *tmx_replica_allocate(size_t n) {
-  void *p = calloc(1, n);
-  if (!p) abort();
-  return p;
-}
+#include "base/memory.h"
 
 void tmx_replica_init(struct tmx_replica *replica, const struct tmx_settings *settings) {
   memset(replica, 0, sizeof *replica);
@@ -177,7 +172,7 @@
 static struct tmx_machine *create_machine(struct tmx_replica *replica, const char *id) {
   struct tmx_machine *machine = tmx_machine_find(replica, id);
   if (machine) return machine;
-  machine = tmx_replica_allocate(sizeof *machine);
+  machine = tmx_allocate(1, sizeof *machine);
   snprintf(machine->id, sizeof machine->id, "%s", id);
   machine->zone = -1;
   machine->planner_slot = take_slot(&replica->free_machine_slots, &replica->n_free_machine_slots,
@@ -209,7 +204,7 @@
   struct tmx_image_name *n;
   HASH_FIND_STR(replica->images, name, n);
   if (n) return n->id;
-  n = tmx_replica_allocate(sizeof *n);
+  n = tmx_allocate(1, sizeof *n);
   snprintf(n->name, sizeof n->name, "%s", name);
   n->id = (int)HASH_COUNT(replica->images) + 1;
   HASH_ADD_STR(replica->images, name, n);
@@ -299,7 +294,7 @@
 
 static struct tmx_job *create_job(struct tmx_replica *replica,
                                   const struct tmx_job_record *record) {
-  struct tmx_job *job = tmx_replica_allocate(sizeof *job);
+  struct tmx_job *job = tmx_allocate(1, sizeof *job);
   memcpy(job->id, record->id, sizeof job->id);
   job->spec = record->spec;
   job->submitted_at = job->released_at = record->submitted_at;
@@ -309,7 +304,7 @@
   job->loaded_at = replica->now;
   job->team = tmx_team_index(replica->settings, job->spec.team);
   job->spec.image_id = image_id(replica, job->spec.image);
-  job->tasks = tmx_replica_allocate(sizeof(struct tmx_task) * job->spec.tasks);
+  job->tasks = tmx_allocate(1, sizeof(struct tmx_task) * job->spec.tasks);
   for (uint32_t i = 0; i < job->spec.tasks; i++) job->tasks[i].job = job;
   job->planner_slot =
       take_slot(&replica->free_job_slots, &replica->n_free_job_slots, &replica->job_slots_given);
@@ -349,7 +344,7 @@
   replica->dependencies_in_use = true;
   tmx_dependencies_declare(job, (uint32_t)record->n_awaits);
   size_t len = cbor_string_length(record->awaits);
-  char *text = tmx_replica_allocate(len + 1);
+  char *text = tmx_allocate(1, len + 1);
   tmx_cbor_as_text(record->awaits, text, len + 1);
   tmx_dependencies_read(job, 0, text);
   free(text);
@@ -427,7 +422,7 @@
     return;
   }
   if (!k) {
-    k = tmx_replica_allocate(sizeof *k);
+    k = tmx_allocate(1, sizeof *k);
     k->key = strdup(key);
     HASH_ADD_KEYPTR(hh, *table, k->key, strlen(k->key), k);
   }
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <uthash.h>
 
-#include "admission/backlog.h"
+#include "replica/backlog.h"
 #include "config/settings.h"
 #include "net/cbor.h"
 #include "replica/job_dependencies.h"
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -3,7 +3,6 @@
 #define TMX_REPLICA_INTERNAL_H
 #include "replica/replica.h"
 
-void *tmx_replica_allocate(size_t n); /* zeroed; ends the process when memory is out */
 /* The machine's tasks, orders or owner changed; something worth a round happened. */
 void tmx_replica_notify_machine(struct tmx_replica *replica, struct tmx_machine *machine);
 void tmx_replica_notify_schedulable(struct tmx_replica *replica);
--- a/src/scheduler/planner_delta.c
+++ b/src/scheduler/planner_delta.c
@@ -6,6 +6,8 @@
 
 #include "base/log.h"
 #include "scheduler/scheduler_internal.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 /* s from the job's release to its deadline, or to that of a job which needs it; <0: none */
 static double aim_due_in(const struct tmx_job *job) {
@@ -76,8 +78,7 @@
   record->booked_mem_gb = machine->booked_mem_gb;
   memcpy(record->images, machine->images, sizeof record->images);
   record->n_images = machine->n_images;
-  record->tasks = calloc(machine->n_tasks + 1, sizeof *record->tasks);
-  if (!record->tasks) abort();
+  record->tasks = tmx_allocate(machine->n_tasks + 1, sizeof *record->tasks);
   for (struct tmx_task *task = machine->tasks; task; task = task->next) {
     const struct tmx_job_spec *spec = &task->job->spec;
     bool stopping = task->stop_mode || task->job->outcome;
@@ -135,8 +136,7 @@
   }
   uint32_t cap = job->spec.tasks - job->n_done - job->n_placed;
   if (cap > TMX_PLAN_TASKS) cap = TMX_PLAN_TASKS;
-  record->waiting = calloc(cap + 1, sizeof *record->waiting);
-  if (!record->waiting) abort();
+  record->waiting = tmx_allocate(cap + 1, sizeof *record->waiting);
   for (uint32_t k = job->first_waiting; k < job->spec.tasks && record->n_waiting < cap; k++) {
     const struct tmx_task *task = &job->tasks[k];
     if (task->state != TMX_TASK_WAITING) continue;
--- a/src/scheduler/round_commit.c
+++ b/src/scheduler/round_commit.c
@@ -6,31 +6,32 @@
 
 #include "base/log.h"
 #include "scheduler/log_batch.h"
+#include "base/clock.h"
 
-static void on_batch(void *arg, int res, uint64_t revision) {
+static void on_batch(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_scheduler *scheduler = arg;
   struct tmx_controller *controller = scheduler->controller;
   scheduler->batch_in_flight = false;
   if (revision > scheduler->awaited_revision) scheduler->awaited_revision = revision;
   scheduler->awaited_revision_since = tmx_clock_steady();
-  tmx_submission_queue_settle(scheduler, res);
-  if (res == TMX_TRANSACTION_CONFLICT && ++scheduler->resends <= TMX_RESENDS_MAX) {
+  tmx_submission_queue_settle(scheduler, result);
+  if (result == TMX_TRANSACTION_CONFLICT && ++scheduler->resends <= TMX_RESENDS_MAX) {
     /* what was planned is checked again on the state that won, and sent anew */
     tmx_scheduler_trigger_within(controller, 0.05);
     return;
   }
-  if (res == TMX_TRANSACTION_COMMITTED) {
+  if (result == TMX_TRANSACTION_COMMITTED) {
     size_t n = 0;
     for (size_t i = 0; i < scheduler->n_pending_lines; i++) /* those that came meanwhile stay */
       if (!scheduler->pending_lines[i].sent)
         scheduler->pending_lines[n++] = scheduler->pending_lines[i];
     scheduler->n_pending_lines = n;
   } else if (tmx_log_enabled(TMX_LOG_DEBUG)) {
-    tmx_log(TMX_LOG_DEBUG, "round: not committed (%d)", res);
+    tmx_log(TMX_LOG_DEBUG, "round: not committed (%d)", result);
   }
   bool cut = scheduler->plan.truncated;
   tmx_scheduler_abandon_round(scheduler);
-  tmx_scheduler_trigger_within(controller, res == TMX_TRANSACTION_COMMITTED
+  tmx_scheduler_trigger_within(controller, result == TMX_TRANSACTION_COMMITTED
                                                ? (cut ? 0 : TMX_ROUND_SPACING_S)
                                                : TMX_STORE_RETRY_S);
 }
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -6,6 +6,8 @@
 
 #include "base/log.h"
 #include "scheduler/scheduler_internal.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 /* ------------------------------------------------------------ planner thread */
 
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -90,7 +90,8 @@
 struct tmx_log_batch;
 void tmx_submission_queue_add_to_batch(struct tmx_scheduler *scheduler,
                                        struct tmx_log_batch *batch);
-void tmx_submission_queue_settle(struct tmx_scheduler *scheduler, int res);
+void tmx_submission_queue_settle(struct tmx_scheduler *scheduler,
+                                 enum tmx_transaction_result result);
 void tmx_pending_submission_free(struct tmx_pending_submission *pending);
 
 /* commit.c: checks what was planned and sends it. */
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -5,6 +5,8 @@
 
 #include "base/log.h"
 #include "scheduler/log_batch.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 void tmx_pending_submission_free(struct tmx_pending_submission *pending) {
   tmx_buffer_free(&pending->value);
@@ -12,9 +14,24 @@
   free(pending);
 }
 
-static void settle_submission(struct tmx_scheduler *scheduler, size_t i, int res) {
+static enum tmx_submission_outcome outcome_of(enum tmx_transaction_result result) {
+  switch (result) {
+    case TMX_TRANSACTION_COMMITTED:
+      return TMX_SUBMISSION_COMMITTED;
+    case TMX_TRANSACTION_CONFLICT:
+      return TMX_SUBMISSION_KNOWN;
+    case TMX_TRANSACTION_NOT_EXECUTED:
+      return TMX_SUBMISSION_NOT_COMMITTED;
+    case TMX_TRANSACTION_UNKNOWN:
+      break;
+  }
+  return TMX_SUBMISSION_UNDECIDED;
+}
+
+static void settle_submission(struct tmx_scheduler *scheduler, size_t i,
+                              enum tmx_submission_outcome outcome) {
   struct tmx_pending_submission *pending = scheduler->submissions[i];
-  if (!pending->answered) pending->cb(pending->arg, res);
+  if (!pending->answered) pending->cb(pending->arg, outcome);
   pending->answered = true;
   if (pending->sent_alone) return; /* goes with the answer to its commit */
   if (pending->in_batch)
@@ -33,9 +50,9 @@
     size_t n = scheduler->n_submissions;
     if (!pending->answered && (!busy || now - pending->sent_at > TMX_STORE_SLOW_S) &&
         tmx_job_find(&scheduler->controller->replica, pending->id))
-      settle_submission(scheduler, i, TMX_TRANSACTION_CONFLICT);
+      settle_submission(scheduler, i, TMX_SUBMISSION_KNOWN);
     else if (!busy && now > pending->deadline)
-      settle_submission(scheduler, i, TMX_TRANSACTION_NOT_EXECUTED);
+      settle_submission(scheduler, i, TMX_SUBMISSION_NOT_COMMITTED);
     i += scheduler->n_submissions == n;
   }
 }
@@ -84,7 +101,7 @@
     size_t n = scheduler->n_submissions;
     if (!pending->sent_alone && !pending->in_batch && !pending->answered &&
         !admitted(scheduler, pending))
-      settle_submission(scheduler, i, TMX_SUBMIT_OVERLOAD);
+      settle_submission(scheduler, i, TMX_SUBMISSION_OVERLOAD);
     i += scheduler->n_submissions == n;
   }
 }
@@ -111,25 +128,26 @@
   }
 }
 
-void tmx_submission_queue_settle(struct tmx_scheduler *scheduler, int res) {
+void tmx_submission_queue_settle(struct tmx_scheduler *scheduler,
+                                 enum tmx_transaction_result result) {
   for (size_t i = 0; i < scheduler->n_submissions;) {
     struct tmx_pending_submission *pending = scheduler->submissions[i];
     bool sent = pending->in_batch;
     pending->in_batch = false;
     if (sent) tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
-    if (sent && res != TMX_TRANSACTION_CONFLICT)
-      settle_submission(scheduler, i, res);
+    if (sent && result != TMX_TRANSACTION_CONFLICT)
+      settle_submission(scheduler, i, outcome_of(result));
     else
       i++;
   }
 }
 
-static void on_direct(void *arg, int res, uint64_t revision) {
+static void on_single_commit(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_pending_submission *pending = arg;
   struct tmx_scheduler *scheduler = pending->scheduler;
   pending->sent_alone = false;
   tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
-  if (res == TMX_TRANSACTION_CONFLICT &&
+  if (result == TMX_TRANSACTION_CONFLICT &&
       !pending->answered) { /* again once the replica has what won */
     pending->tries++;
     if (revision > scheduler->awaited_revision) scheduler->awaited_revision = revision;
@@ -138,7 +156,7 @@
   }
   for (size_t i = 0; i < scheduler->n_submissions; i++)
     if (scheduler->submissions[i] == pending) {
-      settle_submission(scheduler, i, res);
+      settle_submission(scheduler, i, outcome_of(result));
       return;
     }
 }
@@ -167,8 +185,7 @@
 
 static struct tmx_pending_submission *new_pending_submission(
     struct tmx_scheduler *scheduler, const struct tmx_submission *submission) {
-  struct tmx_pending_submission *pending = calloc(1, sizeof *pending);
-  if (!pending) abort();
+  struct tmx_pending_submission *pending = tmx_allocate(1, sizeof *pending);
   memcpy(pending->id, submission->id, sizeof pending->id);
   pending->ids_in_record = tmx_job_encode_open(&pending->value, submission->id, &submission->spec,
                                                submission->submitted_at, &submission->dependencies,
@@ -221,7 +238,8 @@
   require_unknown(&transaction, pending->id);
   tmx_transaction_put(&transaction, key, &pending->value, 0);
   pending->sent_at = tmx_clock_steady();
-  pending->sent_alone = tmx_store_commit(controller->store, &transaction, true, on_direct, pending);
+  pending->sent_alone =
+      tmx_store_commit(controller->store, &transaction, true, on_single_commit, pending);
   if (pending->sent_alone) tmx_admission_control_hold(controller->admission, &pending->candidate);
 }
 
--- a/src/store/compaction.c
+++ b/src/store/compaction.c
@@ -9,6 +9,8 @@
 
 #include "controller/controller.h"
 #include "base/log.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 enum {
   COMPACTION_IDLE,
@@ -37,8 +39,7 @@
 };
 
 struct tmx_compaction *tmx_compaction_new(struct tmx_controller *controller) {
-  struct tmx_compaction *compaction = calloc(1, sizeof *compaction);
-  if (!compaction) abort();
+  struct tmx_compaction *compaction = tmx_allocate(1, sizeof *compaction);
   compaction->controller = controller;
   compaction->key_threshold = TMX_COMPACTION_KEYS;
   return compaction;
@@ -135,11 +136,11 @@
   return false;
 }
 
-static void on_pages(void *arg, int res, uint64_t revision) {
+static void on_pages(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_compaction *compaction = arg;
   (void)revision;
   compaction->transaction_in_flight = false;
-  if (res == TMX_TRANSACTION_COMMITTED) compaction->at = compaction->sent;
+  if (result == TMX_TRANSACTION_COMMITTED) compaction->at = compaction->sent;
 }
 
 static void write_pages(struct tmx_compaction *compaction) {
@@ -204,12 +205,13 @@
   }
 }
 
-static void on_mark(void *arg, int res, uint64_t revision) {
+static void on_mark(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_compaction *compaction = arg;
   (void)revision;
   compaction->transaction_in_flight = false;
   /* another leader's mark, or an answer that does not tell: the next fold begins anew */
-  compaction->step = res == TMX_TRANSACTION_COMMITTED ? COMPACTION_DELETING_PAGES : COMPACTION_IDLE;
+  compaction->step =
+      result == TMX_TRANSACTION_COMMITTED ? COMPACTION_DELETING_PAGES : COMPACTION_IDLE;
 }
 
 static void write_mark(struct tmx_compaction *compaction) {
@@ -225,9 +227,9 @@
       tmx_store_commit(compaction->controller->store, &transaction, true, on_mark, compaction);
 }
 
-static void on_drops(void *arg, int res, uint64_t revision) {
+static void on_drops(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_compaction *compaction = arg;
-  (void)res;
+  (void)result;
   (void)revision;
   compaction->transaction_in_flight = false;
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -8,6 +8,8 @@
 
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 struct read_waiter {
   tmx_read_index_cb cb;
@@ -470,7 +472,7 @@
 
 static void on_transaction_response(void *arg, int status, const uint8_t *body, size_t len) {
   struct pending_transaction *pending = arg;
-  int res = TMX_TRANSACTION_UNKNOWN;
+  enum tmx_transaction_result result = TMX_TRANSACTION_UNKNOWN;
   uint64_t revision = 0;
   cbor_item_t *map = tmx_cbor_parse(body, len);
   char why[128] = "?";
@@ -478,11 +480,11 @@
   if (map) tmx_cbor_get_text(map, "error", why, sizeof why);
   tmx_cbor_free(map);
   if (status == 200 && revision)
-    res = TMX_TRANSACTION_COMMITTED;
+    result = TMX_TRANSACTION_COMMITTED;
   else if (status == 409)
-    res = TMX_TRANSACTION_CONFLICT;
+    result = TMX_TRANSACTION_CONFLICT;
   else if (status == 400 || status == 404 || status == 429 || status == 503 || status == -1)
-    res = TMX_TRANSACTION_NOT_EXECUTED;
+    result = TMX_TRANSACTION_NOT_EXECUTED;
   if (status == 400 && !strcmp(why, WV_NO_LEASE) && pending->lease_id == pending->store->lease_id) {
     /* nothing can be put with it any more: a new one is asked for at once, not when a renewal fails
      */
@@ -497,7 +499,7 @@
     pending->store->shared_write_tokens = 0;
     tmx_log(TMX_LOG_INFO, "state: too many puts");
   }
-  if (pending->cb) pending->cb(pending->arg, res, revision);
+  if (pending->cb) pending->cb(pending->arg, result, revision);
   free(pending);
 }
 
@@ -516,8 +518,7 @@
     tmx_cbor_put_text(&buffer, W_THEN);
     tmx_cbor_put_list(&buffer, (size_t)transaction->n_operations);
     tmx_buffer_append(&buffer, transaction->operations.data, transaction->operations.length);
-    struct pending_transaction *pending = calloc(1, sizeof *pending);
-    if (!pending) abort();
+    struct pending_transaction *pending = tmx_allocate(1, sizeof *pending);
     pending->store = store;
     pending->cb = cb;
     pending->arg = arg;
@@ -534,13 +535,13 @@
 
 /* ------------------------------------------------------------ lease, node key, leader */
 
-static void on_registered(void *arg, int res, uint64_t revision) {
+static void on_registered(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_store *store = arg;
   store->registration_in_flight = false;
-  if (res == TMX_TRANSACTION_COMMITTED) {
+  if (result == TMX_TRANSACTION_COMMITTED) {
     store->incarnation = revision;
     tmx_log(TMX_LOG_INFO, "state: registered as run %llu", (unsigned long long)revision);
-  } else if (res == TMX_TRANSACTION_NOT_EXECUTED) {
+  } else if (result == TMX_TRANSACTION_NOT_EXECUTED) {
     store->registration_attempted_at = tmx_clock_steady();
   }
 }
@@ -572,11 +573,11 @@
   }
 }
 
-static void on_election_result(void *arg, int res, uint64_t revision) {
+static void on_election_result(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_store *store = arg;
   (void)revision;
   store->election_in_flight = false;
-  if (res == TMX_TRANSACTION_COMMITTED) tmx_log(TMX_LOG_INFO, "state: leading now");
+  if (result == TMX_TRANSACTION_COMMITTED) tmx_log(TMX_LOG_INFO, "state: leading now");
 }
 
 static void maintain_lease(struct tmx_store *store, double now) {
@@ -685,8 +686,7 @@
 
 struct tmx_store *tmx_store_new(struct ev_loop *loop, const struct tmx_settings *settings,
                                 struct tmx_replica *replica) {
-  struct tmx_store *store = calloc(1, sizeof *store);
-  if (!store) abort();
+  struct tmx_store *store = tmx_allocate(1, sizeof *store);
   store->loop = loop;
   store->settings = settings;
   store->replica = replica;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -29,7 +29,7 @@
 
 /* A transaction is built, then sent. Result: TXN_OK committed at rev; TXN_CONFLICT not
  * committed; TXN_REFUSED not executed (rate, outage); TXN_UNKNOWN may be applied, now or later. */
-enum {
+enum tmx_transaction_result {
   TMX_TRANSACTION_COMMITTED,
   TMX_TRANSACTION_CONFLICT,
   TMX_TRANSACTION_NOT_EXECUTED,
@@ -46,7 +46,8 @@
 void tmx_transaction_delete(struct tmx_transaction *transaction, const char *key);
 void tmx_transaction_advance_head(struct tmx_transaction *transaction,
                                   const char *by); /* rewrites head */
-typedef void (*tmx_transaction_cb)(void *arg, int result, uint64_t revision);
+typedef void (*tmx_transaction_cb)(void *arg, enum tmx_transaction_result result,
+                                   uint64_t revision);
 /* Frees the transaction's buffers. cost-limited: false when the write budget is used up,
  * unless urgent (then the share kept for leases and views is used). */
 bool tmx_store_commit(struct tmx_store *store, struct tmx_transaction *transaction, bool urgent,
--- a/src/user/user_api.c
+++ b/src/user/user_api.c
@@ -8,6 +8,9 @@
 #include "controller/controller.h"
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
+#include "base/memory.h"
+#include "base/random.h"
 
 struct tmx_users {
   struct tmx_controller *controller;
@@ -32,8 +35,7 @@
 };
 
 struct tmx_users *tmx_users_new(struct tmx_controller *controller) {
-  struct tmx_users *users = calloc(1, sizeof *users);
-  if (!users) abort();
+  struct tmx_users *users = tmx_allocate(1, sizeof *users);
   users->controller = controller;
   return users;
 }
@@ -151,15 +153,16 @@
 
 /* ------------------------------------------------------------ cancellations */
 
-static void on_cancelled(void *arg, int res, uint64_t revision) {
+static void on_cancelled(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct user_request *ask = arg;
   (void)revision;
-  if (res == TMX_TRANSACTION_COMMITTED) {
+  if (result == TMX_TRANSACTION_COMMITTED) {
     answer_named(ask->request, 200, ask->id, WV_CANCELLED, NULL);
     finish_request(ask);
     return;
   }
-  if (res == TMX_TRANSACTION_CONFLICT && ++ask->tries < 8 && tmx_clock_steady() < ask->deadline &&
+  if (result == TMX_TRANSACTION_CONFLICT && ++ask->tries < 8 &&
+      tmx_clock_steady() < ask->deadline &&
       tmx_store_read_index(ask->users->controller->store, ask->deadline - tmx_clock_steady(),
                            on_read_index, ask))
     return;
@@ -203,9 +206,9 @@
   finish_request(ask);
 }
 
-static void on_submitted(void *arg, int res) {
+static void on_submitted(void *arg, enum tmx_submission_outcome outcome) {
   struct user_request *ask = arg;
-  if (res == TMX_TRANSACTION_COMMITTED) {
+  if (outcome == TMX_SUBMISSION_COMMITTED) {
     if (tmx_log_enabled(TMX_LOG_DEBUG))
       tmx_log(TMX_LOG_DEBUG, "job: %s accepted in %.0f ms", ask->id,
               (tmx_clock_steady() - ask->received_at) * 1000);
@@ -214,15 +217,15 @@
     tmx_admission_control_count_answer(ask->users->controller->admission, &ask->candidate,
                                        TMX_ADMITTED);
     finish_request(ask);
-  } else if (res == TMX_SUBMIT_OVERLOAD) {
+  } else if (outcome == TMX_SUBMISSION_OVERLOAD) {
     look_up_or_refuse(ask);
-  } else if (res == TMX_TRANSACTION_CONFLICT && /* known already: its state is read first */
+  } else if (outcome == TMX_SUBMISSION_KNOWN && /* known already: its state is read first */
              tmx_store_read_index(ask->users->controller->store, TMX_SUBMIT_WAIT_S, on_read_index,
                                   ask)) {
     ask->answer_if_unknown = 503;
     tmx_store_expedite_read_index(ask->users->controller->store);
   } else {
-    reply_unavailable(ask->request, res == TMX_TRANSACTION_NOT_EXECUTED
+    reply_unavailable(ask->request, outcome == TMX_SUBMISSION_NOT_COMMITTED
                                         ? "not committed in time"
                                         : "not known whether committed");
     finish_request(ask);
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -8,6 +8,7 @@
 #include "base/log.h"
 #include "tmx/wire.h"
 #include "worker/workers_internal.h"
+#include "base/clock.h"
 
 /* An answer may lie in a buffer while this controller stands still or is behind with its own work:
  * then a probe that timed out says nothing of the machine. */
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -10,6 +10,8 @@
 
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 static struct tmx_worker *find(struct tmx_workers *workers, const char *id) {
   struct tmx_worker *worker;
@@ -49,8 +51,7 @@
             max_workers(workers));
     return NULL;
   }
-  worker = calloc(1, sizeof *worker);
-  if (!worker) abort();
+  worker = tmx_allocate(1, sizeof *worker);
   snprintf(worker->id, sizeof worker->id, "%s", id);
   worker->workers = workers;
   worker->machine = tmx_machine_find(&workers->controller->replica, id);
@@ -60,8 +61,7 @@
 }
 
 struct tmx_workers *tmx_workers_new(struct tmx_controller *controller) {
-  struct tmx_workers *workers = calloc(1, sizeof *workers);
-  if (!workers) abort();
+  struct tmx_workers *workers = tmx_allocate(1, sizeof *workers);
   workers->controller = controller;
   return workers;
 }
@@ -184,8 +184,7 @@
 static bool parse_reported_tasks(const cbor_item_t *tasks, struct tmx_reported_task **out,
                                  size_t *n) {
   size_t len = tmx_cbor_list_length(tasks);
-  struct tmx_reported_task *v = calloc(len + 1, sizeof *v);
-  if (!v) abort();
+  struct tmx_reported_task *v = tmx_allocate(len + 1, sizeof *v);
   *n = 0;
   for (size_t i = 0; i < len; i++) {
     const cbor_item_t *list = tmx_cbor_list_at(tasks, i);
--- a/tests/cluster/history.c
+++ b/tests/cluster/history.c
@@ -3,6 +3,7 @@
 #include <jansson.h>
 
 #include "base/log.h"
+#include "base/clock.h"
 
 static FILE *file;
 
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -10,6 +10,7 @@
 #include <utlist.h>
 
 #include "base/log.h"
+#include "base/clock.h"
 
 enum { CHUNK_BYTES = 65536, BACKLOG = 512 };
 static const double flush_s = 0.002;
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -16,6 +16,7 @@
 #include "planner/planner.h"
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
 
 enum { MACHINE_CPUS = 16, TROUBLES_MAX = 16, SPARE_CONNECTIONS = 16 };
 static const double quiet_s = 5, settle_s = 10, final_s = 240, step_s = 0.02;
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -11,6 +11,7 @@
 
 #include "cluster/link.h"
 #include "base/log.h"
+#include "base/clock.h"
 
 enum { TO_STATE, TO_PEERS, TO_USERS, TO_WORKERS, DESTINATIONS };
 static const char *const destinations[] = {"state", "peers", "users", "workers"};
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -13,6 +13,8 @@
 #include "planner/planner.h"
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
+#include "base/memory.h"
 
 enum { KINDS_MAX = 8 };
 static const double submit_for_s = 60, submit_timeout_s = 5, poll_timeout_s = 2, poll_every_s = 5;
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -10,6 +10,7 @@
 #include "cluster/nodes.h"
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
 
 struct worker {
   struct fake_worker workers;
--- a/tests/fake_state.c
+++ b/tests/fake_state.c
@@ -8,6 +8,7 @@
 
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
 
 struct fake_state fake_store;
 void (*fake_on_write)(const char *key, const uint8_t *value, size_t len);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -10,6 +10,7 @@
 #include "planner/planner.h"
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
 
 /* ------------------------------------------------------------ shares and accounts */
 
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -8,6 +8,7 @@
 
 #include "base/log.h"
 #include "tmx/wire.h"
+#include "base/clock.h"
 
 static struct tmx_controller *a, *b;
 static struct fake_worker w, others[2];
