--- a/src/planner/placement.c
+++ b/src/planner/placement.c
@@ -1,116 +1,200 @@
-/* Placing the tasks of one job after the other. */
-#include "planner/round.h"
+#include "planner/placement.h"
+#include "planner/candidates.h"
+#include "planner/fit.h"
+#include "planner/preemption.h"
 
-#include <math.h>
-#include <stdlib.h>
 #include <string.h>
 
-/* The leader stops others for it; the room is held until they are gone. */
-static bool preempt_for(struct round *round, struct planner_job *job, bool warm) {
-  if (!round->input->leading || !tmx_fit_precedence(job)) return false;
-  int m = tmx_fit_best_machine(round, job, POOL_PREEMPTIBLE, warm);
-  if (m < 0 || tmx_fit_preempt(round, job, round->planner->machines[m], true) < 0) return false;
-  tmx_round_reserve(round, job, m, false);
+/* What became of a job's next waiting task. */
+enum placement_result {
+  TASK_PLACED,       /* a placement was emitted */
+  TASK_HOLDS_ROOM,   /* room is held for it, nothing was emitted */
+  TASK_WITHOUT_ROOM, /* there is none, neither for it nor for the job's other tasks */
+  TASK_LEFT_TO_OWNER /* the job's own planner is to place it, and counts it as unplaced */
+};
+
+/* A job that is being placed, and this controller's part in it. */
+struct job_placement {
+  struct round *round;
+  struct planner_job *job;
+  enum precedence precedence;
+  bool own;      /* this controller plans the job */
+  bool in_grace; /* the member that plans the job may still get to it */
+};
+
+static int best_machine(const struct job_placement *placement, enum candidate_pool pool,
+                        enum image_requirement image) {
+  return tmx_candidates_best(placement->round, placement->job, pool, image);
+}
+
+static enum placement_result hold_room(const struct job_placement *placement, int machine,
+                                       enum reservation reservation) {
+  tmx_round_reserve(placement->round, placement->job, machine, reservation);
+  placement->job->next_waiting++;
+  return TASK_HOLDS_ROOM;
+}
+
+static enum placement_result place_on(const struct job_placement *placement, int machine) {
+  struct round *round = placement->round;
+  struct planner_job *job = placement->job;
+  const struct tmx_plan_waiting_task *waiting = &job->record.waiting[job->next_waiting++];
+  struct tmx_operation *operation =
+      tmx_round_emit(round, TMX_OPERATION_PLACE, job, waiting->task, waiting->attempt);
+  memcpy(operation->machine, round->planner->machines[machine]->record.id,
+         sizeof operation->machine);
+  operation->machine_cap = round->machine_cap;
+  tmx_round_reserve(round, job, machine, RESERVATION_FOR_PLACEMENT);
+  return TASK_PLACED;
+}
+
+static bool wait_for_releasing_room(const struct job_placement *placement,
+                                    enum image_requirement image) {
+  int machine = best_machine(placement, POOL_RELEASING, image);
+  if (machine < 0) return false;
+  tmx_round_reserve(placement->round, placement->job, machine, RESERVATION_UNTIL_RELEASE);
   return true;
 }
 
-static bool reserve_releasing_room(struct round *round, struct planner_job *job, bool warm) {
-  int m = tmx_fit_best_machine(round, job, POOL_RELEASING, warm);
-  if (m < 0) return false;
-  tmx_round_reserve(round, job, m, false);
+/* Stops other tasks; the room is held until they are gone. */
+static bool wait_for_preempted_room(const struct job_placement *placement,
+                                    enum image_requirement image) {
+  struct round *round = placement->round;
+  if (placement->precedence == PRECEDENCE_ORDINARY) return false;
+  int machine = best_machine(placement, POOL_PREEMPTIBLE, image);
+  if (machine < 0 || !tmx_preempt(round, placement->job, round->planner->machines[machine]))
+    return false;
+  tmx_round_reserve(round, placement->job, machine, RESERVATION_UNTIL_RELEASE);
   return true;
 }
 
-/* Places up to max of the job's waiting tasks; returns how many were placed. */
-uint32_t tmx_place_job(struct round *round, struct planner_job *job, uint32_t max) {
-  const struct tmx_round_input *input = round->input;
-  bool mine = job->record.planner == input->self_member;
-  bool grace = input->now_steady - job->record.unplaced_since <= input->own_planner_grace_s;
-  uint32_t placed = 0;
-  if (job->next_waiting >= job->record.n_waiting || job->record.team < 0 ||
-      job->record.retry_at > input->now_steady)
-    return 0;
-  /* Another's job that stands before the arrays here is given its room on paper, or what the leader
-   * frees for it would be filled again at once. */
-  bool aside = !mine && !input->leading;
-  if (aside && !tmx_fit_precedence(job)) return 0;
-  /* while its own controller may still get to it, the leader takes only what finds no room there */
-  bool theirs = !mine && grace;
-  tmx_fit_begin_job(round, job);
-  while (job->next_waiting < job->record.n_waiting && placed < max) {
-    if (round->output->n_operations >= input->max_operations ||
-        round->visited > round->visit_limit) {
+/* Holds room that is not free yet; only the leader does so, since it alone may stop tasks of
+ * others' jobs. */
+static bool wait_for_room(const struct job_placement *placement, enum image_requirement image) {
+  if (!placement->round->input->leading) return false;
+  if (!wait_for_releasing_room(placement, image) && !wait_for_preempted_room(placement, image))
+    return false;
+  placement->job->next_waiting++;
+  placement->round->output->unplaced++;
+  return true;
+}
+
+/* A member that does not lead holds room on paper for a job that another one plans and that stands
+ * before its own arrays: else what the leader frees for that job would be filled again at once. */
+static enum placement_result hold_room_for_other_member(const struct job_placement *placement) {
+  static const struct {
+    enum candidate_pool pool;
+    enum image_requirement image;
+  } preferences[] = {{POOL_OWN_SHARD, IMAGE_WARM},      {POOL_ANY_SHARD, IMAGE_WARM},
+                     {POOL_RELEASING, IMAGE_WARM},      {POOL_OWN_SHARD, IMAGE_ANY_STATE},
+                     {POOL_ANY_SHARD, IMAGE_ANY_STATE}, {POOL_RELEASING, IMAGE_ANY_STATE}};
+  for (size_t i = 0; i < sizeof preferences / sizeof preferences[0]; i++) {
+    int machine = best_machine(placement, preferences[i].pool, preferences[i].image);
+    if (machine >= 0) return hold_room(placement, machine, RESERVATION_FOR_PLACEMENT);
+  }
+  return TASK_LEFT_TO_OWNER;
+}
+
+/* Another member's job that it may still get to: room in its shard is held, since that member is
+ * about to use it. Work of production precedence is left to it only where the image is warm. */
+static int machine_for_own_planner(const struct job_placement *placement, int warm_machine) {
+  if (warm_machine >= 0 || placement->precedence == PRECEDENCE_PRODUCTION) return warm_machine;
+  return best_machine(placement, POOL_OWN_SHARD, IMAGE_ANY_STATE);
+}
+
+static enum placement_result place_next_task(const struct job_placement *placement) {
+  bool leading = placement->round->input->leading;
+  int machine = best_machine(placement, POOL_OWN_SHARD, IMAGE_WARM);
+  if (!placement->own && placement->in_grace) {
+    machine = machine_for_own_planner(placement, machine);
+    if (machine >= 0) return hold_room(placement, machine, RESERVATION_FOR_PLACEMENT);
+  }
+  /* Too large for its shard: the draft lets the leader look in every shard. */
+  if (machine < 0 && leading) machine = best_machine(placement, POOL_ANY_SHARD, IMAGE_WARM);
+  if (machine < 0 && placement->precedence == PRECEDENCE_PRODUCTION) {
+    /* Free room is only where a fetch would make the start late: room that is to be free where the
+     * image is warm comes first, and the leader has a while to make it. */
+    if (wait_for_room(placement, IMAGE_WARM)) return TASK_HOLDS_ROOM;
+    if (!leading && placement->in_grace) return TASK_WITHOUT_ROOM;
+  }
+  if (machine < 0) machine = best_machine(placement, POOL_OWN_SHARD, IMAGE_ANY_STATE);
+  if (machine < 0 && leading) machine = best_machine(placement, POOL_ANY_SHARD, IMAGE_ANY_STATE);
+  if (machine >= 0) return place_on(placement, machine);
+  return wait_for_room(placement, IMAGE_ANY_STATE) ? TASK_HOLDS_ROOM : TASK_WITHOUT_ROOM;
+}
+
+static bool may_place_now(const struct round *round, const struct planner_job *job) {
+  return job->next_waiting < job->record.n_waiting && job->record.team >= 0 &&
+         job->record.retry_at <= round->input->now_steady;
+}
+
+static bool reached_bound(const struct round *round) {
+  return round->output->n_operations >= round->input->max_operations ||
+         round->visited > round->visit_limit;
+}
+
+/* Places tasks until `max` are placed, none is left or no more room is found. Returns whether the
+ * tasks that are left count as unplaced. */
+static bool place_tasks(const struct job_placement *placement, uint32_t max, uint32_t *placed) {
+  struct round *round = placement->round;
+  struct planner_job *job = placement->job;
+  bool for_other_member = !placement->own && !round->input->leading;
+  while (job->next_waiting < job->record.n_waiting && *placed < max) {
+    if (reached_bound(round)) {
       round->output->truncated = true;
-      break;
-    }
-    if (!tmx_fit_within_quota(round, job))
-      return placed; /* waits for its own team: more machines would not help */
-    int m = tmx_fit_best_machine(round, job, POOL_OWN_SHARD, true);
-    if (aside) {
-      for (int k = 1; m < 0 && k < 6; k++) m = tmx_fit_best_machine(round, job, k % 3, k < 3);
-      if (m < 0) return placed;
-      tmx_round_reserve(round, job, m, true);
-      job->next_waiting++;
-      continue;
+      return true;
     }
-    if (theirs &&
-        (m >= 0 || (tmx_fit_precedence(job) != 2 &&
-                    (m = tmx_fit_best_machine(round, job, POOL_OWN_SHARD, false)) >= 0))) {
-      tmx_round_reserve(round, job, m, true); /* room that the other is about to use */
-      job->next_waiting++;
-      continue;
+    /* It waits for its own team: more machines would not help. */
+    if (!tmx_fit_within_quota(round, job)) return false;
+    switch (for_other_member ? hold_room_for_other_member(placement) : place_next_task(placement)) {
+      case TASK_PLACED:
+        (*placed)++;
+        break;
+      case TASK_HOLDS_ROOM:
+        break;
+      case TASK_WITHOUT_ROOM:
+        return true;
+      case TASK_LEFT_TO_OWNER:
+        return false;
     }
-    /* too large for its part: the leader looks in every part */
-    if (m < 0 && input->leading) m = tmx_fit_best_machine(round, job, POOL_ANY_SHARD, true);
-    if (m < 0 && tmx_fit_precedence(job) == 2) {
-      /* Room is only where a fetch would make it late: room where the image lies comes first. */
-      if (input->leading &&
-          (reserve_releasing_room(round, job, true) || preempt_for(round, job, true))) {
-        job->next_waiting++;
-        round->output->unplaced++;
-        continue;
-      }
-      if (!input->leading && grace) break;
-    }
-    if (m < 0) m = tmx_fit_best_machine(round, job, POOL_OWN_SHARD, false);
-    if (m < 0 && input->leading) m = tmx_fit_best_machine(round, job, POOL_ANY_SHARD, false);
-    if (m >= 0) {
-      struct tmx_plan_waiting_task *waiting = &job->record.waiting[job->next_waiting++];
-      struct tmx_operation *operation =
-          tmx_round_emit(round, TMX_OPERATION_PLACE, job, waiting->task, waiting->attempt);
-      memcpy(operation->machine, round->planner->machines[m]->record.id, sizeof operation->machine);
-      operation->machine_cap = round->machine_cap;
-      tmx_round_reserve(round, job, m, true);
-      placed++;
-      continue;
-    }
-    if (!input->leading ||
-        (!reserve_releasing_room(round, job, false) && !preempt_for(round, job, false)))
-      break;
-    job->next_waiting++;
-    round->output->unplaced++;
   }
-  if (placed < max)
+  return *placed < max;
+}
+
+uint32_t tmx_place_job(struct round *round, struct planner_job *job, uint32_t max) {
+  const struct tmx_round_input *input = round->input;
+  const struct job_placement placement = {
+      .round = round,
+      .job = job,
+      .precedence = tmx_fit_precedence(job),
+      .own = job->record.planner == input->self_member,
+      .in_grace = input->now_steady - job->record.unplaced_since <= input->own_planner_grace_s};
+  if (!may_place_now(round, job)) return 0;
+  /* Another member's job concerns the leader, and others only if it stands before their arrays. */
+  if (!placement.own && !input->leading && placement.precedence == PRECEDENCE_ORDINARY) return 0;
+  uint32_t placed = 0;
+  tmx_candidates_begin_job(round, job);
+  if (place_tasks(&placement, max, &placed))
     round->output->unplaced += (uint32_t)(job->record.n_waiting - job->next_waiting);
   return placed;
 }
 
-/* Places up to max tasks of each of these jobs, in order. When so many find no room that the
- * round's bound is reached, the next round goes on with the jobs that were not looked at: those
- * that wait for room again and again must not keep a round from those that would find some. */
-uint32_t tmx_place_jobs(struct round *round, struct planner_job **jobs, size_t n, uint32_t max,
-                        int *cut) {
-  size_t from = 0;
+/* Index of the job of this slot; 0 if it is not among them. */
+static size_t index_of_slot(struct planner_job *const *jobs, size_t count, int slot) {
+  for (size_t i = 0; i < count && slot >= 0; i++)
+    if (jobs[i]->record.slot == slot) return i;
+  return 0;
+}
+
+uint32_t tmx_place_jobs(struct round *round, struct planner_job **jobs, size_t count, uint32_t max,
+                        int *resume_slot) {
+  size_t first = index_of_slot(jobs, count, *resume_slot);
   uint32_t placed = 0;
-  for (size_t k = 0; k < n && *cut >= 0; k++)
-    if (jobs[k]->record.slot == *cut) from = k;
-  *cut = -1;
-  for (size_t k = 0; k < n; k++) {
-    struct planner_job *job = jobs[(from + k) % n];
-    placed += tmx_place_job(round, job, max);
-    if (round->visited <= round->visit_limit || k + 1 == n) continue;
+  *resume_slot = -1;
+  for (size_t i = 0; i < count; i++) {
+    placed += tmx_place_job(round, jobs[(first + i) % count], max);
+    if (round->visited <= round->visit_limit || i + 1 == count) continue;
     round->output->truncated = true;
-    *cut = jobs[(from + k + 1) % n]->record.slot;
+    *resume_slot = jobs[(first + i + 1) % count]->record.slot;
     break;
   }
   return placed;
--- a/src/planner/round.h
+++ b/src/planner/round.h
@@ -1,96 +1,118 @@
-/* A round under way: shared by the files of src/core that plan it. Pure. */
+/**
+ * @file
+ * The state of a round under way, and the steps by which it changes the planner's tables: internal
+ * to src/planner.
+ *
+ * Every change goes through a function of round_undo.c, which records what it overwrites, so that
+ * tmx_round_undo() can restore the tables at the end of the round.
+ */
 #ifndef TMX_ROUND_H
 #define TMX_ROUND_H
+#include "planner/candidate_heap.h"
 #include "planner/planner_tables.h"
 
-#define RESOURCE_EPSILON 1e-6
-
-struct candidate { /* a machine that may take a task: the lower the better */
-  double cost;
-  int machine;
-};
-struct candidate_heap {
-  struct candidate *candidates;
-  size_t count, capacity;
+/**
+ * Which machines are candidates for a task. A shard is the part of the machines that one member
+ * commands; the draft's division by hash lets a member place its own jobs within its own shard.
+ */
+enum candidate_pool {
+  POOL_OWN_SHARD,   /**< with room, in the shard of the member that plans the job */
+  POOL_ANY_SHARD,   /**< with room, in any shard */
+  POOL_RELEASING,   /**< with room once the tasks that are stopping there are gone */
+  POOL_PREEMPTIBLE, /**< with room once tasks of lower precedence are stopped */
+  POOL_COUNT
 };
-struct candidate_set { /* the machines for one job, by zone */
-  bool built, empty;
+
+/** The candidates for one job in one pool. */
+struct candidate_set {
+  bool built; /**< for the job at hand */
+  bool empty; /**< there was none when it was built */
   struct candidate_heap zone_heaps[TMX_ZONES_MAX];
 };
-struct failed_fit { /* what found no room: nothing as large is tried again in this round */
+
+/** A job that found no candidate in a pool. */
+struct failed_fit {
   const struct planner_job *job;
-  int pool;
+  enum candidate_pool pool;
 };
-enum {
-  POOL_OWN_SHARD,
-  POOL_ANY_SHARD,
-  POOL_RELEASING,
-  POOL_PREEMPTIBLE,
-  POOL_COUNT
-}; /* the first three in this order: see place */
-#define FAILED_FITS_MAX 48
-#define SECOND_CHOICE_COST                                               \
-  1.0 /* added to the measure of a machine of the kind that comes second \
-       */
-#define COLD_IMAGE_COST \
-  10.0 /* added to the measure of a machine where a fetch would make it late */
-#define FAILED_MACHINE_COST 100.0 /* ... where the job failed lately */
-
-struct preemption { /* a task that this round stops */
+
+/**
+ * Failed fits remembered in a round. They are compared with each job one after the other, so their
+ * number bounds the work for each job; a few dozen cover the sizes that occur at a time.
+ */
+enum { FAILED_FITS_MAX = 48 };
+
+/** A task that this round stops to make room. */
+struct preemption {
   struct planner_machine *machine;
-  size_t task;
+  size_t task; /**< index among the machine's tasks */
 };
+
 struct round {
   struct tmx_planner *planner;
   const struct tmx_round_input *input;
   struct tmx_round_output *output;
-  struct tmx_usage usage[TMX_TEAMS_MAX];
-  size_t visited, visit_limit; /* looked at, and at most in this part of the order */
+  struct tmx_usage usage[TMX_TEAMS_MAX]; /**< by team, with what the round has placed */
+  size_t visited;                        /**< machines and tasks looked at */
+  size_t visit_limit;                    /**< bound on it in the present part of the round */
+
+  /** What must be restored at the end. */
   struct planner_machine **touched_machines;
   size_t n_touched_machines, cap_touched_machines;
   struct planner_job **touched_jobs;
   size_t n_touched_jobs, cap_touched_jobs;
   struct preemption *preemptions;
   size_t n_preemptions, cap_preemptions;
+
   struct failed_fit failed_fits[FAILED_FITS_MAX];
   size_t n_failed_fits;
-  bool skipped_for_own_sake; /* a machine was passed over for the job's own sake: its replicas, its
-                                errors */
-  int *releasing_machines;   /* machines with room on its way */
+  int *releasing_machines; /**< slots of machines with tasks that are stopping */
   size_t n_releasing_machines, cap_releasing_machines;
-  struct candidate_set candidate_sets[POOL_COUNT]; /* of the job at hand; their memory is kept */
-  uint32_t n_eligible, machine_cap;
-  struct planner_machine *kept_machines[TMX_RESERVED_MACHINES_MAX]; /* machines that nothing else is
-                                                                       placed on, see plan.c */
-  size_t n_kept_machines;
+
+  /** Of the job at hand; the memory of the heaps is kept from job to job. */
+  struct candidate_set candidate_sets[POOL_COUNT];
+  uint32_t machine_cap; /**< see tmx_machine_cap() */
+  /** A machine was rejected for a reason that holds for this job alone: its replicas or failures
+   * there. What it did not find then says nothing of other jobs. */
+  bool rejected_for_this_job_alone;
+
+  /** Machines on which nothing else is placed in this round, see ageing.h. */
+  struct planner_machine *reserved_machines[TMX_RESERVED_MACHINES_MAX];
+  size_t n_reserved_machines;
+};
+
+/** How a worker stops a task: the `reason` of an operation TMX_OPERATION_STOP, a letter of the log.
+ */
+enum stop_mode { STOP_AT_ONCE = '1', STOP_AFTER_CHECKPOINT = '2' };
+
+/** What room on a machine is taken for. */
+enum reservation {
+  RESERVATION_FOR_PLACEMENT, /**< a placement, here or by the job's own planner: counts as usage */
+  RESERVATION_UNTIL_RELEASE  /**< held until stopping tasks are gone: no usage of the team yet */
 };
 
-/* steps.c: steps of the round on the planner's tables, taken back at its end */
+/** To be called before the round changes what a machine has booked or runs. */
 void tmx_round_touch_machine(struct round *round, struct planner_machine *machine);
+
+/** To be called before the round changes the counts of a job. */
 void tmx_round_touch_job(struct round *round, struct planner_job *job);
+
+/** Marks the machine's task as stopping. */
 void tmx_round_mark_preempted(struct round *round, struct planner_machine *machine, size_t task);
+
+/** Restores the tables as they were before the round. */
 void tmx_round_undo(struct round *round);
-struct tmx_operation *tmx_round_emit(struct round *round, char op, const struct planner_job *job,
+
+/**
+ * Appends an operation to the round's output. The pointer is valid until the next call.
+ *
+ * @param kind TMX_OPERATION_PLACE or TMX_OPERATION_STOP
+ */
+struct tmx_operation *tmx_round_emit(struct round *round, char kind, const struct planner_job *job,
                                      uint32_t task, uint32_t attempt);
-/* real: placed; else room is held for it until the stopped tasks are gone */
-void tmx_round_reserve(struct round *round, struct planner_job *job, int m, bool real);
-
-/* fit.c: which machines may take a job's task, and which is the best */
-bool tmx_fit_group_is_eligible(const struct machine_group *group, const struct tmx_job_spec *spec);
-bool tmx_fit_within_quota(const struct round *round, const struct planner_job *job);
-/* Services to people come first, then what teams are guaranteed, then the rest. */
-int tmx_fit_precedence(const struct planner_job *job);
-void tmx_fit_begin_job(struct round *round, const struct planner_job *job);
-/* The best machine for the job's next task; -1: none. warm: only where its image lies. */
-int tmx_fit_best_machine(struct round *round, struct planner_job *job, int what, bool warm);
-/* Stops the cheapest tasks of one machine until the task fits. do_it: marks and emits them.
- * Returns their cost; <0: it cannot be. */
-double tmx_fit_preempt(struct round *round, const struct planner_job *job,
-                       struct planner_machine *machine, bool do_it);
-
-/* place.c: places up to max of the job's waiting tasks; returns how many were placed */
-uint32_t tmx_place_job(struct round *round, struct planner_job *job, uint32_t max);
-/* ... of each of these jobs, in order. *cut: the slot at which the next round goes on; -1: none. */
-uint32_t tmx_place_jobs(struct round *round, struct planner_job **jobs, size_t n, uint32_t max,
-                        int *cut);
+
+/** Books room for one task of the job on the machine of this slot. */
+void tmx_round_reserve(struct round *round, struct planner_job *job, int machine_slot,
+                       enum reservation reservation);
+
 #endif
--- a/src/planner/round_undo.c
+++ b/src/planner/round_undo.c
@@ -1,20 +1,15 @@
-/* Steps of a round: what it takes and stops, taken back at its end, since only what is committed
- * comes back in the next feed. */
 #include "planner/round.h"
 #include "base/memory.h"
 
-#include <math.h>
-#include <stdlib.h>
 #include <string.h>
 
 void tmx_round_touch_machine(struct round *round, struct planner_machine *machine) {
   if (machine->touched_in_round == round->planner->round_number) return;
   machine->touched_in_round = round->planner->round_number;
   machine->snapshot =
-      (struct machine_snapshot){machine->record.booked_cpus,    machine->record.booked_gpus,
-                                machine->record.booked_mem_gb,  machine->record.releasing_cpus,
-                                machine->record.releasing_gpus, machine->record.releasing_mem_gb,
-                                machine->record.n_tasks};
+      (struct machine_snapshot){.booked = tmx_resources_booked(&machine->record),
+                                .releasing = tmx_resources_releasing(&machine->record),
+                                .n_tasks = machine->record.n_tasks};
   round->touched_machines =
       tmx_grow(round->touched_machines, &round->cap_touched_machines, round->n_touched_machines + 1,
                sizeof *round->touched_machines);
@@ -37,52 +32,56 @@
   machine->record.tasks[task].stopping = true;
 }
 
+static void restore_machine(struct planner_machine *machine) {
+  tmx_resources_set_booked(&machine->record, machine->snapshot.booked);
+  tmx_resources_set_releasing(&machine->record, machine->snapshot.releasing);
+  machine->record.n_tasks = machine->snapshot.n_tasks;
+}
+
+static void restore_job(struct planner_job *job) {
+  memcpy(job->record.placed_in_zone, job->saved_placed_in_zone, sizeof job->saved_placed_in_zone);
+}
+
 void tmx_round_undo(struct round *round) {
-  for (size_t i = 0; i < round->n_preemptions; i++)
-    round->preemptions[i].machine->record.tasks[round->preemptions[i].task].stopping = false;
-  for (size_t i = 0; i < round->n_touched_machines; i++) {
-    struct planner_machine *machine = round->touched_machines[i];
-    machine->record.booked_cpus = machine->snapshot.booked_cpus;
-    machine->record.booked_gpus = machine->snapshot.booked_gpus;
-    machine->record.booked_mem_gb = machine->snapshot.booked_mem_gb;
-    machine->record.releasing_cpus = machine->snapshot.releasing_cpus;
-    machine->record.releasing_gpus = machine->snapshot.releasing_gpus;
-    machine->record.releasing_mem_gb = machine->snapshot.releasing_mem_gb;
-    machine->record.n_tasks = machine->snapshot.n_tasks;
+  for (size_t i = 0; i < round->n_preemptions; i++) {
+    const struct preemption *preemption = &round->preemptions[i];
+    preemption->machine->record.tasks[preemption->task].stopping = false;
   }
-  for (size_t i = 0; i < round->n_touched_jobs; i++)
-    memcpy(round->touched_jobs[i]->record.placed_in_zone,
-           round->touched_jobs[i]->saved_placed_in_zone,
-           sizeof round->touched_jobs[i]->saved_placed_in_zone);
+  for (size_t i = 0; i < round->n_touched_machines; i++)
+    restore_machine(round->touched_machines[i]);
+  for (size_t i = 0; i < round->n_touched_jobs; i++) restore_job(round->touched_jobs[i]);
 }
 
-struct tmx_operation *tmx_round_emit(struct round *round, char op, const struct planner_job *job,
+struct tmx_operation *tmx_round_emit(struct round *round, char kind, const struct planner_job *job,
                                      uint32_t task, uint32_t attempt) {
   struct tmx_round_output *output = round->output;
   output->operations = tmx_grow(output->operations, &output->cap_operations,
                                 output->n_operations + 1, sizeof *output->operations);
   struct tmx_operation *operation = &output->operations[output->n_operations++];
   memset(operation, 0, sizeof *operation);
-  operation->kind = op;
+  operation->kind = kind;
   operation->task = task;
   operation->attempt = attempt;
   memcpy(operation->job, job->record.id, sizeof operation->job);
   return operation;
 }
-void tmx_round_reserve(struct round *round, struct planner_job *job, int m, bool real) {
-  struct planner_machine *machine = round->planner->machines[m];
+
+void tmx_round_reserve(struct round *round, struct planner_job *job, int machine_slot,
+                       enum reservation reservation) {
+  struct planner_machine *machine = round->planner->machines[machine_slot];
+  struct tmx_plan_machine *record = &machine->record;
   const struct tmx_job_spec *spec = job->record.spec;
   tmx_round_touch_machine(round, machine);
-  machine->record.booked_cpus += spec->cpus;
-  machine->record.booked_gpus += spec->gpus;
-  machine->record.booked_mem_gb += spec->mem_gb;
-  machine->record.tasks = tmx_grow(machine->record.tasks, &machine->cap_tasks,
-                                   machine->record.n_tasks + 1, sizeof *machine->record.tasks);
-  machine->record.tasks[machine->record.n_tasks++] =
+  tmx_resources_set_booked(
+      record, tmx_resources_add(tmx_resources_booked(record), tmx_resources_of_task(spec)));
+  record->tasks =
+      tmx_grow(record->tasks, &machine->cap_tasks, record->n_tasks + 1, sizeof *record->tasks);
+  /* Marked as stopping, so that nothing preempts what this round has placed. */
+  record->tasks[record->n_tasks++] =
       (struct tmx_plan_task){.job = job->record.slot, .stopping = true};
   tmx_round_touch_job(round, job);
-  job->record.placed_in_zone[machine->record.zone]++;
-  if (!real) return;
+  job->record.placed_in_zone[record->zone]++;
+  if (reservation == RESERVATION_UNTIL_RELEASE) return;
   round->usage[job->record.team].cpus += spec->cpus;
   round->usage[job->record.team].gpus += spec->gpus;
 }
