--- a/src/planner/ageing.c
+++ b/src/planner/ageing.c
@@ -102,7 +102,7 @@
       not_started[n_not_started++] = job;
   }
   tmx_job_order_by_rotation(round, not_started, n_not_started);
-  tmx_place_jobs(round, not_started, n_not_started, 1, &round->planner->resume_oldest);
+  tmx_place_jobs(round, not_started, n_not_started, 1, &round->planner->resume_not_started);
   free(not_started);
 }
 
--- a/src/planner/job_order.c
+++ b/src/planner/job_order.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* CPU seconds: larger than the remaining work of any job, so that late jobs come last */
+/* CPU seconds: added to the work of late jobs, so that they come after all others */
 #define LATE_JOB_ORDER 1e9
 /* s: a task counts as running this long at least */
 #define RUN_S_MIN 1
--- a/src/planner/placement.c
+++ b/src/planner/placement.c
@@ -27,9 +27,9 @@
   return tmx_candidates_best(placement->round, placement->job, pool, image);
 }
 
-static enum placement_result hold_room(const struct job_placement *placement, int machine,
-                                       enum reservation reservation) {
-  tmx_round_reserve(placement->round, placement->job, machine, reservation);
+/* Holds room that the job's own planner is about to use. */
+static enum placement_result hold_room(const struct job_placement *placement, int machine) {
+  tmx_round_reserve(placement->round, placement->job, machine, RESERVATION_FOR_PLACEMENT);
   placement->job->next_waiting++;
   return TASK_HOLDS_ROOM;
 }
@@ -55,7 +55,7 @@
   return true;
 }
 
-/* Stops other tasks; the room is held until they are gone. */
+/* Stops tasks of other jobs; the room is held until they are gone. */
 static bool wait_for_preempted_room(const struct job_placement *placement,
                                     enum image_requirement image) {
   struct round *round = placement->round;
@@ -67,8 +67,7 @@
   return true;
 }
 
-/* Holds room that is not free yet; only the leader does so, since it alone may stop tasks of
- * others' jobs. */
+/* Holds room that is not free yet for the next task, which the leader alone does. */
 static bool wait_for_room(const struct job_placement *placement, enum image_requirement image) {
   if (!placement->round->input->leading) return false;
   if (!wait_for_releasing_room(placement, image) && !wait_for_preempted_room(placement, image))
@@ -89,7 +88,7 @@
                      {POOL_ANY_SHARD, IMAGE_ANY_STATE}, {POOL_RELEASING, IMAGE_ANY_STATE}};
   for (size_t i = 0; i < sizeof preferences / sizeof preferences[0]; i++) {
     int machine = best_machine(placement, preferences[i].pool, preferences[i].image);
-    if (machine >= 0) return hold_room(placement, machine, RESERVATION_FOR_PLACEMENT);
+    if (machine >= 0) return hold_room(placement, machine);
   }
   return TASK_LEFT_TO_OWNER;
 }
@@ -106,7 +105,7 @@
   int machine = best_machine(placement, POOL_OWN_SHARD, IMAGE_WARM);
   if (!placement->own && placement->in_grace) {
     machine = machine_for_own_planner(placement, machine);
-    if (machine >= 0) return hold_room(placement, machine, RESERVATION_FOR_PLACEMENT);
+    if (machine >= 0) return hold_room(placement, machine);
   }
   /* Too large for its shard: the draft lets the leader look in every shard. */
   if (machine < 0 && leading) machine = best_machine(placement, POOL_ANY_SHARD, IMAGE_WARM);
--- a/src/planner/planner.c
+++ b/src/planner/planner.c
@@ -62,7 +62,7 @@
   const size_t max_visits = round->input->max_visits;
   size_t production = count_production_jobs(by_rank, count);
   round->visit_limit = max_visits / 2;
-  tmx_place_jobs(round, by_rank, production, UINT32_MAX, &planner->resume_services);
+  tmx_place_jobs(round, by_rank, production, UINT32_MAX, &planner->resume_production);
 
   round->visit_limit = round->visited + (max_visits - round->visit_limit) / 2;
   uint32_t placed = tmx_ageing_place_by_rotation(round, by_release, count);
@@ -71,7 +71,7 @@
 
   round->visit_limit = max_visits;
   placed += tmx_place_jobs(round, by_rank + production, count - production, UINT32_MAX,
-                           &planner->resume_arrays);
+                           &planner->resume_others);
   planner->aged_job_credit =
       fmin(planner->aged_job_credit + TMX_AGED_JOB_SHARE * placed, TMX_PLAN_TASKS);
 }
--- a/src/planner/planner_tables.c
+++ b/src/planner/planner_tables.c
@@ -140,7 +140,7 @@
 
 struct tmx_planner *tmx_planner_new(void) {
   struct tmx_planner *planner = tmx_allocate(1, sizeof *planner);
-  planner->resume_services = planner->resume_oldest = planner->resume_arrays = -1;
+  planner->resume_production = planner->resume_not_started = planner->resume_others = -1;
   return planner;
 }
 
--- a/src/planner/planner_tables.h
+++ b/src/planner/planner_tables.h
@@ -13,6 +13,7 @@
   size_t n_tasks;
 };
 
+/** A machine as the planner knows it. */
 struct planner_machine {
   struct tmx_plan_machine record; /**< as described; a round changes it and undoes that */
   size_t cap_tasks;               /**< capacity of record.tasks */
@@ -22,6 +23,7 @@
   struct machine_snapshot snapshot;
 };
 
+/** A job as the planner knows it. */
 struct planner_job {
   struct tmx_plan_job record; /**< as described; a round changes it and undoes that */
   double order;               /**< of an array in this round, lower first, see job_order.h */
@@ -44,6 +46,7 @@
   uint32_t n_usable; /**< machines that are usable and not draining */
 };
 
+/** The planner owns all that its tables point to. */
 struct tmx_planner {
   struct planner_machine **machines; /**< by slot; NULL: no such machine */
   size_t cap_machines;
@@ -55,9 +58,10 @@
   size_t n_open_jobs, cap_open_jobs;
   uint64_t round_number;
   double aged_job_credit; /**< tasks of arrays that jobs which have aged may place first */
-  /** Slots of the jobs at which the next round resumes, for each part of the round that stops when
-   * it has looked at too much; -1: at the beginning. */
-  int resume_services, resume_oldest, resume_arrays;
+  /** Slots of the jobs at which the next round resumes, for each part of a round that stops when it
+   * has looked at too much; -1: at the beginning. The parts: jobs of production precedence, aged
+   * jobs that have not started, all others. */
+  int resume_production, resume_not_started, resume_others;
 };
 
 #endif
--- a/src/planner/resources.h
+++ b/src/planner/resources.h
@@ -11,10 +11,11 @@
 
 /**
  * Slack of comparisons of resources, in CPUs, GPUs and GB: sums and differences of doubles may miss
- * the exact value by rounding, while no request is as fine as this.
+ * the exact value by rounding, and that must not decide whether a task fits.
  */
 #define RESOURCE_EPSILON 1e-6
 
+/** CPUs and GPUs are counted, memory is in GB. */
 struct tmx_resources {
   double cpus, gpus, mem_gb;
 };
@@ -30,10 +31,12 @@
   return (struct tmx_resources){machine->cpus, machine->gpus, machine->mem_gb};
 }
 
+/** What all tasks placed on the machine hold. */
 static inline struct tmx_resources tmx_resources_booked(const struct tmx_plan_machine *machine) {
   return (struct tmx_resources){machine->booked_cpus, machine->booked_gpus, machine->booked_mem_gb};
 }
 
+/** The part of that which is held by tasks that are stopping. */
 static inline struct tmx_resources tmx_resources_releasing(const struct tmx_plan_machine *machine) {
   return (struct tmx_resources){machine->releasing_cpus, machine->releasing_gpus,
                                 machine->releasing_mem_gb};
--- a/src/planner/round.h
+++ b/src/planner/round.h
@@ -3,8 +3,9 @@
  * The state of a round under way, and the steps by which it changes the planner's tables: internal
  * to src/planner.
  *
- * Every change goes through a function of round_undo.c, which records what it overwrites, so that
- * tmx_round_undo() can restore the tables at the end of the round.
+ * A round plans on the tables themselves. Before a machine or a job is changed, one of the
+ * functions tmx_round_touch_*() records how it stood; tmx_round_undo() restores all of them at the
+ * end of the round, since only what is committed comes back with the next delta.
  */
 #ifndef TMX_ROUND_H
 #define TMX_ROUND_H
@@ -38,7 +39,8 @@
 
 /**
  * Failed fits remembered in a round. They are compared with each job one after the other, so their
- * number bounds the work for each job; a few dozen cover the sizes that occur at a time.
+ * number bounds the work for each job. A failure beyond it is forgotten, which costs no more than
+ * another look at the machines.
  */
 enum { FAILED_FITS_MAX = 48 };
 
@@ -48,6 +50,7 @@
   size_t task; /**< index among the machine's tasks */
 };
 
+/** The round: it lives on the stack of tmx_planner_run_round(), and its arrays end with it. */
 struct round {
   struct tmx_planner *planner;
   const struct tmx_round_input *input;
@@ -56,7 +59,7 @@
   size_t visited;                        /**< machines and tasks looked at */
   size_t visit_limit;                    /**< bound on it in the present part of the round */
 
-  /** What must be restored at the end. */
+  /** What must be restored at the end of the round. */
   struct planner_machine **touched_machines;
   size_t n_touched_machines, cap_touched_machines;
   struct planner_job **touched_jobs;
@@ -76,13 +79,13 @@
    * there. What it did not find then says nothing of other jobs. */
   bool rejected_for_this_job_alone;
 
-  /** Machines on which nothing else is placed in this round, see ageing.h. */
+  /** Machines on which nothing else is placed in this round, see ageing.h: until it ends they are
+   * marked as not usable. */
   struct planner_machine *reserved_machines[TMX_RESERVED_MACHINES_MAX];
   size_t n_reserved_machines;
 };
 
-/** How a worker stops a task: the `reason` of an operation TMX_OPERATION_STOP, a letter of the log.
- */
+/** How a worker stops a task: `reason` of an operation TMX_OPERATION_STOP, a letter of the log. */
 enum stop_mode { STOP_AT_ONCE = '1', STOP_AFTER_CHECKPOINT = '2' };
 
 /** What room on a machine is taken for. */
