--- /dev/null
+++ b/src/store/election.c
@@ -0,0 +1,72 @@
+/* The leader election: a compare-and-swap on the leader key, which is attached to the lease. */
+#include <stdio.h>
+#include <string.h>
+
+#include "base/log.h"
+#include "store/store_internal.h"
+
+void tmx_election_init(struct tmx_election *election) {
+  election->attempted_at = -TMX_STORE_RETRY_S;
+}
+
+static bool leader_key_names_this_node(const struct tmx_store *store) {
+  return !strcmp(store->replica->leader, store->settings->node_name);
+}
+
+static bool leader_key_is_of_this_incarnation(const struct tmx_store *store) {
+  return leader_key_names_this_node(store) &&
+         store->replica->leader_incarnation == store->registration.incarnation;
+}
+
+/* A leader key of an earlier incarnation of this node would stand until its lease expires, and
+ * that of a suspected leader as well: both are overwritten at once. */
+static bool is_leadership_open(const struct tmx_store *store) {
+  const struct tmx_replica *replica = store->replica;
+  if (leader_key_is_of_this_incarnation(store)) return false;
+  if (!replica->leader_version || leader_key_names_this_node(store)) return true;
+  return !strcmp(replica->leader, store->election.suspected_leader);
+}
+
+static void on_elected(void *arg, enum tmx_transaction_result result, uint64_t revision) {
+  struct tmx_store *store = arg;
+  (void)revision;
+  store->election.in_flight = false;
+  if (result == TMX_TRANSACTION_COMMITTED) tmx_log(TMX_LOG_INFO, "state: leading now");
+}
+
+/* On the condition that the leader key is as the replica shows it: of several candidates one wins.
+ */
+static void write_leader_key(struct tmx_store *store, double now) {
+  struct tmx_transaction transaction = {0};
+  struct tmx_buffer value = {0};
+  tmx_transaction_require_version(&transaction, TMX_KEY_LEADER, store->replica->leader_version);
+  tmx_cbor_put_map(&value, 2);
+  tmx_cbor_put_text_field(&value, "name", store->settings->node_name);
+  tmx_cbor_put_u64_field(&value, "inc", store->registration.incarnation);
+  tmx_transaction_put(&transaction, TMX_KEY_LEADER, &value, store->lease.id);
+  tmx_buffer_free(&value);
+  store->election.attempted_at = now;
+  store->election.in_flight = tmx_store_commit(store, &transaction, true, on_elected, store);
+}
+
+void tmx_election_maintain(struct tmx_store *store, double now) {
+  const struct tmx_election *election = &store->election;
+  if (election->abstains || election->in_flight) return;
+  if (!store->replica->loaded || !store->registration.incarnation) return;
+  if (now - election->attempted_at < TMX_STORE_RETRY_S) return;
+  if (is_leadership_open(store)) write_leader_key(store, now);
+}
+
+bool tmx_store_is_leader(const struct tmx_store *store) {
+  return tmx_store_is_member(store) && store->replica->leader_version &&
+         leader_key_is_of_this_incarnation(store);
+}
+
+void tmx_store_suspect_leader(struct tmx_store *store, const char *node) {
+  struct tmx_election *election = &store->election;
+  snprintf(election->suspected_leader, sizeof election->suspected_leader, "%s", node);
+}
+
+void tmx_store_abstain_from_election(struct tmx_store *store, bool abstains) {
+  store->election.abstains = abstains;
+}
