--- a/src/store/store.c
+++ b/src/store/store.c
@@ -85,7 +85,7 @@
 
 bool tmx_store_reserve_submission_write(struct tmx_store *store) {
   struct tmx_write_share share = tmx_store_write_share(store);
-  return tmx_write_budget_reserve_submission(tmx_store_refilled_budget(store), &share);
+  return tmx_write_budget_reserve_submission(&store->write_budget, &share, tmx_clock_steady());
 }
 
 int tmx_store_reserve_unused_writes(struct tmx_store *store, int wanted) {
--- a/src/store/write_budget.c
+++ b/src/store/write_budget.c
@@ -34,7 +34,7 @@
                              double now) {
   double elapsed = now - budget->refilled_at;
   double store_rate = share->store_rate;
-  double submission_rate = store_rate * TMX_SINGLE_SUBMISSION_SHARE / share->n_members;
+  double for_submissions = elapsed * store_rate * TMX_SINGLE_SUBMISSION_SHARE / share->n_members;
 
   budget->recent_writes *= exp(-elapsed / TMX_RECENT_WRITES_S);
   budget->shared_tokens =
@@ -42,7 +42,7 @@
   budget->member_tokens = fmin(
       budget->member_tokens + elapsed * tmx_write_budget_member_rate(share), member_burst(share));
   budget->submission_tokens =
-      fmin(budget->submission_tokens + elapsed * submission_rate, TMX_SINGLE_SUBMISSION_BURST);
+      fmin(budget->submission_tokens + for_submissions, TMX_SINGLE_SUBMISSION_BURST);
   budget->refilled_at = now;
 }
 
@@ -89,14 +89,13 @@
 /* What the others leave unused serves as well: a submission that is not committed singly waits for
  * the next batch, which takes a whole cycle of commit slots. */
 bool tmx_write_budget_reserve_submission(struct tmx_write_budget *budget,
-                                         const struct tmx_write_share *share) {
-  if (budget->submission_tokens >= 1) {
-    budget->submission_tokens -= 1;
-  } else if (tmx_write_budget_available(budget, share) >= 1) {
-    return true; /* the commit takes it from the ordinary share */
-  } else if (unused_tokens(budget, share) < 1) {
-    return false;
+                                         const struct tmx_write_share *share, double now) {
+  if (budget->submission_tokens < 1) {
+    tmx_write_budget_refill(budget, share, now);
+    if (tmx_write_budget_available(budget, share) >= 1) return true; /* an ordinary put */
+    if (budget->submission_tokens < 1 && unused_tokens(budget, share) < 1) return false;
   }
+  if (budget->submission_tokens >= 1) budget->submission_tokens -= 1;
   budget->member_tokens += 1;
   return true;
 }
--- a/src/store/write_budget.h
+++ b/src/store/write_budget.h
@@ -6,10 +6,9 @@
  * rate by a token bucket of its own. From the watch it also knows what all of them wrote, so it
  * tracks the store's own bucket and can use what the others leave unused.
  *
- * The module is pure: it does no I/O and reads no clock; the time is passed in. Except for
- * tmx_write_budget_init() and tmx_write_budget_member_rate(), the functions expect a budget that
- * tmx_write_budget_refill() has brought up to the present. Not thread-safe: the owner's thread
- * only.
+ * The module is pure: it does no I/O and reads no clock; the time is passed in. Functions that take
+ * no time expect a budget that tmx_write_budget_refill() has brought up to the present. Not
+ * thread-safe: the owner's thread only.
  */
 #ifndef TMX_WRITE_BUDGET_H
 #define TMX_WRITE_BUDGET_H
@@ -70,10 +69,12 @@
 
 /**
  * Reserves one put for a submission that is committed singly; the commit that follows takes it.
+ * Refills the budget itself, but only if no token that is kept for submissions was left.
+ * @param now  steady clock, s
  * @return whether there is a put for it
  */
 bool tmx_write_budget_reserve_submission(struct tmx_write_budget *budget,
-                                         const struct tmx_write_share *share);
+                                         const struct tmx_write_share *share, double now);
 
 /**
  * Reserves puts beyond this controller's share, as far as all controllers leave them unused; the
