--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -8,7 +8,7 @@
 void tmx_lease_init(struct tmx_lease *lease) { lease->attempted_at = -TMX_LEASE_RENEW_S; }
 
 void tmx_lease_expire(struct tmx_store *store) {
-  tmx_log(TMX_LOG_INFO, "state: the lease lapsed, registering again");
+  tmx_log(TMX_LOG_INFO, "state: the lease expired, registering again");
   store->lease.id = 0;
   store->registration.incarnation = 0;
   tmx_lease_init(&store->lease); /* the next request is due at once */
--- a/src/store/registration.c
+++ b/src/store/registration.c
@@ -25,7 +25,7 @@
   switch (result) {
     case TMX_TRANSACTION_COMMITTED:
       registration->incarnation = revision;
-      tmx_log(TMX_LOG_INFO, "state: registered as run %llu", (unsigned long long)revision);
+      tmx_log(TMX_LOG_INFO, "state: registered as incarnation %llu", (unsigned long long)revision);
       break;
     case TMX_TRANSACTION_NOT_EXECUTED:
       registration->attempted_at = tmx_clock_steady();
@@ -67,7 +67,7 @@
   struct tmx_registration *registration = &store->registration;
   if (registration->in_flight) return;
   if (was_overwritten(store)) {
-    tmx_log(TMX_LOG_INFO, "state: the node key is not this run's, registering again");
+    tmx_log(TMX_LOG_INFO, "state: the member key shows another incarnation, registering again");
     registration->incarnation = 0;
   }
   if (!store->lease.id || registration->incarnation) return;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -14,6 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#include "config/settings.h"
 #include "net/cbor.h"
 #include "net/http.h"
 #include "replica/replica.h"
