--- /dev/null
+++ b/tests/test_storage_format.c
@@ -0,0 +1,488 @@
+/* The forms in which the state service keeps jobs, lines of the log, batches, pages, the view and
+ * the other keys, byte for byte as recorded under tests/data/wire-format/storage-*.txt, and each
+ * read back to what was written. A store that an earlier version wrote must stay readable: a
+ * difference here is a change of the format, whatever the code is called. */
+#include "recording.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "net/log.h"
+#include "state/replica.h"
+#include "tmx/wire.h"
+
+static struct tmx_settings settings;
+static struct tmx_replica replica;
+
+static int setup(void **st) {
+  (void)st;
+  memset(&settings, 0, sizeof settings);
+  strcpy(settings.zones[0], "a");
+  strcpy(settings.zones[1], "b");
+  settings.n_zones = 2;
+  strcpy(settings.teams[0].name, "vision");
+  settings.n_teams = 1;
+  settings.ram_mb = 128;
+  settings.value_kb = 16;
+  tmx_replica_init(&replica, &settings);
+  return 0;
+}
+static int teardown(void **st) {
+  (void)st;
+  tmx_replica_clear(&replica);
+  return 0;
+}
+
+/* ------------------------------------------------------------ records of jobs */
+
+#define SUBMITTED 1500000000.25 /* s of the epoch */
+#define ENDED 1500000060.5
+
+static struct tmx_spec plain_job(void) {
+  struct tmx_spec s = {.tasks = 3, .cpus = 1, .mem = 2, .estimate_s = 10, .deadline_s = -1};
+  strcpy(s.class, "train");
+  strcpy(s.team, "vision");
+  strcpy(s.image, "img-07");
+  return s;
+}
+
+static struct tmx_spec full_job(void) {
+  struct tmx_spec s = {.service = true,
+                       .one_zone = true,
+                       .spread = true,
+                       .spot = true,
+                       .priority = TMX_PRIO_PROD,
+                       .tasks = 100000,
+                       .cpus = 0.5,
+                       .gpus = 8,
+                       .mem = 65536,
+                       .image_gb = 6.25,
+                       .estimate_s = 86400,
+                       .checkpoint_s = 30,
+                       .save_s = 4.5,
+                       .deadline_s = 900};
+  strcpy(s.class, "serve");
+  strcpy(s.team, "vision");
+  strcpy(s.image, "img-08");
+  strcpy(s.zone, "b");
+  strcpy(s.types[0], "g8");
+  strcpy(s.types[1], "big");
+  s.n_types = 2;
+  return s;
+}
+
+static void assert_same_spec(const struct tmx_spec *a, const struct tmx_spec *b) {
+  assert_string_equal(a->class, b->class);
+  assert_string_equal(a->team, b->team);
+  assert_string_equal(a->image, b->image);
+  assert_string_equal(a->zone, b->zone);
+  assert_int_equal(a->n_types, b->n_types);
+  for (size_t i = 0; i < a->n_types; i++) assert_string_equal(a->types[i], b->types[i]);
+  assert_int_equal(a->service, b->service);
+  assert_int_equal(a->one_zone, b->one_zone);
+  assert_int_equal(a->spread, b->spread);
+  assert_int_equal(a->spot, b->spot);
+  assert_int_equal(a->priority, b->priority);
+  assert_int_equal(a->tasks, b->tasks);
+  const double x[] = {a->cpus,       a->gpus,         a->mem,    a->image_gb,
+                      a->estimate_s, a->checkpoint_s, a->save_s, a->deadline_s};
+  const double y[] = {b->cpus,       b->gpus,         b->mem,    b->image_gb,
+                      b->estimate_s, b->checkpoint_s, b->save_s, b->deadline_s};
+  for (size_t i = 0; i < sizeof x / sizeof *x; i++) assert_true(x[i] == y[i]);
+}
+
+/* Records what was encoded and decodes it; the awaited ids go to `awaits`. */
+static struct tmx_job_record read_record(struct recording *r, const struct tmx_buf *b, char *awaits,
+                                         size_t cap) {
+  struct tmx_job_record out;
+  cbor_item_t *value = tmx_cbor_parse(b->p, b->n);
+  record_cbor(r, "", b->p, b->n);
+  assert_non_null(value);
+  assert_true(tmx_job_decode(value, &out));
+  awaits[0] = 0;
+  if (out.awaits) assert_true(tmx_r_str(out.awaits, awaits, cap));
+  out.awaits = NULL; /* goes with the value */
+  tmx_cbor_free(value);
+  return out;
+}
+
+static void record_open(struct recording *r, const char *title, const char *id,
+                        const struct tmx_spec *s) {
+  struct tmx_buf b = {0};
+  char awaits[8];
+  record_line(r, "== %s", title);
+  tmx_job_encode(&b, id, s, SUBMITTED, TMX_OPEN);
+  struct tmx_job_record back = read_record(r, &b, awaits, sizeof awaits);
+  assert_string_equal(back.id, id);
+  assert_same_spec(&back.spec, s);
+  assert_true(back.submitted == SUBMITTED);
+  assert_int_equal(back.fin, TMX_OPEN);
+  assert_int_equal(back.n_awaits, 0);
+  tmx_buf_free(&b);
+}
+
+static void open_jobs(void **st) {
+  (void)st;
+  struct recording r = {0};
+  struct tmx_spec plain = plain_job(), full = full_job();
+  record_open(&r, "an open job", "wk-000001", &plain);
+  record_open(&r, "an open job with every field in use", "wk-000002", &full);
+  static const char *const priorities[] = {"idle", "normal", "high", "prod"};
+  for (int i = 0; i < 4; i++) {
+    plain.priority = i;
+    record_open(&r, priorities[i], "wk-000003", &plain);
+  }
+  plain = plain_job(); /* one flag each: which bit it is */
+  plain.service = true;
+  record_open(&r, "a service", "wk-000004", &plain);
+  plain.service = false;
+  plain.one_zone = true;
+  record_open(&r, "all tasks in one zone", "wk-000004", &plain);
+  plain.one_zone = false;
+  plain.spread = true;
+  record_open(&r, "spread over zones", "wk-000004", &plain);
+  plain.spread = false;
+  plain.spot = true;
+  record_open(&r, "spot machines allowed", "wk-000004", &plain);
+  recording_check(&r, "storage-open-jobs.txt");
+}
+
+static void make_awaits(struct tmx_awaits *a, uint32_t n) {
+  a->n = n;
+  a->ids = calloc(n, sizeof *a->ids);
+  assert_non_null(a->ids);
+  for (uint32_t i = 0; i < n; i++) snprintf(a->ids[i], TMX_ID_MAX, "wk-%06u", i + 10);
+}
+
+static void record_awaiting(struct recording *r, const char *title, uint32_t n, size_t room) {
+  struct tmx_spec s = plain_job();
+  struct tmx_awaits a;
+  struct tmx_buf b = {0};
+  char text[1024], line[64];
+  make_awaits(&a, n);
+  record_line(r, "== %s", title);
+  uint32_t at = tmx_job_encode_open(&b, "wk-000005", &s, SUBMITTED, &a, room);
+  struct tmx_job_record back = read_record(r, &b, text, sizeof text);
+  assert_same_spec(&back.spec, &s);
+  assert_int_equal(back.n_awaits, n);
+  assert_true(back.ended == 0);
+  while (at < n) {
+    tmx_awaits_print(line, sizeof line, "wk-000005", &a, &at);
+    record_line(r, "%s", line);
+  }
+  tmx_awaits_free(&a);
+  tmx_buf_free(&b);
+}
+
+static void jobs_that_await_others(void **st) {
+  (void)st;
+  struct recording r = {0};
+  record_awaiting(&r, "a job that awaits others", 3, 1000);
+  record_awaiting(&r, "... with room for some of them, the rest in lines", 20, 160);
+  recording_check(&r, "storage-awaiting-jobs.txt");
+}
+
+static void jobs_with_many_types(void **st) {
+  (void)st;
+  struct recording r = {0};
+  struct tmx_spec s = plain_job();
+  struct tmx_awaits none = {0}, one;
+  struct tmx_buf b = {0};
+  char text[64], line[64];
+  for (; s.n_types < 12; s.n_types++)
+    snprintf(s.types[s.n_types], TMX_ID_MAX, "type %zu", s.n_types);
+  make_awaits(&one, 1);
+  record_line(&r, "types in 200 bytes: %zu, beside awaited jobs: %zu, in none: %zu",
+              tmx_job_types_within("wk-000006", &s, SUBMITTED, &none, 200),
+              tmx_job_types_within("wk-000006", &s, SUBMITTED, &one, 200),
+              tmx_job_types_within("wk-000006", &s, SUBMITTED, &none, 1));
+  struct tmx_spec part = s;
+  part.n_types = tmx_job_types_within("wk-000006", &s, SUBMITTED, &none, 200);
+  tmx_job_encode_open(&b, "wk-000006", &part, SUBMITTED, &none, 200);
+  struct tmx_job_record back = read_record(&r, &b, text, sizeof text);
+  assert_same_spec(&back.spec, &part);
+  for (size_t i = part.n_types; i < s.n_types; i++) {
+    tmx_type_print(line, sizeof line, "wk-000006", s.types[i]);
+    record_line(&r, "%s", line);
+  }
+  tmx_awaits_free(&one);
+  tmx_buf_free(&b);
+  recording_check(&r, "storage-many-types.txt");
+}
+
+static void record_final(struct recording *r, const char *title, int fin, double ended,
+                         size_t room) {
+  struct tmx_job j = {.spec = full_job(), .submitted = SUBMITTED};
+  struct tmx_buf b = {0};
+  char awaits[8];
+  strcpy(j.id, "wk-000007");
+  record_line(r, "== %s", title);
+  tmx_job_encode_final(&b, &j, fin, ended, room);
+  struct tmx_job_record back = read_record(r, &b, awaits, sizeof awaits);
+  assert_string_equal(back.id, j.id);
+  assert_int_equal(back.fin, fin);
+  assert_true(back.ended == ended);
+  assert_string_equal(awaits, "");
+  if (room < 100) {
+    j.spec.n_types = 0;
+    j.spec.class[0] = j.spec.image[0] = j.spec.zone[0] = 0;
+  }
+  assert_same_spec(&back.spec, &j.spec);
+  tmx_buf_free(&b);
+}
+
+static void final_jobs(void **st) {
+  (void)st;
+  struct recording r = {0};
+  record_final(&r, "a job that is done", TMX_FIN_DONE, 0, 1000);
+  record_final(&r, "... with the time of its end", TMX_FIN_DONE, ENDED, 1000);
+  record_final(&r, "a cancelled job", TMX_FIN_CANCELLED, 0, 1000);
+  record_final(&r, "a job that is done, cut down", TMX_FIN_DONE, 0, 99);
+  record_final(&r, "... with the time of its end", TMX_FIN_DONE, ENDED, 99);
+  record_final(&r, "a cancelled job, cut down", TMX_FIN_CANCELLED, 0, 99);
+  recording_check(&r, "storage-final-jobs.txt");
+}
+
+/* ------------------------------------------------------------ lines */
+
+static struct tmx_op operation(char letter, uint32_t task, char how) {
+  struct tmx_op o = {.op = letter, .task = task, .attempt = 2, .how = how};
+  strcpy(o.job, "wk-000008");
+  if (letter == 'p') snprintf(o.machine, sizeof o.machine, "n-%06u", task + 1);
+  return o;
+}
+
+static void assert_same_op(const struct tmx_op *a, const struct tmx_op *b) {
+  assert_int_equal(a->op, b->op);
+  assert_string_equal(a->job, b->job);
+  assert_int_equal(a->task, b->task);
+  assert_int_equal(a->attempt, b->attempt);
+  assert_string_equal(a->machine, b->machine);
+  assert_int_equal(a->how, b->how);
+}
+
+static void record_operation(struct recording *r, char letter, char how) {
+  struct tmx_op o = operation(letter, 12, how), back;
+  char line[TMX_LINE_MAX];
+  int length = tmx_op_print(line, sizeof line, &o);
+  assert_int_equal(length, strlen(line));
+  record_line(r, "%s", line);
+  assert_true(tmx_op_parse(line, &back));
+  assert_same_op(&back, &o);
+}
+
+struct expected_group {
+  const struct tmx_op *ops;
+  size_t n;
+};
+static void next_of_group(void *arg, const struct tmx_op *o) {
+  struct expected_group *g = arg;
+  assert_same_op(o, &g->ops[g->n++]);
+}
+
+static void record_group(struct recording *r, char letter, char how) {
+  struct tmx_op ops[3];
+  char line[TMX_LINE_MAX];
+  size_t used = 0;
+  for (uint32_t i = 0; i < 3; i++) {
+    ops[i] = operation(letter, i * 7, how);
+    assert_true(tmx_op_same_group(&ops[0], &ops[i]));
+    if (!i) used += (size_t)tmx_group_head_print(line, sizeof line, &ops[0]);
+    used += (size_t)tmx_group_item_print(line + used, sizeof line - used, &ops[i]);
+  }
+  record_line(r, "%s", line);
+  struct expected_group g = {.ops = ops};
+  tmx_ops_each(line, next_of_group, &g);
+  assert_int_equal(g.n, 3);
+}
+
+/* Literal letters: these constants are part of the format. */
+static void lines_of_operations(void **st) {
+  (void)st;
+  struct recording r = {0};
+  record_operation(&r, 'p', 0);
+  record_operation(&r, 's', '1');
+  record_operation(&r, 's', '2');
+  for (const char *how = "dserl"; *how; how++) record_operation(&r, 'e', *how);
+  record_group(&r, 'p', 0);
+  for (const char *how = "dserl"; *how; how++) record_group(&r, 'e', *how);
+  record_line(&r, "ends: %c %c %c %c %c", TMX_END_DONE, TMX_END_STOPPED, TMX_END_ERROR,
+              TMX_END_REFUSED, TMX_END_LOST);
+  record_line(&r, "lines: %c %c %c %c %c %c %c %c %c %c %c", TMX_OP_PLACE, TMX_OP_STOP, TMX_OP_END,
+              TMX_GROUP_PLACE, TMX_GROUP_END, TMX_LINE_MACHINE, TMX_LINE_DRAIN, TMX_LINE_GONE,
+              TMX_LINE_RUN, TMX_LINE_TYPE, TMX_LINE_AWAITS);
+  recording_check(&r, "storage-operations.txt");
+}
+
+/* ------------------------------------------------------------ values */
+
+static void apply(const char *key, uint64_t version, const struct tmx_buf *b) {
+  cbor_item_t *value = tmx_cbor_parse(b->p, b->n);
+  assert_non_null(value);
+  tmx_replica_apply(&replica, key, version, value);
+  tmx_cbor_free(value);
+}
+
+static void encode_lines(struct tmx_buf *value, const char *const *lines, size_t n,
+                         const struct tmx_buf *jobs, size_t n_jobs) {
+  struct tmx_buf list = {0};
+  for (size_t i = 0; i < n; i++) tmx_w_str(&list, lines[i]);
+  tmx_lines_encode(value, jobs, n_jobs, &list, n);
+  tmx_buf_free(&list);
+}
+
+/* What pages would hold of the replica as it stands. */
+static void record_replica(struct recording *r) {
+  char line[TMX_LINE_MAX];
+  struct tmx_machine *m, *mt;
+  struct tmx_job *j, *jt;
+  HASH_ITER(hh, replica.machines, m, mt) {
+    tmx_machine_print(line, sizeof line, &replica, m);
+    record_line(r, "%s", line);
+  }
+  HASH_ITER(hh, replica.jobs, j, jt) {
+    record_line(r, "%s state %d types %zu done %u placed %u", j->id, j->fin, j->spec.n_types,
+                j->n_done, j->n_placed);
+    for (uint32_t at = 0; j->deps.named.n && at < j->deps.named.n;) {
+      tmx_awaits_print(line, sizeof line, j->id, &j->deps.named, &at);
+      record_line(r, "%s", line);
+    }
+    for (uint32_t at = 0; j->tasks && at < j->spec.tasks;) {
+      int length;
+      at += tmx_run_print(line, sizeof line, j, at, &length);
+      if (length) record_line(r, "%s", line);
+    }
+  }
+}
+
+static size_t encode_two_jobs(struct tmx_buf *jobs) {
+  struct tmx_spec s = plain_job();
+  struct tmx_awaits a;
+  s.tasks = 10;
+  strcpy(s.types[s.n_types++], "g8");
+  tmx_job_encode(jobs, "wk-000008", &s, SUBMITTED, TMX_OPEN);
+  make_awaits(&a, 1);
+  strcpy(a.ids[0], "wk-000008");
+  s.tasks = 1;
+  tmx_job_encode_open(jobs, "wk-000009", &s, SUBMITTED, &a, 0); /* the id follows in a line */
+  tmx_awaits_free(&a);
+  return 2;
+}
+
+static void batches_and_pages(void **st) {
+  (void)st;
+  static const char *const batch[] = {"w wk-000009 0 000008",
+                                      "y wk-000008 big machine",
+                                      "m n-000001 10.1.0.1:9000 g8 a 0 0",
+                                      "m n-000002 10.1.0.2:9000 g8 b 1 0",
+                                      "m n-000003 10.1.0.3:9000 big - 0 1",
+                                      "p wk-000008/0 1 n-000001",
+                                      "P wk-000008 1 1:n-000001 2:n-000002 3:n-000002 4:n-000002",
+                                      "s wk-000008/1 1 1",
+                                      "s wk-000008/2 1 2",
+                                      "e wk-000008/3 1 d",
+                                      "E wk-000008 1 e 4",
+                                      "d n-000002 1",
+                                      "x n-000003"};
+  static const char *const page[] = {"m n-000004 10.1.0.4:9000 g8 a 0 0", "t wk-000008/5 2 3 d -",
+                                     "t wk-000008/7 1 2 w -", "t wk-000008/8 1 4 p n-000004",
+                                     "t wk-000008/9 1 5 2 n-000004"};
+  struct recording r = {0};
+  struct tmx_buf jobs = {0}, value = {0};
+  size_t n_jobs = encode_two_jobs(&jobs);
+  encode_lines(&value, batch, sizeof batch / sizeof *batch, &jobs, n_jobs);
+  record_line(&r, "== a batch");
+  record_cbor(&r, "", value.p, value.n);
+  apply("t/batch/hand-0/000000", 10, &value);
+  value.n = 0;
+  encode_lines(&value, page, sizeof page / sizeof *page, &jobs, 0);
+  record_line(&r, "== a page");
+  record_cbor(&r, "", value.p, value.n);
+  struct tmx_buf mark = {0};
+  encode_json(&mark, "{\"mark\":9,\"gen\":10}");
+  apply("t/fold", 12, &mark);
+  assert_int_equal(replica.fold_mark, 9);
+  apply("t/page/000000000000000a/00000", 11, &value);
+  tmx_buf_free(&mark);
+  value.n = 0;
+  encode_lines(&value, NULL, 0, &jobs, n_jobs);
+  record_line(&r, "== a batch of jobs alone");
+  record_cbor(&r, "", value.p, value.n);
+  tmx_replica_reached(&replica, 12);
+  record_line(&r, "== both, read back");
+  record_replica(&r);
+  assert_true(tmx_machine_gone(&replica, "n-000003"));
+  tmx_buf_free(&jobs);
+  tmx_buf_free(&value);
+  recording_check(&r, "storage-values.txt");
+}
+
+static void record_view(struct recording *r, const char *title, const struct tmx_view *v) {
+  struct tmx_buf b = {0}, again = {0};
+  record_line(r, "== %s", title);
+  tmx_view_encode(&b, v);
+  record_cbor(r, "", b.p, b.n);
+  apply("t/view", 20, &b);
+  assert_int_equal(replica.view.stamp, 20);
+  tmx_view_encode(&again, &replica.view);
+  assert_int_equal(again.n, b.n);
+  assert_memory_equal(again.p, b.p, b.n);
+  tmx_buf_free(&b);
+  tmx_buf_free(&again);
+}
+
+static void views(void **st) {
+  (void)st;
+  struct recording r = {0};
+  struct tmx_exception e[3] = {{.machine = "n-000001", .node = "hand-1"},
+                               {.machine = "n-000002", .node = "hand-0"},
+                               {.machine = "n-000003", .node = "hand-1"}};
+  struct tmx_view v = {.term = 7, .n_members = 2};
+  strcpy(v.members[0].name, "hand-0");
+  strcpy(v.members[1].name, "hand-1");
+  v.members[0].inc = 3;
+  v.members[1].inc = 70000;
+  record_view(&r, "a view", &v);
+  v.local = true;
+  record_view(&r, "... with each zone by itself", &v);
+  v.local = false;
+  v.exceptions = e;
+  v.n_exceptions = 2;
+  record_view(&r, "... with exceptions", &v);
+  v.n_exceptions = 3; /* by node: the third one stands beside the first */
+  struct tmx_buf b = {0};
+  tmx_view_encode(&b, &v);
+  record_line(&r, "== ... of which two are one node's");
+  record_cbor(&r, "", b.p, b.n);
+  apply("t/view", 21, &b);
+  assert_string_equal(tmx_owner_of(&replica, "n-000003"), "hand-1");
+  assert_string_equal(tmx_owner_of(&replica, "n-000002"), "hand-0");
+  record_line(&r, "== owners without exceptions, by hash");
+  v.n_exceptions = 0;
+  b.n = 0;
+  tmx_view_encode(&b, &v);
+  apply("t/view", 22, &b);
+  for (int i = 0; i < 16; i++) {
+    char id[TMX_ID_MAX];
+    snprintf(id, sizeof id, "n-%06d", i);
+    record_line(&r, "%s %s", id, tmx_owner_of(&replica, id));
+  }
+  tmx_buf_free(&b);
+  recording_check(&r, "storage-views.txt");
+}
+
+int main(void) {
+  const struct CMUnitTest t[] = {
+      cmocka_unit_test_setup_teardown(open_jobs, setup, teardown),
+      cmocka_unit_test_setup_teardown(jobs_that_await_others, setup, teardown),
+      cmocka_unit_test_setup_teardown(jobs_with_many_types, setup, teardown),
+      cmocka_unit_test_setup_teardown(final_jobs, setup, teardown),
+      cmocka_unit_test_setup_teardown(lines_of_operations, setup, teardown),
+      cmocka_unit_test_setup_teardown(batches_and_pages, setup, teardown),
+      cmocka_unit_test_setup_teardown(views, setup, teardown),
+  };
+  setenv("LOG_LEVEL", "error", 0);
+  tmx_log_init("test");
+  return cmocka_run_group_tests(t, NULL, NULL);
+}
