--- /dev/null
+++ b/tests/test_peer_format.c
@@ -0,0 +1,292 @@
+/* Heartbeats between controllers, byte for byte as recorded in tests/data/wire-format, and the
+ * names of the protocol, which stand here once more, as literals: whatever the code calls them,
+ * their values are agreed with others. In the heartbeat of a running controller its revision and
+ * the age of its state differ from run to run and are set to 0 before it is compared. */
+#include "recording.h"
+#include "fake.h"
+
+#include <arpa/inet.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include "beat.h"
+#include "net/log.h"
+#include "tmx/wire.h"
+
+static struct tmx_ctl *a;
+
+static int setup(void **st) {
+  (void)st;
+  fake_open();
+  a = NULL;
+  return 0;
+}
+static int teardown(void **st) {
+  (void)st;
+  if (a) controller_end(a);
+  fake_close();
+  return 0;
+}
+
+/* ------------------------------------------------------------ names */
+
+static void names_of_the_protocol(void **st) {
+  (void)st;
+  static const struct {
+    const char *used, *agreed;
+  } names[] = {
+      {WP_JOBS, "/v2/runs"},
+      {WP_CANCEL, "/withdraw"},
+      {WP_READY, "/ready"},
+      {WP_REPORT, "/hello"},
+      {WP_COMMANDS, "/commands"},
+      {WP_STATUS, "/show"},
+      {WP_TYPES, "/catalog"},
+      {WP_MACHINES, "/machines"},
+      {WP_DELETE, "/machines/delete"},
+      {WP_KV, "/kv"},
+      {WP_TXN, "/commit"},
+      {WP_LEASES, "/holds"},
+      {WP_RENEW, "/extend"},
+      {WP_WATCH, "/follow"},
+      {W_JOB_PREFIX, "wk-"},
+      {W_ID, "id"},
+      {W_CLASS, "crew"},
+      {W_TEAM, "outfit"},
+      {W_KIND, "sort"},
+      {W_PRIORITY, "rank"},
+      {W_TASKS, "loads"},
+      {W_TASK, "load"},
+      {W_CPUS, "cpus"},
+      {W_GPUS, "gpus"},
+      {W_MEM, "mem_gb"},
+      {W_IMAGE, "kit"},
+      {W_IMAGE_GB, "image_gb"},
+      {W_TYPES, "builds"},
+      {W_TYPE, "build"},
+      {W_ZONE, "yard"},
+      {W_ZONES, "yards"},
+      {W_ONE_ZONE, "same_place"},
+      {W_SPREAD, "spread"},
+      {W_SPOT, "loaner"},
+      {W_ESTIMATE, "reckon_s"},
+      {W_CHECKPOINT, "tally_s"},
+      {W_SAVE, "stow_s"},
+      {W_DEADLINE, "due_s"},
+      {W_AWAITS, "awaits"},
+      {W_STATE, "standing"},
+      {W_DONE, "done"},
+      {W_RUNNING, "running"},
+      {W_MACHINE, "rig"},
+      {W_MACHINES, "rigs"},
+      {W_ADDR, "addr"},
+      {W_SESSION, "shift"},
+      {W_SEQ, "tick"},
+      {W_TOKEN, "baton"},
+      {W_NOTICE, "recall_s"},
+      {W_ATTEMPT, "try"},
+      {W_WHY, "cause"},
+      {W_COMMANDS, "orders"},
+      {W_OP, "verb"},
+      {W_GRACE, "wind_s"},
+      {W_REQUEST, "hire"},
+      {W_COUNT, "count"},
+      {W_AGE, "held_s"},
+      {W_MORE, "has_next"},
+      {W_NAME, "label"},
+      {W_CACHE_GB, "cache_gb"},
+      {W_FETCH, "fetch_gb_per_s"},
+      {W_PRICE, "hourly"},
+      {W_SPOT_PRICE, "market_price"},
+      {W_BOOT_S, "boot_s"},
+      {W_REPORT_TO, "foreman"},
+      {W_KEY, "path"},
+      {W_VALUE, "data"},
+      {W_VERSION, "stamp"},
+      {W_LEASE, "permit"},
+      {W_REVISION, "ledger"},
+      {W_ITEMS, "entries"},
+      {W_EVENTS, "events"},
+      {W_IF, "if"},
+      {W_THEN, "then"},
+      {W_PUT, "write"},
+      {W_DROP, "drop"},
+      {W_TTL, "ttl_ms"},
+      {WV_ARRAY, "batch"},
+      {WV_SERVICE, "service"},
+      {WV_PENDING, "pending"},
+      {WV_RUNNING, "running"},
+      {WV_DONE, "done"},
+      {WV_CANCELLED, "withdrawn"},
+      {WV_FETCHING, "pulling"},
+      {WV_SAVING, "saving"},
+      {WV_EXITED, "ended"},
+      {WV_START, "start"},
+      {WV_STOP, "halt"},
+      {WV_FORGET, "reap"},
+      {WV_BOOTING, "booting"},
+      {WV_FAILED, "failed"},
+      {WV_NO_LEASE, "no such lease"},
+      {WV_STOPPED, "stopped"},
+      {WV_ERROR, "error"},
+  };
+  for (size_t i = 0; i < sizeof names / sizeof *names; i++)
+    assert_string_equal(names[i].used, names[i].agreed);
+}
+
+/* ------------------------------------------------------------ heartbeats */
+
+static size_t encode_heartbeat(struct tmx_beat *beat, char *out, size_t cap) {
+  XDR x;
+  xdrmem_create(&x, out, (u_int)cap, XDR_ENCODE);
+  assert_true(xdr_tmx_beat(&x, beat));
+  size_t n = xdr_getpos(&x);
+  xdr_destroy(&x);
+  return n;
+}
+
+static void decode_heartbeat(struct tmx_beat *beat, const void *bytes, size_t n) {
+  XDR x;
+  memset(beat, 0, sizeof *beat);
+  xdrmem_create(&x, (char *)(uintptr_t)bytes, (u_int)n, XDR_DECODE);
+  assert_true(xdr_tmx_beat(&x, beat));
+  assert_int_equal(xdr_getpos(&x), n);
+  xdr_destroy(&x);
+}
+
+static void record_heartbeat(struct recording *r, const struct tmx_beat *b) {
+  record_line(r, "%s revision %llu term %llu state_age_ms %u no_workers %d", b->node,
+              (unsigned long long)b->revision, (unsigned long long)b->term, b->state_age_ms,
+              b->no_workers);
+  for (u_int i = 0; i < b->suspects.suspects_len; i++) {
+    const struct tmx_beat_suspect *s = &b->suspects.suspects_val[i];
+    record_line(r, "suspect %s silence_ms %u lost %u unreached_ms %u notice %d", s->id,
+                s->silence_ms, s->lost, s->unreached_ms, s->notice);
+  }
+  for (u_int i = 0; i < b->zones.zones_len; i++) {
+    const struct tmx_beat_zone *z = &b->zones.zones_val[i];
+    record_line(r, "zone %s machines %u lost %u alive %u", z->name, z->machines, z->lost, z->alive);
+  }
+}
+
+/* Encodes it, records its bytes, and records what they are read back as. */
+static size_t record_encoded(struct recording *r, struct tmx_beat *beat, char *bytes, size_t cap) {
+  struct tmx_beat back;
+  size_t n = encode_heartbeat(beat, bytes, cap);
+  record_bytes(r, "", (const uint8_t *)bytes, n);
+  decode_heartbeat(&back, bytes, n);
+  record_heartbeat(r, &back);
+  xdr_free((xdrproc_t)xdr_tmx_beat, (char *)&back);
+  return n;
+}
+
+static size_t full_heartbeat(struct recording *r, char *bytes, size_t cap) {
+  struct tmx_beat_suspect suspects[] = {{"n-000001", 1500, 2, 300, 1}, {"n-000002", 2560, 0, 0, 0}};
+  struct tmx_beat_zone zones[] = {{"a", 40, 2, 38}, {"b", 7, 1, 5}};
+  struct tmx_beat beat = {.node = "hand-1",
+                          .revision = 4711,
+                          .term = 1ull << 33,
+                          .state_age_ms = 250,
+                          .no_workers = 1,
+                          .suspects = {2, suspects},
+                          .zones = {2, zones}};
+  return record_encoded(r, &beat, bytes, cap);
+}
+
+struct peer_socket { /* stands for hand-1 */
+  int listener, fd;
+  struct tmx_buf in;
+};
+static struct peer_socket peer;
+
+static void reach_peer_socket(struct tmx_settings *s) {
+  struct sockaddr_in at;
+  socklen_t n = sizeof at;
+  assert_int_equal(getsockname(peer.listener, (struct sockaddr *)&at, &n), 0);
+  snprintf(s->peers[0].addr, sizeof s->peers[0].addr, "127.0.0.1:%d", ntohs(at.sin_port));
+}
+
+static void peer_listen(void) {
+  struct sockaddr_in at = {.sin_family = AF_INET};
+  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  peer = (struct peer_socket){.fd = -1};
+  peer.listener = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+  assert_int_equal(bind(peer.listener, (struct sockaddr *)&at, sizeof at), 0);
+  assert_int_equal(listen(peer.listener, 4), 0);
+}
+
+static bool heartbeat_arrived(void *arg) {
+  uint8_t in[4096];
+  (void)arg;
+  if (peer.fd < 0) peer.fd = accept4(peer.listener, NULL, NULL, SOCK_NONBLOCK);
+  ssize_t k = peer.fd < 0 ? -1 : recv(peer.fd, in, sizeof in, MSG_DONTWAIT);
+  if (k > 0) tmx_buf_add(&peer.in, in, (size_t)k);
+  return peer.in.n > 4;
+}
+
+/* The first message: four bytes of length, most significant first, and the record. */
+static void heartbeat_of_a_controller(struct recording *r) {
+  struct tmx_beat sent;
+  char bytes[512];
+  assert_true(pump(heartbeat_arrived, NULL));
+  const uint8_t *p = peer.in.p;
+  size_t length = (size_t)p[0] << 24 | (size_t)p[1] << 16 | (size_t)p[2] << 8 | p[3];
+  assert_true(peer.in.n >= 4 + length);
+  decode_heartbeat(&sent, p + 4, length);
+  sent.revision = 0;
+  sent.state_age_ms = 0;
+  record_line(r, "== as a controller sends it, with a length of %zu bytes before it", length);
+  record_encoded(r, &sent, bytes, sizeof bytes);
+  xdr_free((xdrproc_t)xdr_tmx_beat, (char *)&sent);
+}
+
+static bool heard(void *arg) {
+  (void)arg;
+  return tmx_peers_silence(a->peers, "hand-1") < 1;
+}
+
+static void send_heartbeat(const char *bytes, size_t n) {
+  struct sockaddr_in at;
+  uint32_t length = htonl((uint32_t)n);
+  int fd = socket(AF_INET, SOCK_STREAM, 0);
+  assert_true(tmx_parse_addr(a->set.peer_listen, &at));
+  assert_int_equal(connect(fd, (struct sockaddr *)&at, sizeof at), 0);
+  assert_int_equal(send(fd, &length, sizeof length, 0), sizeof length);
+  assert_int_equal(send(fd, bytes, n, 0), n);
+  assert_true(pump(heard, NULL));
+  close(fd);
+}
+
+static void heartbeats(void **st) {
+  (void)st;
+  struct recording r = {0};
+  char bytes[512];
+  peer_listen();
+  fake_adjust = reach_peer_socket;
+  a = controller(0, 2);
+  record_line(&r, "== every field in use");
+  size_t n = full_heartbeat(&r, bytes, sizeof bytes);
+  heartbeat_of_a_controller(&r);
+  assert_false(heard(NULL));
+  send_heartbeat(bytes, n);
+  assert_int_equal(tmx_peers_zones(a->peers, "hand-1")[0].machines, 40);
+  assert_int_equal(tmx_peers_zones(a->peers, "hand-1")[0].lost, 2);
+  assert_int_equal(tmx_peers_zones(a->peers, "hand-1")[0].alive, 38);
+  assert_true(tmx_peers_cut(a->peers, "hand-1"));
+  close(peer.listener);
+  close(peer.fd);
+  tmx_buf_free(&peer.in);
+  recording_check(&r, "heartbeats.txt");
+}
+
+int main(void) {
+  const struct CMUnitTest t[] = {
+      cmocka_unit_test(names_of_the_protocol),
+      cmocka_unit_test_setup_teardown(heartbeats, setup, teardown),
+  };
+  setenv("LOG_LEVEL", "error", 0);
+  tmx_log_init("test");
+  return cmocka_run_group_tests(t, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_wire_format.c
@@ -0,0 +1,311 @@
+/* What controllers answer to users and workers, and the commands that they send to workers, byte
+ * for byte as recorded under tests/data/wire-format. Requests of users are written as on the
+ * protocol's page, not with the program's own names. Masked are ports and, where the program draws
+ * it, the value of Retry-After: see recording.h. */
+#include "recording.h"
+#include "relay.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "net/log.h"
+#include "tmx/wire.h"
+
+static struct tmx_ctl *a;
+static struct fake_worker w;
+static struct relay commands; /* between the controller and the worker's server */
+static char address[32];      /* of the controller */
+
+static int setup(void **st) {
+  (void)st;
+  fake_open();
+  worker_open(&w, "n-000001");
+  relay_open(&commands, tmx_server_port(w.srv));
+  snprintf(w.addr, sizeof w.addr, "%s", commands.address);
+  a = NULL;
+  return 0;
+}
+static int teardown(void **st) {
+  (void)st;
+  if (a) controller_end(a);
+  relay_close(&commands);
+  tmx_server_free(w.srv);
+  fake_close();
+  return 0;
+}
+
+static void make_controller(int of) {
+  a = controller(0, of);
+  snprintf(address, sizeof address, "127.0.0.1:%d", tmx_server_port(a->server));
+}
+static void begin(void) {
+  make_controller(1);
+  assert_true(pump(fake_ready, a));
+}
+
+/* ------------------------------------------------------------ users */
+
+static void record_exchange(struct recording *r, const char *title, const struct exchange *x) {
+  record_line(r, "== %s", title);
+  record_http(r, "> ", x->request.p, x->request.n);
+  record_http(r, "< ", x->answer.p, x->answer.n);
+}
+
+static void ask(struct recording *r, const char *title, const char *line, const char *json) {
+  struct exchange x;
+  struct tmx_buf body = {0};
+  if (json) encode_json(&body, json);
+  raw_request(address, line, json ? &body : NULL, &x);
+  record_exchange(r, title, &x);
+  exchange_free(&x);
+  tmx_buf_free(&body);
+}
+
+/* Requests that are no CBOR, or no request: only the answer is recorded. */
+static void ask_raw(struct recording *r, const char *title, const char *request, size_t n) {
+  struct tmx_buf answer = {0};
+  record_line(r, "== %s", title);
+  raw_call(address, request, n, &answer);
+  record_http(r, "< ", answer.p, answer.n);
+  tmx_buf_free(&answer);
+}
+
+#define SUBMISSION(id, outfit, cpus)                                          \
+  "{\"id\":\"" id "\",\"crew\":\"train\",\"outfit\":\"" outfit                \
+  "\",\"sort\":\"batch\",\"rank\":\"high\",\"loads\":3,\"cpus\":" cpus        \
+  ",\"gpus\":0.0,\"mem_gb\":2.0,\"kit\":\"img-07\",\"image_gb\":0.5,"         \
+  "\"builds\":[\"big\"],\"yard\":\"a\",\"same_place\":true,\"spread\":false," \
+  "\"loaner\":false,\"reckon_s\":240.0,\"tally_s\":30.0,\"stow_s\":4.5,\"due_s\":900.0}"
+
+static void answers_without_the_state(struct recording *r) {
+  state.doors[0].refuse = true;
+  make_controller(1);
+  ask(r, "not ready", "GET /ready", NULL);
+  ask(r, "a submission while the state is out of reach", "POST /v2/runs",
+      SUBMISSION("wk-000001", "t", "2.0"));
+  ask(r, "a poll while the state is out of reach", "GET /v2/runs/wk-000001", NULL);
+  ask(r, "a cancellation while the state is out of reach", "POST /v2/runs/wk-000001/withdraw",
+      NULL);
+  state.doors[0].refuse = false;
+  assert_true(pump(fake_ready, a));
+}
+
+static void answers_that_refuse(struct recording *r) {
+  ask(r, "malformed: a field is missing", "POST /v2/runs", "{\"id\":\"wk-000009\"}");
+  ask(r, "malformed: not an id", "POST /v2/runs", SUBMISSION("job-1", "t", "2.0"));
+  ask(r, "unknown team", "POST /v2/runs", SUBMISSION("wk-000009", "other", "2.0"));
+  ask(r, "more than the team's limit", "POST /v2/runs", SUBMISSION("wk-000009", "t", "9.0"));
+  ask(r, "never accepted", "GET /v2/runs/wk-000009", NULL);
+  ask(r, "no id", "GET /v2/runs/none", NULL);
+  ask(r, "cancellation of an unknown job", "POST /v2/runs/wk-000009/withdraw", NULL);
+  ask(r, "another method on the jobs", "GET /v2/runs", NULL);
+  ask(r, "another method on a job", "POST /v2/runs/wk-000001", NULL);
+  ask(r, "another method on a cancellation", "GET /v2/runs/wk-000001/withdraw", NULL);
+  ask(r, "no such path", "GET /v3/runs", NULL);
+  static const char no_cbor[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 2\r\n\r\n\xff\xff";
+  ask_raw(r, "malformed: not CBOR", no_cbor, sizeof no_cbor - 1);
+  static const char closing[] = "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
+  ask_raw(r, "the connection is to be closed", closing, sizeof closing - 1);
+  static const char no_http[] = "HELLO\r\n\r\n";
+  ask_raw(r, "not HTTP", no_http, sizeof no_http - 1);
+  static const char large[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
+  static char too_large[sizeof large + 65537];
+  memcpy(too_large, large, sizeof large - 1);
+  ask_raw(r, "a body beyond the limit", too_large, sizeof large - 1 + 65537);
+}
+
+static void report_plainly(void) {
+  worker_report(&w, a);
+  pump_for(0.2);
+}
+
+static bool job_done(void *arg) {
+  const struct tmx_job *j = tmx_job_find(&a->rep, arg);
+  return j && j->fin == TMX_FIN_DONE;
+}
+
+static bool one_done(void *arg) {
+  const struct tmx_job *j = tmx_job_find(&a->rep, arg);
+  return j && j->n_done == 1;
+}
+
+static void answers_about_a_job(struct recording *r) {
+  ask(r, "accepted", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  ask(r, "pending", "GET /v2/runs/wk-000001", NULL);
+  ask(r, "submitted again", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  for (int i = 0; i < 4; i++) report_plainly();
+  assert_int_equal(w.executed_starts, 3);
+  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  report_plainly();
+  assert_true(pump(one_done, "wk-000001"));
+  ask(r, "running", "GET /v2/runs/wk-000001", NULL);
+  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  worker_set(&w, "wk-000001/2", 1, WV_EXITED, WV_DONE);
+  report_plainly();
+  assert_true(pump(job_done, "wk-000001"));
+  ask(r, "done", "GET /v2/runs/wk-000001", NULL);
+  ask(r, "cancelled after it was done", "POST /v2/runs/wk-000001/withdraw", NULL);
+  ask(r, "submitted after it was done", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  ask(r, "accepted", "POST /v2/runs", SUBMISSION("wk-000002", "t", "1.0"));
+  ask(r, "cancelled", "POST /v2/runs/wk-000002/withdraw", NULL);
+  ask(r, "cancelled again", "POST /v2/runs/wk-000002/withdraw", NULL);
+  ask(r, "poll of a cancelled job", "GET /v2/runs/wk-000002", NULL);
+}
+
+static void answers_to_users(void **st) {
+  (void)st;
+  struct recording r = {.retry_from = 1, .retry_to = 2};
+  answers_without_the_state(&r);
+  ask(&r, "ready", "GET /ready", NULL);
+  answers_that_refuse(&r);
+  answers_about_a_job(&r);
+  recording_check(&r, "user-answers.txt");
+}
+
+/* ------------------------------------------------------------ workers */
+
+static void send_report(struct recording *r, const char *title) {
+  struct exchange x;
+  struct tmx_buf body = {0};
+  w.seq = (w.seq / 100 + 1) * 100; /* above those that probes have used up */
+  worker_encode(&w, &body);
+  raw_request(address, "POST /hello", &body, &x);
+  record_exchange(r, title, &x);
+  const uint8_t *answer = memmem(x.answer.p, x.answer.n, "\r\n\r\n", 4);
+  size_t length = x.answer.n - (size_t)(answer + 4 - x.answer.p);
+  worker_answered(&w, atoi((const char *)x.answer.p + strlen("HTTP/1.1 ")), answer + 4, length);
+  exchange_free(&x);
+  tmx_buf_free(&body);
+}
+
+static void put_line(const char *key, const char *line) {
+  struct tmx_buf v = {0}, list = {0};
+  tmx_w_str(&list, line);
+  tmx_lines_encode(&v, NULL, 0, &list, 1);
+  fake_put(key, &v);
+  tmx_buf_free(&v);
+  tmx_buf_free(&list);
+  pump_for(0.3);
+}
+
+static void submit_literally(void) {
+  struct exchange x;
+  struct tmx_buf body = {0};
+  encode_json(&body, SUBMISSION("wk-000001", "t", "1.0"));
+  raw_request(address, "POST /v2/runs", &body, &x);
+  exchange_free(&x);
+  tmx_buf_free(&body);
+}
+
+/* The first request after `at` that holds the text; what the scripted worker says is not recorded.
+ */
+static const struct exchange *record_command(struct recording *r, const char *title,
+                                             const struct exchange *at, const char *start,
+                                             const char *part) {
+  const struct exchange *x = relay_wait(&commands, at, start, part);
+  record_line(r, "== %s", title);
+  record_http(r, "> ", x->request.p, x->request.n);
+  return x;
+}
+
+static bool four_started(void *arg) {
+  (void)arg;
+  return w.executed_starts == 4;
+}
+
+static void direct_commands(void **st) {
+  (void)st;
+  struct recording r = {0};
+  begin();
+  for (int i = 0; i < 3; i++) report_plainly();
+  submit_literally();
+  const struct exchange *x = record_command(&r, "a job is placed", NULL, "POST /commands", "start");
+  put_line("t/batch/hand-9/000000", "s wk-000001/0 1 2");
+  x = record_command(&r, "one of its tasks is to save and end", x, "POST /commands", "halt");
+  x = record_command(&r, "its end is in the log", x, "POST /commands", "reap");
+  assert_true(pump(four_started, NULL)); /* it was placed again */
+  x = record_command(&r, "its next attempt", x, "POST /commands", "start");
+  assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
+  record_command(&r, "the job is cancelled", x, "POST /commands", "halt");
+  record_command(&r, "a probe", NULL, "GET /show", NULL);
+  recording_check(&r, "direct-commands.txt");
+}
+
+/* The worker does not answer commands, so all go with the answers to its reports. */
+static void answers_to_reports(void **st) {
+  (void)st;
+  struct recording r = {0};
+  state.doors[0].refuse = true;
+  make_controller(1);
+  send_report(&r, "the state is out of reach");
+  state.doors[0].refuse = false;
+  assert_true(pump(fake_ready, a));
+  send_report(&r, "the first report");
+  send_report(&r, "... which shows the token");
+  pump_for(0.5);
+  w.mute = true;
+  submit_literally();
+  pump_for(0.5);
+  send_report(&r, "the command to start got no answer");
+  worker_do(&w);
+  assert_int_equal(w.executed_starts, 3);
+  send_report(&r, "the tasks run");
+  pump_for(0.5);
+  put_line("t/batch/hand-9/000000", "s wk-000001/0 1 2");
+  send_report(&r, "a task is to save and end");
+  worker_set(&w, "wk-000001/0", 1, WV_SAVING, NULL);
+  send_report(&r, "it saves");
+  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_STOPPED);
+  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  send_report(&r, "tasks have ended");
+  pump_for(0.5);
+  assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
+  pump_for(0.5);
+  send_report(&r, "the ends are in the log, and the job is cancelled");
+  w.seq -= 150;
+  send_report(&r, "a report that a later one has overtaken");
+  w.session = 0;
+  send_report(&r, "a report of an earlier session");
+  w.session = 1;
+  ask(&r, "malformed: a field is missing", "POST /hello", "{\"rig\":\"n-000001\"}");
+  ask(&r, "another method", "GET /hello", NULL);
+  recording_check(&r, "report-answers.txt");
+}
+
+static bool two_members(void *arg) {
+  (void)arg;
+  return a->rep.view.n_members == 2 && fake_ready(a);
+}
+
+static void answers_that_send_elsewhere(void **st) {
+  (void)st;
+  struct recording r = {0};
+  struct tmx_buf v = {0};
+  make_controller(2);
+  encode_json(&v, "{\"listen\":\"127.0.0.1:1\"}");
+  fake_put("t/node/hand-1", &v);
+  tmx_buf_free(&v);
+  assert_true(pump(two_members, NULL));
+  strcpy(w.id, "n-000002");
+  send_report(&r, "a machine of another controller");
+  assert_string_equal(w.move_to, "hand-1");
+  strcpy(w.id, "n-000006");
+  w.token = 1ull << 40;
+  send_report(&r, "a newer owner's token was seen");
+  assert_string_equal(w.move_to, "");
+  recording_check(&r, "report-answers-elsewhere.txt");
+}
+
+int main(void) {
+  const struct CMUnitTest t[] = {
+      cmocka_unit_test_setup_teardown(answers_to_users, setup, teardown),
+      cmocka_unit_test_setup_teardown(direct_commands, setup, teardown),
+      cmocka_unit_test_setup_teardown(answers_to_reports, setup, teardown),
+      cmocka_unit_test_setup_teardown(answers_that_send_elsewhere, setup, teardown),
+  };
+  setenv("LOG_LEVEL", "error", 0);
+  tmx_log_init("test");
+  if (getenv("TMX_TEST")) cmocka_set_test_filter(getenv("TMX_TEST")); /* one of them, by hand */
+  return cmocka_run_group_tests(t, NULL, NULL);
+}
