--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -262,11 +262,56 @@
   recording_check(&r, "store-commits.txt");
 }
 
+/* Ids of awaited jobs, and then machine types, that find no room in a record. */
+static void submit_with_long_lists(void) {
+  struct tmx_buf awaits = {0}, types = {0}, body = {0};
+  char id[TMX_ID_MAX];
+  tmx_w_list(&awaits, 20);
+  for (unsigned i = 0; i < 20; i++) {
+    snprintf(id, sizeof id, "wk-1%05u", i);
+    assert_int_equal(submit(a, id, WV_ARRAY, 1, 1, "t"), 201);
+    tmx_w_str(&awaits, id);
+  }
+  tmx_w_list(&types, 30);
+  for (unsigned i = 0; i < 30; i++) {
+    snprintf(id, sizeof id, i ? "type-with-a-long-name-%02u" : "big", i);
+    tmx_w_str(&types, id);
+  }
+  struct fake_job job = {
+      .id = "wk-000001", .team = "t", .tasks = 1, .cpus = 1, .awaits = &awaits, .types = &types};
+  submission_of(&body, &job);
+  assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 201);
+  tmx_buf_free(&awaits);
+  tmx_buf_free(&types);
+  tmx_buf_free(&body);
+}
+
+static void commits_of_long_lists(void **st) {
+  (void)st;
+  struct recording r = {0};
+  begin();
+  a->set.value_kb = 1.2;
+  submit_with_long_lists();
+  record_commit(&r, "ids that found no room in the record follow in lines", "w wk-000001");
+  a->set.value_kb = 0.5; /* lowered meanwhile: its page has no room for all types */
+  tmx_fold_above(a->fold, 0);
+  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
+  const struct exchange *x = relay_wait(&store, NULL, "POST /commit", "y wk-000001");
+  record_line(&r, "== pages with types and ids in lines");
+  record_http(&r, "> ", x->request.p, x->request.n);
+  assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
+  x = relay_wait(&store, x, "POST /commit", "t/job/wk-000001");
+  record_line(&r, "== its final state is cut down");
+  record_http(&r, "> ", x->request.p, x->request.n);
+  recording_check(&r, "store-long-lists.txt");
+}
+
 int main(void) {
   const struct CMUnitTest t[] = {
       cmocka_unit_test_setup_teardown(calls_to_the_cloud, setup, teardown),
       cmocka_unit_test_setup_teardown(calls_at_the_start, setup, teardown),
       cmocka_unit_test_setup_teardown(commits, setup, teardown),
+      cmocka_unit_test_setup_teardown(commits_of_long_lists, setup, teardown),
   };
   setenv("LOG_LEVEL", "error", 0);
   tmx_log_init("test");
--- a/tests/test_wire_format.c
+++ b/tests/test_wire_format.c
@@ -9,6 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "admission/admission.h"
 #include "net/log.h"
 #include "tmx/wire.h"
 
@@ -163,6 +164,27 @@
   recording_check(&r, "user-answers.txt");
 }
 
+static void with_admission(struct tmx_settings *s) {
+  char err[128];
+  s->op.admission.enabled = true;
+  s->op.admission.backlog_s = 10;
+  s->op.admission.capacity_cpus = 16;
+  assert_true(tmx_admission_resolve(s, err, sizeof err));
+}
+
+/* Retry-After grows with the backlog, up to 20 s, and is spread by as much as half. */
+static void answer_of_admission(void **st) {
+  (void)st;
+  struct recording r = {.retry_from = 1, .retry_to = 30};
+  fake_adjust = with_admission;
+  begin();
+  /* 90 s of the machine each */
+  ask(&r, "a class without work", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  ask(&r, "more of its class", "POST /v2/runs", SUBMISSION("wk-000002", "t", "2.0"));
+  ask(&r, "what was refused is not known", "GET /v2/runs/wk-000002", NULL);
+  recording_check(&r, "admission-answers.txt");
+}
+
 /* ------------------------------------------------------------ workers */
 
 static void send_report(struct recording *r, const char *title) {
@@ -300,6 +322,7 @@
 int main(void) {
   const struct CMUnitTest t[] = {
       cmocka_unit_test_setup_teardown(answers_to_users, setup, teardown),
+      cmocka_unit_test_setup_teardown(answer_of_admission, setup, teardown),
       cmocka_unit_test_setup_teardown(direct_commands, setup, teardown),
       cmocka_unit_test_setup_teardown(answers_to_reports, setup, teardown),
       cmocka_unit_test_setup_teardown(answers_that_send_elsewhere, setup, teardown),
