--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "admission/admission.h"
-#include "state/replica.h"
+#include "admission/admission_policy.h"
+#include "replica/replica.h"
 
 enum { ENTRIES_MAX = 2000, JOBS_MAX = 512, TEAMS = 3, CLASSES = 40 };
 
 struct entry { /* of the log */
   char key[64];
-  struct tmx_buf value;
+  struct tmx_buffer value;
 };
 struct copy { /* a replica with its accounts */
   struct tmx_replica replica;
@@ -36,7 +36,7 @@
 }
 
 static void read_entry(struct copy *copy, const struct entry *entry, size_t at) {
-  cbor_item_t *value = tmx_cbor_parse(entry->value.p, entry->value.n);
+  cbor_item_t *value = tmx_cbor_parse(entry->value.data, entry->value.length);
   tmx_replica_apply(&copy->replica, entry->key, at + 1, value);
   tmx_cbor_free(value);
 }
@@ -52,19 +52,19 @@
 }
 
 static void commit_line(struct history *h, const char *line) {
-  struct tmx_buf list = {0};
+  struct tmx_buffer list = {0};
   char key[64];
-  tmx_w_str(&list, line);
-  snprintf(key, sizeof key, TMX_K_BATCH "h/%zu", h->n_entries);
-  tmx_lines_encode(&append(h, key)->value, NULL, 0, &list, 1);
-  tmx_buf_free(&list);
+  tmx_cbor_put_text(&list, line);
+  snprintf(key, sizeof key, TMX_KEY_BATCH "h/%zu", h->n_entries);
+  tmx_log_value_encode(&append(h, key)->value, NULL, 0, &list, 1);
+  tmx_buffer_free(&list);
   committed(h);
 }
 
 /* ------------------------------------------------------------ steps */
 
-static struct tmx_spec make_spec(uint32_t step) {
-  struct tmx_spec spec = {.cpus = 1 + step % 4, .mem = 1, .priority = TMX_PRIO_NORMAL};
+static struct tmx_job_spec make_spec(uint32_t step) {
+  struct tmx_job_spec spec = {.cpus = 1 + step % 4, .mem_gb = 1, .priority = TMX_PRIORITY_NORMAL};
   uint32_t class_number = step / 7 % CLASSES;
   spec.tasks = step % 11 ? 1 + step / 13 % 12 : 1 + step % 3000;
   spec.estimate_s = step / 17 % 60;
@@ -81,12 +81,12 @@
 }
 
 static double smallest_reserve(const struct history *h) {
-  const struct tmx_admission_settings *own = &h->settings.op.admission;
+  const struct tmx_admission_settings *own = &h->settings.operators.admission;
   double parties = (double)(h->live.backlog.n_listed + 1);
   return own->backlog_s * pow(own->reserve, 3) / TEAMS / parties / TMX_HASHED_ACCOUNTS;
 }
 
-static void judge(struct history *h, const struct tmx_spec *spec, const char *id) {
+static void judge(struct history *h, const struct tmx_job_spec *spec, const char *id) {
   struct tmx_candidate x = {.team = tmx_team_index(&h->settings, spec->team),
                             .account = tmx_backlog_account(&h->live.backlog, spec->class),
                             .load = tmx_load_of(spec, spec->tasks)};
@@ -103,11 +103,11 @@
   }
   if (newcomer) h->allowance += charge;
   char key[64];
-  snprintf(key, sizeof key, TMX_K_JOB "%s", id);
-  tmx_job_encode(&append(h, key)->value, id, spec, 100, TMX_OPEN);
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
+  tmx_job_encode(&append(h, key)->value, id, spec, 100, TMX_JOB_OPEN);
   committed(h);
   h->n_jobs++;
-  double limit = h->settings.op.admission.backlog_s + h->allowance;
+  double limit = h->settings.operators.admission.backlog_s + h->allowance;
   h->report.over_bound += sum(h) > limit + 1e-6;
 }
 
@@ -120,28 +120,29 @@
 
 static void move_task(struct history *h, struct tmx_job *job, uint32_t step) {
   char line[TMX_LINE_MAX];
-  if (!job || job->fin || !job->tasks) return;
+  if (!job || job->outcome || !job->tasks) return;
   uint32_t index = step / 3 % job->spec.tasks;
   const struct tmx_task *task = &job->tasks[index];
-  struct tmx_op op = {.op = TMX_OP_PLACE, .task = index, .attempt = task->attempt + 1};
+  struct tmx_operation op = {
+      .kind = TMX_OPERATION_PLACE, .task = index, .attempt = task->attempt + 1};
   if (task->state == TMX_TASK_DONE) return;
-  if (task->state == TMX_PLACED) {
-    op.op = TMX_OP_END;
+  if (task->state == TMX_TASK_PLACED) {
+    op.kind = TMX_OPERATION_END;
     op.attempt = task->attempt;
-    op.how = step % 5 && !job->spec.service ? TMX_END_DONE : TMX_END_LOST;
+    op.reason = step % 5 && !job->spec.service ? TMX_END_DONE : TMX_END_LOST;
   }
-  if (op.how == TMX_END_DONE && job->n_done + 1 == job->spec.tasks) return;
+  if (op.reason == TMX_END_DONE && job->n_done + 1 == job->spec.tasks) return;
   memcpy(op.job, job->id, sizeof op.job);
   strcpy(op.machine, "n-1");
-  tmx_op_print(line, sizeof line, &op);
+  tmx_operation_print(line, sizeof line, &op);
   commit_line(h, line);
 }
 
 static void cancel(struct history *h, struct tmx_job *job) {
   char key[64];
-  if (!job || job->fin) return;
-  snprintf(key, sizeof key, TMX_K_JOB "%s", job->id);
-  tmx_job_encode_final(&append(h, key)->value, job, TMX_FIN_CANCELLED, 0, 4000);
+  if (!job || job->outcome) return;
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", job->id);
+  tmx_job_encode_final(&append(h, key)->value, job, TMX_JOB_CANCELLED, 0, 4000);
   committed(h);
 }
 
@@ -150,7 +151,7 @@
   uint32_t kind = step % 16, rest = step / 16;
   if (h->n_entries + 1 >= ENTRIES_MAX) return;
   if (kind < 9 && h->n_jobs < JOBS_MAX) {
-    struct tmx_spec spec = make_spec(rest);
+    struct tmx_job_spec spec = make_spec(rest);
     snprintf(id, sizeof id, "wk-%06u", h->n_jobs);
     judge(h, &spec, id);
   } else if (kind < 15) {
@@ -175,7 +176,7 @@
 
 /* Reads the latest value of every key, in the order of a load; ends as of that revision. */
 static void load(const struct history *h, struct copy *copy, size_t n) {
-  struct tmx_item *items = calloc(n + 1, sizeof *items);
+  struct tmx_store_entry *items = calloc(n + 1, sizeof *items);
   cbor_item_t **values = calloc(n + 1, sizeof(cbor_item_t *));
   size_t n_items = 0;
   if (!items || !values) abort();
@@ -184,27 +185,27 @@
     for (size_t k = i + 1; latest && k < n; k++)
       latest = strcmp(h->entries[i].key, h->entries[k].key) != 0;
     if (!latest) continue;
-    values[n_items] = tmx_cbor_parse(h->entries[i].value.p, h->entries[i].value.n);
-    items[n_items] = (struct tmx_item){(char *)h->entries[i].key, i + 1, values[n_items]};
+    values[n_items] = tmx_cbor_parse(h->entries[i].value.data, h->entries[i].value.length);
+    items[n_items] = (struct tmx_store_entry){(char *)h->entries[i].key, i + 1, values[n_items]};
     n_items++;
   }
   open_copy(copy, &h->settings);
-  copy->replica.load_until = n;
+  copy->replica.load_revision = n;
   tmx_replica_load(&copy->replica, items, n_items);
-  tmx_replica_reached(&copy->replica, n);
+  tmx_replica_advance_to(&copy->replica, n);
   for (size_t i = 0; i < n_items; i++) tmx_cbor_free(values[i]);
   free(items);
   free(values);
 }
 
-static void add_page_line(struct tmx_buf *list, size_t *n, const char *line) {
-  tmx_w_str(list, line);
+static void add_page_line(struct tmx_buffer *list, size_t *n, const char *line) {
+  tmx_cbor_put_text(list, line);
   ++*n;
 }
 
 /* A replica that reads nothing but pages of the live one, and final states. */
 static void load_folded(const struct history *h, struct copy *copy) {
-  struct tmx_buf jobs = {0}, list = {0}, page = {0};
+  struct tmx_buffer jobs = {0}, list = {0}, page = {0};
   size_t n_jobs = 0, n = 0;
   char line[TMX_LINE_MAX];
   struct tmx_job *job, *next;
@@ -212,46 +213,47 @@
   tmx_machine_print(line, sizeof line, &h->live.replica, machine);
   add_page_line(&list, &n, line);
   HASH_ITER(hh, h->live.replica.jobs, job, next) {
-    if (job->fin) continue;
-    tmx_job_encode(&jobs, job->id, &job->spec, job->submitted, TMX_OPEN);
+    if (job->outcome) continue;
+    tmx_job_encode(&jobs, job->id, &job->spec, job->submitted_at, TMX_JOB_OPEN);
     n_jobs++;
     for (uint32_t at = 0; at < job->spec.tasks;) {
       int len;
-      at += tmx_run_print(line, sizeof line, job, at, &len);
+      at += tmx_task_run_print(line, sizeof line, job, at, &len);
       if (len) add_page_line(&list, &n, line);
     }
   }
-  tmx_lines_encode(&page, &jobs, n_jobs, &list, n);
-  cbor_item_t *value = tmx_cbor_parse(page.p, page.n);
-  struct tmx_item item = {TMX_K_PAGE "0000000000000000/00000", 1, value};
+  tmx_log_value_encode(&page, &jobs, n_jobs, &list, n);
+  cbor_item_t *value = tmx_cbor_parse(page.data, page.length);
+  struct tmx_store_entry item = {TMX_KEY_PAGE "0000000000000000/00000", 1, value};
   open_copy(copy, &h->settings);
-  copy->replica.load_until = 1;
+  copy->replica.load_revision = 1;
   tmx_replica_load(&copy->replica, &item, 1);
-  tmx_replica_reached(&copy->replica, 1);
+  tmx_replica_advance_to(&copy->replica, 1);
   tmx_cbor_free(value);
-  tmx_buf_free(&jobs);
-  tmx_buf_free(&list);
-  tmx_buf_free(&page);
+  tmx_buffer_free(&jobs);
+  tmx_buffer_free(&list);
+  tmx_buffer_free(&page);
 }
 
 static void open_history(struct history *h) {
-  struct tmx_settings *s = &h->settings;
+  struct tmx_settings *settings = &h->settings;
   char err[128];
-  *s = (struct tmx_settings){.n_teams = TEAMS, .write_rps = 1000, .value_kb = 16, .ram_mb = 4096};
-  tmx_operator_defaults(&s->op);
-  s->op.admission.enabled = true;
-  s->op.admission.backlog_s = 200;
-  for (int i = 0; i < TEAMS; i++) snprintf(s->teams[i].name, TMX_NAME_MAX, "team-%d", i);
-  strcpy(s->objectives[0].class_name, "class-0");
-  strcpy(s->objectives[1].class_name, "class-20");
-  s->n_objectives = 2;
-  strcpy(s->zones[0], "a");
-  s->n_zones = 1;
-  if (!tmx_admission_resolve(s, err, sizeof err)) abort();
+  *settings =
+      (struct tmx_settings){.n_teams = TEAMS, .write_rps = 1000, .value_kb = 16, .ram_mb = 4096};
+  tmx_operator_defaults(&settings->operators);
+  settings->operators.admission.enabled = true;
+  settings->operators.admission.backlog_s = 200;
+  for (int i = 0; i < TEAMS; i++) snprintf(settings->teams[i].name, TMX_NAME_MAX, "team-%d", i);
+  strcpy(settings->objectives[0].class_name, "class-0");
+  strcpy(settings->objectives[1].class_name, "class-20");
+  settings->n_objectives = 2;
+  strcpy(settings->zones[0], "a");
+  settings->n_zones = 1;
+  if (!tmx_admission_resolve(settings, err, sizeof err)) abort();
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
-  h->rates = tmx_admission_rates(s, &machines, &machines);
-  open_copy(&h->live, s);
-  tmx_replica_reached(&h->live.replica, 0);
+  h->rates = tmx_admission_rates(settings, &machines, &machines);
+  open_copy(&h->live, settings);
+  tmx_replica_advance_to(&h->live.replica, 0);
   commit_line(h, "m n-1 127.0.0.1:1 big a 0 0");
 }
 
@@ -280,7 +282,7 @@
   h->report.folded_replica_differs = differs(h, copy);
   struct admission_report report = h->report;
   tmx_replica_clear(&h->live.replica);
-  for (size_t i = 0; i < h->n_entries; i++) tmx_buf_free(&h->entries[i].value);
+  for (size_t i = 0; i < h->n_entries; i++) tmx_buffer_free(&h->entries[i].value);
   free(copy);
   free(h);
   return report;
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -13,8 +13,8 @@
 #include "cluster/nodes.h"
 #include "cluster/users.h"
 #include "cluster/workers.h"
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 enum { MACHINE_CPUS = 16, TROUBLES_MAX = 16, SPARE_CONNECTIONS = 16 };
@@ -29,27 +29,27 @@
 static bool submitting;
 static unsigned state_commits, state_reads;
 
-static void adjust(struct tmx_settings *s) {
+static void adjust(struct tmx_settings *settings) {
   static const char *const teams[] = {"t", "u", "v"};
   static const char *const listed[] = {"small", "tally", "refresh", "live"};
-  s->n_teams = sizeof teams / sizeof *teams;
-  for (size_t i = 0; i < s->n_teams; i++) {
-    memset(&s->teams[i], 0, sizeof s->teams[i]);
-    strcpy(s->teams[i].name, teams[i]);
+  settings->n_teams = sizeof teams / sizeof *teams;
+  for (size_t i = 0; i < settings->n_teams; i++) {
+    memset(&settings->teams[i], 0, sizeof settings->teams[i]);
+    strcpy(settings->teams[i].name, teams[i]);
   }
-  s->n_objectives = sizeof listed / sizeof *listed;
-  for (size_t i = 0; i < s->n_objectives; i++) {
-    strcpy(s->objectives[i].kind, "served");
-    strcpy(s->objectives[i].class_name, listed[i]);
+  settings->n_objectives = sizeof listed / sizeof *listed;
+  for (size_t i = 0; i < settings->n_objectives; i++) {
+    strcpy(settings->objectives[i].kind, "served");
+    strcpy(settings->objectives[i].class_name, listed[i]);
   }
-  s->report_s = report_s;
-  s->lease_s = 42;
-  s->cancel_s = 62;
-  s->state_rps = 200;
-  s->write_rps = 40;
-  s->sockets = 5000;
-  s->core_share = 0.096;
-  s->ram_mb = 162;
+  settings->report_s = report_s;
+  settings->lease_s = 42;
+  settings->cancel_s = 62;
+  settings->state_rps = 200;
+  settings->write_rps = 40;
+  settings->sockets = 5000;
+  settings->core_share = 0.096;
+  settings->ram_mb = 162;
 }
 
 /* Twice what the machines can serve, say, of which one team asks for most, in small jobs. */
@@ -79,22 +79,23 @@
 
 /* ------------------------------------------------------------ history of commits */
 
-static void on_op(void *arg, const struct tmx_op *op) {
+static void on_op(void *arg, const struct tmx_operation *op) {
   char task[TMX_LINE_MAX];
   (void)arg;
-  if (op->op != TMX_OP_PLACE) return;
+  if (op->kind != TMX_OPERATION_PLACE) return;
   snprintf(task, sizeof task, "%s/%u", op->job, op->task);
   history_placed(task, op->attempt, op->machine);
 }
 
 static void on_written(const char *key, const uint8_t *value, size_t len) {
   char line[TMX_LINE_MAX];
-  if (strncmp(key, TMX_K_BATCH, strlen(TMX_K_BATCH))) return;
-  cbor_item_t *m = tmx_cbor_parse(value, len);
-  const cbor_item_t *ops = tmx_r_get(m, "ops");
-  for (size_t i = 0; i < tmx_r_len(ops); i++)
-    if (tmx_r_str(tmx_r_at(ops, i), line, sizeof line)) tmx_ops_each(line, on_op, NULL);
-  tmx_cbor_free(m);
+  if (strncmp(key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) return;
+  cbor_item_t *map = tmx_cbor_parse(value, len);
+  const cbor_item_t *ops = tmx_cbor_get(map, "ops");
+  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++)
+    if (tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line))
+      tmx_log_line_each_operation(line, on_op, NULL);
+  tmx_cbor_free(map);
 }
 
 /* ------------------------------------------------------------ running */
@@ -114,19 +115,20 @@
   (void)l;
   (void)t;
   (void)events;
-  double now = tmx_now(), dt = last ? now - last : 0;
+  double now = tmx_clock_steady(), dt = last ? now - last : 0;
   last = now;
   begin_troubles(now);
   nodes_tick();
-  fake_end_leases();
+  fake_enforce_leases();
   workers_step(now, dt);
   if (submitting && now - begun_at > quiet_s) users_submit(dt);
   users_step(now);
 }
 
 static void go_on(double s) { /* longer than one pump */
-  double until = tmx_now() + s;
-  while (tmx_now() < until) pump_for(until - tmx_now() < 5 ? until - tmx_now() : 5);
+  double until = tmx_clock_steady() + s;
+  while (tmx_clock_steady() < until)
+    run_loop_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
 }
 
 static void show(const char *when, double over) {
@@ -138,16 +140,16 @@
     double mb = 0, peak = 0, cpu = node[k].pid ? node_used(k, &mb, &peak) : 0;
     printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu) / over, mb, peak);
     node[k].cpu = cpu;
-    reads += state.doors[k].reads;
+    reads += fake_store.endpoints[k].reads;
   }
   printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", u.accepted, u.refused,
          u.answered, u.asked, w.finished);
   printf(
       "  | slowest report %.2f s, accepted submission %.2f s; state: %.1f commits, %.1f reads a "
       "second\n",
-      w.slowest_report, u.slowest_submission, (state.commits - state_commits) / over,
+      w.slowest_report, u.slowest_submission, (fake_store.commits - state_commits) / over,
       (reads - state_reads) / over);
-  state_commits = state.commits;
+  state_commits = fake_store.commits;
   state_reads = reads;
   fflush(stdout);
 }
@@ -180,7 +182,9 @@
   submitting = false;
   go_on(settle_s);
   users_ask_all();
-  for (double until = tmx_now() + final_s; tmx_now() < until && !users_all_told();) pump_for(0.5);
+  for (double until = tmx_clock_steady() + final_s;
+       tmx_clock_steady() < until && !users_all_told();)
+    run_loop_for(0.5);
 }
 
 static void read_options(int argc, const char **argv) {
@@ -227,12 +231,12 @@
   setenv("LOG_LEVEL", "error", 0);
   cluster_rng = gsl_rng_alloc(gsl_rng_mt19937);
   gsl_rng_set(cluster_rng, (unsigned long)seed);
-  fake_open();
-  fake_written = on_written;
+  fake_start();
+  fake_on_write = on_written;
   history_open(history_path);
   users_open(surge > 0 ? surge_kinds() : steady_kinds(), nodes);
   nodes_open(nodes, operator_config, adjust, machines + SPARE_CONNECTIONS);
-  begun_at = tmx_now();
+  begun_at = tmx_clock_steady();
   workers_open(&(struct workers_setup){.machines = machines,
                                        .nodes = nodes,
                                        .report_s = report_s,
@@ -241,7 +245,7 @@
                                        .on_begin = users_task_began});
   ev_timer t;
   ev_timer_init(&t, on_step, 0, step_s);
-  ev_timer_start(loop, &t);
+  ev_timer_start(test_loop, &t);
   submitting = true;
   if (surge > 0)
     run_surge();
--- a/tests/cluster/nodes.h
+++ b/tests/cluster/nodes.h
@@ -12,12 +12,12 @@
   double back_at; /* when it is started again, or goes on; 0: not due */
   bool paused;
   double cpu; /* s, when it was last looked at */
-  struct tmx_client *users, *reports;
+  struct tmx_http_client *users, *reports;
 };
 extern struct node node[FAKE_NODES];
 
 /* operator_config: TOML; NULL: none. adjust: changes the settings of every controller. */
-void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *s),
+void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *settings),
                 int connections);
 void node_begin(int k);
 void nodes_close(void); /* ends the processes */
--- a/tests/recording.c
+++ b/tests/recording.c
@@ -267,29 +267,29 @@
 
 /* ------------------------------------------------------------ JSON */
 
-static void add_head(struct tmx_buf *b, unsigned major, uint64_t v) {
+static void add_head(struct tmx_buffer *b, unsigned major, uint64_t v) {
   uint8_t head[9];
   int width = v < 24 ? 0 : v <= UINT8_MAX ? 1 : v <= UINT16_MAX ? 2 : v <= UINT32_MAX ? 4 : 8;
   int info = width == 0 ? (int)v : width == 1 ? 24 : width == 2 ? 25 : width == 4 ? 26 : 27;
   head[0] = (uint8_t)(major << 5 | (unsigned)info);
   for (int i = 0; i < width; i++) head[1 + i] = (uint8_t)(v >> 8 * (width - 1 - i));
-  tmx_buf_add(b, head, (size_t)width + 1);
+  tmx_buffer_append(b, head, (size_t)width + 1);
 }
 
-static void add_json_text(struct tmx_buf *b, const char *s) {
+static void add_json_text(struct tmx_buffer *b, const char *s) {
   add_head(b, 3, strlen(s));
-  tmx_buf_add(b, s, strlen(s));
+  tmx_buffer_append(b, s, strlen(s));
 }
 
-static void add_json_number(struct tmx_buf *b, double v) {
+static void add_json_number(struct tmx_buffer *b, double v) {
   uint64_t bits;
   uint8_t out[9] = {0xfb};
   memcpy(&bits, &v, sizeof bits);
   for (int i = 0; i < 8; i++) out[1 + i] = (uint8_t)(bits >> 8 * (7 - i));
-  tmx_buf_add(b, out, sizeof out);
+  tmx_buffer_append(b, out, sizeof out);
 }
 
-static void add_json(struct tmx_buf *b, json_t *j) {
+static void add_json(struct tmx_buffer *b, json_t *j) {
   const char *key;
   json_t *value;
   size_t i;
@@ -313,7 +313,7 @@
   }
 }
 
-void encode_json(struct tmx_buf *b, const char *json) {
+void encode_json(struct tmx_buffer *b, const char *json) {
   json_error_t err;
   json_t *j = json_loads(json, 0, &err);
   if (!j) fail_msg("%s", err.text);
--- a/tests/recording.h
+++ b/tests/recording.h
@@ -30,5 +30,5 @@
  * the build directory if it differs. */
 void recording_check(struct recording *r, const char *file);
 /* A JSON text as CBOR: integers as such, numbers with a point as doubles, keys in their order. */
-void encode_json(struct tmx_buf *b, const char *json);
+void encode_json(struct tmx_buffer *b, const char *json);
 #endif
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -23,7 +23,7 @@
   struct sockaddr_in at;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   assert_true(fd >= 0);
-  assert_true(tmx_parse_addr(address, &at));
+  assert_true(tmx_parse_address(address, &at));
   assert_int_equal(connect(fd, (struct sockaddr *)&at, sizeof at), 0);
   return fd;
 }
@@ -39,8 +39,8 @@
 /* ------------------------------------------------------------ relay */
 
 static void link_close(struct relay_link *l) {
-  ev_io_stop(loop, &l->from_near);
-  ev_io_stop(loop, &l->from_far);
+  ev_io_stop(test_loop, &l->from_near);
+  ev_io_stop(test_loop, &l->from_far);
   close(l->near);
   close(l->far);
   DL_DELETE(l->relay->links, l);
@@ -49,7 +49,7 @@
 
 /* Requests are not pipelined: one that comes after an answer has begun is the next. */
 static struct exchange *exchange_at(struct relay_link *l) {
-  if (l->now && !l->now->answer.n) return l->now;
+  if (l->now && !l->now->answer.length) return l->now;
   struct exchange *x = calloc(1, sizeof *x);
   assert_non_null(x);
   if (l->relay->last)
@@ -78,7 +78,7 @@
     link_close(l);
     return;
   }
-  tmx_buf_add(&exchange_at(l)->request, in, (size_t)k);
+  tmx_buffer_append(&exchange_at(l)->request, in, (size_t)k);
   send_all(l->far, in, (size_t)k);
 }
 
@@ -93,7 +93,7 @@
     link_close(l);
     return;
   }
-  if (l->now) tmx_buf_add(&l->now->answer, in, (size_t)k);
+  if (l->now) tmx_buffer_append(&l->now->answer, in, (size_t)k);
   send_all(l->near, in, (size_t)k);
 }
 
@@ -130,18 +130,18 @@
   snprintf(r->address, sizeof r->address, "127.0.0.1:%d", ntohs(at.sin_port));
   ev_io_init(&r->accept, on_accept, r->fd, EV_READ);
   r->accept.data = r;
-  ev_io_start(loop, &r->accept);
+  ev_io_start(test_loop, &r->accept);
 }
 
 void exchange_free(struct exchange *x) {
-  tmx_buf_free(&x->request);
-  tmx_buf_free(&x->answer);
+  tmx_buffer_free(&x->request);
+  tmx_buffer_free(&x->answer);
 }
 
 void relay_close(struct relay *r) {
   if (!r->address[0]) return;
   while (r->links) link_close(r->links);
-  ev_io_stop(loop, &r->accept);
+  ev_io_stop(test_loop, &r->accept);
   close(r->fd);
   for (struct exchange *x = r->first, *next; x; x = next) {
     next = x->next;
@@ -151,11 +151,11 @@
   memset(r, 0, sizeof *r);
 }
 
-bool http_complete(const struct tmx_buf *m) {
-  const char *body = m->n ? memmem(m->p, m->n, "\r\n\r\n", 4) : NULL;
-  const char *length = m->n ? memmem(m->p, m->n, "Content-Length: ", 16) : NULL;
+bool http_complete(const struct tmx_buffer *m) {
+  const char *body = m->length ? memmem(m->data, m->length, "\r\n\r\n", 4) : NULL;
+  const char *length = m->length ? memmem(m->data, m->length, "Content-Length: ", 16) : NULL;
   if (!body || !length) return false;
-  return m->n == (size_t)(body + 4 - (const char *)m->p) + strtoul(length + 16, NULL, 10);
+  return m->length == (size_t)(body + 4 - (const char *)m->data) + strtoul(length + 16, NULL, 10);
 }
 
 struct wanted {
@@ -167,10 +167,10 @@
 static bool is_found(void *arg) {
   struct wanted *w = arg;
   for (const struct exchange *x = w->after ? w->after->next : w->relay->first; x; x = x->next) {
-    const struct tmx_buf *q = &x->request;
+    const struct tmx_buffer *q = &x->request;
     if (!http_complete(q) || !http_complete(&x->answer)) continue;
-    if (q->n < strlen(w->start) || memcmp(q->p, w->start, strlen(w->start))) continue;
-    if (w->part && !memmem(q->p, q->n, w->part, strlen(w->part))) continue;
+    if (q->length < strlen(w->start) || memcmp(q->data, w->start, strlen(w->start))) continue;
+    if (w->part && !memmem(q->data, q->length, w->part, strlen(w->part))) continue;
     w->found = x;
     return true;
   }
@@ -180,7 +180,8 @@
 const struct exchange *relay_wait(struct relay *r, const struct exchange *after, const char *start,
                                   const char *part) {
   struct wanted w = {.relay = r, .after = after, .start = start, .part = part};
-  if (!pump(is_found, &w)) fail_msg("no request %s with %s", start, part ? part : "anything");
+  if (!run_loop_until(is_found, &w))
+    fail_msg("no request %s with %s", start, part ? part : "anything");
   return w.found;
 }
 
@@ -189,7 +190,7 @@
 struct raw {
   int fd;
   ev_io readable;
-  struct tmx_buf *answer;
+  struct tmx_buffer *answer;
   bool closed;
 };
 
@@ -201,7 +202,7 @@
   ssize_t k = receive(c->fd, in, sizeof in);
   if (k < 0) return;
   if (k)
-    tmx_buf_add(c->answer, in, (size_t)k);
+    tmx_buffer_append(c->answer, in, (size_t)k);
   else
     c->closed = true;
 }
@@ -211,26 +212,26 @@
   return c->closed || http_complete(c->answer);
 }
 
-void raw_call(const char *address, const void *request, size_t n, struct tmx_buf *answer) {
+void raw_call(const char *address, const void *request, size_t n, struct tmx_buffer *answer) {
   struct raw c = {.fd = connect_to(address), .answer = answer};
   ev_io_init(&c.readable, on_raw, c.fd, EV_READ);
   c.readable.data = &c;
-  ev_io_start(loop, &c.readable);
+  ev_io_start(test_loop, &c.readable);
   send_all(c.fd, request, n);
-  assert_true(pump(raw_done, &c));
-  ev_io_stop(loop, &c.readable);
+  assert_true(run_loop_until(raw_done, &c));
+  ev_io_stop(test_loop, &c.readable);
   close(c.fd);
   assert_true(http_complete(answer));
 }
 
-void raw_request(const char *address, const char *line, const struct tmx_buf *body,
+void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
                  struct exchange *out) {
   char head[512];
   int n =
       snprintf(head, sizeof head, "%s HTTP/1.1\r\nHost: tallymux\r\nContent-Length: %zu\r\n\r\n",
-               line, body ? body->n : 0);
+               line, body ? body->length : 0);
   memset(out, 0, sizeof *out);
-  tmx_buf_add(&out->request, head, (size_t)n);
-  if (body && body->n) tmx_buf_add(&out->request, body->p, body->n);
-  raw_call(address, out->request.p, out->request.n, &out->answer);
+  tmx_buffer_append(&out->request, head, (size_t)n);
+  if (body && body->length) tmx_buffer_append(&out->request, body->data, body->length);
+  raw_call(address, out->request.data, out->request.length, &out->answer);
 }
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -5,7 +5,7 @@
 #include "fake.h"
 
 struct exchange { /* one request, and the answer to it */
-  struct tmx_buf request, answer;
+  struct tmx_buffer request, answer;
   struct exchange *next;
 };
 struct relay {
@@ -23,10 +23,10 @@
 const struct exchange *relay_wait(struct relay *r, const struct exchange *after, const char *start,
                                   const char *part);
 /* Sends a request on a connection of its own and waits for the whole answer. */
-void raw_call(const char *address, const void *request, size_t n, struct tmx_buf *answer);
+void raw_call(const char *address, const void *request, size_t n, struct tmx_buffer *answer);
 /* ... one with this request line and a body of CBOR, which may be NULL; both are returned. */
-void raw_request(const char *address, const char *line, const struct tmx_buf *body,
+void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
                  struct exchange *out);
 void exchange_free(struct exchange *x);
-bool http_complete(const struct tmx_buf *message);
+bool http_complete(const struct tmx_buffer *message);
 #endif
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 #include "admission/shares.h"
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
 /* ------------------------------------------------------------ shares and accounts */
@@ -27,15 +27,15 @@
 
 static struct tmx_settings platform(void) {
   struct tmx_settings s = {.n_teams = 2, .write_rps = 1000, .value_kb = 16, .ram_mb = 128};
-  tmx_operator_defaults(&s.op);
+  tmx_operator_defaults(&s.operators);
   strcpy(s.teams[0].name, "t");
   strcpy(s.teams[1].name, "u");
   strcpy(s.objectives[0].class_name, "c");
   strcpy(s.objectives[1].class_name, "d");
   strcpy(s.objectives[2].class_name, "c");
   s.n_objectives = 3;
-  s.op.admission.enabled = true;
-  s.op.admission.backlog_s = 100;
+  s.operators.admission.enabled = true;
+  s.operators.admission.backlog_s = 100;
   char err[128];
   assert_true(tmx_admission_resolve(&s, err, sizeof err));
   return s;
@@ -64,7 +64,7 @@
 
 static void absurd_numbers_do_not_overflow(void **st) {
   (void)st;
-  struct tmx_spec huge = {.cpus = 1e300, .gpus = 1e308, .mem = 1e308, .estimate_s = 1e308};
+  struct tmx_job_spec huge = {.cpus = 1e300, .gpus = 1e308, .mem_gb = 1e308, .estimate_s = 1e308};
   struct tmx_load sum = {{0}};
   huge.tasks = TMX_TASKS_MAX;
   struct tmx_load one = tmx_load_of(&huge, huge.tasks);
@@ -95,13 +95,13 @@
 
 static struct tmx_candidate candidate(const struct tmx_backlog *b, int team, const char *class_name,
                                       uint32_t tasks) {
-  struct tmx_spec spec = {.cpus = 1, .mem = 1, .estimate_s = 10, .tasks = tasks};
+  struct tmx_job_spec spec = {.cpus = 1, .mem_gb = 1, .estimate_s = 10, .tasks = tasks};
   return (struct tmx_candidate){.team = team,
                                 .account = tmx_backlog_account(b, class_name),
                                 .load = tmx_load_of(&spec, tasks)};
 }
 
-static unsigned admit_until_refused(const struct tmx_settings *s, struct tmx_backlog *b,
+static unsigned admit_until_refused(const struct tmx_settings *settings, struct tmx_backlog *b,
                                     const struct tmx_rates *rates, int team, const char *prefix,
                                     unsigned classes, uint32_t tasks) {
   char name[64];
@@ -109,7 +109,7 @@
   for (unsigned i = 0; refused < classes * 4 && i < 100000; i++) {
     snprintf(name, sizeof name, classes > 1 ? "%s-%u" : "%s", prefix, i % classes);
     struct tmx_candidate x = candidate(b, team, name, tasks);
-    if (tmx_admission_judge(s, b, NULL, rates, &x).verdict != TMX_ADMITTED) {
+    if (tmx_admission_judge(settings, b, NULL, rates, &x).verdict != TMX_ADMITTED) {
       refused++;
       continue;
     }
@@ -173,7 +173,7 @@
   struct tmx_backlog b;
   tmx_backlog_init(&b, &s);
   admit_until_refused(&s, &b, &before, 0, "c", 1, 4);
-  assert_true(tmx_total_seconds(&b, &after) > s.op.admission.backlog_s);
+  assert_true(tmx_total_seconds(&b, &after) > s.operators.admission.backlog_s);
   struct tmx_candidate more = candidate(&b, 0, "c", 1), newcomer = candidate(&b, 1, "c", 1);
   assert_int_equal(tmx_admission_judge(&s, &b, NULL, &after, &more).verdict, TMX_REFUSED_TEAM);
   assert_int_equal(tmx_admission_judge(&s, &b, NULL, &after, &newcomer).verdict, TMX_ADMITTED);
@@ -193,7 +193,7 @@
     tmx_load_add(&b.accounts[0][x.account].load, &x.load, 1);
     b.accounts[0][x.account].jobs++;
   }
-  s.op.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
+  s.operators.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
   struct tmx_rates expected = tmx_admission_rates(&s, &none, &one);
   struct tmx_candidate more = candidate(&b, 0, "c", 1);
   assert_int_equal(tmx_admission_judge(&s, &b, NULL, &expected, &more).verdict, TMX_REFUSED_TEAM);
@@ -206,20 +206,21 @@
   struct tmx_ruling little = {TMX_REFUSED_TEAM, 10.2, 10}, much = {TMX_REFUSED_TEAM, 1e9, 10};
   assert_true(tmx_admission_retry_s(&little) == 1);
   assert_true(tmx_admission_retry_s(&much) == TMX_ADMISSION_RETRY_MAX_S);
-  for (int i = 0; i < 100; i++) assert_in_range(tmx_gate_retry_after(&much), 20, 30);
+  for (int i = 0; i < 100; i++) assert_in_range(tmx_admission_control_retry_after(&much), 20, 30);
 }
 
 /* ------------------------------------------------------------ settings */
 
-static bool load_operator(struct tmx_settings *s, const char *text, char *err, size_t cap) {
+static bool load_operator(struct tmx_settings *settings, const char *text, char *err, size_t cap) {
   char path[] = "/tmp/tmx-operator-XXXXXX";
   int fd = mkstemp(path);
   FILE *f = fd >= 0 ? fdopen(fd, "w") : NULL;
   assert_non_null(f);
   fputs(text, f);
   fclose(f);
-  tmx_operator_defaults(&s->op);
-  bool ok = tmx_operator_load(&s->op, path, err, cap) && tmx_admission_resolve(s, err, cap);
+  tmx_operator_defaults(&settings->operators);
+  bool ok = tmx_operator_load(&settings->operators, path, err, cap) &&
+            tmx_admission_resolve(settings, err, cap);
   remove(path);
   return ok;
 }
@@ -255,81 +256,82 @@
   }
   assert_true(load_operator(&s, "[admission]\nenabled = true\n[admission.team_shares]\nt = 0.8\n",
                             err, sizeof err));
-  assert_true(s.op.admission.share[0] > 0.79 && s.op.admission.share[1] < 0.21);
+  assert_true(s.operators.admission.share[0] > 0.79 && s.operators.admission.share[1] < 0.21);
   assert_true(load_operator(&s, "headroom = 0.1\n", err, sizeof err));
-  assert_false(s.op.admission.enabled);
+  assert_false(s.operators.admission.enabled);
 }
 
 /* ------------------------------------------------------------ controllers */
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static unsigned next_job;
 
-static void with_admission(struct tmx_settings *s) {
-  s->n_teams = 2;
-  strcpy(s->teams[1].name, "u");
-  s->teams[1].cpus_max = 8;
-  strcpy(s->objectives[0].class_name, "c");
-  strcpy(s->objectives[1].class_name, "d");
-  s->n_objectives = 2;
-  s->op.admission.enabled = true;
-  s->op.admission.backlog_s = 100;
-  s->op.admission.capacity_cpus = 16; /* no machine is registered */
+static void with_admission(struct tmx_settings *settings) {
+  settings->n_teams = 2;
+  strcpy(settings->teams[1].name, "u");
+  settings->teams[1].cpus_max = 8;
+  strcpy(settings->objectives[0].class_name, "c");
+  strcpy(settings->objectives[1].class_name, "d");
+  settings->n_objectives = 2;
+  settings->operators.admission.enabled = true;
+  settings->operators.admission.backlog_s = 100;
+  settings->operators.admission.capacity_cpus = 16; /* no machine is registered */
   char err[128];
-  assert_true(tmx_admission_resolve(s, err, sizeof err));
+  assert_true(tmx_admission_resolve(settings, err, sizeof err));
 }
-static void without_admission(struct tmx_settings *s) {
-  with_admission(s);
-  s->op.admission.enabled = false;
+static void without_admission(struct tmx_settings *settings) {
+  with_admission(settings);
+  settings->operators.admission.enabled = false;
 }
-static struct tmx_ctl *begin(int k) {
-  struct tmx_ctl *c = controller(k, 2);
-  assert_true(pump(fake_ready, c));
-  return c;
+static struct tmx_controller *begin(int k) {
+  struct tmx_controller *controller = start_controller(k, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, controller));
+  return controller;
 }
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  fake_adjust = with_admission;
+  fake_start();
+  fake_adjust_settings = with_admission;
   a = begin(0);
   b = begin(1);
-  pump_for(0.5);
+  run_loop_for(0.5);
   next_job = 0;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
   a = b = NULL;
-  fake_close();
+  fake_stop();
   return 0;
 }
 
 /* 40 CPU seconds of the class: 2.5 s of the one machine that may be rented. */
-static int submit_some(struct tmx_ctl *c, const char *team, const char *class_name) {
+static int submit_some(struct tmx_controller *controller, const char *team,
+                       const char *class_name) {
   char id[TMX_ID_MAX];
   snprintf(id, sizeof id, "wk-%06u", ++next_job);
   struct fake_job job = {.id = id, .class = class_name, .team = team, .tasks = 4, .cpus = 1};
-  return submit_job(c, &job);
+  return submit_job(controller, &job);
 }
-static unsigned flood(struct tmx_ctl *c, const char *team, const char *class_name) {
+static unsigned flood(struct tmx_controller *controller, const char *team, const char *class_name) {
   unsigned n = 0;
   int status;
-  while ((status = submit_some(c, team, class_name)) == 201 && n < 200) n++;
+  while ((status = submit_some(controller, team, class_name)) == 201 && n < 200) n++;
   assert_int_equal(status, 503);
   return n;
 }
-static double backlog_of(const struct tmx_ctl *c) {
+static double backlog_of(const struct tmx_controller *controller) {
   struct tmx_rates one_per_s = {{1, 1, 1}};
-  return tmx_total_seconds(c->rep.backlog, &one_per_s);
+  return tmx_total_seconds(controller->replica.backlog, &one_per_s);
 }
 
 static void a_surge_at_one_controller_is_known_at_the_other(void **st) {
   (void)st;
   unsigned n = flood(a, "t", "c");
   assert_in_range(n, 5, 30);
-  pump_for(0.2);
+  run_loop_for(0.2);
   assert_int_equal(submit_some(b, "t", "c"), 503);
   assert_int_equal(submit_some(b, "t", "d"), 201); /* another class of the same team */
   assert_int_equal(submit_some(b, "u", "c"), 201); /* another team */
@@ -355,25 +357,27 @@
   (void)st;
   struct at_once x = {0};
   char addr[32], id[TMX_ID_MAX];
-  struct tmx_client *clients[2];
+  struct tmx_http_client *clients[2];
   for (int k = 0; k < 2; k++) {
-    snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_server_port((k ? b : a)->server));
-    clients[k] = tmx_client_new(loop, addr, AT_ONCE);
+    snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port((k ? b : a)->server));
+    clients[k] = tmx_http_client_new(test_loop, addr, AT_ONCE);
   }
   for (int i = 0; i < AT_ONCE; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     struct fake_job job = {.id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1};
-    struct tmx_buf body = {0};
-    submission_of(&body, &job);
-    assert_true(tmx_client_call(clients[i % 2], "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
-    tmx_buf_free(&body);
+    struct tmx_buffer body = {0};
+    encode_submission_of(&body, &job);
+    assert_true(
+        tmx_http_client_call(clients[i % 2], "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
+    tmx_buffer_free(&body);
   }
-  double sent_at = tmx_now();
-  assert_true(pump(all_answered, &x));
-  assert_true(tmx_now() - sent_at < 1); /* refused as soon as it is known, not when time is up */
-  pump_for(0.2);
+  double sent_at = tmx_clock_steady();
+  assert_true(run_loop_until(all_answered, &x));
+  assert_true(tmx_clock_steady() - sent_at <
+              1); /* refused as soon as it is known, not when time is up */
+  run_loop_for(0.2);
   assert_in_range(x.accepted, 5, 30);
-  assert_int_equal(a->rep.backlog->accounts[0][0].jobs, x.accepted);
+  assert_int_equal(a->replica.backlog->accounts[0][0].jobs, x.accepted);
   unsigned alone = x.accepted;
   for (unsigned i = 0; i < AT_ONCE; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
@@ -381,20 +385,20 @@
   }
   next_job = 100;
   assert_int_equal(flood(a, "t", "c"), alone); /* as many as one after the other */
-  for (int k = 0; k < 2; k++) tmx_client_free(clients[k]);
+  for (int k = 0; k < 2; k++) tmx_http_client_free(clients[k]);
 }
 
 static void a_late_copy_does_not_admit_by_old_shares(void **st) {
   (void)st;
-  state.doors[1].freeze_watch = true;
+  fake_store.endpoints[1].freeze_watch = true;
   unsigned n = flood(a, "t", "c");
   for (unsigned i = 0; i < 10; i++) assert_int_equal(submit_some(b, "t", "c"), 503);
-  state.doors[1].freeze_watch = false;
+  fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
-  pump_for(3);
+  run_loop_for(3);
   assert_int_equal(submit_some(b, "t", "c"), 503);
-  assert_int_equal(a->rep.backlog->accounts[0][0].jobs, n);
-  assert_int_equal(b->rep.backlog->accounts[0][0].jobs, n);
+  assert_int_equal(a->replica.backlog->accounts[0][0].jobs, n);
+  assert_int_equal(b->replica.backlog->accounts[0][0].jobs, n);
 }
 
 static void retries_questions_and_cancellations_pass(void **st) {
@@ -411,7 +415,7 @@
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(cancel_job(b, id).status, 200);
   }
-  pump_for(0.5);
+  run_loop_for(0.5);
   assert_true(backlog_of(a) == 0 && backlog_of(b) == 0);
   assert_int_equal(submit_some(a, "t", "c"), 201);
 }
@@ -420,40 +424,40 @@
 static void a_known_job_is_told_as_such_by_a_late_copy(void **st) {
   (void)st;
   struct at_once x = {.answered = AT_ONCE - 1};
-  struct tmx_buf body = {0};
+  struct tmx_buffer body = {0};
   struct fake_job job = {.id = "wk-900000", .class = "d", .team = "t", .tasks = 1, .cpus = 1};
   flood(b, "t", "c");
-  pump_for(0.5);
-  state.doors[1].freeze_watch = true;
+  run_loop_for(0.5);
+  fake_store.endpoints[1].freeze_watch = true;
   assert_int_equal(submit_job(a, &job), 201);
   job.class = "c"; /* by another body, of the class that would be refused */
-  submission_of(&body, &job);
-  struct tmx_client *client = to(b);
-  assert_true(tmx_client_call(client, "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
-  pump_for(0.3);
+  encode_submission_of(&body, &job);
+  struct tmx_http_client *client = client_of(b);
+  assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
+  run_loop_for(0.3);
   assert_int_equal(x.answered, AT_ONCE - 1);
-  state.doors[1].freeze_watch = false;
+  fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
-  assert_true(pump(all_answered, &x));
+  assert_true(run_loop_until(all_answered, &x));
   assert_int_equal(x.known, 1);
-  tmx_client_free(client);
-  tmx_buf_free(&body);
+  tmx_http_client_free(client);
+  tmx_buffer_free(&body);
 }
 
 static void the_judgement_outlives_leaders_folds_and_restarts(void **st) {
   (void)st;
   flood(a, "t", "c");
-  pump_for(0.5);
+  run_loop_for(0.5);
   double before = backlog_of(a);
-  controller_end(a); /* the leader */
+  stop_controller(a); /* the leader */
   a = NULL;
-  pump_for(8);
+  run_loop_for(8);
   assert_int_equal(submit_some(b, "t", "c"), 503);
-  tmx_fold_above(b->fold, 0);
-  pump_for(5);
-  tmx_fold_above(b->fold, 1000);
+  tmx_compaction_set_threshold(b->compaction, 0);
+  run_loop_for(5);
+  tmx_compaction_set_threshold(b->compaction, 1000);
   assert_int_equal(submit_some(b, "t", "c"), 503);
-  controller_end(b);
+  stop_controller(b);
   b = NULL;
   a = begin(0);
   assert_true(backlog_of(a) == before);
@@ -464,11 +468,11 @@
 static void an_outage_in_the_surge_admits_nothing(void **st) {
   (void)st;
   for (int i = 0; i < 5; i++) assert_int_equal(submit_some(a, "t", "c"), 201);
-  for (int k = 0; k < 2; k++) state.doors[k].refuse = true;
-  pump_for(1);
+  for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = true;
+  run_loop_for(1);
   assert_int_equal(submit_some(a, "t", "c"), 503);
-  for (int k = 0; k < 2; k++) state.doors[k].refuse = false;
-  pump_for(3);
+  for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = false;
+  run_loop_for(3);
   flood(a, "t", "c");
   assert_int_equal(submit_some(b, "t", "c"), 503);
   assert_int_equal(submit_some(b, "u", "c"), 201);
@@ -476,27 +480,27 @@
 
 static void beside_a_controller_without_admission(void **st) {
   (void)st;
-  controller_end(b);
-  fake_adjust = without_admission;
+  stop_controller(b);
+  fake_adjust_settings = without_admission;
   b = begin(1);
   for (int i = 0; i < 60; i++) assert_int_equal(submit_some(b, "t", "c"), 201);
-  pump_for(0.5);
+  run_loop_for(0.5);
   assert_int_equal(submit_some(a, "t", "c"), 503); /* what the other admitted counts */
   assert_int_equal(submit_some(a, "u", "c"), 201);
-  assert_null(b->rep.backlog);
+  assert_null(b->replica.backlog);
 }
 
-static void smaller(struct tmx_settings *s) {
-  with_admission(s);
-  s->op.admission.backlog_s = 20;
+static void smaller(struct tmx_settings *settings) {
+  with_admission(settings);
+  settings->operators.admission.backlog_s = 20;
 }
 static void settings_changed_between_restarts(void **st) {
   (void)st;
   unsigned n = flood(a, "t", "c");
-  controller_end(a);
-  controller_end(b);
+  stop_controller(a);
+  stop_controller(b);
   b = NULL;
-  fake_adjust = smaller;
+  fake_adjust_settings = smaller;
   a = begin(0);
   char id[TMX_ID_MAX];
   for (unsigned i = 1; i < n; i++) {
@@ -513,19 +517,19 @@
 static void a_pipeline_begun_is_carried_on_within_a_bound(void **st) {
   (void)st;
   flood(a, "t", "c");
-  struct tmx_buf list = {0};
+  struct tmx_buffer list = {0};
   char id[TMX_ID_MAX];
   unsigned n = 0;
   int status = 201;
-  tmx_w_list(&list, 1);
-  tmx_w_str(&list, "wk-000001");
+  tmx_cbor_put_list(&list, 1);
+  tmx_cbor_put_text(&list, "wk-000001");
   for (; n < 100 && status == 201; n++) {
     snprintf(id, sizeof id, "wk-%06u", 700000 + n);
     struct fake_job job = {
         .id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1, .awaits = &list};
     status = submit_job(a, &job);
   }
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
   assert_int_equal(status, 503);
   assert_in_range(n, 10,
                   40); /* up to the raised ceiling of the team, 81 s, rather than of the class */
@@ -536,26 +540,27 @@
 
 enum { FLOOD = 40 };
 
-static void fill_paper(struct tmx_feed *feed, double released, bool flooder, int slot) {
-  struct tmx_plan_job *j = tmx_feed_job(feed);
-  j->slot = slot;
-  snprintf(j->id, sizeof j->id, "wk-%06d", slot);
-  j->spec = calloc(1, sizeof *j->spec);
-  j->spec->tasks = flooder ? 1 : 30;
-  j->spec->cpus = 1;
-  j->spec->mem = 1;
-  j->spec->patience_s = 10;
-  j->spec->priority = j->priority = TMX_PRIO_NORMAL;
-  j->account = flooder ? 0 : 1;
-  j->zone = -1;
-  j->released = released;
-  j->stuck_since = 1;
-  j->aim_s = j->next_aim_s = 600;
-  j->run_s = 10;
-  j->open = true;
-  j->n_waits = j->spec->tasks;
-  j->waits = calloc(j->n_waits, sizeof *j->waits);
-  for (uint32_t i = 0; i < j->n_waits; i++) j->waits[i] = (struct tmx_plan_wait){i, 1};
+static void fill_paper(struct tmx_planner_delta *feed, double released, bool flooder, int slot) {
+  struct tmx_plan_job *job = tmx_planner_delta_job(feed);
+  job->slot = slot;
+  snprintf(job->id, sizeof job->id, "wk-%06d", slot);
+  job->spec = calloc(1, sizeof *job->spec);
+  job->spec->tasks = flooder ? 1 : 30;
+  job->spec->cpus = 1;
+  job->spec->mem_gb = 1;
+  job->spec->fetch_tolerance_s = 10;
+  job->spec->priority = job->priority = TMX_PRIORITY_NORMAL;
+  job->account = flooder ? 0 : 1;
+  job->zone = -1;
+  job->released_at = released;
+  job->unplaced_since = 1;
+  job->target_s = job->next_target_s = 600;
+  job->run_s = 10;
+  job->open = true;
+  job->n_waiting = job->spec->tasks;
+  job->waiting = calloc(job->n_waiting, sizeof *job->waiting);
+  for (uint32_t i = 0; i < job->n_waiting; i++)
+    job->waiting[i] = (struct tmx_plan_waiting_task){i, 1};
 }
 
 struct turn_case {
@@ -569,39 +574,39 @@
 /* What is placed beside a flood of small jobs, which stand before the larger one in the order.
  * Returns how many tasks; *larger: the first of them is the larger job's. */
 static size_t placed_beside_a_flood(struct turn_case x, bool *larger) {
-  struct tmx_model *model = tmx_model_new();
-  struct tmx_feed feed = {0};
-  struct tmx_plan_output out;
-  struct tmx_round *in = calloc(1, sizeof *in);
-  *in =
-      (struct tmx_round){.n_zones = 1, .leading = x.leading, .max_ops = 400, .max_visits = 400000};
-  in->n_teams = 1;
-  in->now = in->wall = 1000;
-  in->turns.start_s = x.start_s;
-  in->turns.since_start[0][1] = x.since_start;
-  struct tmx_plan_machine *m = tmx_feed_machine(&feed);
-  strcpy(m->id, "n-000001");
-  strcpy(m->type, "big");
-  m->usable = true;
-  m->cpus = 4;
-  m->ucpus = 4 - x.free_cpus;
-  m->mem = 64;
-  for (int i = 0; i < FLOOD; i++) fill_paper(&feed, x.released - 40, true, i);
-  fill_paper(&feed, x.released, false, FLOOD);
-  feed.jobs[FLOOD].spec->cpus = x.cpus;
-  tmx_model_feed(model, &feed);
-  tmx_plan(model, in, &out);
-  size_t n = out.n_ops;
+  struct tmx_planner *model = tmx_planner_new();
+  struct tmx_planner_delta delta = {0};
+  struct tmx_round_output output;
+  struct tmx_round_input *input = calloc(1, sizeof *input);
+  *input = (struct tmx_round_input){
+      .n_zones = 1, .leading = x.leading, .max_operations = 400, .max_visits = 400000};
+  input->n_teams = 1;
+  input->now_steady = input->now_wall = 1000;
+  input->turns.start_s = x.start_s;
+  input->turns.since_start[0][1] = x.since_start;
+  struct tmx_plan_machine *machine = tmx_planner_delta_machine(&delta);
+  strcpy(machine->id, "n-000001");
+  strcpy(machine->type, "big");
+  machine->usable = true;
+  machine->cpus = 4;
+  machine->booked_cpus = 4 - x.free_cpus;
+  machine->mem_gb = 64;
+  for (int i = 0; i < FLOOD; i++) fill_paper(&delta, x.released - 40, true, i);
+  fill_paper(&delta, x.released, false, FLOOD);
+  delta.jobs[FLOOD].spec->cpus = x.cpus;
+  tmx_planner_apply(model, &delta);
+  tmx_planner_run_round(model, input, &output);
+  size_t n = output.n_operations;
   *larger = false;
-  for (size_t i = 0; i < n; i++) *larger |= !strcmp(out.ops[i].job, "wk-000040");
-  free(out.ops);
-  in->turns.start_s = 0; /* what was kept free is free again in a round without turns */
-  tmx_plan(model, in, &out);
-  assert_int_equal(out.n_ops, (size_t)x.free_cpus);
-  free(out.ops);
-  tmx_feed_clear(&feed);
-  tmx_model_free(model);
-  free(in);
+  for (size_t i = 0; i < n; i++) *larger |= !strcmp(output.operations[i].job, "wk-000040");
+  free(output.operations);
+  input->turns.start_s = 0; /* what was kept free is free again in a round without turns */
+  tmx_planner_run_round(model, input, &output);
+  assert_int_equal(output.n_operations, (size_t)x.free_cpus);
+  free(output.operations);
+  tmx_planner_delta_clear(&delta);
+  tmx_planner_free(model);
+  free(input);
   return n;
 }
 
--- a/tests/test_peer_format.c
+++ b/tests/test_peer_format.c
@@ -11,22 +11,22 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "beat.h"
-#include "net/log.h"
+#include "heartbeat.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a;
+static struct tmx_controller *a;
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
+  fake_start();
   a = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  fake_close();
+  if (a) stop_controller(a);
+  fake_stop();
   return 0;
 }
 
@@ -138,66 +138,68 @@
 
 /* ------------------------------------------------------------ heartbeats */
 
-static size_t encode_heartbeat(struct tmx_beat *beat, char *out, size_t cap) {
+static size_t encode_heartbeat(struct tmx_heartbeat *beat, char *out, size_t cap) {
   XDR x;
   xdrmem_create(&x, out, (u_int)cap, XDR_ENCODE);
-  assert_true(xdr_tmx_beat(&x, beat));
+  assert_true(xdr_tmx_heartbeat(&x, beat));
   size_t n = xdr_getpos(&x);
   xdr_destroy(&x);
   return n;
 }
 
-static void decode_heartbeat(struct tmx_beat *beat, const void *bytes, size_t n) {
+static void decode_heartbeat(struct tmx_heartbeat *beat, const void *bytes, size_t n) {
   XDR x;
   memset(beat, 0, sizeof *beat);
   xdrmem_create(&x, (char *)(uintptr_t)bytes, (u_int)n, XDR_DECODE);
-  assert_true(xdr_tmx_beat(&x, beat));
+  assert_true(xdr_tmx_heartbeat(&x, beat));
   assert_int_equal(xdr_getpos(&x), n);
   xdr_destroy(&x);
 }
 
-static void record_heartbeat(struct recording *r, const struct tmx_beat *b) {
+static void record_heartbeat(struct recording *r, const struct tmx_heartbeat *b) {
   record_line(r, "%s revision %llu term %llu state_age_ms %u no_workers %d", b->node,
               (unsigned long long)b->revision, (unsigned long long)b->term, b->state_age_ms,
               b->no_workers);
   for (u_int i = 0; i < b->suspects.suspects_len; i++) {
-    const struct tmx_beat_suspect *s = &b->suspects.suspects_val[i];
+    const struct tmx_heartbeat_suspicion *s = &b->suspects.suspects_val[i];
     record_line(r, "suspect %s silence_ms %u lost %u unreached_ms %u notice %d", s->id,
                 s->silence_ms, s->lost, s->unreached_ms, s->notice);
   }
   for (u_int i = 0; i < b->zones.zones_len; i++) {
-    const struct tmx_beat_zone *z = &b->zones.zones_val[i];
+    const struct tmx_heartbeat_zone *z = &b->zones.zones_val[i];
     record_line(r, "zone %s machines %u lost %u alive %u", z->name, z->machines, z->lost, z->alive);
   }
 }
 
 /* Encodes it, records its bytes, and records what they are read back as. */
-static size_t record_encoded(struct recording *r, struct tmx_beat *beat, char *bytes, size_t cap) {
-  struct tmx_beat back;
+static size_t record_encoded(struct recording *r, struct tmx_heartbeat *beat, char *bytes,
+                             size_t cap) {
+  struct tmx_heartbeat back;
   size_t n = encode_heartbeat(beat, bytes, cap);
   record_bytes(r, "", (const uint8_t *)bytes, n);
   decode_heartbeat(&back, bytes, n);
   record_heartbeat(r, &back);
-  xdr_free((xdrproc_t)xdr_tmx_beat, (char *)&back);
+  xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&back);
   return n;
 }
 
 static size_t full_heartbeat(struct recording *r, char *bytes, size_t cap) {
-  struct tmx_beat_suspect suspects[] = {{"n-000001", 1500, 2, 300, 1}, {"n-000002", 2560, 0, 0, 0}};
-  struct tmx_beat_zone zones[] = {{"a", 40, 2, 38}, {"b", 7, 1, 5}};
-  struct tmx_beat beat = {.node = "hand-1",
-                          .revision = 4711,
-                          .term = 1ull << 33,
-                          .state_age_ms = 250,
-                          .no_workers = 1,
-                          .suspects = {2, suspects},
-                          .zones = {2, zones}};
+  struct tmx_heartbeat_suspicion suspects[] = {{"n-000001", 1500, 2, 300, 1},
+                                               {"n-000002", 2560, 0, 0, 0}};
+  struct tmx_heartbeat_zone zones[] = {{"a", 40, 2, 38}, {"b", 7, 1, 5}};
+  struct tmx_heartbeat beat = {.node = "hand-1",
+                               .revision = 4711,
+                               .term = 1ull << 33,
+                               .state_age_ms = 250,
+                               .no_workers = 1,
+                               .suspects = {2, suspects},
+                               .zones = {2, zones}};
   return record_encoded(r, &beat, bytes, cap);
 }
 
 struct peer_socket { /* stands for hand-1 */
   int listener, fd;
-  struct tmx_buf in;
+  struct tmx_buffer in;
 };
 static struct peer_socket peer;
 
@@ -222,24 +224,24 @@
   (void)arg;
   if (peer.fd < 0) peer.fd = accept4(peer.listener, NULL, NULL, SOCK_NONBLOCK);
   ssize_t k = peer.fd < 0 ? -1 : recv(peer.fd, in, sizeof in, MSG_DONTWAIT);
-  if (k > 0) tmx_buf_add(&peer.in, in, (size_t)k);
-  return peer.in.n > 4;
+  if (k > 0) tmx_buffer_append(&peer.in, in, (size_t)k);
+  return peer.in.length > 4;
 }
 
 /* The first message: four bytes of length, most significant first, and the record. */
 static void heartbeat_of_a_controller(struct recording *r) {
-  struct tmx_beat sent;
+  struct tmx_heartbeat sent;
   char bytes[512];
-  assert_true(pump(heartbeat_arrived, NULL));
-  const uint8_t *p = peer.in.p;
+  assert_true(run_loop_until(heartbeat_arrived, NULL));
+  const uint8_t *p = peer.in.data;
   size_t length = (size_t)p[0] << 24 | (size_t)p[1] << 16 | (size_t)p[2] << 8 | p[3];
-  assert_true(peer.in.n >= 4 + length);
+  assert_true(peer.in.length >= 4 + length);
   decode_heartbeat(&sent, p + 4, length);
   sent.revision = 0;
   sent.state_age_ms = 0;
   record_line(r, "== as a controller sends it, with a length of %zu bytes before it", length);
   record_encoded(r, &sent, bytes, sizeof bytes);
-  xdr_free((xdrproc_t)xdr_tmx_beat, (char *)&sent);
+  xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&sent);
 }
 
 static bool heard(void *arg) {
@@ -251,11 +253,11 @@
   struct sockaddr_in at;
   uint32_t length = htonl((uint32_t)n);
   int fd = socket(AF_INET, SOCK_STREAM, 0);
-  assert_true(tmx_parse_addr(a->set.peer_listen, &at));
+  assert_true(tmx_parse_address(a->settings.peer_listen, &at));
   assert_int_equal(connect(fd, (struct sockaddr *)&at, sizeof at), 0);
   assert_int_equal(send(fd, &length, sizeof length, 0), sizeof length);
   assert_int_equal(send(fd, bytes, n, 0), n);
-  assert_true(pump(heard, NULL));
+  assert_true(run_loop_until(heard, NULL));
   close(fd);
 }
 
@@ -264,20 +266,20 @@
   struct recording r = {0};
   char bytes[512];
   peer_listen();
-  fake_adjust = reach_peer_socket;
-  a = controller(0, 2);
+  fake_adjust_settings = reach_peer_socket;
+  a = start_controller(0, 2);
   record_line(&r, "== every field in use");
   size_t n = full_heartbeat(&r, bytes, sizeof bytes);
   heartbeat_of_a_controller(&r);
   assert_false(heard(NULL));
   send_heartbeat(bytes, n);
-  assert_int_equal(tmx_peers_zones(a->peers, "hand-1")[0].machines, 40);
-  assert_int_equal(tmx_peers_zones(a->peers, "hand-1")[0].lost, 2);
-  assert_int_equal(tmx_peers_zones(a->peers, "hand-1")[0].alive, 38);
-  assert_true(tmx_peers_cut(a->peers, "hand-1"));
+  assert_int_equal(tmx_peers_zone_liveness(a->peers, "hand-1")[0].machines, 40);
+  assert_int_equal(tmx_peers_zone_liveness(a->peers, "hand-1")[0].lost, 2);
+  assert_int_equal(tmx_peers_zone_liveness(a->peers, "hand-1")[0].alive, 38);
+  assert_true(tmx_peers_reports_no_workers(a->peers, "hand-1"));
   close(peer.listener);
   close(peer.fd);
-  tmx_buf_free(&peer.in);
+  tmx_buffer_free(&peer.in);
   recording_check(&r, "heartbeats.txt");
 }
 
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -7,64 +7,64 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/plan.h"
-#include "net/log.h"
+#include "planner/planner.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static struct fake_worker w;
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  a = controller(0, 1);
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  a = start_controller(0, 1);
   b = NULL;
-  assert_true(pump(fake_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   return 0;
 }
 static int setup_two(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  a = controller(0, 2);
-  assert_true(pump(fake_ready, a));
-  b = controller(1, 2);
-  assert_true(pump(fake_ready, b));
-  pump_for(0.5);
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  a = start_controller(0, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  b = start_controller(1, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, b));
+  run_loop_for(0.5);
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
   a = b = NULL;
-  tmx_server_free(w.srv);
-  fake_close();
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 
-static bool registered(const struct tmx_ctl *c) {
-  struct tmx_machine *m = tmx_machine_find(&c->rep, w.id);
-  return m && m->known;
+static bool registered(const struct tmx_controller *controller) {
+  struct tmx_machine *machine = tmx_machine_find(&controller->replica, w.id);
+  return machine && machine->registered;
 }
 static void report(void) { /* to whichever of the two owns the machine */
-  worker_report(&w, a);
-  if (b && w.status != 200) worker_report(&w, b);
+  fake_worker_send_heartbeat(&w, a);
+  if (b && w.status != 200) fake_worker_send_heartbeat(&w, b);
 }
 static void up(void) {
   for (int i = 0; i < 20 && !(registered(a) && (!b || registered(b))); i++) {
     report();
-    pump_for(0.1);
+    run_loop_for(0.1);
   }
   assert_true(registered(a) && (!b || registered(b)));
 }
 static bool starts(void *arg) { return w.executed_starts >= *(unsigned *)arg; }
-static void wait_starts(unsigned n) { assert_true(pump(starts, &n)); }
+static void wait_starts(unsigned n) { assert_true(run_loop_until(starts, &n)); }
 static void restart(void) {
-  controller_end(a);
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  stop_controller(a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 static bool has_state(void *arg) {
   const char **x = arg;
@@ -73,48 +73,49 @@
 }
 static void wait_state(const char *id, const char *st) {
   const char *x[] = {id, st};
-  assert_true(pump(has_state, x));
+  assert_true(run_loop_until(has_state, x));
 }
 static void all_end(void) { /* whatever runs on the machine */
-  for (size_t i = 0; i < w.n_loads; i++) {
-    if (strcmp(w.loads[i].state, WV_RUNNING)) continue;
-    snprintf(w.loads[i].state, sizeof w.loads[i].state, WV_EXITED);
-    snprintf(w.loads[i].why, sizeof w.loads[i].why, WV_DONE);
+  for (size_t i = 0; i < w.n_tasks; i++) {
+    if (strcmp(w.tasks[i].state, WV_RUNNING)) continue;
+    snprintf(w.tasks[i].state, sizeof w.tasks[i].state, WV_EXITED);
+    snprintf(w.tasks[i].why, sizeof w.tasks[i].why, WV_DONE);
   }
   report();
-  worker_do(&w);
+  fake_worker_execute_commands(&w);
 }
 static void ends(const char *task, uint32_t attempt) {
-  worker_set(&w, task, attempt, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, task, attempt, WV_EXITED, WV_DONE);
   report();
 }
 
 /* A submission that allows so many types, "big" among them. */
-static void submission_with_types(struct tmx_buf *b, const char *id, int n) {
-  struct tmx_buf types = {0};
+static void submission_with_types(struct tmx_buffer *buffer, const char *id, int n) {
+  struct tmx_buffer types = {0};
   char type[TMX_ID_MAX];
-  tmx_w_list(&types, (size_t)n);
+  tmx_cbor_put_list(&types, (size_t)n);
   for (int i = 0; i < n; i++) {
     snprintf(type, sizeof type, i ? "a type with a rather long %02d" : "big", i);
-    tmx_w_str(&types, type);
+    tmx_cbor_put_text(&types, type);
   }
   struct fake_job job = {.id = id, .team = "t", .tasks = 1, .cpus = 2, .types = &types};
-  submission_of(b, &job);
-  tmx_buf_free(&types);
+  encode_submission_of(buffer, &job);
+  tmx_buffer_free(&types);
 }
 
 /* A list of ids, each a text, set apart by spaces in `names`. */
-static struct fake_answer submit_named(struct tmx_ctl *c, const char *id, const char *names) {
-  struct tmx_buf list = {0}, body = {0};
+static struct fake_answer submit_named(struct tmx_controller *controller, const char *id,
+                                       const char *names) {
+  struct tmx_buffer list = {0}, body = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
-  size_t n = tmx_line_fields(copy, name, 8);
-  tmx_w_list(&list, n);
-  for (size_t i = 0; i < n; i++) tmx_w_str(&list, name[i]);
-  submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
-  struct fake_answer r = call(c, "POST", WP_JOBS, &body);
-  tmx_buf_free(&list);
-  tmx_buf_free(&body);
+  size_t n = tmx_log_line_split(copy, name, 8);
+  tmx_cbor_put_list(&list, n);
+  for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, name[i]);
+  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
+  struct fake_answer r = send_request(controller, "POST", WP_JOBS, &body);
+  tmx_buffer_free(&list);
+  tmx_buffer_free(&body);
   return r;
 }
 static void accepted(const char *id, const char *names) {
@@ -125,7 +126,7 @@
 static void stays_pending(const char *id, double s) {
   unsigned begun = w.executed_starts;
   for (double t = 0; t < s; t += 0.2) {
-    pump_for(0.2);
+    run_loop_for(0.2);
     report();
     assert_string_equal(poll_job(a, id).state, WV_PENDING);
   }
@@ -164,7 +165,7 @@
     snprintf(id, sizeof id, "wk-00000%d", i);
     accepted(id, "wk-000001");
   }
-  assert_int_equal(submit(a, "wk-000009", WV_ARRAY, 3, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000009", WV_ARRAY, 3, 2, "t"), 201);
   wait_starts(4); /* the limit is full with what may run */
   assert_string_equal(poll_job(a, "wk-000009").state, WV_RUNNING);
 }
@@ -179,11 +180,11 @@
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   for (int i = 0; i < 2; i++) {
-    struct tmx_ctl *c = i ? b : a;
-    assert_string_equal(poll_job(c, "wk-000002").state, WV_CANCELLED);
-    assert_string_equal(poll_job(c, "wk-000003").state, WV_CANCELLED);
-    assert_string_equal(cancel_job(c, "wk-000003").state, WV_CANCELLED);
-    assert_int_equal(submit_named(c, "wk-000003", "wk-000002").status, 200);
+    struct tmx_controller *controller = i ? b : a;
+    assert_string_equal(poll_job(controller, "wk-000002").state, WV_CANCELLED);
+    assert_string_equal(poll_job(controller, "wk-000003").state, WV_CANCELLED);
+    assert_string_equal(cancel_job(controller, "wk-000003").state, WV_CANCELLED);
+    assert_int_equal(submit_named(controller, "wk-000003", "wk-000002").status, 200);
   }
   struct fake_answer late = submit_named(b, "wk-000004", "wk-000003");
   assert_int_equal(late.status, 201);
@@ -192,9 +193,9 @@
 }
 
 static bool all_stored(void *arg) {
-  struct tmx_ctl *c = arg;
-  tmx_replica_tidy_unstored(&c->rep);
-  return !c->rep.n_unstored;
+  struct tmx_controller *controller = arg;
+  tmx_replica_prune_unstored(&controller->replica);
+  return !controller->replica.n_unstored_outcomes;
 }
 
 /* What follows from a cancellation gets a final state of its own; a fold in between keeps it. */
@@ -205,11 +206,11 @@
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  assert_true(pump(all_stored, a));
-  const struct fake_entry *e = fake_get(TMX_K_JOB "wk-000002");
+  assert_true(run_loop_until(all_stored, a));
+  const struct fake_entry *e = fake_get(TMX_KEY_JOB "wk-000002");
   assert_non_null(e);
   restart();
-  assert_true(tmx_job_find(&a->rep, "wk-000002")->stored);
+  assert_true(tmx_job_find(&a->replica, "wk-000002")->outcome_stored);
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
 }
 
@@ -222,13 +223,13 @@
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  a->rep.n_unstored = 0;            /* as if no put were ever to spare for it */
-  fake_drop(TMX_K_JOB "wk-000002"); /* as if it had come with a batch */
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
-  tmx_fold_above(a->fold, 1000);
-  pump_for(2);
+  a->replica.n_unstored_outcomes = 0; /* as if no put were ever to spare for it */
+  fake_drop(TMX_KEY_JOB "wk-000002"); /* as if it had come with a batch */
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 1000);
+  run_loop_for(2);
   restart();
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
 }
@@ -245,14 +246,14 @@
   wait_starts(1);
   ends("wk-000001/0", 1);
   wait_starts(2);
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
-  tmx_fold_above(a->fold, 1000);
-  pump_for(2);
-  double released = tmx_job_find(&a->rep, "wk-000002")->released;
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 1000);
+  run_loop_for(2);
+  double released = tmx_job_find(&a->replica, "wk-000002")->released_at;
   restart();
-  assert_true(tmx_job_find(&a->rep, "wk-000002")->released == released);
+  assert_true(tmx_job_find(&a->replica, "wk-000002")->released_at == released);
   for (int i = 0; i < 10; i++) report();
   stays_pending("wk-000003", 2);
   stays_pending("wk-000004", 1);
@@ -269,19 +270,19 @@
   accepted("wk-000001", "");
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
-  state.doors[0].freeze_watch = true; /* it will not see its own commit */
+  fake_store.endpoints[0].freeze_watch = true; /* it will not see its own commit */
   ends("wk-000001/0", 1);
-  for (int i = 0; i < 200 && !fake_logged("e wk-000001/0 1 d"); i++) pump_for(0.02);
-  assert_true(fake_logged("e wk-000001/0 1 d"));
+  for (int i = 0; i < 200 && !fake_log_contains("e wk-000001/0 1 d"); i++) run_loop_for(0.02);
+  assert_true(fake_log_contains("e wk-000001/0 1 d"));
   assert_int_equal(w.executed_starts, 1);
-  controller_end(a);
-  state.doors[0].freeze_watch = false;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  stop_controller(a);
+  fake_store.endpoints[0].freeze_watch = false;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   for (int i = 0; i < 40 && w.executed_starts < 2; i++) {
     report();
-    worker_do(&w);
-    pump_for(0.2);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.2);
   }
   assert_int_equal(w.executed_starts, 2);
 }
@@ -295,11 +296,11 @@
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  pump_for(0.05);
-  state.doors[0].refuse = true;
+  run_loop_for(0.05);
+  fake_store.endpoints[0].refuse = true;
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
-  pump_for(3);
-  state.doors[0].refuse = false;
+  run_loop_for(3);
+  fake_store.endpoints[0].refuse = false;
   restart();
   assert_string_equal(poll_job(a, "wk-000002").state, WV_CANCELLED);
 }
@@ -311,10 +312,10 @@
   accepted("wk-000001", "");
   accepted("wk-000002", "wk-000001");
   wait_starts(1);
-  strcpy(state.doors[0].lose_key, TMX_K_JOB "wk-000001");
-  state.doors[0].lose_next_txn = true;
+  strcpy(fake_store.endpoints[0].lose_key, TMX_KEY_JOB "wk-000001");
+  fake_store.endpoints[0].lose_next_txn = true;
   ends("wk-000001/0", 1);
-  for (int i = 0; i < 200 && state.doors[0].lose_next_txn; i++) pump_for(0.005);
+  for (int i = 0; i < 200 && fake_store.endpoints[0].lose_next_txn; i++) run_loop_for(0.005);
   struct fake_answer c = cancel_job(a, "wk-000001");
   for (int i = 0; i < 20 && c.status != 200; i++) c = cancel_job(a, "wk-000001");
   assert_string_equal(c.state, WV_DONE);
@@ -339,7 +340,7 @@
   (void)l;
   (void)t;
   (void)ev;
-  state.doors[0].freeze_watch = false;
+  fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
 }
 
@@ -348,10 +349,10 @@
   (void)st;
   ev_timer thaw;
   up();
-  state.doors[0].freeze_watch = true;
-  assert_int_equal(submit(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
+  fake_store.endpoints[0].freeze_watch = true;
+  assert_int_equal(submit_simple_job(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   ev_timer_init(&thaw, on_thaw, 0.3, 0);
-  ev_timer_start(loop, &thaw);
+  ev_timer_start(test_loop, &thaw);
   assert_int_equal(submit_named(a, "wk-000002", "wk-000001").status, 201);
 }
 
@@ -359,61 +360,61 @@
 static void named_before_it_is_seen(void **st) {
   (void)st;
   up();
-  state.doors[0].freeze_watch = true;
-  assert_int_equal(submit(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
+  fake_store.endpoints[0].freeze_watch = true;
+  assert_int_equal(submit_simple_job(b, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   assert_int_equal(submit_named(a, "wk-000002", "wk-000001").status, 503); /* never a 422 */
-  state.doors[0].freeze_watch = false;
+  fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
   assert_int_equal(submit_named(a, "wk-000002", "wk-000001").status, 201);
   assert_int_equal(submit_named(a, "wk-000003", "wk-000777").status, 422);
-  state.doors[0].refuse = true;
+  fake_store.endpoints[0].refuse = true;
   int status = submit_named(a, "wk-000004", "wk-000777").status;
   assert_int_equal(status, 503); /* it cannot be told now */
 }
 
-static int submit_list(const struct tmx_buf *list) {
-  struct tmx_buf body = {0};
-  submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
-  int status = call(a, "POST", WP_JOBS, &body).status;
-  tmx_buf_free(&body);
+static int submit_list(const struct tmx_buffer *list) {
+  struct tmx_buffer body = {0};
+  encode_submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
+  int status = send_request(a, "POST", WP_JOBS, &body).status;
+  tmx_buffer_free(&body);
   return status;
 }
 
 static void malformed_lists(void **st) {
   (void)st;
   up();
-  struct tmx_buf list = {0};
+  struct tmx_buffer list = {0};
   accepted("wk-000001", "");
-  assert_int_equal(submit(a, "wk-000002", WV_SERVICE, 1, 2, "t"), 201);
-  tmx_w_str(&list, "wk-000001");
+  assert_int_equal(submit_simple_job(a, "wk-000002", WV_SERVICE, 1, 2, "t"), 201);
+  tmx_cbor_put_text(&list, "wk-000001");
   assert_int_equal(submit_list(&list), 400);
-  list.n = 0;
-  tmx_w_list(&list, 1);
-  tmx_w_u64(&list, 1);
+  list.length = 0;
+  tmx_cbor_put_list(&list, 1);
+  tmx_cbor_put_u64(&list, 1);
   assert_int_equal(submit_list(&list), 400);
   assert_int_equal(submit_named(a, "wk-000009", "job-1").status, 400);
   assert_int_equal(submit_named(a, "wk-000009", "wk-000009").status, 422);
   assert_int_equal(submit_named(a, "wk-000009", "wk-000777 wk-000001").status, 422);
   assert_int_equal(submit_named(a, "wk-000009", "wk-000002").status,
                    422); /* a service never ends */
-  list.n = 0;
-  tmx_w_null(&list);
+  list.length = 0;
+  tmx_cbor_put_null(&list);
   assert_int_equal(submit_list(&list), 201);
   accepted("wk-000003", "wk-000001 wk-000001 wk-000001");
-  assert_int_equal(tmx_job_find(&a->rep, "wk-000003")->deps.named.n, 1);
+  assert_int_equal(tmx_job_find(&a->replica, "wk-000003")->dependencies.named.count, 1);
   /* what is known is answered before anything is judged */
   assert_int_equal(submit_named(a, "wk-000003", "job-1").status, 200);
   assert_int_equal(submit_named(a, "wk-000003", "wk-000777").status, 200);
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
 }
 
-static struct tmx_buf many_names(int n) {
-  struct tmx_buf list = {0};
+static struct tmx_buffer many_names(int n) {
+  struct tmx_buffer list = {0};
   char id[TMX_ID_MAX];
-  tmx_w_list(&list, (size_t)n);
+  tmx_cbor_put_list(&list, (size_t)n);
   for (int i = 0; i < n; i++) {
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
-    tmx_w_str(&list, id);
+    tmx_cbor_put_text(&list, id);
   }
   return list;
 }
@@ -424,48 +425,48 @@
   (void)st;
   enum { SOME = 650, FAR_TOO_MANY = 1300 };
   up();
-  a->set.value_kb = 1;
-  a->set.txn_ops = 8;
-  state.value_max = 1024;
-  state.txn_max = 8;
+  a->settings.value_kb = 1;
+  a->settings.txn_ops = 8;
+  fake_store.value_max = 1024;
+  fake_store.txn_max = 8;
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
     char id[TMX_ID_MAX], key[TMX_KEY_MAX];
-    struct tmx_spec s = {.tasks = 1, .cpus = 2, .mem = 1, .deadline_s = -1};
-    struct tmx_buf job = {0};
+    struct tmx_job_spec s = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
+    struct tmx_buffer job = {0};
     strcpy(s.team, "t");
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
-    snprintf(key, sizeof key, TMX_K_JOB "%s", id);
-    tmx_job_encode(&job, id, &s, 5, TMX_OPEN);
+    snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
+    tmx_job_encode(&job, id, &s, 5, TMX_JOB_OPEN);
     fake_put(key, &job);
-    tmx_buf_free(&job);
+    tmx_buffer_free(&job);
   }
-  pump_for(0.5);
-  struct tmx_buf list = many_names(FAR_TOO_MANY);
+  run_loop_for(0.5);
+  struct tmx_buffer list = many_names(FAR_TOO_MANY);
   assert_int_equal(submit_list(&list), 422);
-  tmx_buf_free(&list);
+  tmx_buffer_free(&list);
   list = many_names(SOME);
-  a->set.write_rps = 4; /* fewer puts at hand than it needs: it goes out whole all the same */
+  a->settings.write_rps = 4; /* fewer puts at hand than it needs: it goes out whole all the same */
   assert_int_equal(submit_list(&list), 201);
-  a->set.write_rps = 1000;
-  tmx_buf_free(&list);
-  const struct tmx_job *j = tmx_job_find(&a->rep, "wk-000009");
-  assert_int_equal(j->deps.n_unfinished, SOME);
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 3000 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
-  tmx_fold_above(a->fold, 100000);
+  a->settings.write_rps = 1000;
+  tmx_buffer_free(&list);
+  const struct tmx_job *j = tmx_job_find(&a->replica, "wk-000009");
+  assert_int_equal(j->dependencies.n_unfinished, SOME);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 3000 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
+  tmx_compaction_set_threshold(a->compaction, 100000);
   restart();
-  j = tmx_job_find(&a->rep, "wk-000009");
-  assert_int_equal(j->deps.n_unfinished, SOME);
-  assert_int_equal(state.too_large, 0);
+  j = tmx_job_find(&a->replica, "wk-000009");
+  assert_int_equal(j->dependencies.n_unfinished, SOME);
+  assert_int_equal(fake_store.too_large, 0);
 }
 
 /* The limits fall without notice while work is under way. Everything keeps within the smaller ones
  * from the start, so nothing is refused, and all comes to its end. */
 static void limits_lowered_under_way(void **st) {
   (void)st;
-  a->set.value_kb = 1;
-  a->set.txn_ops = 4;
+  a->settings.value_kb = 1;
+  a->settings.txn_ops = 4;
   up();
   char id[TMX_ID_MAX], before[TMX_ID_MAX] = "";
   for (int i = 0; i < 12; i++) {
@@ -473,19 +474,19 @@
     accepted(id, before);
     if (i % 3 != 2) strcpy(before, id);
     if (i == 5) {
-      state.value_max = 1024;
-      state.txn_max = 4;
+      fake_store.value_max = 1024;
+      fake_store.txn_max = 4;
     }
   }
-  for (int i = 0; i < 400 && tmx_job_find(&a->rep, id)->fin != TMX_FIN_DONE; i++) {
+  for (int i = 0; i < 400 && tmx_job_find(&a->replica, id)->outcome != TMX_JOB_DONE; i++) {
     all_end();
-    pump_for(0.2);
+    run_loop_for(0.2);
   }
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     wait_state(id, WV_DONE);
   }
-  assert_int_equal(state.too_large, 0);
+  assert_int_equal(fake_store.too_large, 0);
 }
 
 enum { TYPED_JOBS = 4 };
@@ -504,34 +505,34 @@
   char type[TMX_ID_MAX];
   unsigned answered = 0;
   up();
-  struct tmx_client *client = to(a);
+  struct tmx_http_client *client = client_of(a);
   for (int i = 1; i <= TYPED_JOBS; i++) { /* so many at once go with a batch */
-    struct tmx_buf body = {0};
+    struct tmx_buffer body = {0};
     char id[TMX_ID_MAX];
     snprintf(id, sizeof id, "wk-%06d", i);
     submission_with_types(&body, id, 30);
-    assert_true(tmx_client_call(client, "POST", WP_JOBS, &body, 5, on_accepted, &answered));
-    tmx_buf_free(&body);
+    assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_accepted, &answered));
+    tmx_buffer_free(&body);
   }
-  assert_true(pump(all_accepted, &answered));
-  tmx_client_free(client);
-  assert_null(fake_get(TMX_K_JOB "wk-000001")); /* it has no key of its own to be read from */
-  a->set.value_kb = 1;
-  state.value_max = 1024;
-  uint64_t folded = a->rep.fold_mark;
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 100 && a->rep.fold_mark == folded; i++) pump_for(0.2);
-  tmx_fold_above(a->fold, 1000);
-  assert_true(a->rep.fold_mark > folded);
+  assert_true(run_loop_until(all_accepted, &answered));
+  tmx_http_client_free(client);
+  assert_null(fake_get(TMX_KEY_JOB "wk-000001")); /* it has no key of its own to be read from */
+  a->settings.value_kb = 1;
+  fake_store.value_max = 1024;
+  uint64_t folded = a->replica.compaction_point;
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 100 && a->replica.compaction_point == folded; i++) run_loop_for(0.2);
+  tmx_compaction_set_threshold(a->compaction, 1000);
+  assert_true(a->replica.compaction_point > folded);
   restart();
-  const struct tmx_job *j = tmx_job_find(&a->rep, "wk-000001");
-  assert_int_equal(j->spec.n_types, 30);
-  assert_true(tmx_type_allowed(&j->spec, "big"));
+  const struct tmx_job *job = tmx_job_find(&a->replica, "wk-000001");
+  assert_int_equal(job->spec.n_types, 30);
+  assert_true(tmx_type_allowed(&job->spec, "big"));
   for (int i = 1; i < 30; i++) {
     snprintf(type, sizeof type, "a type with a rather long %02d", i);
-    assert_true(tmx_type_allowed(&j->spec, type));
+    assert_true(tmx_type_allowed(&job->spec, type));
   }
-  assert_int_equal(state.too_large, 0);
+  assert_int_equal(fake_store.too_large, 0);
 }
 
 int main(void) {
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -5,27 +5,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "beat.h"
-#include "cloud/cloud.h"
-#include "net/log.h"
+#include "heartbeat.h"
+#include "cloud/cloud_internal.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a, *b;
+static struct tmx_controller *a, *b;
 static struct fake_worker w;
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
+  fake_start();
+  fake_worker_open(&w, "n-000001");
   a = b = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  if (b) controller_end(b);
-  tmx_server_free(w.srv);
-  fake_close();
+  if (a) stop_controller(a);
+  if (b) stop_controller(b);
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 
@@ -36,16 +36,16 @@
   char key[64], line[TMX_LINE_MAX];
   for (size_t at = 0; at < n; at += A_BATCH) {
     size_t part = n - at < A_BATCH ? n - at : A_BATCH;
-    struct tmx_buf list = {0}, value = {0};
+    struct tmx_buffer list = {0}, value = {0};
     for (size_t i = 0; i < part; i++) {
       snprintf(line, sizeof line, form, from + at + i);
-      tmx_w_str(&list, line);
+      tmx_cbor_put_text(&list, line);
     }
-    tmx_lines_encode(&value, NULL, 0, &list, part);
-    snprintf(key, sizeof key, TMX_K_BATCH "other/%06x", batches++);
+    tmx_log_value_encode(&value, NULL, 0, &list, part);
+    snprintf(key, sizeof key, TMX_KEY_BATCH "other/%06x", batches++);
     fake_put(key, &value);
-    tmx_buf_free(&list);
-    tmx_buf_free(&value);
+    tmx_buffer_free(&list);
+    tmx_buffer_free(&value);
   }
 }
 
@@ -54,21 +54,21 @@
 static void doubts_beyond_one_record(void **st) {
   (void)st;
   enum { MACHINES = 5000 };
-  a = controller(0, 2);
-  assert_true(pump(fake_ready, a));
-  b = controller(1, 2);
-  assert_true(pump(fake_ready, b));
+  a = start_controller(0, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  b = start_controller(1, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, b));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
-  pump_for(8); /* none of them reports */
-  struct tmx_machine *m, *next;
+  run_loop_for(8); /* none of them reports */
+  struct tmx_machine *machine, *next;
   size_t of_other = 0, heard_of = 0;
-  struct tmx_suspect s;
-  HASH_ITER(hh, b->rep.machines, m, next) {
-    if (m->owner == tmx_ctl_self(b)) continue;
+  struct tmx_suspicion suspicion;
+  HASH_ITER(hh, b->replica.machines, machine, next) {
+    if (machine->owner == tmx_controller_member_index(b)) continue;
     of_other++;
-    heard_of += tmx_workers_suspect(b->workers, m, &s);
+    heard_of += tmx_workers_find_suspicion(b->workers, machine, &suspicion);
   }
-  assert_true(of_other > TMX_BEAT_MACHINES);
+  assert_true(of_other > TMX_HEARTBEAT_SUSPICIONS_MAX);
   assert_int_equal(heard_of, of_other);
 }
 
@@ -77,60 +77,60 @@
 static void gone_thousands_of_machines_ago(void **st) {
   (void)st;
   enum { GONE = 20000 };
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
-  worker_report(&w, a);
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  fake_worker_send_heartbeat(&w, a);
   uint64_t token = w.token;
   put_lines("x n-%06zu", 1, GONE);
-  pump_for(0.5);
-  assert_true(tmx_machine_gone(&a->rep, "n-000001"));
+  run_loop_for(0.5);
+  assert_true(tmx_machine_was_removed(&a->replica, "n-000001"));
   w.token = token;
   for (int i = 0; i < 5; i++) {
-    worker_report(&w, a);
-    pump_for(0.2);
+    fake_worker_send_heartbeat(&w, a);
+    run_loop_for(0.2);
   }
-  assert_null(tmx_machine_find(&a->rep, "n-000001"));
+  assert_null(tmx_machine_find(&a->replica, "n-000001"));
 }
 
 /* More machines report than were ever allowed for at once. */
 static void more_workers_than_before(void **st) {
   (void)st;
   enum { MACHINES = 9000 };
-  struct tmx_buf body = {0};
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  struct tmx_buffer body = {0};
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
-  pump_for(1);
-  assert_int_equal(HASH_COUNT(a->rep.machines), MACHINES);
-  worker_report(&w, a);
+  run_loop_for(1);
+  assert_int_equal(HASH_COUNT(a->replica.machines), MACHINES);
+  fake_worker_send_heartbeat(&w, a);
   assert_int_equal(w.status, 200);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
 }
 
-static size_t listed(void) { return HASH_COUNT(a->cloud->listed); }
+static size_t listed(void) { return HASH_COUNT(a->cloud->instances); }
 
 /* A listing of many pages is read to its end, also when it grows between them. */
 static void listing_of_many_pages(void **st) {
   (void)st;
-  cloud.listed = 6100;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
-  for (int i = 0; i < 100 && cloud.pages < 5; i++) pump_for(0.1);
-  cloud.listed = 6900;
-  for (int i = 0; i < 400 && listed() < 6900; i++) pump_for(0.1);
+  fake_cloud.listed = 6100;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  for (int i = 0; i < 100 && fake_cloud.pages < 5; i++) run_loop_for(0.1);
+  fake_cloud.listed = 6900;
+  for (int i = 0; i < 400 && listed() < 6900; i++) run_loop_for(0.1);
   assert_int_equal(listed(), 6900);
 }
 
 /* A listing that says it goes on and brings the same names is given up, and read anew later. */
 static void listing_that_does_not_go_on(void **st) {
   (void)st;
-  cloud.listed = 2000;
-  cloud.same_page = true;
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
-  cloud.pages = 0;
-  pump_for(10);
-  assert_in_range(cloud.pages, 2, 14); /* two a pass, a pass each 2 s */
+  fake_cloud.listed = 2000;
+  fake_cloud.same_page = true;
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
+  fake_cloud.pages = 0;
+  run_loop_for(10);
+  assert_in_range(fake_cloud.pages, 2, 14); /* two a pass, a pass each 2 s */
   assert_int_equal(listed(), 500);
 }
 
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -6,33 +6,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "beat.h"
-#include "net/log.h"
+#include "heartbeat.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a;
+static struct tmx_controller *a;
 static struct fake_worker w;
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
+  fake_start();
+  fake_worker_open(&w, "n-000001");
   a = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
-  tmx_server_free(w.srv);
-  fake_close();
+  if (a) stop_controller(a);
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 static void begin(void) {
-  a = controller(0, 1);
-  assert_true(pump(fake_ready, a));
+  a = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 static void restart(void) {
-  controller_end(a);
+  stop_controller(a);
   begin();
 }
 
@@ -63,91 +63,91 @@
     if (line[0] == '#') continue;
     assert_int_equal(sscanf(line, "%200s %llu %16000s", key, &version, hex), 3);
     size_t n = from_hex(hex, bytes, sizeof bytes);
-    struct tmx_buf b = {.p = bytes, .n = n};
-    state.rev = version - 1; /* which the put counts up */
-    fake_put(key, &b);
+    struct tmx_buffer buffer = {.data = bytes, .length = n};
+    fake_store.revision = version - 1; /* which the put counts up */
+    fake_put(key, &buffer);
     if (version > last) last = version;
   }
   fclose(f);
-  state.rev = last;
+  fake_store.revision = last;
 }
 
-static void as_production_left_it(const struct tmx_replica *r) {
+static void as_production_left_it(const struct tmx_replica *replica) {
   static const struct {
     const char *id;
     int fin;
     uint32_t done, placed;
   } jobs[] = {
-      {"wk-000001", TMX_OPEN, 1, 2},     {"wk-000002", TMX_OPEN, 0, 1},
-      {"wk-000003", TMX_FIN_DONE, 1, 0}, {"wk-000004", TMX_FIN_CANCELLED, 0, 0},
-      {"wk-000005", TMX_OPEN, 0, 0},     {"wk-000006", TMX_OPEN, 1, 1},
+      {"wk-000001", TMX_JOB_OPEN, 1, 2}, {"wk-000002", TMX_JOB_OPEN, 0, 1},
+      {"wk-000003", TMX_JOB_DONE, 1, 0}, {"wk-000004", TMX_JOB_CANCELLED, 0, 0},
+      {"wk-000005", TMX_JOB_OPEN, 0, 0}, {"wk-000006", TMX_JOB_OPEN, 1, 1},
   };
   for (size_t i = 0; i < sizeof jobs / sizeof *jobs; i++) {
-    const struct tmx_job *j = tmx_job_find(r, jobs[i].id);
-    assert_non_null(j);
-    assert_int_equal(j->fin, jobs[i].fin);
-    assert_int_equal(j->n_done, jobs[i].done);
-    assert_int_equal(j->n_placed, jobs[i].placed);
-    assert_false(tmx_job_blocked(j));
+    const struct tmx_job *job = tmx_job_find(replica, jobs[i].id);
+    assert_non_null(job);
+    assert_int_equal(job->outcome, jobs[i].fin);
+    assert_int_equal(job->n_done, jobs[i].done);
+    assert_int_equal(job->n_placed, jobs[i].placed);
+    assert_false(tmx_job_is_blocked(job));
   }
-  assert_int_equal(tmx_job_find(r, "wk-000001")->tasks[2].attempt, 2);
-  assert_false(r->pipelines);
+  assert_int_equal(tmx_job_find(replica, "wk-000001")->tasks[2].attempt, 2);
+  assert_false(replica->dependencies_in_use);
 }
 
 static void machine_as_production_left_it(void) {
-  worker_set(&w, "wk-000002/0", 1, WV_RUNNING, "");
-  worker_set(&w, "wk-000001/0", 1, WV_RUNNING, "");
-  worker_set(&w, "wk-000001/2", 2, WV_RUNNING, "");
-  worker_set(&w, "wk-000006/1", 1, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000002/0", 1, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000001/2", 2, WV_RUNNING, "");
+  fake_worker_set_task(&w, "wk-000006/1", 1, WV_RUNNING, "");
   w.token = 16777216; /* of its first view */
-  w.seq = 30;
+  w.sequence = 30;
 }
 
 static bool job_done(void *arg) {
-  struct tmx_job *j = tmx_job_find(&a->rep, arg);
-  return j && j->fin == TMX_FIN_DONE;
+  struct tmx_job *job = tmx_job_find(&a->replica, arg);
+  return job && job->outcome == TMX_JOB_DONE;
 }
 
 static void production_data_is_gone_on_with(void **st) {
   (void)st;
   load_production_state();
   begin();
-  as_production_left_it(&a->rep);
-  tmx_fold_above(a->fold, 0); /* folded by this version, and read again */
-  uint64_t mark = a->rep.fold_mark;
-  for (int i = 0; i < 600 && a->rep.fold_mark == mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > mark);
+  as_production_left_it(&a->replica);
+  tmx_compaction_set_threshold(a->compaction, 0); /* folded by this version, and read again */
+  uint64_t mark = a->replica.compaction_point;
+  for (int i = 0; i < 600 && a->replica.compaction_point == mark; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > mark);
   restart();
-  as_production_left_it(&a->rep);
-  tmx_fold_above(a->fold, 1000);
+  as_production_left_it(&a->replica);
+  tmx_compaction_set_threshold(a->compaction, 1000);
   machine_as_production_left_it();
   for (int i = 0; i < 5; i++) {
-    worker_report(&w, a);
-    worker_do(&w);
-    pump_for(0.2);
+    fake_worker_send_heartbeat(&w, a);
+    fake_worker_execute_commands(&w);
+    run_loop_for(0.2);
   }
   assert_int_equal(w.executed_starts, 0); /* what runs is not started once more */
-  worker_set(&w, "wk-000006/1", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(job_done, "wk-000006"));
+  fake_worker_set_task(&w, "wk-000006/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(job_done, "wk-000006"));
   assert_string_equal(poll_job(a, "wk-000003").state, WV_DONE);
   assert_string_equal(poll_job(a, "wk-000004").state, WV_CANCELLED);
   /* and jobs may await those that production accepted */
-  struct tmx_buf list = {0}, body = {0};
-  tmx_w_list(&list, 2);
-  tmx_w_str(&list, "wk-000003");
-  tmx_w_str(&list, "wk-000001");
-  submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
-  assert_int_equal(call(a, "POST", WP_JOBS, &body).status, 201);
-  pump_for(0.5);
-  assert_true(tmx_job_blocked(tmx_job_find(&a->rep, "wk-000007")));
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(job_done, "wk-000001"));
-  assert_false(tmx_job_blocked(tmx_job_find(&a->rep, "wk-000007")));
-  tmx_buf_free(&list);
-  tmx_buf_free(&body);
+  struct tmx_buffer list = {0}, body = {0};
+  tmx_cbor_put_list(&list, 2);
+  tmx_cbor_put_text(&list, "wk-000003");
+  tmx_cbor_put_text(&list, "wk-000001");
+  encode_submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
+  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 201);
+  run_loop_for(0.5);
+  assert_true(tmx_job_is_blocked(tmx_job_find(&a->replica, "wk-000007")));
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(job_done, "wk-000001"));
+  assert_false(tmx_job_is_blocked(tmx_job_find(&a->replica, "wk-000007")));
+  tmx_buffer_free(&list);
+  tmx_buffer_free(&body);
 }
 
 /* ------------------------------------------------------------ what production reads */
@@ -155,23 +155,24 @@
 enum { PRODUCTION_RECORD = 19 }; /* entries of a job's record */
 
 static void record_as_production_reads(const cbor_item_t *job) {
-  assert_int_equal(tmx_r_len(job), PRODUCTION_RECORD);
+  assert_int_equal(tmx_cbor_list_length(job), PRODUCTION_RECORD);
 }
 
 static void line_as_production_reads(const char *line) {
-  struct tmx_op o;
+  struct tmx_operation operation;
   if (strchr("mdxt", line[0]))
     assert_int_equal(line[1], ' ');
   else
-    assert_true(tmx_op_parse(line, &o));
+    assert_true(tmx_operation_parse(line, &operation));
 }
 
 static void lines_as_production_reads(const cbor_item_t *value) {
   char line[TMX_LINE_MAX];
-  const cbor_item_t *ops = tmx_r_get(value, "ops"), *jobs = tmx_r_get(value, "jobs");
-  for (size_t i = 0; i < tmx_r_len(jobs); i++) record_as_production_reads(tmx_r_at(jobs, i));
-  for (size_t i = 0; i < tmx_r_len(ops); i++) {
-    assert_true(tmx_r_str(tmx_r_at(ops, i), line, sizeof line));
+  const cbor_item_t *ops = tmx_cbor_get(value, "ops"), *jobs = tmx_cbor_get(value, "jobs");
+  for (size_t i = 0; i < tmx_cbor_list_length(jobs); i++)
+    record_as_production_reads(tmx_cbor_list_at(jobs, i));
+  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++) {
+    assert_true(tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line));
     line_as_production_reads(line);
   }
   assert_int_equal(cbor_map_size(value), (jobs != NULL) + (ops != NULL));
@@ -182,18 +183,18 @@
 }
 
 static void all_as_production_reads(void) {
-  for (size_t i = 0; i < state.n_e; i++) {
-    const struct fake_entry *e = &state.e[i];
+  for (size_t i = 0; i < fake_store.n_entries; i++) {
+    const struct fake_entry *e = &fake_store.entries[i];
     cbor_item_t *value = tmx_cbor_parse(e->value, e->len);
-    if (is_under(e->key, TMX_K_JOB))
+    if (is_under(e->key, TMX_KEY_JOB))
       record_as_production_reads(value);
-    else if (is_under(e->key, TMX_K_BATCH) || is_under(e->key, TMX_K_PAGE))
+    else if (is_under(e->key, TMX_KEY_BATCH) || is_under(e->key, TMX_KEY_PAGE))
       lines_as_production_reads(value);
-    else if (!strcmp(e->key, TMX_K_VIEW))
+    else if (!strcmp(e->key, TMX_KEY_VIEW))
       assert_int_equal(cbor_map_size(value), 4);
     else
-      assert_true(!strcmp(e->key, TMX_K_FOLD) || !strcmp(e->key, TMX_K_HEAD) ||
-                  !strcmp(e->key, TMX_K_LEADER) || is_under(e->key, TMX_K_NODE));
+      assert_true(!strcmp(e->key, TMX_KEY_COMPACTION) || !strcmp(e->key, TMX_KEY_HEAD) ||
+                  !strcmp(e->key, TMX_KEY_LEADER) || is_under(e->key, TMX_KEY_MEMBER));
     tmx_cbor_free(value);
   }
 }
@@ -204,26 +205,26 @@
   (void)st;
   begin();
   for (int i = 0; i < 5; i++) {
-    worker_report(&w, a);
-    pump_for(0.1);
+    fake_worker_send_heartbeat(&w, a);
+    run_loop_for(0.1);
   }
-  assert_int_equal(submit(a, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
-  assert_int_equal(submit(a, "wk-000002", WV_SERVICE, 1, 1, "t"), 201);
-  assert_int_equal(submit(a, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
-  pump_for(1);
+  assert_int_equal(submit_simple_job(a, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000002", WV_SERVICE, 1, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(a, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
+  run_loop_for(1);
   assert_int_equal(w.executed_starts, 6);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_ERROR);
-  worker_set(&w, "wk-000003/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000003/1", 1, WV_EXITED, WV_DONE);
-  worker_report(&w, a);
-  assert_true(pump(job_done, "wk-000003"));
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_ERROR);
+  fake_worker_set_task(&w, "wk-000003/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000003/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&w, a);
+  assert_true(run_loop_until(job_done, "wk-000003"));
   assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
   all_as_production_reads();
-  tmx_fold_above(a->fold, 0);
-  for (int i = 0; i < 600 && !a->rep.fold_mark; i++) pump_for(0.02);
-  assert_true(a->rep.fold_mark > 0);
-  pump_for(1);
+  tmx_compaction_set_threshold(a->compaction, 0);
+  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(a->replica.compaction_point > 0);
+  run_loop_for(1);
   all_as_production_reads();
 }
 
@@ -238,21 +239,21 @@
   while (hex[0] == '#');
   fclose(f);
   size_t n = from_hex(hex, bytes, sizeof bytes);
-  struct tmx_beat beat;
+  struct tmx_heartbeat beat;
   XDR x;
   memset(&beat, 0, sizeof beat);
   xdrmem_create(&x, (char *)bytes, (u_int)n, XDR_DECODE);
-  assert_true(xdr_tmx_beat(&x, &beat));
+  assert_true(xdr_tmx_heartbeat(&x, &beat));
   assert_int_equal(xdr_getpos(&x), n);
   assert_string_equal(beat.node, "hand-1");
   assert_int_equal(beat.revision, 4711);
   assert_int_equal(beat.suspects.suspects_len, 2);
   assert_string_equal(beat.zones.zones_val[0].name, "a");
   xdrmem_create(&x, again, sizeof again, XDR_ENCODE);
-  assert_true(xdr_tmx_beat(&x, &beat));
+  assert_true(xdr_tmx_heartbeat(&x, &beat));
   assert_int_equal(xdr_getpos(&x), n);
   assert_memory_equal(again, bytes, n);
-  xdr_free((xdrproc_t)xdr_tmx_beat, (char *)&beat);
+  xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&beat);
 }
 
 int main(void) {
--- a/tests/test_wire_format.c
+++ b/tests/test_wire_format.c
@@ -9,67 +9,67 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "admission/admission.h"
-#include "net/log.h"
+#include "admission/admission_policy.h"
+#include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_ctl *a;
+static struct tmx_controller *a;
 static struct fake_worker w;
 static struct relay commands; /* between the controller and the worker's server */
 static char address[32];      /* of the controller */
 
 static int setup(void **st) {
   (void)st;
-  fake_open();
-  worker_open(&w, "n-000001");
-  relay_open(&commands, tmx_server_port(w.srv));
+  fake_start();
+  fake_worker_open(&w, "n-000001");
+  relay_open(&commands, tmx_http_server_port(w.server));
   snprintf(w.addr, sizeof w.addr, "%s", commands.address);
   a = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) controller_end(a);
+  if (a) stop_controller(a);
   relay_close(&commands);
-  tmx_server_free(w.srv);
-  fake_close();
+  tmx_http_server_free(w.server);
+  fake_stop();
   return 0;
 }
 
 static void make_controller(int of) {
-  a = controller(0, of);
-  snprintf(address, sizeof address, "127.0.0.1:%d", tmx_server_port(a->server));
+  a = start_controller(0, of);
+  snprintf(address, sizeof address, "127.0.0.1:%d", tmx_http_server_port(a->server));
 }
 static void begin(void) {
   make_controller(1);
-  assert_true(pump(fake_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 
 /* ------------------------------------------------------------ users */
 
 static void record_exchange(struct recording *r, const char *title, const struct exchange *x) {
   record_line(r, "== %s", title);
-  record_http(r, "> ", x->request.p, x->request.n);
-  record_http(r, "< ", x->answer.p, x->answer.n);
+  record_http(r, "> ", x->request.data, x->request.length);
+  record_http(r, "< ", x->answer.data, x->answer.length);
 }
 
 static void ask(struct recording *r, const char *title, const char *line, const char *json) {
   struct exchange x;
-  struct tmx_buf body = {0};
+  struct tmx_buffer body = {0};
   if (json) encode_json(&body, json);
   raw_request(address, line, json ? &body : NULL, &x);
   record_exchange(r, title, &x);
   exchange_free(&x);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
 }
 
 /* Requests that are no CBOR, or no request: only the answer is recorded. */
 static void ask_raw(struct recording *r, const char *title, const char *request, size_t n) {
-  struct tmx_buf answer = {0};
+  struct tmx_buffer answer = {0};
   record_line(r, "== %s", title);
   raw_call(address, request, n, &answer);
-  record_http(r, "< ", answer.p, answer.n);
-  tmx_buf_free(&answer);
+  record_http(r, "< ", answer.data, answer.length);
+  tmx_buffer_free(&answer);
 }
 
 #define SUBMISSION(id, outfit, cpus)                                          \
@@ -80,7 +80,7 @@
   "\"loaner\":false,\"reckon_s\":240.0,\"tally_s\":30.0,\"stow_s\":4.5,\"due_s\":900.0}"
 
 static void answers_without_the_state(struct recording *r) {
-  state.doors[0].refuse = true;
+  fake_store.endpoints[0].refuse = true;
   make_controller(1);
   ask(r, "not ready", "GET /ready", NULL);
   ask(r, "a submission while the state is out of reach", "POST /v2/runs",
@@ -88,8 +88,8 @@
   ask(r, "a poll while the state is out of reach", "GET /v2/runs/wk-000001", NULL);
   ask(r, "a cancellation while the state is out of reach", "POST /v2/runs/wk-000001/withdraw",
       NULL);
-  state.doors[0].refuse = false;
-  assert_true(pump(fake_ready, a));
+  fake_store.endpoints[0].refuse = false;
+  assert_true(run_loop_until(fake_controller_is_ready, a));
 }
 
 static void answers_that_refuse(struct recording *r) {
@@ -117,17 +117,17 @@
 }
 
 static void report_plainly(void) {
-  worker_report(&w, a);
-  pump_for(0.2);
+  fake_worker_send_heartbeat(&w, a);
+  run_loop_for(0.2);
 }
 
 static bool job_done(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&a->rep, arg);
-  return j && j->fin == TMX_FIN_DONE;
+  const struct tmx_job *j = tmx_job_find(&a->replica, arg);
+  return j && j->outcome == TMX_JOB_DONE;
 }
 
 static bool one_done(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&a->rep, arg);
+  const struct tmx_job *j = tmx_job_find(&a->replica, arg);
   return j && j->n_done == 1;
 }
 
@@ -137,14 +137,14 @@
   ask(r, "submitted again", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
   for (int i = 0; i < 4; i++) report_plainly();
   assert_int_equal(w.executed_starts, 3);
-  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
   report_plainly();
-  assert_true(pump(one_done, "wk-000001"));
+  assert_true(run_loop_until(one_done, "wk-000001"));
   ask(r, "running", "GET /v2/runs/wk-000001", NULL);
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  worker_set(&w, "wk-000001/2", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/2", 1, WV_EXITED, WV_DONE);
   report_plainly();
-  assert_true(pump(job_done, "wk-000001"));
+  assert_true(run_loop_until(job_done, "wk-000001"));
   ask(r, "done", "GET /v2/runs/wk-000001", NULL);
   ask(r, "cancelled after it was done", "POST /v2/runs/wk-000001/withdraw", NULL);
   ask(r, "submitted after it was done", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
@@ -166,9 +166,9 @@
 
 static void with_admission(struct tmx_settings *s) {
   char err[128];
-  s->op.admission.enabled = true;
-  s->op.admission.backlog_s = 10;
-  s->op.admission.capacity_cpus = 16;
+  s->operators.admission.enabled = true;
+  s->operators.admission.backlog_s = 10;
+  s->operators.admission.capacity_cpus = 16;
   assert_true(tmx_admission_resolve(s, err, sizeof err));
 }
 
@@ -176,7 +176,7 @@
 static void answer_of_admission(void **st) {
   (void)st;
   struct recording r = {.retry_from = 1, .retry_to = 30};
-  fake_adjust = with_admission;
+  fake_adjust_settings = with_admission;
   begin();
   /* 90 s of the machine each */
   ask(&r, "a class without work", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
@@ -189,35 +189,36 @@
 
 static void send_report(struct recording *r, const char *title) {
   struct exchange x;
-  struct tmx_buf body = {0};
-  w.seq = (w.seq / 100 + 1) * 100; /* above those that probes have used up */
-  worker_encode(&w, &body);
+  struct tmx_buffer body = {0};
+  w.sequence = (w.sequence / 100 + 1) * 100; /* above those that probes have used up */
+  fake_worker_encode_report(&w, &body);
   raw_request(address, "POST /hello", &body, &x);
   record_exchange(r, title, &x);
-  const uint8_t *answer = memmem(x.answer.p, x.answer.n, "\r\n\r\n", 4);
-  size_t length = x.answer.n - (size_t)(answer + 4 - x.answer.p);
-  worker_answered(&w, atoi((const char *)x.answer.p + strlen("HTTP/1.1 ")), answer + 4, length);
+  const uint8_t *answer = memmem(x.answer.data, x.answer.length, "\r\n\r\n", 4);
+  size_t length = x.answer.length - (size_t)(answer + 4 - x.answer.data);
+  fake_worker_take_response(&w, atoi((const char *)x.answer.data + strlen("HTTP/1.1 ")), answer + 4,
+                            length);
   exchange_free(&x);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
 }
 
 static void put_line(const char *key, const char *line) {
-  struct tmx_buf v = {0}, list = {0};
-  tmx_w_str(&list, line);
-  tmx_lines_encode(&v, NULL, 0, &list, 1);
+  struct tmx_buffer v = {0}, list = {0};
+  tmx_cbor_put_text(&list, line);
+  tmx_log_value_encode(&v, NULL, 0, &list, 1);
   fake_put(key, &v);
-  tmx_buf_free(&v);
-  tmx_buf_free(&list);
-  pump_for(0.3);
+  tmx_buffer_free(&v);
+  tmx_buffer_free(&list);
+  run_loop_for(0.3);
 }
 
 static void submit_literally(void) {
   struct exchange x;
-  struct tmx_buf body = {0};
+  struct tmx_buffer body = {0};
   encode_json(&body, SUBMISSION("wk-000001", "t", "1.0"));
   raw_request(address, "POST /v2/runs", &body, &x);
   exchange_free(&x);
-  tmx_buf_free(&body);
+  tmx_buffer_free(&body);
 }
 
 /* The first request after `at` that holds the text; what the scripted worker says is not recorded.
@@ -227,7 +228,7 @@
                                              const char *part) {
   const struct exchange *x = relay_wait(&commands, at, start, part);
   record_line(r, "== %s", title);
-  record_http(r, "> ", x->request.p, x->request.n);
+  record_http(r, "> ", x->request.data, x->request.length);
   return x;
 }
 
@@ -246,7 +247,7 @@
   put_line("t/batch/hand-9/000000", "s wk-000001/0 1 2");
   x = record_command(&r, "one of its tasks is to save and end", x, "POST /commands", "halt");
   x = record_command(&r, "its end is in the log", x, "POST /commands", "reap");
-  assert_true(pump(four_started, NULL)); /* it was placed again */
+  assert_true(run_loop_until(four_started, NULL)); /* it was placed again */
   x = record_command(&r, "its next attempt", x, "POST /commands", "start");
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
   record_command(&r, "the job is cancelled", x, "POST /commands", "halt");
@@ -258,34 +259,34 @@
 static void answers_to_reports(void **st) {
   (void)st;
   struct recording r = {0};
-  state.doors[0].refuse = true;
+  fake_store.endpoints[0].refuse = true;
   make_controller(1);
   send_report(&r, "the state is out of reach");
-  state.doors[0].refuse = false;
-  assert_true(pump(fake_ready, a));
+  fake_store.endpoints[0].refuse = false;
+  assert_true(run_loop_until(fake_controller_is_ready, a));
   send_report(&r, "the first report");
   send_report(&r, "... which shows the token");
-  pump_for(0.5);
+  run_loop_for(0.5);
   w.mute = true;
   submit_literally();
-  pump_for(0.5);
+  run_loop_for(0.5);
   send_report(&r, "the command to start got no answer");
-  worker_do(&w);
+  fake_worker_execute_commands(&w);
   assert_int_equal(w.executed_starts, 3);
   send_report(&r, "the tasks run");
-  pump_for(0.5);
+  run_loop_for(0.5);
   put_line("t/batch/hand-9/000000", "s wk-000001/0 1 2");
   send_report(&r, "a task is to save and end");
-  worker_set(&w, "wk-000001/0", 1, WV_SAVING, NULL);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_SAVING, NULL);
   send_report(&r, "it saves");
-  worker_set(&w, "wk-000001/0", 1, WV_EXITED, WV_STOPPED);
-  worker_set(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_STOPPED);
+  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
   send_report(&r, "tasks have ended");
-  pump_for(0.5);
+  run_loop_for(0.5);
   assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
-  pump_for(0.5);
+  run_loop_for(0.5);
   send_report(&r, "the ends are in the log, and the job is cancelled");
-  w.seq -= 150;
+  w.sequence -= 150;
   send_report(&r, "a report that a later one has overtaken");
   w.session = 0;
   send_report(&r, "a report of an earlier session");
@@ -297,25 +298,25 @@
 
 static bool two_members(void *arg) {
   (void)arg;
-  return a->rep.view.n_members == 2 && fake_ready(a);
+  return a->replica.view.n_members == 2 && fake_controller_is_ready(a);
 }
 
 static void answers_that_send_elsewhere(void **st) {
   (void)st;
   struct recording r = {0};
-  struct tmx_buf v = {0};
+  struct tmx_buffer v = {0};
   make_controller(2);
   encode_json(&v, "{\"listen\":\"127.0.0.1:1\"}");
   fake_put("t/node/hand-1", &v);
-  tmx_buf_free(&v);
-  assert_true(pump(two_members, NULL));
+  tmx_buffer_free(&v);
+  assert_true(run_loop_until(two_members, NULL));
   strcpy(w.id, "n-000002");
   send_report(&r, "a machine of another controller");
-  assert_string_equal(w.move_to, "hand-1");
+  assert_string_equal(w.redirected_to, "hand-1");
   strcpy(w.id, "n-000006");
   w.token = 1ull << 40;
   send_report(&r, "a newer owner's token was seen");
-  assert_string_equal(w.move_to, "");
+  assert_string_equal(w.redirected_to, "");
   recording_check(&r, "report-answers-elsewhere.txt");
 }
 
