--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -145,18 +145,13 @@
     plain.priority = i;
     record_open(&r, priorities[i], "wk-000003", &plain);
   }
-  plain = plain_job(); /* one flag each: which bit it is */
-  plain.service = true;
-  record_open(&r, "a service", "wk-000004", &plain);
-  plain.service = false;
-  plain.same_zone = true;
-  record_open(&r, "all tasks in one zone", "wk-000004", &plain);
-  plain.same_zone = false;
-  plain.spread = true;
-  record_open(&r, "spread over zones", "wk-000004", &plain);
-  plain.spread = false;
-  plain.spot_allowed = true;
-  record_open(&r, "spot machines allowed", "wk-000004", &plain);
+  static const char *const flags[] = {"a service", "all tasks in one zone", "spread over zones",
+                                      "spot machines allowed"};
+  for (int i = 0; i < 4; i++) { /* one flag each: which bit it is */
+    plain = plain_job();
+    *(bool *[]){&plain.service, &plain.same_zone, &plain.spread, &plain.spot_allowed}[i] = true;
+    record_open(&r, flags[i], "wk-000004", &plain);
+  }
   recording_check(&r, "storage-open-jobs.txt");
 }
 
