--- a/src/admission/admission_control.c
+++ b/src/admission/admission_control.c
@@ -6,37 +6,41 @@
 #include <string.h>
 
 #include "admission/statistics.h"
-#include "controller/controller.h"
 #include "base/log.h"
 #include "base/clock.h"
 #include "base/memory.h"
 #include "base/random.h"
 
 struct tmx_admission_control {
-  struct tmx_controller *controller;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  const struct tmx_machine_catalog *catalog;
   struct tmx_backlog backlog;    /* of the replica */
   struct tmx_backlog on_its_way; /* of this controller's commits without an answer */
   struct tmx_statistics *statistics;
   double reported_at;
 };
 
-static void on_begin(void *arg, struct tmx_job *job) {
-  struct tmx_controller *controller = arg;
-  if (job->team < 0 || !job->in_account) return;
-  tmx_statistics_start(controller->admission->statistics, (size_t)job->team, (size_t)job->account,
+void tmx_admission_control_job_started(struct tmx_admission_control *admission,
+                                       const struct tmx_job *job) {
+  if (!admission || job->team < 0 || !job->in_account) return;
+  tmx_statistics_start(admission->statistics, (size_t)job->team, (size_t)job->account,
                        tmx_clock_wall() - job->released_at);
 }
 
-struct tmx_admission_control *tmx_admission_control_new(struct tmx_controller *controller) {
-  if (!controller->settings.operators.admission.enabled) return NULL;
+struct tmx_admission_control *tmx_admission_control_new(const struct tmx_settings *settings,
+                                                        struct tmx_replica *replica,
+                                                        const struct tmx_machine_catalog *catalog) {
+  if (!settings->operators.admission.enabled) return NULL;
   struct tmx_admission_control *admission = tmx_allocate(1, sizeof *admission);
-  admission->controller = controller;
+  admission->settings = settings;
+  admission->replica = replica;
+  admission->catalog = catalog;
   admission->statistics = tmx_statistics_new();
   admission->reported_at = tmx_clock_steady();
-  tmx_backlog_init(&admission->backlog, &controller->settings);
-  tmx_backlog_init(&admission->on_its_way, &controller->settings);
-  controller->replica.backlog = &admission->backlog;
-  controller->replica.on_job_started = on_begin;
+  tmx_backlog_init(&admission->backlog, settings);
+  tmx_backlog_init(&admission->on_its_way, settings);
+  replica->backlog = &admission->backlog;
   return admission;
 }
 
@@ -48,11 +52,11 @@
 
 /* ------------------------------------------------------------ rates */
 
-static struct tmx_machine_size present_machines(const struct tmx_controller *controller) {
+static struct tmx_machine_size present_machines(const struct tmx_admission_control *admission) {
   struct tmx_machine_size sum = {0};
-  for (size_t i = 0; i < controller->replica.n_type_counts; i++) {
-    const struct tmx_type_count *count = &controller->replica.type_counts[i];
-    const struct tmx_machine_type *type = tmx_cloud_type(controller->cloud, count->type);
+  for (size_t i = 0; i < admission->replica->n_type_counts; i++) {
+    const struct tmx_type_count *count = &admission->replica->type_counts[i];
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(admission->catalog, count->type);
     if (!type) continue;
     sum.cpus += count->machines * type->cpus;
     sum.gpus += count->machines * type->gpus;
@@ -61,11 +65,10 @@
   return sum;
 }
 
-static struct tmx_machine_size largest_machine(const struct tmx_controller *controller) {
+static struct tmx_machine_size largest_machine(const struct tmx_admission_control *admission) {
   struct tmx_machine_size most = {0};
-  size_t n;
-  const struct tmx_machine_type *types = tmx_cloud_types(controller->cloud, &n);
-  for (size_t i = 0; i < n; i++) {
+  const struct tmx_machine_type *types = admission->catalog->types;
+  for (size_t i = 0; i < admission->catalog->n_types; i++) {
     most.cpus = fmax(most.cpus, types[i].cpus);
     most.gpus = fmax(most.gpus, types[i].gpus);
     most.mem_gb = fmax(most.mem_gb, types[i].mem_gb);
@@ -74,10 +77,9 @@
 }
 
 static struct tmx_rates rates_now(const struct tmx_admission_control *admission) {
-  const struct tmx_controller *controller = admission->controller;
-  struct tmx_machine_size present = present_machines(controller),
-                          largest = largest_machine(controller);
-  return tmx_admission_rates(&controller->settings, &present, &largest);
+  struct tmx_machine_size present = present_machines(admission),
+                          largest = largest_machine(admission);
+  return tmx_admission_rates(admission->settings, &present, &largest);
 }
 
 /* ------------------------------------------------------------ judgement */
@@ -104,9 +106,9 @@
                                               const struct tmx_job_ids *awaits) {
   if (!admission || candidate->team < 0) return (struct tmx_ruling){.verdict = TMX_ADMITTED};
   struct tmx_rates rates = rates_now(admission);
-  candidate->awaits_open = any_open(&admission->controller->replica, awaits);
-  return tmx_admission_judge(&admission->controller->settings, &admission->backlog,
-                             &admission->on_its_way, &rates, candidate);
+  candidate->awaits_open = any_open(admission->replica, awaits);
+  return tmx_admission_judge(admission->settings, &admission->backlog, &admission->on_its_way,
+                             &rates, candidate);
 }
 
 bool tmx_admission_control_may_commit_alone(const struct tmx_admission_control *admission,
@@ -117,7 +119,7 @@
   if (ruling.verdict != TMX_ADMITTED) return false;
   if (ruling.backlog_s > TMX_SINGLE_ADMISSION_SHARE * ruling.ceiling_s) return false;
   struct tmx_rates rates = rates_now(admission);
-  double bound = admission->controller->settings.operators.admission.backlog_s;
+  double bound = admission->settings->operators.admission.backlog_s;
   return tmx_load_seconds(&candidate->load, &rates) <= TMX_SINGLE_LOAD_SHARE * bound;
 }
 
@@ -189,7 +191,7 @@
           "admission: %s %s: %u jobs, backlog %.1f s, oldest waits %.0f s; admitted %lu, refused "
           "%lu by team, %lu by class; %lu began, after %.1f s (median), %.1f s (99%%), %.1f s "
           "(most)",
-          admission->controller->settings.teams[team].name, name, account->jobs,
+          admission->settings->teams[team].name, name, account->jobs,
           tmx_load_seconds(&account->load, rates), oldest_s, f.admitted, f.refused_team,
           f.refused_class, f.starts, f.start_median_s, f.start_p99_s, f.start_most_s);
 }
@@ -197,11 +199,11 @@
 void tmx_admission_control_log_accounts(const struct tmx_admission_control *admission) {
   if (!admission) return;
   struct oldest *oldest = tmx_allocate(1, sizeof *oldest);
-  find_oldest(&admission->controller->replica, oldest);
+  find_oldest(admission->replica, oldest);
   struct tmx_rates rates = rates_now(admission);
   tmx_log(TMX_LOG_INFO, "admission: backlog %.1f s of %.0f s, %.0f CPUs",
           tmx_total_seconds(&admission->backlog, &rates),
-          admission->controller->settings.operators.admission.backlog_s,
+          admission->settings->operators.admission.backlog_s,
           rates.per_s[TMX_ADMISSION_CPU] / TMX_MILLI);
   for (size_t team = 0; team < admission->backlog.n_teams; team++)
     for (size_t i = 0; i < tmx_backlog_accounts(&admission->backlog); i++)
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -3,15 +3,22 @@
 #ifndef TMX_ADMISSION_CONTROL_H
 #define TMX_ADMISSION_CONTROL_H
 #include "admission/admission_policy.h"
+#include "catalog/machine_catalog.h"
 #include "replica/job_dependencies.h"
+#include "replica/replica.h"
 
-struct tmx_controller;
 struct tmx_admission_control;
 
 /* NULL: admission is not enabled. Every function below takes NULL for a gate that admits all. */
-struct tmx_admission_control *tmx_admission_control_new(struct tmx_controller *controller);
+struct tmx_admission_control *tmx_admission_control_new(const struct tmx_settings *settings,
+                                                        struct tmx_replica *replica,
+                                                        const struct tmx_machine_catalog *catalog);
 void tmx_admission_control_free(struct tmx_admission_control *admission);
 
+/* The first task of a job was placed: its wait goes into the statistics. */
+void tmx_admission_control_job_started(struct tmx_admission_control *admission,
+                                       const struct tmx_job *job);
+
 struct tmx_candidate tmx_admission_control_candidate(const struct tmx_admission_control *admission,
                                                      const struct tmx_job_spec *spec, int team);
 /* Judges on the replica as it stands, and on what this controller is committing. */
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -19,10 +19,16 @@
   uint32_t count;
   double started;
 };
-struct tmx_cloud *tmx_cloud_new(struct tmx_controller *controller) {
+struct tmx_cloud *tmx_cloud_new(const struct tmx_cloud_dependencies *dependencies) {
   struct tmx_cloud *cloud = tmx_allocate(1, sizeof *cloud);
-  cloud->controller = controller;
-  cloud->http = tmx_http_client_new(controller->loop, controller->settings.cloud, 8);
+  cloud->settings = dependencies->settings;
+  cloud->replica = dependencies->replica;
+  cloud->store = dependencies->store;
+  cloud->catalog = dependencies->catalog;
+  cloud->peers = dependencies->peers;
+  cloud->scheduler = dependencies->scheduler;
+  cloud->workers = dependencies->workers;
+  cloud->http = tmx_http_client_new(dependencies->loop, cloud->settings->cloud, 8);
   cloud->types_read_at = -TMX_CATALOG_S;
   cloud->call_tokens_at = tmx_clock_steady();
   return cloud;
@@ -43,22 +49,12 @@
   free(cloud);
 }
 
-const struct tmx_machine_type *tmx_cloud_types(const struct tmx_cloud *cloud, size_t *n) {
-  *n = cloud->n_types;
-  return cloud->types;
-}
-const struct tmx_machine_type *tmx_cloud_type(const struct tmx_cloud *cloud, const char *name) {
-  for (size_t i = 0; i < cloud->n_types; i++)
-    if (!strcmp(cloud->types[i].name, name)) return &cloud->types[i];
-  return NULL;
-}
-
 bool tmx_cloud_may_call(struct tmx_cloud *cloud) {
   double now = tmx_clock_steady();
-  cloud->call_tokens += (now - cloud->call_tokens_at) * cloud->controller->settings.cloud_rps * 0.6;
+  cloud->call_tokens += (now - cloud->call_tokens_at) * cloud->settings->cloud_rps * 0.6;
   cloud->call_tokens_at = now;
-  if (cloud->call_tokens > cloud->controller->settings.cloud_rps)
-    cloud->call_tokens = cloud->controller->settings.cloud_rps;
+  if (cloud->call_tokens > cloud->settings->cloud_rps)
+    cloud->call_tokens = cloud->settings->cloud_rps;
   if (cloud->call_tokens < 1) return false;
   cloud->call_tokens -= 1;
   return true;
@@ -92,27 +88,29 @@
     for (size_t z = 0; z < tmx_cbor_list_length(zones); z++) {
       char name[TMX_NAME_MAX];
       int zi = tmx_cbor_as_text(tmx_cbor_list_at(zones, z), name, sizeof name)
-                   ? tmx_zone_index(&cloud->controller->settings, name)
+                   ? tmx_zone_index(cloud->settings, name)
                    : -1;
       if (zi >= 0) d->zones[zi] = true;
     }
     n++;
   }
   if (n) {
-    if (!cloud->n_types) tmx_log(TMX_LOG_INFO, "cloud: %zu machine types", n);
-    if (!cloud->n_types && tmx_cbor_list_length(types) > n)
+    if (!cloud->catalog->n_types) tmx_log(TMX_LOG_INFO, "cloud: %zu machine types", n);
+    if (!cloud->catalog->n_types && tmx_cbor_list_length(types) > n)
       tmx_log(TMX_LOG_ERROR, "cloud: %zu of %zu machine types are left out",
               tmx_cbor_list_length(types) - n, tmx_cbor_list_length(types));
-    bool sizes = n != cloud->n_types;
+    bool sizes = n != cloud->catalog->n_types;
     for (size_t i = 0; i < n && !sizes; i++)
-      sizes = strcmp(t[i].name, cloud->types[i].name) || t[i].cpus != cloud->types[i].cpus ||
-              t[i].gpus != cloud->types[i].gpus || t[i].mem_gb != cloud->types[i].mem_gb;
-    memcpy(cloud->types, t, sizeof t);
-    cloud->n_types = n;
+      sizes = strcmp(t[i].name, cloud->catalog->types[i].name) ||
+              t[i].cpus != cloud->catalog->types[i].cpus ||
+              t[i].gpus != cloud->catalog->types[i].gpus ||
+              t[i].mem_gb != cloud->catalog->types[i].mem_gb;
+    memcpy(cloud->catalog->types, t, sizeof t);
+    cloud->catalog->n_types = n;
     struct tmx_machine *other, *next_other;
-    if (sizes) HASH_ITER(hh, cloud->controller->replica.machines, other, next_other)
-    tmx_scheduler_machine_changed(cloud->controller->scheduler, other);
-    tmx_scheduler_trigger(cloud->controller);
+    if (sizes) HASH_ITER(hh, cloud->replica->machines, other, next_other)
+    tmx_scheduler_machine_changed(cloud->scheduler, other);
+    tmx_scheduler_trigger(cloud->scheduler);
   }
   tmx_cbor_free(map);
 }
@@ -150,7 +148,7 @@
     struct tmx_instance *instance = tmx_cloud_find_instance(cloud, id);
     tmx_cbor_get_text(entry, W_TYPE, instance->type, sizeof instance->type);
     instance->zone = tmx_cbor_get_text(entry, W_ZONE, zone, sizeof zone)
-                         ? tmx_zone_index(&cloud->controller->settings, zone)
+                         ? tmx_zone_index(cloud->settings, zone)
                          : -1;
     tmx_cbor_get_bool(entry, W_SPOT, &instance->spot);
     tmx_cbor_get_number(entry, W_AGE, &instance->age_s);
@@ -182,7 +180,7 @@
     /* unlisted for longer than any list lags: gone */
     double since =
         instance->age_as_of > instance->rented_at ? instance->age_as_of : instance->rented_at;
-    if (now - since > 2 * cloud->controller->settings.list_lag_s + 3 * TMX_LIST_S) {
+    if (now - since > 2 * cloud->settings->list_lag_s + 3 * TMX_LIST_S) {
       HASH_DEL(cloud->instances, instance);
       free(instance);
     }
@@ -252,18 +250,18 @@
       got++;
     }
     tmx_log(TMX_LOG_INFO, "cloud: rented %u of %u %s in %s%s", got, call->count, call->type,
-            cloud->controller->settings.zones[call->zone], call->spot ? ", spot" : "");
+            cloud->settings->zones[call->zone], call->spot ? ", spot" : "");
     if (got < call->count)
       back_off_offer(cloud, call);
     else
       offer_backoff_of(cloud, call->type, call->zone, call->spot)->wait_s = 0;
     free_scale_out_call(call);
   } else if ((status == 0 || status == 429) && ++call->tries < 4 &&
-             tmx_store_is_leader(cloud->controller->store)) {
+             tmx_store_is_leader(cloud->store)) {
     send_scale_out(call); /* the same name rents nothing twice */
   } else {
     tmx_log(TMX_LOG_INFO, "cloud: %s in %s%s refused (%d)", call->type,
-            cloud->controller->settings.zones[call->zone], call->spot ? ", spot" : "", status);
+            cloud->settings->zones[call->zone], call->spot ? ", spot" : "", status);
     if (status == 503 || status == 200) back_off_offer(cloud, call);
     free_scale_out_call(call);
   }
@@ -275,7 +273,7 @@
   tmx_cbor_put_map(&buffer, 5);
   tmx_cbor_put_text_field(&buffer, W_REQUEST, call->name);
   tmx_cbor_put_text_field(&buffer, W_TYPE, call->type);
-  tmx_cbor_put_text_field(&buffer, W_ZONE, call->cloud->controller->settings.zones[call->zone]);
+  tmx_cbor_put_text_field(&buffer, W_ZONE, call->cloud->settings->zones[call->zone]);
   tmx_cbor_put_bool_field(&buffer, W_SPOT, call->spot);
   tmx_cbor_put_u64_field(&buffer, W_COUNT, call->count);
   bool ok = tmx_cloud_may_call(call->cloud) &&
@@ -295,8 +293,8 @@
     call->count = count < TMX_SCALE_OUT_MAX ? count : TMX_SCALE_OUT_MAX;
     call->started = tmx_clock_steady();
     snprintf(call->type, sizeof call->type, "%s", offers->type->name);
-    snprintf(call->name, sizeof call->name, "%s-%llu-%llu", cloud->controller->settings.node_name,
-             (unsigned long long)tmx_store_incarnation(cloud->controller->store),
+    snprintf(call->name, sizeof call->name, "%s-%llu-%llu", cloud->settings->node_name,
+             (unsigned long long)tmx_store_incarnation(cloud->store),
              (unsigned long long)++cloud->next_request_number);
     cloud->scale_outs_in_flight++;
     send_scale_out(call);
@@ -335,43 +333,41 @@
 }
 
 /* A service's waiting tasks by the zones that its cap leaves open, the emptiest first. */
-static void add_service_demand(const struct tmx_controller *controller, struct demand_list *list,
+static void add_service_demand(const struct tmx_settings *settings, struct demand_list *list,
                                const struct tmx_job *job, uint32_t w) {
   const struct tmx_job_spec *spec = &job->spec;
-  uint32_t cap = tmx_zone_cap(spec, controller->settings.n_zones), add[TMX_ZONES_MAX] = {0};
-  if (spec->zone[0] || spec->same_zone || controller->settings.n_zones < 2) {
-    int zone = spec->zone[0] ? tmx_zone_index(&controller->settings, spec->zone) : -1;
-    for (size_t z = 0; zone < 0 && spec->same_zone && z < controller->settings.n_zones; z++)
+  uint32_t cap = tmx_zone_cap(spec, settings->n_zones), add[TMX_ZONES_MAX] = {0};
+  if (spec->zone[0] || spec->same_zone || settings->n_zones < 2) {
+    int zone = spec->zone[0] ? tmx_zone_index(settings, spec->zone) : -1;
+    for (size_t z = 0; zone < 0 && spec->same_zone && z < settings->n_zones; z++)
       if (job->placed_in_zone[z]) zone = (int)z;
     add_demand(list, spec, zone, w, 0);
     return;
   }
   for (; w; w--) {
-    size_t best = controller->settings.n_zones;
-    for (size_t z = 0; z < controller->settings.n_zones; z++) {
+    size_t best = settings->n_zones;
+    for (size_t z = 0; z < settings->n_zones; z++) {
       if (job->placed_in_zone[z] + add[z] >= cap) continue;
-      if (best == controller->settings.n_zones ||
+      if (best == settings->n_zones ||
           job->placed_in_zone[z] + add[z] < job->placed_in_zone[best] + add[best])
         best = z;
     }
-    if (best == controller->settings.n_zones) break;
+    if (best == settings->n_zones) break;
     add[best]++;
   }
-  for (size_t z = 0; z < controller->settings.n_zones; z++)
-    add_demand(list, spec, (int)z, add[z], 0);
+  for (size_t z = 0; z < settings->n_zones; z++) add_demand(list, spec, (int)z, add[z], 0);
 }
 
 static void plan_scale_out(struct tmx_cloud *cloud) {
-  struct tmx_controller *controller = cloud->controller;
-  struct tmx_replica *replica = &controller->replica;
+  struct tmx_replica *replica = cloud->replica;
   double now = tmx_clock_steady(), have = 0;
   struct demand_list list = {0};
   struct tmx_offer offers[TMX_TYPES_MAX * TMX_ZONES_MAX * 2];
   size_t n_o = 0, n_c = 0;
   double team[TMX_TEAMS_MAX];
-  for (size_t i = 0; i < controller->settings.n_teams; i++)
-    team[i] = controller->settings.teams[i].cpus_max > 0
-                  ? controller->settings.teams[i].cpus_max - replica->team_usage[i].cpus
+  for (size_t i = 0; i < cloud->settings->n_teams; i++)
+    team[i] = cloud->settings->teams[i].cpus_max > 0
+                  ? cloud->settings->teams[i].cpus_max - replica->team_usage[i].cpus
                   : 1e9;
   struct tmx_job *job, *next_job;
   HASH_ITER(hh, replica->jobs, job, next_job) {
@@ -383,10 +379,10 @@
     if (!w) continue;
     team[job->team] -= w * job->spec.cpus;
     if (job->spec.service)
-      add_service_demand(controller, &list, job, w);
+      add_service_demand(cloud->settings, &list, job, w);
     else
       add_demand(&list, &job->spec,
-                 job->spec.zone[0] ? tmx_zone_index(&controller->settings, job->spec.zone) : -1, w,
+                 job->spec.zone[0] ? tmx_zone_index(cloud->settings, job->spec.zone) : -1, w,
                  tmx_run_estimate_expected(replica, &job->spec));
   }
   if (!list.count) return;
@@ -396,7 +392,7 @@
   if (!cm) abort();
   struct tmx_machine *machine, *next_machine;
   HASH_ITER(hh, replica->machines, machine, next_machine) {
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
     if (!type || !machine->registered || machine->draining) continue;
     have += type->cpus;
     if (machine->usable && type->cpus > machine->booked_cpus &&
@@ -410,7 +406,7 @@
   }
   struct tmx_instance *instance, *next_instance;
   HASH_ITER(hh, cloud->instances, instance, next_instance) {
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, instance->type);
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, instance->type);
     machine = tmx_machine_find(replica, instance->id);
     if (!type || instance->state == TMX_INSTANCE_FAILED || instance->deleting ||
         (machine && machine->registered))
@@ -419,16 +415,17 @@
     cm[n_c++] = (struct tmx_coming){type,       instance->zone, instance->spot,
                                     type->cpus, type->gpus,     type->mem_gb};
   }
-  for (size_t i = 0; i < cloud->n_types; i++)
-    for (size_t z = 0; z < controller->settings.n_zones; z++)
+  for (size_t i = 0; i < cloud->catalog->n_types; i++)
+    for (size_t z = 0; z < cloud->settings->n_zones; z++)
       for (int spot = 0; spot < 2; spot++) {
-        if (!cloud->types[i].zones[z]) continue;
+        if (!cloud->catalog->types[i].zones[z]) continue;
         if (cloud->zone_partitioned_until[z] > now)
           continue; /* what is rented there would not be heard */
-        if (offer_backoff_of(cloud, cloud->types[i].name, (int)z, spot)->until > now) continue;
-        offers[n_o++] =
-            (struct tmx_offer){&cloud->types[i], (int)z, spot,
-                               spot ? cloud->types[i].spot_price : cloud->types[i].price};
+        if (offer_backoff_of(cloud, cloud->catalog->types[i].name, (int)z, spot)->until > now)
+          continue;
+        offers[n_o++] = (struct tmx_offer){
+            &cloud->catalog->types[i], (int)z, spot,
+            spot ? cloud->catalog->types[i].spot_price : cloud->catalog->types[i].price};
       }
   struct tmx_scale_out scale_outs[32];
   size_t n =
@@ -451,7 +448,8 @@
 void tmx_cloud_tick(struct tmx_cloud *cloud) {
   double now = tmx_clock_steady();
   if (!cloud->types_read_in_flight &&
-      now - cloud->types_read_at > (cloud->n_types ? TMX_CATALOG_S : TMX_CATALOG_RETRY_S) &&
+      now - cloud->types_read_at >
+          (cloud->catalog->n_types ? TMX_CATALOG_S : TMX_CATALOG_RETRY_S) &&
       tmx_cloud_may_call(cloud)) {
     cloud->types_read_at = now;
     cloud->types_read_in_flight = tmx_http_client_call(cloud->http, "GET", WP_TYPES, NULL,
@@ -459,8 +457,8 @@
   }
   tmx_cloud_record_demand(cloud, now);
   /* a leader that lost the state service may have been replaced: it gives nothing up */
-  if (!tmx_store_is_leader(cloud->controller->store) ||
-      now - tmx_store_fresh_as_of(cloud->controller->store) > TMX_STORE_LOST_S) {
+  if (!tmx_store_is_leader(cloud->store) ||
+      now - tmx_store_fresh_as_of(cloud->store) > TMX_STORE_LOST_S) {
     cloud->leading_since = now;
     cloud->list_cursor[0] = 0;
     return;
@@ -474,7 +472,7 @@
     tmx_cloud_reclaim(cloud);
   }
   tmx_cloud_log_usage(cloud, now);
-  if (now - cloud->scale_out_at > TMX_SCALE_OUT_PERIOD_S && cloud->n_types) {
+  if (now - cloud->scale_out_at > TMX_SCALE_OUT_PERIOD_S && cloud->catalog->n_types) {
     cloud->scale_out_at = now;
     if (!cloud->scale_outs_in_flight && now - cloud->leading_since > TMX_LIST_S)
       plan_scale_out(cloud);
--- /dev/null
+++ b/src/cloud/cloud.h
@@ -0,0 +1,36 @@
+/**
+ * @file
+ * The cloud: reads its catalogue and its list of instances, scales out for what waits, scales in
+ * what is not needed and replaces what failed. The leader does nearly all of it. Loop's thread
+ * only.
+ */
+#ifndef TMX_CLOUD_H
+#define TMX_CLOUD_H
+#include <ev.h>
+
+#include "catalog/machine_catalog.h"
+#include "config/settings.h"
+#include "peer/peers.h"
+#include "replica/replica.h"
+#include "scheduler/scheduler.h"
+#include "store/store.h"
+#include "worker/workers.h"
+
+struct tmx_cloud;
+
+/** What the module works on; all of it must outlive it. */
+struct tmx_cloud_dependencies {
+  struct ev_loop *loop;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
+  struct tmx_machine_catalog *catalog; /**< filled by this module */
+  struct tmx_peers *peers;
+  struct tmx_scheduler *scheduler;
+  struct tmx_workers *workers;
+};
+
+struct tmx_cloud *tmx_cloud_new(const struct tmx_cloud_dependencies *dependencies);
+void tmx_cloud_free(struct tmx_cloud *cloud);
+void tmx_cloud_tick(struct tmx_cloud *cloud);
+#endif
--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -1,7 +1,7 @@
 /* Shared by the files of src/cloud only. */
 #ifndef TMX_CLOUD_INTERNAL_H
 #define TMX_CLOUD_INTERNAL_H
-#include "controller/controller.h"
+#include "cloud/cloud.h"
 
 enum { TMX_INSTANCE_BOOTING, TMX_INSTANCE_RUNNING, TMX_INSTANCE_FAILED };
 struct tmx_instance { /* a machine that the cloud lists, or that a rental answer named */
@@ -29,10 +29,14 @@
 };
 
 struct tmx_cloud {
-  struct tmx_controller *controller;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
+  struct tmx_machine_catalog *catalog;
+  struct tmx_peers *peers;
+  struct tmx_scheduler *scheduler;
+  struct tmx_workers *workers;
   struct tmx_http_client *http;
-  struct tmx_machine_type types[TMX_TYPES_MAX];
-  size_t n_types;
   double types_read_at, list_read_at, scale_out_at, reclaim_at, call_tokens, call_tokens_at,
       leading_since;
   bool types_read_in_flight, list_read_in_flight, delete_in_flight;
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -28,9 +28,9 @@
       char line[TMX_LINE_MAX];
       /* lists lag: it stays marked until none has shown it for long, and is not deleted again */
       tmx_cloud_find_instance(cloud, call->ids[i])->deleting = true;
-      if (!tmx_machine_find(&cloud->controller->replica, call->ids[i])) continue;
+      if (!tmx_machine_find(cloud->replica, call->ids[i])) continue;
       snprintf(line, sizeof line, "%c %s", TMX_LINE_MACHINE_REMOVED, call->ids[i]);
-      tmx_scheduler_append_line(cloud->controller->scheduler, line);
+      tmx_scheduler_append_line(cloud->scheduler, line);
     }
   } else {
     for (size_t i = 0; i < call->n; i++) {
@@ -47,16 +47,14 @@
   char line[TMX_LINE_MAX];
   snprintf(line, sizeof line, "%c %s %d", TMX_LINE_MACHINE_DRAINING, machine->id, on);
   tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", machine->id, on ? "no longer" : "again");
-  tmx_scheduler_append_line(cloud->controller->scheduler, line);
+  tmx_scheduler_append_line(cloud->scheduler, line);
 }
 
 /* Every controller keeps the peak of what is in use or asked for, so that one that comes to lead
  * knows it: else nothing would be returned for TMX_PEAK_DEMAND_S after every change of leader. */
 void tmx_cloud_record_demand(struct tmx_cloud *cloud, double now) {
-  const struct tmx_controller *controller = cloud->controller;
   int sec = (int)now;
-  if (!controller->replica.loaded ||
-      now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_LOST_S)
+  if (!cloud->replica->loaded || now - tmx_store_fresh_as_of(cloud->store) > TMX_STORE_LOST_S)
     return;
   if (sec - cloud->demand_second > TMX_DEMAND_GAP_S) { /* it did not see what came in between */
     memset(cloud->demand_by_second, 0, sizeof cloud->demand_by_second);
@@ -66,7 +64,7 @@
   while (cloud->demand_second < sec)
     cloud->demand_by_second[++cloud->demand_second % TMX_PEAK_DEMAND_S] = 0;
   double *b = &cloud->demand_by_second[sec % TMX_PEAK_DEMAND_S];
-  *b = fmax(*b, controller->replica.booked_cpus + controller->replica.waiting_cpus);
+  *b = fmax(*b, cloud->replica->booked_cpus + cloud->replica->waiting_cpus);
 }
 
 static double peak_demand(const struct tmx_cloud *cloud) {
@@ -88,8 +86,7 @@
  * time. Their arrays run to their end; their replicas move, so room for them must be free in the
  * same zone. */
 static void drain_surplus(struct tmx_cloud *cloud, bool waiting) {
-  struct tmx_controller *controller = cloud->controller;
-  struct tmx_replica *replica = &controller->replica;
+  struct tmx_replica *replica = cloud->replica;
   double now = tmx_clock_steady(), peak = peak_demand(cloud), have = 0;
   double zone_free[TMX_ZONES_MAX] = {0};
   struct tmx_machine *machine, *next_machine;
@@ -98,7 +95,7 @@
   if (now - cloud->drain_chosen_at < TMX_DRAIN_SPACING_S) return;
   cloud->drain_chosen_at = now;
   HASH_ITER(hh, replica->machines, machine, next_machine) {
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
     if (!machine->registered || !type) continue;
     known++;
     if (machine->draining) {
@@ -126,12 +123,12 @@
     return;
   struct drain_candidate *v = tmx_allocate(known + 1, sizeof *v);
   HASH_ITER(hh, replica->machines, machine, next_machine) {
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
     if (!machine->registered || !type || machine->draining || machine->zone < 0) continue;
     double services = machine->service_cpus;
     double spare = zone_free[machine->zone] - (type->cpus - machine->booked_cpus);
-    if (services > 0 && spare < TMX_MOVE_ROOM_FACTOR * services +
-                                    after * peak / (double)controller->settings.n_zones)
+    if (services > 0 &&
+        spare < TMX_MOVE_ROOM_FACTOR * services + after * peak / (double)cloud->settings->n_zones)
       continue;
     /* price of a CPU, less for work under way and for replicas that must move */
     v[n++] = (struct drain_candidate){
@@ -142,7 +139,7 @@
   /* Machines with replicas go a few at a time: every one of them is a restart for somebody. */
   for (size_t i = 0; i < n && returning < step; i++) {
     struct tmx_machine *other = v[i].machine;
-    double cpus = tmx_cloud_type(cloud, other->type)->cpus;
+    double cpus = tmx_machine_catalog_find(cloud->catalog, other->type)->cpus;
     bool holds = other->service_cpus > 0;
     if (have - cpus < peak * (1 + over)) continue;
     if (holds && draining > 0 && draining + cpus > TMX_DRAINING_SHARE_MAX * have) continue;
@@ -161,8 +158,8 @@
   struct tmx_machine *machine, *next_machine;
   if (!tmx_log_enabled(TMX_LOG_INFO) || now - cloud->usage_logged_at < TMX_USAGE_LOG_S) return;
   cloud->usage_logged_at = now;
-  HASH_ITER(hh, cloud->controller->replica.machines, machine, next_machine) {
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
+  HASH_ITER(hh, cloud->replica->machines, machine, next_machine) {
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
     if (!machine->registered || !type) continue;
     n++;
     unusable += !machine->usable;
@@ -176,20 +173,18 @@
       "use: %zu machines (%zu not usable), CPUs booked %.0f of %.0f, spot %.0f of %.0f, services "
       "%.0f, being returned %.0f, waiting %.0f",
       n, unusable, booked[0], cpus[0], booked[1], cpus[1], services, drain,
-      cloud->controller->replica.waiting_cpus);
+      cloud->replica->waiting_cpus);
 }
 
 void tmx_cloud_reclaim(struct tmx_cloud *cloud) {
-  struct tmx_controller *controller = cloud->controller;
-  struct tmx_replica *replica = &controller->replica;
+  struct tmx_replica *replica = cloud->replica;
   double now = tmx_clock_steady();
   if (cloud->delete_in_flight) return;
   struct scale_in_call *call = tmx_allocate(1, sizeof *call);
   call->cloud = cloud;
   size_t max = TMX_SCALE_IN_MAX;
-  double silent = controller->settings.operators.silent_s > 0
-                      ? controller->settings.operators.silent_s
-                      : TMX_MACHINE_SILENCE_S;
+  double silent = cloud->settings->operators.silent_s > 0 ? cloud->settings->operators.silent_s
+                                                          : TMX_MACHINE_SILENCE_S;
   bool settled = now - cloud->leading_since > TMX_LEADER_SETTLE_S;
   struct tmx_machine *machine, *next_machine;
   struct tmx_zone_liveness signs[TMX_ZONES_MAX] = {{0}};
@@ -198,14 +193,14 @@
   unsigned n_heard = 0;
   for (size_t i = 0; i < replica->view.n_members; i++) {
     const char *n = replica->view.members[i].name;
-    bool self = !strcmp(n, controller->settings.node_name);
-    heard[i] = self ? !tmx_controller_lost_workers(controller)
-                    : tmx_peers_silence(controller->peers, n) < TMX_HEARTBEAT_DEAD_S &&
-                          !tmx_peers_reports_no_workers(controller->peers, n);
+    bool self = !strcmp(n, cloud->settings->node_name);
+    heard[i] = self ? !tmx_workers_are_unreachable(cloud->workers)
+                    : tmx_peers_silence(cloud->peers, n) < TMX_HEARTBEAT_DEAD_S &&
+                          !tmx_peers_reports_no_workers(cloud->peers, n);
     n_heard += heard[i];
-    const struct tmx_zone_liveness *said = self ? tmx_workers_zone_liveness(controller->workers)
-                                                : tmx_peers_zone_liveness(controller->peers, n);
-    for (size_t z = 0; heard[i] && said && z < controller->settings.n_zones; z++) {
+    const struct tmx_zone_liveness *said =
+        self ? tmx_workers_zone_liveness(cloud->workers) : tmx_peers_zone_liveness(cloud->peers, n);
+    for (size_t z = 0; heard[i] && said && z < cloud->settings->n_zones; z++) {
       signs[z].machines += said[z].machines;
       signs[z].lost += said[z].lost;
       signs[z].alive += said[z].alive;
@@ -213,7 +208,7 @@
   }
   HASH_ITER(hh, replica->machines, machine, next_machine) {
     if (!machine->registered) continue;
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
     if (type && !machine->draining) room += type->cpus - machine->booked_cpus;
     services += machine->service_cpus;
   }
@@ -225,28 +220,28 @@
    * all its work must be gone, and a lease more. */
   bool cut = false;
   double spare[TMX_ZONES_MAX];
-  for (size_t z = 0; z < controller->settings.n_zones; z++) {
+  for (size_t z = 0; z < cloud->settings->n_zones; z++) {
     /* when a cut is over its machines are asked one after the other again, the last ones late */
     spare[z] = TMX_ZONE_PARTITION_S + TMX_PROBE_TIMEOUT_S * (1 << TMX_PROBE_DOUBLINGS) +
                signs[z].machines / (TMX_SUSPECT_PROBES_SHARE * fmax(1, n_heard) *
-                                    tmx_workers_probe_rate(controller));
+                                    tmx_workers_probe_rate(cloud->settings));
     if (tmx_zone_is_partitioned(&signs[z])) {
       cloud->zone_partitioned_until[z] = now + TMX_ZONE_PARTITION_S;
       cloud->zone_spared_until[z] = now + spare[z];
     }
     cut |= cloud->zone_partitioned_until[z] > now;
   }
-  double given_up = controller->settings.cancel_s +
-                    controller->settings.lease_s; /* twice, where replicas would only wait */
+  double given_up = cloud->settings->cancel_s +
+                    cloud->settings->lease_s; /* twice, where replicas would only wait */
   HASH_ITER(hh, replica->machines, machine, next_machine) {
     if (!machine->registered || call->n == max) continue;
     struct tmx_instance *instance;
     HASH_FIND_STR(cloud->instances, machine->id, instance);
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, machine->type);
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
     struct tmx_suspicion suspicion = {.silence_s = 0};
     /* its owner's word, if that reaches its other machines */
     bool doubt = machine->owner >= 0 && heard[machine->owner] &&
-                 tmx_workers_find_suspicion(controller->workers, machine, &suspicion);
+                 tmx_workers_find_suspicion(cloud->workers, machine, &suspicion);
     bool lost = doubt && suspicion.probes_lost >= TMX_PROBES_LOST;
     /* The leader before would have given up what was silent for so long, unless it spared it: a new
      * one does as much, as it cannot know of a cut that has just ended. */
@@ -262,8 +257,8 @@
              (!spared || suspicion.silence_s > given_up * (machine->service_cpus > 0 ? 2 : 1)))
       why = "silent";
     else if (settled && doubt && !spared &&
-             suspicion.silence_s < controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S &&
-             suspicion.unacknowledged_s > controller->settings.lease_s * TMX_UNACKNOWLEDGED_LEASES)
+             suspicion.silence_s < cloud->settings->report_s * 1.25 + TMX_REPORT_LATE_S &&
+             suspicion.unacknowledged_s > cloud->settings->lease_s * TMX_UNACKNOWLEDGED_LEASES)
       why = "not both heard and reached";
     else if (machine->draining && !machine->tasks)
       why = "drained";
@@ -286,8 +281,8 @@
     idle->sweep_pass = cloud->list_pass;
     if (machine->tasks || waiting || cut) idle->since = now;
     if (type && !machine->draining && !machine->tasks &&
-        now - idle->since > controller->settings.operators.idle_return_s &&
-        room - type->cpus > services * controller->settings.operators.headroom) {
+        now - idle->since > cloud->settings->operators.idle_return_s &&
+        room - type->cpus > services * cloud->settings->operators.headroom) {
       room -= type->cpus;
       set_draining(cloud, machine, true);
       idle->since = now;
@@ -310,7 +305,7 @@
       instance->unheard_since = 0;
       continue;
     }
-    const struct tmx_machine_type *type = tmx_cloud_type(cloud, instance->type);
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, instance->type);
     double age = fmax(instance->age_s + (now - instance->age_as_of),
                       instance->rented_at ? now - instance->rented_at : 0);
     const char *why = NULL;
@@ -325,7 +320,7 @@
           (instance->zone >= 0 && now < cloud->zone_spared_until[instance->zone]))
         instance->unheard_since = now;
       if (settled &&
-          now - instance->unheard_since > TMX_NEVER_HEARD_S + 2 * controller->settings.report_s)
+          now - instance->unheard_since > TMX_NEVER_HEARD_S + 2 * cloud->settings->report_s)
         why = "never heard";
     }
     if (!why) continue;
--- a/src/main.c
+++ b/src/main.c
@@ -13,13 +13,12 @@
   (void)loop;
   (void)events;
   const struct tmx_controller *controller = watcher->data;
-  tmx_admission_control_log_accounts(controller->admission);
+  tmx_controller_log_accounts(controller);
 }
 
 /* SIGUSR1 writes the accounts of admission to the log. */
 static void report_on_signal(struct ev_loop *loop, struct tmx_controller *controller) {
   static ev_signal watcher;
-  if (!controller->admission) return;
   ev_signal_init(&watcher, on_report_signal, SIGUSR1);
   watcher.data = controller;
   ev_signal_start(loop, &watcher);
@@ -77,7 +76,7 @@
     fprintf(stderr, "tallymux: %s\n", loop ? err : "no event loop");
     return EXIT_SETTINGS;
   }
-  report_on_signal(loop, controller);
+  if (settings.operators.admission.enabled) report_on_signal(loop, controller);
   tmx_log(TMX_LOG_INFO, "tallymux %s serves %s", TMX_VERSION, settings.listen);
   ev_run(loop, 0);
   return 0;
--- a/src/controller/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -1,4 +1,4 @@
-#include "controller/failure_detector.h"
+#include "membership/failure_detector.h"
 
 #include "tmx/constants.h"
 
--- a/src/controller/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -3,6 +3,9 @@
 #define TMX_FAILURE_DETECTOR_H
 #include <stdbool.h>
 #include <stddef.h>
+#include <stdint.h>
+
+#include "tmx/constants.h"
 
 struct tmx_peer_census { /* registered controllers other than this one */
   size_t others, heard;
@@ -34,4 +37,14 @@
  * nothing: when a zone falls silent its machines are asked one after the other, and the first ones
  * are lost while most have not been asked. So the lost are weighed against those that live. */
 bool tmx_zone_is_partitioned(const struct tmx_zone_liveness *zone);
+
+/* What a machine's owner says when something is wrong with the machine. */
+struct tmx_suspicion {
+  char id[TMX_ID_MAX];
+  double silence_s;        /* since its last sign of life */
+  int probes_lost;         /* in a row */
+  double unacknowledged_s; /* nothing has shown that it hears its owner; 0: it does */
+  bool spot_notice;        /* the cloud is about to take it back */
+};
+typedef void (*tmx_suspicion_cb)(void *arg, const struct tmx_suspicion *suspicion);
 #endif
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -14,7 +14,7 @@
 #include <utlist.h>
 
 #include "heartbeat.h"
-#include "controller/controller.h"
+#include "peer/peers.h"
 #include "base/log.h"
 #include "base/clock.h"
 #include "base/memory.h"
@@ -47,7 +47,11 @@
   struct incoming *prev, *next;
 };
 struct tmx_peers {
-  struct tmx_controller *controller;
+  struct ev_loop *loop;
+  const struct tmx_settings *settings;
+  const struct tmx_replica *replica;
+  struct tmx_store *store;
+  struct tmx_peers_source source;
   int fd;
   ev_io accept_watcher;
   struct peer_connection peers[TMX_MEMBERS_MAX];
@@ -60,7 +64,7 @@
 /* ------------------------------------------------------------ receiving */
 
 static void close_incoming(struct incoming *connection) {
-  ev_io_stop(connection->peers->controller->loop, &connection->read_watcher);
+  ev_io_stop(connection->peers->loop, &connection->read_watcher);
   close(connection->fd);
   DL_DELETE(connection->peers->incoming, connection);
   connection->peers->n_incoming--;
@@ -77,13 +81,12 @@
   peer->refusals = 0;
   peer->store_age = heartbeat->state_age_ms / 1000.0;
   peer->term = heartbeat->term;
-  if (heartbeat->revision > peers->controller->replica.revision)
-    tmx_store_note_peer_ahead(peers->controller->store);
+  if (heartbeat->revision > peers->replica->revision) tmx_store_note_peer_ahead(peers->store);
   peer->reports_no_workers = heartbeat->no_workers;
   memset(peer->zone_liveness, 0, sizeof peer->zone_liveness);
   for (u_int i = 0; i < heartbeat->zones.zones_len; i++) {
     const tmx_heartbeat_zone *z = &heartbeat->zones.zones_val[i];
-    int at = tmx_zone_index(&peers->controller->settings, z->name);
+    int at = tmx_zone_index(peers->settings, z->name);
     if (at >= 0)
       peer->zone_liveness[at] = (struct tmx_zone_liveness){z->machines, z->lost, z->alive};
   }
@@ -94,7 +97,7 @@
                                       .unacknowledged_s = d->unreached_ms / 1000.0,
                                       .spot_notice = d->notice};
     snprintf(suspicion.id, sizeof suspicion.id, "%s", d->id);
-    tmx_workers_take_suspicion(peers->controller->workers, peer->name, heartbeat->term, &suspicion);
+    peers->source.take_suspicion(peers->source.context, peer->name, heartbeat->term, &suspicion);
   }
 }
 
@@ -159,7 +162,7 @@
 
 static void close_outgoing(struct peer_connection *peer) {
   if (peer->fd < 0) return;
-  ev_io_stop(peer->peers->controller->loop, &peer->write_watcher);
+  ev_io_stop(peer->peers->loop, &peer->write_watcher);
   close(peer->fd);
   peer->fd = -1;
   peer->unsent.length = peer->sent = 0;
@@ -215,7 +218,7 @@
   peer->connecting = true;
   ev_io_init(&peer->write_watcher, on_writable, fd, EV_WRITE);
   peer->write_watcher.data = peer;
-  ev_io_start(peer->peers->controller->loop, &peer->write_watcher);
+  ev_io_start(peer->peers->loop, &peer->write_watcher);
 }
 
 struct suspicion_list {
@@ -273,31 +276,31 @@
 }
 
 static void send_heartbeats(struct tmx_peers *peers) {
-  struct tmx_controller *controller = peers->controller;
   struct suspicion_list list = {0};
   struct tmx_buffer out = {0};
-  tmx_workers_each_suspicion(controller->workers, append_suspicion, &list);
+  peers->source.each_suspicion(peers->source.context, append_suspicion, &list);
   for (size_t i = 0; i < list.count; i++) list.suspicions[i].id = list.ids[i];
-  double age = tmx_clock_steady() - tmx_store_fresh_as_of(controller->store);
-  const struct tmx_zone_liveness *signs = tmx_workers_zone_liveness(controller->workers);
+  double age = tmx_clock_steady() - tmx_store_fresh_as_of(peers->store);
+  const struct tmx_zone_liveness *signs = peers->source.zone_liveness(peers->source.context);
+  /* XDR's records are not const, as decoding fills them; encoding only reads. */
   tmx_heartbeat_zone zones[TMX_ZONES_MAX];
-  for (size_t i = 0; i < controller->settings.n_zones; i++)
-    zones[i] = (tmx_heartbeat_zone){controller->settings.zones[i], signs[i].machines, signs[i].lost,
-                                    signs[i].alive};
+  for (size_t i = 0; i < peers->settings->n_zones; i++)
+    zones[i] = (tmx_heartbeat_zone){(char *)peers->settings->zones[i], signs[i].machines,
+                                    signs[i].lost, signs[i].alive};
   tmx_heartbeat heartbeat = {
-      .node = controller->settings.node_name,
-      .revision = controller->replica.revision,
-      .term = controller->replica.view.term,
+      .node = (char *)peers->settings->node_name,
+      .revision = peers->replica->revision,
+      .term = peers->replica->view.term,
       .state_age_ms = age > 1e6 ? UINT32_MAX : (u_int)(age * 1000),
-      .no_workers = tmx_controller_lost_workers(controller),
-      .zones = {.zones_len = (u_int)controller->settings.n_zones, .zones_val = zones}};
+      .no_workers = peers->source.workers_are_unreachable(peers->source.context),
+      .zones = {.zones_len = (u_int)peers->settings->n_zones, .zones_val = zones}};
   encode_heartbeat(&out, &heartbeat, &list);
   for (size_t i = 0; i < peers->n; i++) {
     struct peer_connection *peer = &peers->peers[i];
     if (peer->fd < 0 || peer->connecting || peer->unsent.length)
       continue; /* a stuck peer gets the next one */
     tmx_buffer_append(&peer->unsent, out.data, out.length);
-    ev_io_start(controller->loop, &peer->write_watcher);
+    ev_io_start(peers->loop, &peer->write_watcher);
   }
   tmx_buffer_free(&out);
   free(list.suspicions);
@@ -353,6 +356,12 @@
   return best;
 }
 
+bool tmx_peers_lost_store_alone(const struct tmx_peers *peers) {
+  double store_age_s = tmx_clock_steady() - tmx_store_fresh_as_of(peers->store);
+  if (peers->replica->loaded && store_age_s < TMX_STORE_LOST_S) return false;
+  return tmx_peers_store_age(peers) < TMX_STORE_LOST_S / 2;
+}
+
 bool tmx_peers_reports_no_workers(const struct tmx_peers *peers, const char *node) {
   double now = tmx_clock_steady();
   for (size_t i = 0; i < peers->n; i++)
@@ -366,16 +375,15 @@
                                                         const char *node) {
   for (size_t i = 0; i < peers->n; i++)
     if (!strcmp(peers->peers[i].name, node))
-      return peers->peers[i].term >= peers->controller->replica.view.term
-                 ? peers->peers[i].zone_liveness
-                 : NULL;
+      return peers->peers[i].term >= peers->replica->view.term ? peers->peers[i].zone_liveness
+                                                               : NULL;
   return NULL;
 }
 
-struct tmx_peers *tmx_peers_new(struct tmx_controller *controller) {
+struct tmx_peers *tmx_peers_new(const struct tmx_peers_dependencies *dependencies) {
   struct sockaddr_in a;
   int one = 1;
-  if (!tmx_parse_address(controller->settings.peer_listen, &a)) return NULL;
+  if (!tmx_parse_address(dependencies->settings->peer_listen, &a)) return NULL;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return NULL;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
@@ -384,23 +392,27 @@
     return NULL;
   }
   struct tmx_peers *peers = tmx_allocate(1, sizeof *peers);
-  peers->controller = controller;
+  peers->loop = dependencies->loop;
+  peers->settings = dependencies->settings;
+  peers->replica = dependencies->replica;
+  peers->store = dependencies->store;
+  peers->source = dependencies->source;
   peers->fd = fd;
-  for (size_t i = 0; i < controller->settings.n_peers; i++) {
+  for (size_t i = 0; i < dependencies->settings->n_peers; i++) {
     struct peer_connection *peer = &peers->peers[peers->n++];
     peer->peers = peers;
     peer->fd = -1;
-    snprintf(peer->name, sizeof peer->name, "%s", controller->settings.peers[i].name);
-    tmx_parse_address(controller->settings.peers[i].addr, &peer->address);
+    snprintf(peer->name, sizeof peer->name, "%s", dependencies->settings->peers[i].name);
+    tmx_parse_address(dependencies->settings->peers[i].addr, &peer->address);
   }
   ev_io_init(&peers->accept_watcher, on_accept, fd, EV_READ);
   peers->accept_watcher.data = peers;
-  ev_io_start(controller->loop, &peers->accept_watcher);
+  ev_io_start(dependencies->loop, &peers->accept_watcher);
   return peers;
 }
 
 void tmx_peers_free(struct tmx_peers *peers) {
-  ev_io_stop(peers->controller->loop, &peers->accept_watcher);
+  ev_io_stop(peers->loop, &peers->accept_watcher);
   close(peers->fd);
   while (peers->incoming) close_incoming(peers->incoming);
   for (size_t i = 0; i < peers->n; i++) {
--- /dev/null
+++ b/src/peer/peers.h
@@ -0,0 +1,65 @@
+/**
+ * @file
+ * Heartbeats between controllers: XDR records over TCP, on connections that the sender opens. They
+ * are advice only; nothing that correctness depends on is decided by them. Loop's thread only.
+ */
+#ifndef TMX_PEERS_H
+#define TMX_PEERS_H
+#include <ev.h>
+
+#include "config/settings.h"
+#include "membership/failure_detector.h"
+#include "replica/replica.h"
+#include "store/store.h"
+
+struct tmx_peers;
+
+/** s; the silence of a peer that was never heard. */
+#define TMX_PEER_NEVER_HEARD_S 1e9
+
+/** What heartbeats carry of this controller's machines, and where those of others go. */
+struct tmx_peers_source {
+  void *context;
+  /** Calls back for each machine of this controller with which something is wrong. */
+  void (*each_suspicion)(void *context, tmx_suspicion_cb callback, void *arg);
+  /** Takes what a peer says of one of its machines, by the view of this term. */
+  void (*take_suspicion)(void *context, const char *node, uint64_t term,
+                         const struct tmx_suspicion *suspicion);
+  /** Signs of life of this controller's machines, one entry for each zone of the settings. */
+  const struct tmx_zone_liveness *(*zone_liveness)(const void *context);
+  /** Whether this controller reaches hardly any of its machines. */
+  bool (*workers_are_unreachable)(const void *context);
+};
+
+/** What the module works on; all of it must outlive it. */
+struct tmx_peers_dependencies {
+  struct ev_loop *loop;
+  const struct tmx_settings *settings;
+  const struct tmx_replica *replica;
+  struct tmx_store *store;
+  struct tmx_peers_source source;
+};
+
+/** NULL: the settings' peer_listen cannot be listened on. */
+struct tmx_peers *tmx_peers_new(const struct tmx_peers_dependencies *dependencies);
+void tmx_peers_free(struct tmx_peers *peers);
+/** Sends heartbeats when they are due. */
+void tmx_peers_tick(struct tmx_peers *peers);
+
+/** s since the peer's last heartbeat; TMX_PEER_NEVER_HEARD_S: never. */
+double tmx_peers_silence(const struct tmx_peers *peers, const char *node);
+/** Whether its process refuses connections. */
+bool tmx_peers_refuses_connections(const struct tmx_peers *peers, const char *node);
+/** Whether any peer is heard. */
+bool tmx_peers_any_alive(const struct tmx_peers *peers);
+/** Age of the freshest replica among the peers that are heard, s. */
+double tmx_peers_store_age(const struct tmx_peers *peers);
+/** Whether the store answers peers but not this controller: others should do its work. When the
+ * store answers nobody, everybody stays at work as far as freshness allows. */
+bool tmx_peers_lost_store_alone(const struct tmx_peers *peers);
+/** Whether the peer says that it reaches hardly any of its machines. */
+bool tmx_peers_reports_no_workers(const struct tmx_peers *peers, const char *node);
+/** What it says of its machines by zone; NULL: nothing that counts by the view that stands. */
+const struct tmx_zone_liveness *tmx_peers_zone_liveness(const struct tmx_peers *peers,
+                                                        const char *node);
+#endif
--- a/src/planner/scale_out_plan.h
+++ b/src/planner/scale_out_plan.h
@@ -1,7 +1,9 @@
 /* How many machines to rent, and of which kind: pure functions. */
 #ifndef TMX_SCALE_OUT_PLAN_H
 #define TMX_SCALE_OUT_PLAN_H
-#include "controller/controller.h"
+#include "catalog/machine_catalog.h"
+#include "planner/planner.h"
+#include "replica/replica.h"
 
 struct tmx_demand { /* waiting tasks of one job that found no room */
   const struct tmx_job_spec *spec;
--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -9,14 +9,14 @@
 /* Keys are written over once a fold has taken their batches into its pages: nothing has to be
  * dropped, which would cost as much as a put. */
 static void next_key(struct tmx_scheduler *scheduler, char *key, size_t cap) {
-  const struct tmx_replica *replica = &scheduler->controller->replica;
+  const struct tmx_replica *replica = scheduler->replica;
   struct tmx_log_key *k;
   if (scheduler->key_compaction_point != replica->compaction_point) {
     scheduler->key_compaction_point = replica->compaction_point;
     scheduler->next_key_number = 0;
   }
   do {
-    snprintf(key, cap, TMX_KEY_BATCH "%s/%06llx", scheduler->controller->settings.node_name,
+    snprintf(key, cap, TMX_KEY_BATCH "%s/%06llx", scheduler->settings->node_name,
              (unsigned long long)scheduler->next_key_number++);
     HASH_FIND_STR(replica->batch_keys, key, k);
   } while (k && k->version > replica->compaction_point);
--- a/src/scheduler/planner_delta.c
+++ b/src/scheduler/planner_delta.c
@@ -19,41 +19,38 @@
 }
 
 /* When a job should be done, at the latest: its class's last aim, or its deadline. */
-static double last_aim(const struct tmx_controller *controller, const struct tmx_job *job) {
+static double last_aim(const struct tmx_settings *settings, const struct tmx_job *job) {
   double last = 0;
-  for (size_t i = 0; i < controller->settings.n_objectives; i++)
-    if (is_finish_aim(&controller->settings.objectives[i], &job->spec))
-      last = fmax(last, controller->settings.objectives[i].within_s);
+  for (size_t i = 0; i < settings->n_objectives; i++)
+    if (is_finish_aim(&settings->objectives[i], &job->spec))
+      last = fmax(last, settings->objectives[i].within_s);
   last = fmax(last, aim_due_in(job));
   return last > 0 ? last : TMX_NO_OBJECTIVE_S;
 }
 
 /* The first of those that is still ahead, s after the release. */
-static double next_aim(const struct tmx_controller *controller, const struct tmx_job *job,
+static double next_aim(const struct tmx_settings *settings, const struct tmx_job *job,
                        double waited) {
-  double next = last_aim(controller, job), due = aim_due_in(job);
-  for (size_t i = 0; i < controller->settings.n_objectives; i++) {
-    double within = controller->settings.objectives[i].within_s;
-    if (is_finish_aim(&controller->settings.objectives[i], &job->spec) && within > waited)
+  double next = last_aim(settings, job), due = aim_due_in(job);
+  for (size_t i = 0; i < settings->n_objectives; i++) {
+    double within = settings->objectives[i].within_s;
+    if (is_finish_aim(&settings->objectives[i], &job->spec) && within > waited)
       next = fmin(next, within);
   }
   return due > waited ? fmin(next, due) : next;
 }
 
 /* How long a start may take: the class's own aim, or a plain wait. */
-static double patience_of(const struct tmx_controller *controller,
-                          const struct tmx_job_spec *spec) {
-  for (size_t i = 0; i < controller->settings.n_objectives; i++)
-    if (!strcmp(controller->settings.objectives[i].class_name, spec->class) &&
-        !strcmp(controller->settings.objectives[i].kind, "wait") &&
-        controller->settings.objectives[i].within_s > 0)
-      return controller->settings.objectives[i].within_s;
+static double patience_of(const struct tmx_settings *settings, const struct tmx_job_spec *spec) {
+  for (size_t i = 0; i < settings->n_objectives; i++)
+    if (!strcmp(settings->objectives[i].class_name, spec->class) &&
+        !strcmp(settings->objectives[i].kind, "wait") && settings->objectives[i].within_s > 0)
+      return settings->objectives[i].within_s;
   return TMX_FETCH_TOLERANCE_S;
 }
 
 static void describe_machine(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
-  struct tmx_controller *controller = scheduler->controller;
-  const struct tmx_machine_type *type = tmx_cloud_type(controller->cloud, machine->type);
+  const struct tmx_machine_type *type = tmx_machine_catalog_find(scheduler->catalog, machine->type);
   machine->planner_update_due = false;
   if (!machine->registered) return;
   struct tmx_plan_machine *record = tmx_planner_delta_machine(&scheduler->delta);
@@ -99,7 +96,6 @@
 }
 
 static void describe_job(struct tmx_scheduler *scheduler, struct tmx_job *job) {
-  struct tmx_controller *controller = scheduler->controller;
   job->planner_update_due = false;
   bool open = !job->outcome && job->tasks && !tmx_job_is_blocked(job);
   if (!open && !job->n_placed && !job->known_to_planner) return;
@@ -110,21 +106,21 @@
     record->spec = malloc(sizeof *record->spec);
     if (!record->spec) abort();
     *record->spec = job->spec;
-    record->spec->fetch_tolerance_s = patience_of(controller, &job->spec);
+    record->spec->fetch_tolerance_s = patience_of(scheduler->settings, &job->spec);
     job->known_to_planner = true;
   }
-  record->zone = job->spec.zone[0] ? tmx_zone_index(&controller->settings, job->spec.zone) : -1;
+  record->zone = job->spec.zone[0] ? tmx_zone_index(scheduler->settings, job->spec.zone) : -1;
   record->team = job->team;
   record->account = job->account;
-  record->planner = tmx_job_planner_index(&controller->replica, job->id);
+  record->planner = tmx_job_planner_index(scheduler->replica, job->id);
   record->priority = job->urgency.priority;
   record->released_at = job->released_at;
   record->unplaced_since = job->unplaced_since;
   record->retry_at = job->retry_at;
-  record->target_s = last_aim(controller, job);
-  record->next_target_s = next_aim(controller, job, tmx_clock_wall() - job->released_at);
+  record->target_s = last_aim(scheduler->settings, job);
+  record->next_target_s = next_aim(scheduler->settings, job, tmx_clock_wall() - job->released_at);
   record->run_s =
-      fmax(tmx_run_estimate_expected(&controller->replica, &job->spec), job->longest_run_s);
+      fmax(tmx_run_estimate_expected(scheduler->replica, &job->spec), job->longest_run_s);
   record->n_done = job->n_done;
   record->n_placed = job->n_placed;
   record->open = open;
@@ -144,31 +140,30 @@
     record->waiting[record->n_waiting++] = (struct tmx_plan_waiting_task){k, task->attempt + 1};
   }
   double wait = job->retry_at - tmx_clock_steady();
-  if (record->n_waiting && wait > 0) tmx_scheduler_trigger_within(controller, wait + 0.05);
+  if (record->n_waiting && wait > 0) tmx_scheduler_trigger_within(scheduler, wait + 0.05);
 }
 
 /* Fills the feed and the round from what is dirty. The ends that reports prove count as room: they
  * stand in the batch before whatever is placed into it, so their machines stay dirty. */
 void tmx_scheduler_collect_delta(struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
-  struct tmx_controller *controller = scheduler->controller;
-  struct tmx_replica *replica = &controller->replica;
+  struct tmx_replica *replica = scheduler->replica;
   memset(input, 0, sizeof *input);
   input->now_steady = tmx_clock_steady();
   input->now_wall = tmx_clock_wall();
-  input->self_member = tmx_controller_member_index(controller);
-  input->leading = tmx_store_is_leader(controller->store);
-  input->n_zones = controller->settings.n_zones;
+  input->self_member = tmx_authority_member_index(scheduler->authority);
+  input->leading = tmx_store_is_leader(scheduler->store);
+  input->n_zones = scheduler->settings->n_zones;
   input->own_planner_grace_s = TMX_OWN_PLANNER_GRACE_S;
-  if (!tmx_store_is_write_load_low(controller->store))
+  if (!tmx_store_is_write_load_low(scheduler->store))
     input->own_planner_grace_s +=
-        tmx_commit_slot_length(controller) * (double)(replica->view.n_members + 1);
-  tmx_turns_fill(&input->turns, replica->backlog, &controller->settings, input->now_steady);
-  input->n_teams = controller->settings.n_teams;
-  memcpy(input->teams, controller->settings.teams, sizeof input->teams);
+        tmx_commit_slot_length(scheduler->settings) * (double)(replica->view.n_members + 1);
+  tmx_turns_fill(&input->turns, replica->backlog, scheduler->settings, input->now_steady);
+  input->n_teams = scheduler->settings->n_teams;
+  memcpy(input->teams, scheduler->settings->teams, sizeof input->teams);
   memcpy(input->usage, replica->team_usage, sizeof input->usage);
-  double room = (double)tmx_value_room(&controller->settings) * (controller->settings.txn_ops - 1);
+  double room = (double)tmx_value_room(scheduler->settings) * (scheduler->settings->txn_ops - 1);
   input->max_visits =
-      (size_t)fmax(fmin(controller->settings.core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S,
+      (size_t)fmax(fmin(scheduler->settings->core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S,
                         TMX_PLAN_VISITS_MAX),
                    TMX_PLAN_VISITS_MIN);
   input->max_operations =
--- a/src/scheduler/round_commit.c
+++ b/src/scheduler/round_commit.c
@@ -10,14 +10,13 @@
 
 static void on_batch(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_scheduler *scheduler = arg;
-  struct tmx_controller *controller = scheduler->controller;
   scheduler->batch_in_flight = false;
   if (revision > scheduler->awaited_revision) scheduler->awaited_revision = revision;
   scheduler->awaited_revision_since = tmx_clock_steady();
   tmx_submission_queue_settle(scheduler, result);
   if (result == TMX_TRANSACTION_CONFLICT && ++scheduler->resends <= TMX_RESENDS_MAX) {
     /* what was planned is checked again on the state that won, and sent anew */
-    tmx_scheduler_trigger_within(controller, 0.05);
+    tmx_scheduler_trigger_within(scheduler, 0.05);
     return;
   }
   if (result == TMX_TRANSACTION_COMMITTED) {
@@ -31,9 +30,9 @@
   }
   bool cut = scheduler->plan.truncated;
   tmx_scheduler_abandon_round(scheduler);
-  tmx_scheduler_trigger_within(controller, result == TMX_TRANSACTION_COMMITTED
-                                               ? (cut ? 0 : TMX_ROUND_SPACING_S)
-                                               : TMX_STORE_RETRY_S);
+  tmx_scheduler_trigger_within(scheduler, result == TMX_TRANSACTION_COMMITTED
+                                              ? (cut ? 0 : TMX_ROUND_SPACING_S)
+                                              : TMX_STORE_RETRY_S);
 }
 
 static int compare_by_group(const void *a, const void *b) {
@@ -47,7 +46,7 @@
 /* Jobs whose last task's end is among those at hand. Their final states need a put each, and users
  * and the jobs after them wait for these. */
 static int count_last_completions(const struct tmx_scheduler *scheduler) {
-  const struct tmx_replica *replica = &scheduler->controller->replica;
+  const struct tmx_replica *replica = scheduler->replica;
   int n = 0;
   for (size_t i = 0; i < scheduler->n_completions; i++) {
     struct tmx_task *task = tmx_operation_task(replica, &scheduler->completions[i]);
@@ -73,14 +72,12 @@
 
 /* How many puts the batch may take, beside the one of head. */
 static int spare_writes(struct tmx_scheduler *scheduler) {
-  struct tmx_controller *controller = scheduler->controller;
-  double budget = tmx_store_write_budget(controller->store);
-  int most = controller->settings.txn_ops - 1, spare = most;
+  double budget = tmx_store_write_budget(scheduler->store);
+  int most = scheduler->settings->txn_ops - 1, spare = most;
   if (budget < spare + 1) spare = (int)floor(budget) - 1;
   if (spare < 1) spare = 1; /* begin() saw to it that this much may be sent */
   int for_ends = (int)fmin(most - spare, count_last_completions(scheduler));
-  return for_ends > 0 ? spare + tmx_store_reserve_unused_writes(controller->store, for_ends)
-                      : spare;
+  return for_ends > 0 ? spare + tmx_store_reserve_unused_writes(scheduler->store, for_ends) : spare;
 }
 
 /* false: the batch is full. The last task's end and the job's final state are one transaction. A
@@ -88,7 +85,7 @@
  * next round waits for enough: or one such end would hold the whole log up for good. */
 static bool add_completion(struct tmx_scheduler *scheduler, struct batch_draft *draft,
                            const struct tmx_operation *operation) {
-  struct tmx_task *task = tmx_operation_task(&scheduler->controller->replica, operation);
+  struct tmx_task *task = tmx_operation_task(scheduler->replica, operation);
   if (!task || task->state != TMX_TASK_PLACED || task->attempt != operation->attempt) return true;
   bool counts = operation->reason == TMX_END_DONE && !task->job->outcome;
   bool last =
@@ -116,8 +113,7 @@
   for (size_t i = 0; i < scheduler->n_completions && !draft->full; i++)
     draft->full = !add_completion(scheduler, draft, &scheduler->completions[i]);
   for (size_t i = 0; i < scheduler->n_completions; i++) {
-    struct tmx_task *task =
-        tmx_operation_task(&scheduler->controller->replica, &scheduler->completions[i]);
+    struct tmx_task *task = tmx_operation_task(scheduler->replica, &scheduler->completions[i]);
     if (task) task->job->n_completions_in_batch = 0;
   }
 }
@@ -135,7 +131,7 @@
   char line[TMX_LINE_MAX];
   if (draft->full) return;
   size_t n =
-      tmx_workers_collect_unregistered(scheduler->controller->workers, facts, TMX_REGISTER_MAX);
+      scheduler->source.collect_unregistered(scheduler->source.context, facts, TMX_REGISTER_MAX);
   for (size_t i = 0; i < n && !draft->full; i++) {
     snprintf(line, sizeof line, "m %.31s %.63s %.31s %.63s %d 0", facts[i].id, facts[i].addr,
              facts[i].type, facts[i].zone, facts[i].spot);
@@ -160,26 +156,24 @@
   snprintf(key, sizeof key, TMX_KEY_JOB "%s", job->id);
   tmx_transaction_require_version(&batch->transaction, key, job->version);
   batch->value_buffer.length = 0;
-  tmx_job_encode_final(&batch->value_buffer, job, fin, ended,
-                       tmx_value_room(&scheduler->controller->settings));
+  tmx_job_encode_final(&batch->value_buffer, job, fin, ended, tmx_value_room(scheduler->settings));
   tmx_transaction_put(&batch->transaction, key, &batch->value_buffer, 0);
 }
 
 /* Jobs that were cancelled through others get a final state of their own while puts are to spare:
  * until then every copy, and every fold, keeps what they were derived from. */
 static void add_derived_outcomes(struct tmx_scheduler *scheduler, struct tmx_log_batch *batch) {
-  struct tmx_controller *controller = scheduler->controller;
-  tmx_replica_prune_unstored(&controller->replica);
-  if (!tmx_store_is_leader(controller->store) ||
-      !tmx_store_has_housekeeping_budget(controller->store))
+  tmx_replica_prune_unstored(scheduler->replica);
+  if (!tmx_store_is_leader(scheduler->store) ||
+      !tmx_store_has_housekeeping_budget(scheduler->store))
     return;
-  for (size_t i = 0; i < controller->replica.n_unstored_outcomes && batch->writes_left >= 1;
+  for (size_t i = 0; i < scheduler->replica->n_unstored_outcomes && batch->writes_left >= 1;
        i++, batch->writes_left--)
-    put_outcome(scheduler, batch, controller->replica.unstored_outcomes[i], TMX_JOB_CANCELLED, 0);
+    put_outcome(scheduler, batch, scheduler->replica->unstored_outcomes[i], TMX_JOB_CANCELLED, 0);
 }
 
 static void add_outcomes(struct tmx_scheduler *scheduler, struct batch_draft *draft) {
-  double ended = scheduler->controller->replica.dependencies_in_use ? tmx_clock_wall() : 0;
+  double ended = scheduler->replica->dependencies_in_use ? tmx_clock_wall() : 0;
   tmx_log_batch_end_value(&draft->batch);
   for (size_t i = 0; i < draft->n_finished_jobs; i++)
     put_outcome(scheduler, &draft->batch, draft->finished_jobs[i], TMX_JOB_DONE, ended);
@@ -197,38 +191,36 @@
   tmx_buffer_free(&draft->batch.transaction.conditions);
   tmx_buffer_free(&draft->batch.transaction.operations);
   tmx_scheduler_abandon_round(scheduler);
-  if (cut) tmx_scheduler_trigger_within(scheduler->controller, TMX_ROUND_EMPTY_S);
+  if (cut) tmx_scheduler_trigger_within(scheduler, TMX_ROUND_EMPTY_S);
 }
 
 static void send_batch(struct tmx_scheduler *scheduler, struct batch_draft *draft) {
-  struct tmx_controller *controller = scheduler->controller;
-  tmx_transaction_advance_head(&draft->batch.transaction, controller->settings.node_name);
+  tmx_transaction_advance_head(&draft->batch.transaction, scheduler->settings->node_name);
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "round: %zu ends, %zu of %zu planned, %zu looked at, %d keys, resent %d",
             scheduler->n_completions, draft->placed, scheduler->plan.n_operations,
             scheduler->plan.visits, draft->batch.transaction.n_operations, scheduler->resends);
-  scheduler->sent_head_version = controller->replica.head_version;
+  scheduler->sent_head_version = scheduler->replica->head_version;
   scheduler->batch_in_flight =
-      tmx_store_commit(controller->store, &draft->batch.transaction, true, on_batch, scheduler);
+      tmx_store_commit(scheduler->store, &draft->batch.transaction, true, on_batch, scheduler);
   if (scheduler->batch_in_flight) return;
   tmx_submission_queue_settle(
       scheduler, TMX_TRANSACTION_CONFLICT); /* not sent: as if something else had won */
   tmx_scheduler_abandon_round(scheduler);
-  tmx_scheduler_trigger_within(controller, TMX_STORE_RETRY_S);
+  tmx_scheduler_trigger_within(scheduler, TMX_STORE_RETRY_S);
 }
 
 /* The log's order in a batch: submissions, ends, machines, placements and stops. The version in
  * production does not read lines of several operations: see docs/design.md. */
 void tmx_scheduler_commit(struct tmx_scheduler *scheduler) {
-  struct tmx_controller *controller = scheduler->controller;
   struct batch_draft draft = {.batch = {.scheduler = scheduler,
-                                        .value_json_max = tmx_value_room(&controller->settings),
-                                        .grouped = controller->replica.dependencies_in_use,
+                                        .value_json_max = tmx_value_room(scheduler->settings),
+                                        .grouped = scheduler->replica->dependencies_in_use,
                                         .writes_left = spare_writes(scheduler)}};
   scheduler->needed_writes = TMX_ROUND_WRITES;
   tmx_transaction_require_version(&draft.batch.transaction, TMX_KEY_HEAD,
-                                  controller->replica.head_version);
-  tmx_operation_check_begin(&draft.check, &controller->replica);
+                                  scheduler->replica->head_version);
+  tmx_operation_check_begin(&draft.check, scheduler->replica);
   tmx_submission_queue_add_to_batch(scheduler, &draft.batch);
   add_completions(scheduler, &draft);
   add_pending_lines(scheduler, &draft);
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -30,7 +30,7 @@
     pthread_mutex_lock(&scheduler->lock);
     scheduler->output = output;
     scheduler->ready = true;
-    ev_async_send(scheduler->controller->loop, &scheduler->planned_event);
+    ev_async_send(scheduler->loop, &scheduler->planned_event);
   }
   pthread_mutex_unlock(&scheduler->lock);
   tmx_planner_free(planner);
@@ -41,20 +41,18 @@
 
 static void start_round_timer(struct tmx_scheduler *scheduler, double after) {
   if (ev_is_active(&scheduler->timer) &&
-      ev_timer_remaining(scheduler->controller->loop, &scheduler->timer) <= after)
+      ev_timer_remaining(scheduler->loop, &scheduler->timer) <= after)
     return;
-  ev_timer_stop(scheduler->controller->loop, &scheduler->timer);
+  ev_timer_stop(scheduler->loop, &scheduler->timer);
   ev_timer_set(&scheduler->timer, after > 0.0005 ? after : 0.0005, 0);
-  ev_timer_start(scheduler->controller->loop, &scheduler->timer);
+  ev_timer_start(scheduler->loop, &scheduler->timer);
 }
-void tmx_scheduler_trigger_within(struct tmx_controller *controller, double s) {
-  struct tmx_scheduler *scheduler = controller->scheduler;
-  if (!scheduler) return;
+void tmx_scheduler_trigger_within(struct tmx_scheduler *scheduler, double within_s) {
   double spaced = scheduler->round_started_at + TMX_ROUND_SPACING_S - tmx_clock_steady();
-  start_round_timer(scheduler, s > spaced ? s : spaced);
+  start_round_timer(scheduler, within_s > spaced ? within_s : spaced);
 }
-void tmx_scheduler_trigger(struct tmx_controller *controller) {
-  tmx_scheduler_trigger_within(controller, 0);
+void tmx_scheduler_trigger(struct tmx_scheduler *scheduler) {
+  tmx_scheduler_trigger_within(scheduler, 0);
 }
 
 /* ------------------------------------------------------------ what changed */
@@ -97,7 +95,7 @@
   struct tmx_pending_line *l = &scheduler->pending_lines[scheduler->n_pending_lines++];
   memset(l, 0, sizeof *l);
   snprintf(l->text, sizeof l->text, "%s", line);
-  tmx_scheduler_trigger(scheduler->controller);
+  tmx_scheduler_trigger(scheduler);
 }
 
 /* ------------------------------------------------------------ steps */
@@ -110,13 +108,13 @@
 }
 
 /* Of the time of day, for one batch. */
-double tmx_commit_slot_length(const struct tmx_controller *controller) {
-  return TMX_COMMIT_SLOT_WRITES / (controller->settings.write_rps * TMX_WRITE_SHARE);
+double tmx_commit_slot_length(const struct tmx_settings *settings) {
+  return TMX_COMMIT_SLOT_WRITES / (settings->write_rps * TMX_WRITE_SHARE);
 }
 
 /* The next step needs the replica to hold the latest revision that a commit told of. */
 bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler) {
-  return scheduler->awaited_revision <= scheduler->controller->replica.revision ||
+  return scheduler->awaited_revision <= scheduler->replica->revision ||
          tmx_clock_steady() - scheduler->awaited_revision_since > TMX_STORE_TIMEOUT_S;
 }
 
@@ -130,13 +128,12 @@
  * puts for nothing, so while puts are short each member keeps to its turn of the time of day; the
  * leader has two. A batch that is late finds out by its condition: nothing depends on clocks. */
 static double next_commit_slot(struct tmx_scheduler *scheduler) {
-  struct tmx_controller *controller = scheduler->controller;
-  size_t n = controller->replica.view.n_members;
-  int self = tmx_controller_member_index(controller);
-  if (n < 2 || self < 0 || tmx_store_is_write_load_low(controller->store)) return 0;
-  double slot = tmx_commit_slot_length(controller), period = slot * (double)(n + 1);
+  size_t n = scheduler->replica->view.n_members;
+  int self = tmx_authority_member_index(scheduler->authority);
+  if (n < 2 || self < 0 || tmx_store_is_write_load_low(scheduler->store)) return 0;
+  double slot = tmx_commit_slot_length(scheduler->settings), period = slot * (double)(n + 1);
   double at = fmod(tmx_clock_wall(), period), wait = period;
-  for (int k = 0; k < 1 + tmx_store_is_leader(controller->store); k++) {
+  for (int k = 0; k < 1 + tmx_store_is_leader(scheduler->store); k++) {
     double into = at - slot * (k ? (double)n : self);
     if (into >= 0 && into < slot * TMX_COMMIT_SLOT_START_SHARE) return 0;
     wait = fmin(wait, into < 0 ? -into : period - into);
@@ -148,7 +145,6 @@
   (void)l;
   (void)ev;
   struct tmx_scheduler *scheduler = w->data;
-  struct tmx_controller *controller = scheduler->controller;
   pthread_mutex_lock(&scheduler->lock);
   bool ready = scheduler->ready;
   if (ready) scheduler->plan = scheduler->output;
@@ -156,9 +152,9 @@
   pthread_mutex_unlock(&scheduler->lock);
   if (!ready || scheduler->phase != TMX_SCHEDULER_PLANNING) return;
   scheduler->phase = TMX_SCHEDULER_PLANNED;
-  if (!tmx_store_is_member(controller->store) || !tmx_controller_may_act(controller)) {
+  if (!tmx_store_is_member(scheduler->store) || !tmx_authority_may_act(scheduler->authority)) {
     tmx_scheduler_abandon_round(scheduler);
-    tmx_scheduler_trigger_within(controller, TMX_STORE_RETRY_S);
+    tmx_scheduler_trigger_within(scheduler, TMX_STORE_RETRY_S);
     return;
   }
   if (!scheduler->batch_in_flight && tmx_scheduler_caught_up(scheduler))
@@ -166,25 +162,24 @@
 }
 
 static void begin_round(struct tmx_scheduler *scheduler) {
-  struct tmx_controller *controller = scheduler->controller;
-  double now = tmx_clock_steady(), budget = tmx_store_write_budget(controller->store);
+  double now = tmx_clock_steady(), budget = tmx_store_write_budget(scheduler->store);
   /* Rounds are paced by this member's share of the puts. Submissions draw on it too; a round a
    * second goes out in any case, or nothing accepted would ever start. */
   if (budget < scheduler->needed_writes && now - scheduler->round_started_at < 1.0) {
     tmx_scheduler_trigger_within(
-        controller,
-        fmin(tmx_store_write_budget_delay(controller->store, scheduler->needed_writes), 1.0));
+        scheduler,
+        fmin(tmx_store_write_budget_delay(scheduler->store, scheduler->needed_writes), 1.0));
     return;
   }
   double wait = next_commit_slot(scheduler);
   if (wait > 0) {
-    tmx_scheduler_trigger_within(controller, wait);
+    tmx_scheduler_trigger_within(scheduler, wait);
     return;
   }
   scheduler->round_started_at = now;
   scheduler->resends = 0;
-  scheduler->n_completions = tmx_workers_collect_completions(
-      controller->workers, scheduler->completions, TMX_COMPLETIONS_MAX);
+  scheduler->n_completions = scheduler->source.collect_completions(
+      scheduler->source.context, scheduler->completions, TMX_COMPLETIONS_MAX);
   struct tmx_round_input input;
   tmx_scheduler_collect_delta(scheduler, &input);
   scheduler->phase = TMX_SCHEDULER_PLANNING;
@@ -201,17 +196,16 @@
   (void)l;
   (void)ev;
   struct tmx_scheduler *scheduler = w->data;
-  struct tmx_controller *controller = scheduler->controller;
   if (scheduler->phase == TMX_SCHEDULER_PLANNING || scheduler->batch_in_flight)
     return; /* its end kicks the next one */
   start_round_timer(scheduler, TMX_ROUND_IDLE_S);
-  bool may = tmx_store_is_member(controller->store) && tmx_controller_may_act(controller);
+  bool may = tmx_store_is_member(scheduler->store) && tmx_authority_may_act(scheduler->authority);
   if (!may) {
     if (scheduler->phase == TMX_SCHEDULER_PLANNED) tmx_scheduler_abandon_round(scheduler);
     return;
   }
   if (!tmx_scheduler_caught_up(scheduler)) {
-    tmx_scheduler_trigger_within(controller, 0.05); /* events kick it sooner */
+    tmx_scheduler_trigger_within(scheduler, 0.05); /* events kick it sooner */
     return;
   }
   if (scheduler->phase == TMX_SCHEDULER_PLANNED)
@@ -224,11 +218,17 @@
   return scheduler->phase == TMX_SCHEDULER_PLANNING;
 }
 
-struct tmx_scheduler *tmx_scheduler_new(struct tmx_controller *controller) {
-  struct tmx_scheduler *scheduler = calloc(1, sizeof *scheduler);
+struct tmx_scheduler *tmx_scheduler_new(const struct tmx_scheduler_dependencies *dependencies) {
+  struct tmx_scheduler *scheduler = tmx_allocate(1, sizeof *scheduler);
   pthread_attr_t a;
-  if (!scheduler) abort();
-  scheduler->controller = controller;
+  scheduler->loop = dependencies->loop;
+  scheduler->settings = dependencies->settings;
+  scheduler->replica = dependencies->replica;
+  scheduler->store = dependencies->store;
+  scheduler->authority = dependencies->authority;
+  scheduler->catalog = dependencies->catalog;
+  scheduler->admission = dependencies->admission;
+  scheduler->source = dependencies->source;
   scheduler->needed_writes = TMX_ROUND_WRITES;
   pthread_mutex_init(&scheduler->lock, NULL);
   pthread_cond_init(&scheduler->work_available, NULL);
@@ -236,7 +236,7 @@
   scheduler->timer.data = scheduler;
   ev_async_init(&scheduler->planned_event, on_planned);
   scheduler->planned_event.data = scheduler;
-  ev_async_start(controller->loop, &scheduler->planned_event);
+  ev_async_start(scheduler->loop, &scheduler->planned_event);
   pthread_attr_init(&a);
   pthread_attr_setstacksize(&a, TMX_PLANNER_STACK);
   if (pthread_create(&scheduler->planner_thread, &a, planner_main, scheduler)) abort();
@@ -250,8 +250,8 @@
   pthread_cond_signal(&scheduler->work_available);
   pthread_mutex_unlock(&scheduler->lock);
   pthread_join(scheduler->planner_thread, NULL);
-  ev_async_stop(scheduler->controller->loop, &scheduler->planned_event);
-  ev_timer_stop(scheduler->controller->loop, &scheduler->timer);
+  ev_async_stop(scheduler->loop, &scheduler->planned_event);
+  ev_timer_stop(scheduler->loop, &scheduler->timer);
   tmx_planner_delta_clear(&scheduler->delta);
   tmx_planner_delta_clear(&scheduler->input_delta);
   if (scheduler->ready) free(scheduler->output.operations);
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -5,8 +5,9 @@
 #define TMX_SCHEDULER_INTERNAL_H
 #include <pthread.h>
 
-#include "controller/controller.h"
+#include "planner/planner.h"
 #include "replica/operation_check.h"
+#include "scheduler/scheduler.h"
 
 /* Where a round is. */
 enum tmx_scheduler_phase { TMX_SCHEDULER_IDLE, TMX_SCHEDULER_PLANNING, TMX_SCHEDULER_PLANNED };
@@ -39,7 +40,14 @@
 };
 
 struct tmx_scheduler {
-  struct tmx_controller *controller;
+  struct ev_loop *loop;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
+  const struct tmx_authority *authority;
+  const struct tmx_machine_catalog *catalog;
+  struct tmx_admission_control *admission;
+  struct tmx_scheduler_source source;
   ev_timer timer;
   enum tmx_scheduler_phase phase;
   bool batch_in_flight; /* a batch is under way */
@@ -77,7 +85,7 @@
 struct tmx_task *tmx_operation_task(const struct tmx_replica *replica,
                                     const struct tmx_operation *operation);
 /* Of the time of day, for one batch: s. */
-double tmx_commit_slot_length(const struct tmx_controller *controller);
+double tmx_commit_slot_length(const struct tmx_settings *settings);
 /* Does the replica hold the latest revision that a commit told of: the next step needs it. */
 bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler);
 /* Gives up what was planned; the next round begins anew. */
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -34,8 +34,7 @@
   if (!pending->answered) pending->cb(pending->arg, outcome);
   pending->answered = true;
   if (pending->sent_alone) return; /* goes with the answer to its commit */
-  if (pending->in_batch)
-    tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
+  if (pending->in_batch) tmx_admission_control_release(scheduler->admission, &pending->candidate);
   scheduler->submissions[i] = scheduler->submissions[--scheduler->n_submissions];
   tmx_pending_submission_free(pending);
 }
@@ -49,7 +48,7 @@
     bool busy = pending->sent_alone || pending->in_batch;
     size_t n = scheduler->n_submissions;
     if (!pending->answered && (!busy || now - pending->sent_at > TMX_STORE_SLOW_S) &&
-        tmx_job_find(&scheduler->controller->replica, pending->id))
+        tmx_job_find(scheduler->replica, pending->id))
       settle_submission(scheduler, i, TMX_SUBMISSION_KNOWN);
     else if (!busy && now > pending->deadline)
       settle_submission(scheduler, i, TMX_SUBMISSION_NOT_COMMITTED);
@@ -90,7 +89,7 @@
 /* The judgement that counts: on the replica whose head is the commit's condition. */
 static bool admitted(const struct tmx_scheduler *scheduler,
                      struct tmx_pending_submission *pending) {
-  return tmx_admission_control_judge(scheduler->controller->admission, &pending->candidate,
+  return tmx_admission_control_judge(scheduler->admission, &pending->candidate,
                                      &pending->dependencies)
              .verdict == TMX_ADMITTED;
 }
@@ -111,7 +110,7 @@
 void tmx_submission_queue_add_to_batch(struct tmx_scheduler *scheduler,
                                        struct tmx_log_batch *batch) {
   bool full = false;
-  int conds = scheduler->controller->settings.txn_ops *
+  int conds = scheduler->settings->txn_ops *
               3; /* PROTOCOL allows four times as many; finished jobs need some */
   sort_submissions(scheduler);
   refuse_overload(scheduler);
@@ -122,7 +121,7 @@
     pending->in_batch = !full && admitted(scheduler, pending);
     pending->sent_at = tmx_clock_steady();
     if (!pending->in_batch) continue;
-    tmx_admission_control_hold(scheduler->controller->admission, &pending->candidate);
+    tmx_admission_control_hold(scheduler->admission, &pending->candidate);
     require_unknown(&batch->transaction, pending->id);
     add_submission(batch, pending);
   }
@@ -134,7 +133,7 @@
     struct tmx_pending_submission *pending = scheduler->submissions[i];
     bool sent = pending->in_batch;
     pending->in_batch = false;
-    if (sent) tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
+    if (sent) tmx_admission_control_release(scheduler->admission, &pending->candidate);
     if (sent && result != TMX_TRANSACTION_CONFLICT)
       settle_submission(scheduler, i, outcome_of(result));
     else
@@ -146,7 +145,7 @@
   struct tmx_pending_submission *pending = arg;
   struct tmx_scheduler *scheduler = pending->scheduler;
   pending->sent_alone = false;
-  tmx_admission_control_release(scheduler->controller->admission, &pending->candidate);
+  tmx_admission_control_release(scheduler->admission, &pending->candidate);
   if (result == TMX_TRANSACTION_CONFLICT &&
       !pending->answered) { /* again once the replica has what won */
     pending->tries++;
@@ -189,7 +188,7 @@
   memcpy(pending->id, submission->id, sizeof pending->id);
   pending->ids_in_record = tmx_job_encode_open(&pending->value, submission->id, &submission->spec,
                                                submission->submitted_at, &submission->dependencies,
-                                               tmx_value_room(&scheduler->controller->settings));
+                                               tmx_value_room(scheduler->settings));
   pending->record_json_length = tmx_json_length(&pending->value);
   pending->dependencies.count = submission->dependencies.count;
   pending->dependencies.ids =
@@ -198,24 +197,23 @@
   if (submission->dependencies.count)
     memcpy(pending->dependencies.ids, submission->dependencies.ids,
            submission->dependencies.count * sizeof *submission->dependencies.ids);
-  pending->n_values = n_values_of(&scheduler->controller->settings, pending);
-  pending->candidate = tmx_admission_control_candidate(
-      scheduler->controller->admission, &submission->spec,
-      tmx_team_index(&scheduler->controller->settings, submission->spec.team));
+  pending->n_values = n_values_of(scheduler->settings, pending);
+  pending->candidate =
+      tmx_admission_control_candidate(scheduler->admission, &submission->spec,
+                                      tmx_team_index(scheduler->settings, submission->spec.team));
   pending->scheduler = scheduler;
   return pending;
 }
 
-enum tmx_submit_result tmx_scheduler_submit(struct tmx_controller *controller,
+enum tmx_submit_result tmx_scheduler_submit(struct tmx_scheduler *scheduler,
                                             const struct tmx_submission *submission, double within,
                                             tmx_submission_cb cb, void *arg) {
-  struct tmx_scheduler *scheduler = controller->scheduler;
   if (scheduler->n_submissions == TMX_PENDING_SUBMISSIONS_MAX) return TMX_SUBMIT_QUEUE_FULL;
   for (size_t i = 0; i < scheduler->n_submissions; i++)
     if (!strcmp(scheduler->submissions[i]->id, submission->id))
       return TMX_SUBMIT_QUEUE_FULL; /* it is on its way already */
   struct tmx_pending_submission *pending = new_pending_submission(scheduler, submission);
-  if (too_large(&controller->settings, pending)) {
+  if (too_large(scheduler->settings, pending)) {
     tmx_log(TMX_LOG_INFO,
             "job: %s refused: %zu bytes and %u awaited jobs take more than a transaction",
             submission->id, pending->record_json_length, submission->dependencies.count);
@@ -230,17 +228,16 @@
 }
 
 static void send_alone(struct tmx_scheduler *scheduler, struct tmx_pending_submission *pending) {
-  struct tmx_controller *controller = scheduler->controller;
   struct tmx_transaction transaction = {0};
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_KEY_JOB "%s", pending->id);
-  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, controller->replica.head_version);
+  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, scheduler->replica->head_version);
   require_unknown(&transaction, pending->id);
   tmx_transaction_put(&transaction, key, &pending->value, 0);
   pending->sent_at = tmx_clock_steady();
   pending->sent_alone =
-      tmx_store_commit(controller->store, &transaction, true, on_single_commit, pending);
-  if (pending->sent_alone) tmx_admission_control_hold(controller->admission, &pending->candidate);
+      tmx_store_commit(scheduler->store, &transaction, true, on_single_commit, pending);
+  if (pending->sent_alone) tmx_admission_control_hold(scheduler->admission, &pending->candidate);
 }
 
 static bool may_go_alone(const struct tmx_scheduler *scheduler,
@@ -248,16 +245,15 @@
   if (pending->sent_alone || pending->in_batch || pending->n_values > 1 ||
       pending->tries >= TMX_SINGLE_SUBMISSION_TRIES)
     return false;
-  if (!tmx_admission_control_may_commit_alone(scheduler->controller->admission, &pending->candidate,
+  if (!tmx_admission_control_may_commit_alone(scheduler->admission, &pending->candidate,
                                               &pending->dependencies))
     return false;
-  return tmx_store_reserve_submission_write(scheduler->controller->store);
+  return tmx_store_reserve_submission_write(scheduler->store);
 }
 
 /* A few submissions go out at once, each as a put; when there are many, or puts are short, they
  * wait for the next batch, which holds dozens in one. */
 void tmx_scheduler_flush(struct tmx_scheduler *scheduler) {
-  struct tmx_controller *controller = scheduler->controller;
   size_t idle = 0;
   if (!scheduler->n_submissions) return;
   sort_submissions(scheduler);
@@ -266,8 +262,8 @@
   if (!idle) return;
   /* a batch under way is decided once head has moved, whenever its answer comes */
   bool decided = !scheduler->batch_in_flight ||
-                 controller->replica.head_version != scheduler->sent_head_version;
-  if (idle <= TMX_SINGLE_SUBMISSIONS_MAX && controller->replica.loaded && decided &&
+                 scheduler->replica->head_version != scheduler->sent_head_version;
+  if (idle <= TMX_SINGLE_SUBMISSIONS_MAX && scheduler->replica->loaded && decided &&
       tmx_scheduler_caught_up(scheduler)) {
     for (size_t i = 0; i < scheduler->n_submissions; i++) {
       struct tmx_pending_submission *pending = scheduler->submissions[i];
@@ -276,5 +272,5 @@
       idle -= pending->sent_alone;
     }
   }
-  if (idle) tmx_scheduler_trigger_within(controller, 0.02);
+  if (idle) tmx_scheduler_trigger_within(scheduler, 0.02);
 }
--- a/src/store/compaction.c
+++ b/src/store/compaction.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "controller/controller.h"
+#include "store/compaction.h"
 #include "base/log.h"
 #include "base/clock.h"
 #include "base/memory.h"
@@ -19,7 +19,9 @@
   COMPACTION_DELETING_PAGES
 };
 struct tmx_compaction {
-  struct tmx_controller *controller;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
   size_t key_threshold;
   int step;
   bool transaction_in_flight;
@@ -38,9 +40,12 @@
   } at, sent;
 };
 
-struct tmx_compaction *tmx_compaction_new(struct tmx_controller *controller) {
+struct tmx_compaction *tmx_compaction_new(const struct tmx_settings *settings,
+                                          struct tmx_replica *replica, struct tmx_store *store) {
   struct tmx_compaction *compaction = tmx_allocate(1, sizeof *compaction);
-  compaction->controller = controller;
+  compaction->settings = settings;
+  compaction->replica = replica;
+  compaction->store = store;
   compaction->key_threshold = TMX_COMPACTION_KEYS;
   return compaction;
 }
@@ -59,7 +64,7 @@
 }
 
 static void begin_compaction(struct tmx_compaction *compaction) {
-  struct tmx_replica *replica = &compaction->controller->replica;
+  struct tmx_replica *replica = compaction->replica;
   struct tmx_job *job, *next_job;
   struct tmx_machine *machine, *next_machine;
   free(compaction->machines);
@@ -90,7 +95,7 @@
  * room in it follow in lines. */
 static void write_record(const struct tmx_compaction *compaction, struct place *position,
                          const struct tmx_job *j, struct tmx_buffer *job) {
-  size_t room = tmx_value_room(&compaction->controller->settings);
+  size_t room = tmx_value_room(compaction->settings);
   struct tmx_job_spec part = j->spec;
   part.n_types =
       tmx_job_types_within(j->id, &j->spec, j->submitted_at, &j->dependencies.named, room);
@@ -103,7 +108,7 @@
 /* What comes next in the pages, a line or an encoded job; false: nothing. */
 static bool next_line(struct tmx_compaction *compaction, struct place *position, char *line,
                       size_t cap, struct tmx_buffer *job) {
-  struct tmx_replica *replica = &compaction->controller->replica;
+  struct tmx_replica *replica = compaction->replica;
   for (; position->machine < compaction->n_machines; position->machine++) {
     const struct tmx_machine *machine =
         tmx_machine_find(replica, compaction->machines[position->machine]);
@@ -144,16 +149,15 @@
 }
 
 static void write_pages(struct tmx_compaction *compaction) {
-  struct tmx_controller *controller = compaction->controller;
   struct tmx_transaction transaction = {0};
   struct tmx_buffer list = {0}, jobs = {0}, one = {0}, value = {0};
-  size_t max = tmx_value_room(&controller->settings), n = 0, n_jobs = 0, len = 0, all = 0;
-  int puts = (int)tmx_store_write_budget(controller->store);
+  size_t max = tmx_value_room(compaction->settings), n = 0, n_jobs = 0, len = 0, all = 0;
+  int puts = (int)tmx_store_write_budget(compaction->store);
   char line[TMX_LINE_MAX], key[TMX_KEY_MAX + 1];
   struct place position = compaction->at;
-  if (puts > controller->settings.txn_ops) puts = controller->settings.txn_ops;
+  if (puts > compaction->settings->txn_ops) puts = compaction->settings->txn_ops;
   bool more = true;
-  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, controller->replica.head_version);
+  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, compaction->replica->head_version);
   while (more && transaction.n_operations < puts &&
          all + max + TMX_JSON_FRAME < TMX_TRANSACTION_BYTES) {
     list.length = jobs.length = n = n_jobs = len = 0;
@@ -192,7 +196,7 @@
   tmx_buffer_free(&value);
   if (transaction.n_operations) {
     compaction->transaction_in_flight =
-        tmx_store_commit(controller->store, &transaction, true, on_pages, compaction);
+        tmx_store_commit(compaction->store, &transaction, true, on_pages, compaction);
     return;
   }
   tmx_buffer_free(&transaction.conditions);
@@ -224,7 +228,7 @@
   tmx_transaction_put(&transaction, TMX_KEY_COMPACTION, &value, 0);
   tmx_buffer_free(&value);
   compaction->transaction_in_flight =
-      tmx_store_commit(compaction->controller->store, &transaction, true, on_mark, compaction);
+      tmx_store_commit(compaction->store, &transaction, true, on_mark, compaction);
 }
 
 static void on_drops(void *arg, enum tmx_transaction_result result, uint64_t revision) {
@@ -236,20 +240,19 @@
 
 /* Drops the pages of other folds; false: nothing is left to drop. */
 static bool drop_some(struct tmx_compaction *compaction) {
-  struct tmx_controller *controller = compaction->controller;
   struct tmx_transaction transaction = {0};
   struct tmx_log_key *key, *next_key;
-  int max = (int)tmx_store_write_budget(controller->store);
-  if (max > controller->settings.txn_ops) max = controller->settings.txn_ops;
+  int max = (int)tmx_store_write_budget(compaction->store);
+  if (max > compaction->settings->txn_ops) max = compaction->settings->txn_ops;
   /* on the condition that the mark still stands: these pages might else be the newer ones */
   tmx_transaction_require_version(&transaction, TMX_KEY_COMPACTION,
-                                  controller->replica.compaction_version);
-  HASH_ITER(hh, controller->replica.page_keys, key, next_key) {
+                                  compaction->replica->compaction_version);
+  HASH_ITER(hh, compaction->replica->page_keys, key, next_key) {
     unsigned long long gen;
     if (transaction.n_operations >= max ||
         sscanf(key->key + strlen(TMX_KEY_PAGE), "%llx", &gen) != 1)
       continue;
-    if (gen != controller->replica.compaction_generation)
+    if (gen != compaction->replica->compaction_generation)
       tmx_transaction_delete(&transaction, key->key);
   }
   if (!transaction.n_operations) {
@@ -257,26 +260,25 @@
     return false;
   }
   compaction->transaction_in_flight =
-      tmx_store_commit(controller->store, &transaction, true, on_drops, compaction);
+      tmx_store_commit(compaction->store, &transaction, true, on_drops, compaction);
   return true;
 }
 
 void tmx_compaction_tick(struct tmx_compaction *compaction) {
-  struct tmx_controller *controller = compaction->controller;
   double now = tmx_clock_steady();
   if (compaction->transaction_in_flight) return;
-  if (!tmx_store_is_leader(controller->store) || !controller->replica.loaded) {
+  if (!tmx_store_is_leader(compaction->store) || !compaction->replica->loaded) {
     compaction->step = COMPACTION_IDLE;
     return;
   }
-  if (!tmx_store_has_housekeeping_budget(controller->store)) return;
+  if (!tmx_store_has_housekeeping_budget(compaction->store)) return;
   if (compaction->step == COMPACTION_IDLE) {
     if (now - compaction->checked_at < 1) return;
     compaction->checked_at = now;
     struct tmx_log_key *key, *next_key;
     size_t n = 0;
-    HASH_ITER(hh, controller->replica.batch_keys, key, next_key)
-    n += key->version > controller->replica.compaction_point;
+    HASH_ITER(hh, compaction->replica->batch_keys, key, next_key)
+    n += key->version > compaction->replica->compaction_point;
     if (n <= compaction->key_threshold) return;
     begin_compaction(compaction);
     tmx_log(TMX_LOG_INFO, "fold: %zu machines, %zu jobs, %zu batches", compaction->n_machines,
@@ -286,7 +288,7 @@
     write_pages(compaction);
   else if (compaction->step == COMPACTION_MOVING_POINT)
     write_mark(compaction);
-  else if (controller->replica.compaction_generation == compaction->compaction_point &&
+  else if (compaction->replica->compaction_generation == compaction->compaction_point &&
            !drop_some(compaction))
     compaction->step = COMPACTION_IDLE;
 }
--- a/src/user/user_api.c
+++ b/src/user/user_api.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "controller/controller.h"
+#include "planner/planner.h"
+#include "user/user_api.h"
 #include "base/log.h"
 #include "tmx/wire.h"
 #include "base/clock.h"
@@ -13,7 +14,12 @@
 #include "base/random.h"
 
 struct tmx_users {
-  struct tmx_controller *controller;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
+  const struct tmx_machine_catalog *catalog;
+  struct tmx_admission_control *admission;
+  struct tmx_scheduler *scheduler;
   int n_waiting;
 };
 
@@ -34,9 +40,14 @@
   struct tmx_submission *submission; /* ASK_SUBMIT: judged anew once the state was read */
 };
 
-struct tmx_users *tmx_users_new(struct tmx_controller *controller) {
+struct tmx_users *tmx_users_new(const struct tmx_users_dependencies *dependencies) {
   struct tmx_users *users = tmx_allocate(1, sizeof *users);
-  users->controller = controller;
+  users->settings = dependencies->settings;
+  users->replica = dependencies->replica;
+  users->store = dependencies->store;
+  users->catalog = dependencies->catalog;
+  users->admission = dependencies->admission;
+  users->scheduler = dependencies->scheduler;
   return users;
 }
 void tmx_users_free(struct tmx_users *users) { free(users); }
@@ -90,14 +101,13 @@
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", ask->id,
             ask->ruling.backlog_s, ask->ruling.ceiling_s);
-  tmx_admission_control_count_answer(ask->users->controller->admission, &ask->candidate,
-                                     ask->ruling.verdict);
+  tmx_admission_control_count_answer(ask->users->admission, &ask->candidate, ask->ruling.verdict);
   tmx_http_reply(ask->request, 503, NULL, tmx_admission_control_retry_after(&ask->ruling));
 }
 
 static void on_read_index(void *arg, bool ok) {
   struct user_request *ask = arg;
-  struct tmx_job *job = ok ? tmx_job_find(&ask->users->controller->replica, ask->id) : NULL;
+  struct tmx_job *job = ok ? tmx_job_find(ask->users->replica, ask->id) : NULL;
   if (!ok)
     reply_unavailable(ask->request, "the state was not read in time");
   else if (!job && ask->submission) {
@@ -126,16 +136,15 @@
   /* Where the state is out of reach nothing can be decided: the sender goes elsewhere at once. When
    * more ask than can be answered, those go first of whose job nobody was told here of late, so
    * that none stays without an answer however many others ask. */
-  const struct tmx_job *job = tmx_job_find(&users->controller->replica, what->id);
+  const struct tmx_job *job = tmx_job_find(users->replica, what->id);
   bool late =
       what->kind != USER_POLL || (job && tmx_clock_steady() - job->answered_at > TMX_POLL_FAIR_S);
   struct user_request *a = calloc(1, sizeof *a);
-  if (!a || !tmx_store_is_reachable(users->controller->store) ||
+  if (!a || !tmx_store_is_reachable(users->store) ||
       users->n_waiting >= (late ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2)) {
     free(a);
     free_submission(what->submission);
-    reply_unavailable(
-        request, tmx_store_is_reachable(users->controller->store) ? "too many wait" : "no state");
+    reply_unavailable(request, tmx_store_is_reachable(users->store) ? "too many wait" : "no state");
     return;
   }
   double within = what->kind == USER_POLL ? TMX_USER_WAIT_S : TMX_SUBMIT_WAIT_S;
@@ -145,7 +154,7 @@
   a->received_at = tmx_clock_steady();
   a->deadline = tmx_clock_steady() + within;
   users->n_waiting++;
-  if (!tmx_store_read_index(users->controller->store, within, on_read_index, a)) {
+  if (!tmx_store_read_index(users->store, within, on_read_index, a)) {
     reply_unavailable(request, "too many wait for the state");
     finish_request(a);
   }
@@ -163,8 +172,8 @@
   }
   if (result == TMX_TRANSACTION_CONFLICT && ++ask->tries < 8 &&
       tmx_clock_steady() < ask->deadline &&
-      tmx_store_read_index(ask->users->controller->store, ask->deadline - tmx_clock_steady(),
-                           on_read_index, ask))
+      tmx_store_read_index(ask->users->store, ask->deadline - tmx_clock_steady(), on_read_index,
+                           ask))
     return;
   reply_unavailable(ask->request,
                     "not known whether it is cancelled"); /* the user asks again and is told then */
@@ -172,8 +181,7 @@
 }
 
 static void cancel_step(struct user_request *ask) {
-  struct tmx_controller *controller = ask->users->controller;
-  struct tmx_job *job = tmx_job_find(&controller->replica, ask->id);
+  struct tmx_job *job = tmx_job_find(ask->users->replica, ask->id);
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
   char key[TMX_KEY_MAX + 1];
@@ -181,11 +189,11 @@
   /* Conditional on the job's own key, which also its completion rewrites; head is rewritten,
    * so that no batch planned before this can start one of its tasks. */
   tmx_transaction_require_version(&transaction, key, job->version);
-  tmx_job_encode_final(&value, job, TMX_JOB_CANCELLED, 0, tmx_value_room(&controller->settings));
+  tmx_job_encode_final(&value, job, TMX_JOB_CANCELLED, 0, tmx_value_room(ask->users->settings));
   tmx_transaction_put(&transaction, key, &value, 0);
-  tmx_transaction_advance_head(&transaction, controller->settings.node_name);
+  tmx_transaction_advance_head(&transaction, ask->users->settings->node_name);
   tmx_buffer_free(&value);
-  if (!tmx_store_commit(controller->store, &transaction, true, on_cancelled, ask)) {
+  if (!tmx_store_commit(ask->users->store, &transaction, true, on_cancelled, ask)) {
     reply_unavailable(ask->request, "no connection to the state");
     finish_request(ask);
   }
@@ -197,11 +205,9 @@
  * the state is read before it is refused. */
 static void look_up_or_refuse(struct user_request *ask) {
   static const struct tmx_job_ids none;
-  ask->ruling =
-      tmx_admission_control_judge(ask->users->controller->admission, &ask->candidate, &none);
+  ask->ruling = tmx_admission_control_judge(ask->users->admission, &ask->candidate, &none);
   ask->overload = true;
-  if (tmx_store_read_index(ask->users->controller->store, TMX_SUBMIT_WAIT_S, on_read_index, ask))
-    return;
+  if (tmx_store_read_index(ask->users->store, TMX_SUBMIT_WAIT_S, on_read_index, ask)) return;
   refuse_overload(ask);
   finish_request(ask);
 }
@@ -214,16 +220,14 @@
               (tmx_clock_steady() - ask->received_at) * 1000);
     answer_named(ask->request, 201, ask->id, ask->through_cancelled ? WV_CANCELLED : WV_PENDING,
                  NULL);
-    tmx_admission_control_count_answer(ask->users->controller->admission, &ask->candidate,
-                                       TMX_ADMITTED);
+    tmx_admission_control_count_answer(ask->users->admission, &ask->candidate, TMX_ADMITTED);
     finish_request(ask);
   } else if (outcome == TMX_SUBMISSION_OVERLOAD) {
     look_up_or_refuse(ask);
   } else if (outcome == TMX_SUBMISSION_KNOWN && /* known already: its state is read first */
-             tmx_store_read_index(ask->users->controller->store, TMX_SUBMIT_WAIT_S, on_read_index,
-                                  ask)) {
+             tmx_store_read_index(ask->users->store, TMX_SUBMIT_WAIT_S, on_read_index, ask)) {
     ask->answer_if_unknown = 503;
-    tmx_store_expedite_read_index(ask->users->controller->store);
+    tmx_store_expedite_read_index(ask->users->store);
   } else {
     reply_unavailable(ask->request, outcome == TMX_SUBMISSION_NOT_COMMITTED
                                         ? "not committed in time"
@@ -233,17 +237,17 @@
 }
 
 /* 0: may run; 422: never; 503: cannot be told yet */
-static int check_submission(struct tmx_controller *controller, const struct tmx_job_spec *spec) {
-  size_t n;
-  const struct tmx_machine_type *type = tmx_cloud_types(controller->cloud, &n);
-  int team = tmx_team_index(&controller->settings, spec->team);
+static int check_submission(const struct tmx_users *users, const struct tmx_job_spec *spec) {
+  size_t n = users->catalog->n_types;
+  const struct tmx_machine_type *type = users->catalog->types;
+  int team = tmx_team_index(users->settings, spec->team);
   if (team < 0) return 422;
-  const struct tmx_team_settings *t = &controller->settings.teams[team];
+  const struct tmx_team_settings *t = &users->settings->teams[team];
   double k = spec->service ? spec->tasks : 1;
   if (t->cpus_max > 0 && k * spec->cpus > t->cpus_max + 1e-6) return 422;
   if (t->gpus_max > 0 && k * spec->gpus > t->gpus_max + 1e-6) return 422;
   if (!n) return 503;
-  int zone = spec->zone[0] ? tmx_zone_index(&controller->settings, spec->zone) : -1;
+  int zone = spec->zone[0] ? tmx_zone_index(users->settings, spec->zone) : -1;
   if (spec->zone[0] && zone < 0) return 422;
   for (size_t i = 0; i < n; i++) {
     if (!tmx_type_allowed(spec, type[i].name)) continue;
@@ -294,22 +298,20 @@
 
 /* Hands a submission whose names are known over to the log. */
 static void send_submission(struct user_request *ask) {
-  struct tmx_controller *controller = ask->users->controller;
   struct tmx_submission *submission = ask->submission;
   ask->submission = NULL;
-  drop_done(&controller->replica, &submission->dependencies);
-  ask->through_cancelled = names_cancelled(&controller->replica, &submission->dependencies);
-  enum tmx_submit_result result =
-      ask->users->n_waiting > TMX_USER_QUEUE
-          ? TMX_SUBMIT_QUEUE_FULL
-          : tmx_scheduler_submit(controller, submission, TMX_SUBMIT_WAIT_S, on_submitted, ask);
+  drop_done(ask->users->replica, &submission->dependencies);
+  ask->through_cancelled = names_cancelled(ask->users->replica, &submission->dependencies);
+  enum tmx_submit_result result = ask->users->n_waiting > TMX_USER_QUEUE
+                                      ? TMX_SUBMIT_QUEUE_FULL
+                                      : tmx_scheduler_submit(ask->users->scheduler, submission,
+                                                             TMX_SUBMIT_WAIT_S, on_submitted, ask);
   free_submission(submission);
   if (result == TMX_SUBMIT_QUEUED) return;
   if (result == TMX_SUBMIT_TOO_LARGE) {
     /* it may be known, by another body, to the others */
     ask->answer_if_unknown = 422;
-    if (tmx_store_read_index(ask->users->controller->store, TMX_SUBMIT_WAIT_S, on_read_index, ask))
-      return;
+    if (tmx_store_read_index(ask->users->store, TMX_SUBMIT_WAIT_S, on_read_index, ask)) return;
   }
   reply_unavailable(ask->request, "too many submissions");
   finish_request(ask);
@@ -317,7 +319,7 @@
 
 /* The state was read after the request came, and the job is not known. */
 static void submit_step(struct user_request *ask) {
-  if (check_dependencies(&ask->users->controller->replica, ask->submission) == DEPENDENCIES_VALID) {
+  if (check_dependencies(ask->users->replica, ask->submission) == DEPENDENCIES_VALID) {
     send_submission(ask);
     return;
   }
@@ -339,31 +341,29 @@
 }
 
 /* What is known of a submission before the state is asked. */
-static struct user_request answer_early(struct tmx_controller *controller,
+static struct user_request answer_early(const struct tmx_users *users,
                                         struct tmx_submission *submission, bool whole,
                                         const struct tmx_job *known) {
   struct user_request request_template = {.kind = USER_SUBMIT, .submission = submission};
   memcpy(request_template.id, submission->id, sizeof request_template.id);
   request_template.answer_if_unknown = known   ? 503
-                                       : whole ? check_submission(controller, &submission->spec)
+                                       : whole ? check_submission(users, &submission->spec)
                                                : 400;
   if (request_template.answer_if_unknown) return request_template;
-  request_template.candidate =
-      tmx_admission_control_candidate(controller->admission, &submission->spec,
-                                      tmx_team_index(&controller->settings, submission->spec.team));
-  enum dependency_verdict awaits = check_dependencies(&controller->replica, submission);
+  request_template.candidate = tmx_admission_control_candidate(
+      users->admission, &submission->spec, tmx_team_index(users->settings, submission->spec.team));
+  enum dependency_verdict awaits = check_dependencies(users->replica, submission);
   request_template.names_unknown = awaits == DEPENDENCIES_UNKNOWN;
   if (awaits == DEPENDENCIES_NEVER_DONE) request_template.answer_if_unknown = 422;
   if (awaits != DEPENDENCIES_VALID) return request_template;
   request_template.ruling = tmx_admission_control_judge(
-      controller->admission, &request_template.candidate, &submission->dependencies);
+      users->admission, &request_template.candidate, &submission->dependencies);
   request_template.overload = request_template.ruling.verdict != TMX_ADMITTED;
   if (request_template.overload) request_template.answer_if_unknown = 503;
   return request_template;
 }
 
 static void submit(struct tmx_users *users, struct tmx_http_request *request) {
-  struct tmx_controller *controller = users->controller;
   struct tmx_submission *submission = calloc(1, sizeof *submission);
   bool whole;
   if (!submission) abort();
@@ -372,20 +372,20 @@
     tmx_http_reply(request, 400, NULL, 0);
     return;
   }
-  if (!controller->replica.loaded || !tmx_store_is_reachable(controller->store)) {
+  if (!users->replica->loaded || !tmx_store_is_reachable(users->store)) {
     free_submission(submission);
     reply_unavailable(request, "no state");
     return;
   }
   /* A known job is answered before any validation: what was accepted stays accepted. */
-  struct tmx_job *job = tmx_job_find(&controller->replica, submission->id);
+  struct tmx_job *job = tmx_job_find(users->replica, submission->id);
   if (job && job->outcome) {
     free_submission(submission);
     answer_job(request, job);
     return;
   }
   submission->submitted_at = tmx_clock_wall();
-  struct user_request request_template = answer_early(controller, submission, whole, job);
+  struct user_request request_template = answer_early(users, submission, whole, job);
   if (request_template.answer_if_unknown) {
     free_submission(submission);
     request_template.submission = NULL;
@@ -439,11 +439,11 @@
     tmx_http_reply(request, 404, NULL, 0);
     return true;
   }
-  if (!users->controller->replica.loaded) {
+  if (!users->replica->loaded) {
     reply_unavailable(request, "no state");
     return true;
   }
-  struct tmx_job *job = tmx_job_find(&users->controller->replica, id);
+  struct tmx_job *job = tmx_job_find(users->replica, id);
   if (job && job->outcome && cancel)
     answer_named(request, 200, id, job->outcome == TMX_JOB_DONE ? WV_DONE : WV_CANCELLED, NULL);
   else if (job && job->outcome)
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -13,8 +13,8 @@
 /* An answer may lie in a buffer while this controller stands still or is behind with its own work:
  * then a probe that timed out says nothing of the machine. */
 static void probe_lost(struct tmx_worker *worker) {
-  if (worker->workers->controller->last_late_tick_at < worker->probed_at &&
-      tmx_clock_steady() - worker->workers->controller->last_tick_at < TMX_TICK_S + TMX_LOOP_LATE_S)
+  if (tmx_loop_monitor_on_time_since(worker->workers->loop_monitor, worker->probed_at,
+                                     tmx_clock_steady()))
     worker->probes_lost++;
 }
 
@@ -32,8 +32,8 @@
 }
 
 /* How many probes a second this controller may send: a share of its processor. */
-double tmx_workers_probe_rate(const struct tmx_controller *controller) {
-  return fmax(controller->settings.core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
+double tmx_workers_probe_rate(const struct tmx_settings *settings) {
+  return fmax(settings->core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
 }
 
 static void on_introduction_response(void *arg, int status, const uint8_t *body, size_t len) {
@@ -49,8 +49,7 @@
  * it may be executed late does no harm. */
 static bool introduce(struct tmx_worker *worker) {
   struct tmx_buffer buffer = {0};
-  uint64_t token =
-      tmx_controller_fencing_token(worker->workers->controller, worker->token_sequence);
+  uint64_t token = tmx_authority_fencing_token(worker->workers->authority, worker->token_sequence);
   if (worker->highest_token > token) return false;
   tmx_cbor_put_map(&buffer, 3);
   tmx_cbor_put_u64_field(&buffer, W_TOKEN, token);
@@ -82,7 +81,7 @@
 
 /* Connections to workers are kept while there are sockets for them. */
 static void close_idle_clients(struct tmx_workers *workers) {
-  int max = tmx_sockets_out(&workers->controller->settings);
+  int max = tmx_sockets_out(workers->settings);
   if (workers->n_clients <= max) return;
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
@@ -145,7 +144,7 @@
 /* In TMX_ALIVE_S only some of those that live can give a sign, as they are asked in turn: what was
  * heard stands for so many. */
 static void extrapolate(struct tmx_workers *workers, double rate) {
-  const struct tmx_settings *settings = &workers->controller->settings;
+  const struct tmx_settings *settings = workers->settings;
   double lost = 0, others = 0;
   for (size_t z = 0; z < settings->n_zones; z++) {
     lost += workers->zone_liveness[z].lost;
@@ -160,21 +159,20 @@
 }
 
 void tmx_workers_tick(struct tmx_workers *workers) {
-  struct tmx_controller *controller = workers->controller;
-  double now = tmx_clock_steady(), rate = tmx_workers_probe_rate(controller);
+  double now = tmx_clock_steady(), rate = tmx_workers_probe_rate(workers->settings);
   if (now - workers->swept_at < TMX_RECLAIM_PERIOD_S) return;
   workers->probe_tokens = fmin(workers->probe_tokens + rate * (now - workers->swept_at),
                                rate * 2 * TMX_RECLAIM_PERIOD_S);
   workers->swept_at = now;
-  int self = tmx_controller_member_index(controller);
-  bool member = tmx_store_is_member(controller->store) && tmx_controller_may_act(controller);
-  double heard_s = controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S;
+  int self = tmx_authority_member_index(workers->authority);
+  bool member = tmx_store_is_member(workers->store) && tmx_authority_may_act(workers->authority);
+  double heard_s = workers->settings->report_s * 1.25 + TMX_REPORT_LATE_S;
   struct tmx_reachability reach = {
       .report_age_s = workers->last_report_at ? now - workers->last_report_at : 1e9};
   unsigned unreported = 0; /* two reports are missing: it may reach no controller */
   struct tmx_machine *machine, *t;
   memset(workers->zone_liveness, 0, sizeof workers->zone_liveness);
-  HASH_ITER(hh, controller->replica.machines, machine, t) {
+  HASH_ITER(hh, workers->replica->machines, machine, t) {
     if (!machine->registered) continue;
     bool mine = member && machine->owner == self && self >= 0, usable;
     struct tmx_worker *worker = machine->worker;
@@ -188,8 +186,7 @@
       reach.owned++;
       reach.reached += now - fmax(worker->acknowledged_at, worker->owned_since) <
                        3 * fmax(1, reach.owned / rate) + 2;
-      bool reports =
-          tmx_worker_heartbeat_age(worker, now) < heard_s + controller->settings.report_s;
+      bool reports = tmx_worker_heartbeat_age(worker, now) < heard_s + workers->settings->report_s;
       unreported += !reports;
       usable = worker->session && tmx_worker_is_acknowledged(worker) && !worker->probes_lost &&
                !worker->spot_notice && reports && life_sign_age(worker, now) < heard_s;
@@ -199,8 +196,8 @@
     }
     if (usable != machine->usable) {
       machine->usable = usable;
-      tmx_scheduler_machine_changed(controller->scheduler, machine);
-      if (usable) tmx_scheduler_trigger(controller);
+      tmx_scheduler_machine_changed(workers->scheduler, machine);
+      if (usable) tmx_scheduler_trigger(workers->scheduler);
     }
   }
   extrapolate(workers, rate);
@@ -226,6 +223,12 @@
   return workers->reachability;
 }
 
+bool tmx_workers_are_unreachable(const struct tmx_workers *workers) {
+  const struct tmx_reachability *reachability = &workers->reachability;
+  return reachability->owned >= TMX_REACHABILITY_MACHINES_MIN &&
+         reachability->reached * 4 < reachability->owned;
+}
+
 /* ------------------------------------------------------------ told to and by the others */
 
 static bool suspicion_of(const struct tmx_worker *worker, double now, double heard_s,
@@ -240,13 +243,12 @@
     suspicion->unacknowledged_s =
         fmax(suspicion->unacknowledged_s, now - fmax(worker->acknowledged_at, worker->owned_since));
   /* one that was cut off and is heard again has not had the time yet to show that it hears us */
-  if (back < worker->workers->controller->settings.lease_s * TMX_RECOVERY_LEASES)
+  if (back < worker->workers->settings->lease_s * TMX_RECOVERY_LEASES)
     suspicion->unacknowledged_s = fmin(suspicion->unacknowledged_s, back + 0.001);
   /* It answers and cannot report: direct commands renew no lease, so by now all that ran is over,
    * and would be again a lease later. */
   double unreported = tmx_worker_heartbeat_age(worker, now);
-  if (unreported > worker->workers->controller->settings.lease_s &&
-      !worker->workers->most_are_unreported)
+  if (unreported > worker->workers->settings->lease_s && !worker->workers->most_are_unreported)
     suspicion->unacknowledged_s = fmax(suspicion->unacknowledged_s, unreported);
   suspicion->spot_notice = worker->spot_notice;
   memcpy(suspicion->id, worker->id, sizeof suspicion->id);
@@ -255,8 +257,7 @@
 }
 
 void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg) {
-  double now = tmx_clock_steady(),
-         heard_s = workers->controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S;
+  double now = tmx_clock_steady(), heard_s = workers->settings->report_s * 1.25 + TMX_REPORT_LATE_S;
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
     struct tmx_suspicion suspicion;
@@ -271,7 +272,7 @@
   struct tmx_worker *worker;
   HASH_FIND_STR(workers->all, suspicion->id, worker);
   if (!worker) {
-    if (!tmx_machine_find(&workers->controller->replica, suspicion->id)) return;
+    if (!tmx_machine_find(workers->replica, suspicion->id)) return;
     worker = tmx_worker_create(workers, suspicion->id);
     if (!worker) return;
   }
@@ -286,16 +287,15 @@
   const struct tmx_worker *worker = machine->worker;
   double now = tmx_clock_steady();
   if (!worker || machine->owner < 0) return false;
-  if (machine->owner == tmx_controller_member_index(workers->controller))
-    return suspicion_of(worker, now,
-                        workers->controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S, out);
-  const char *owner = workers->controller->replica.view.members[machine->owner].name;
+  if (machine->owner == tmx_authority_member_index(workers->authority))
+    return suspicion_of(worker, now, workers->settings->report_s * 1.25 + TMX_REPORT_LATE_S, out);
+  const char *owner = workers->replica->view.members[machine->owner].name;
   /* In its latest heartbeat, or not at all, and by the view that stands: a controller that was cut
    * off still tells of what it owned before, none of which it could reach. */
-  if (!worker->suspicion_at || worker->suspicion_term < workers->controller->replica.view.term ||
+  if (!worker->suspicion_at || worker->suspicion_term < workers->replica->view.term ||
       strcmp(worker->suspicion_reporter, owner) ||
       now - worker->suspicion_at >
-          tmx_peers_silence(workers->controller->peers, owner) + TMX_HEARTBEAT_PERIOD_S / 2 ||
+          tmx_peers_silence(workers->peers, owner) + TMX_HEARTBEAT_PERIOD_S / 2 ||
       now - worker->suspicion_at > TMX_HEARTBEAT_LOST_S)
     return false;
   *out = worker->owner_suspicion;
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -23,8 +23,8 @@
 
 /* Machines that a controller's memory allows for: far more than it is run for. */
 static size_t max_workers(const struct tmx_workers *workers) {
-  return (size_t)(workers->controller->settings.ram_mb * TMX_BYTES_PER_MB *
-                  TMX_WORKERS_MEMORY_SHARE / TMX_WORKER_BYTES);
+  return (size_t)(workers->settings->ram_mb * TMX_BYTES_PER_MB * TMX_WORKERS_MEMORY_SHARE /
+                  TMX_WORKER_BYTES);
 }
 
 /* The table is full: of machines that were heard once and never registered, the one that was silent
@@ -54,15 +54,23 @@
   worker = tmx_allocate(1, sizeof *worker);
   snprintf(worker->id, sizeof worker->id, "%s", id);
   worker->workers = workers;
-  worker->machine = tmx_machine_find(&workers->controller->replica, id);
+  worker->machine = tmx_machine_find(workers->replica, id);
   if (worker->machine) worker->machine->worker = worker;
   HASH_ADD_STR(workers->all, id, worker);
   return worker;
 }
 
-struct tmx_workers *tmx_workers_new(struct tmx_controller *controller) {
+struct tmx_workers *tmx_workers_new(const struct tmx_workers_dependencies *dependencies) {
   struct tmx_workers *workers = tmx_allocate(1, sizeof *workers);
-  workers->controller = controller;
+  workers->loop = dependencies->loop;
+  workers->settings = dependencies->settings;
+  workers->replica = dependencies->replica;
+  workers->store = dependencies->store;
+  workers->authority = dependencies->authority;
+  workers->view_manager = dependencies->view_manager;
+  workers->loop_monitor = dependencies->loop_monitor;
+  workers->peers = dependencies->peers;
+  workers->scheduler = dependencies->scheduler;
   return workers;
 }
 
@@ -130,12 +138,12 @@
 }
 
 static bool update_ownership(struct tmx_workers *workers, const struct tmx_worker *worker) {
-  if (!tmx_store_is_member(workers->controller->store)) return false;
+  if (!tmx_store_is_member(workers->store)) return false;
   if (worker->machine && worker->machine->registered)
     return worker->machine->owner >= 0 &&
-           worker->machine->owner == tmx_controller_member_index(workers->controller);
-  const char *o = tmx_machine_owner(&workers->controller->replica, worker->id);
-  return o && !strcmp(o, workers->controller->settings.node_name);
+           worker->machine->owner == tmx_authority_member_index(workers->authority);
+  const char *o = tmx_machine_owner(workers->replica, worker->id);
+  return o && !strcmp(o, workers->settings->node_name);
 }
 
 /* Called before anything is done as an owner. On becoming one, the old owner's commands may
@@ -143,7 +151,7 @@
  * session is over proves nothing either to an heir: it does not know which one they were for. */
 bool tmx_worker_is_owned(struct tmx_workers *workers, struct tmx_worker *worker) {
   bool now = update_ownership(workers, worker);
-  uint64_t term = workers->controller->replica.view.term;
+  uint64_t term = workers->replica->view.term;
   /* a view that was not seen may have given the machine to another and back */
   if (now && (!worker->owned || term > worker->owned_as_of_term + 1)) {
     /* By the same view as before (the copy was read anew): an answer with starts may be under way
@@ -151,7 +159,7 @@
     if (term == worker->owned_as_of_term && worker->token_sequence < TMX_TOKEN_SEQUENCE_MAX)
       worker->token_sequence++;
     worker->required_token =
-        tmx_controller_fencing_token(workers->controller, worker->token_sequence);
+        tmx_authority_fencing_token(workers->authority, worker->token_sequence);
     worker->inherited = true;
     worker->required_token_at = tmx_clock_steady();
     worker->required_token_session = UINT64_MAX;
@@ -226,7 +234,7 @@
 
 /* Compares the latest report with the log: each is marked with what the other says. */
 static void reconcile_report(struct tmx_worker *worker) {
-  const struct tmx_replica *replica = &worker->workers->controller->replica;
+  const struct tmx_replica *replica = worker->workers->replica;
   if (!worker->machine || (worker->reconciled_report == worker->report_number &&
                            worker->reconciled_changes == worker->machine->change_count))
     return;
@@ -266,9 +274,9 @@
     if (!(listed && task->reported_state == TMX_REPORTED_EXITED) && !leaving) continue;
     enqueue_completion(worker);
     if (listed && task->reported_state == TMX_REPORTED_EXITED && task->stop_mode)
-      tmx_scheduler_trigger(workers->controller); /* somebody waits for this room */
+      tmx_scheduler_trigger(workers->scheduler); /* somebody waits for this room */
     else
-      tmx_scheduler_trigger_within(workers->controller, TMX_COMPLETIONS_DELAY_S);
+      tmx_scheduler_trigger_within(workers->scheduler, TMX_COMPLETIONS_DELAY_S);
   }
 }
 
@@ -276,16 +284,16 @@
  * made again. Nobody else gives tokens of this view for it, so it goes on from there; else it would
  * send the worker away for as long as the view stands. */
 static void adopt_token_sequence(struct tmx_worker *worker) {
-  uint64_t first = tmx_controller_fencing_token(worker->workers->controller, 0);
+  uint64_t first = tmx_authority_fencing_token(worker->workers->authority, 0);
   if (!worker->owned ||
       worker->highest_token <=
-          tmx_controller_fencing_token(worker->workers->controller, worker->token_sequence) ||
+          tmx_authority_fencing_token(worker->workers->authority, worker->token_sequence) ||
       worker->highest_token - first > TMX_TOKEN_SEQUENCE_MAX)
     return;
   worker->token_sequence = (uint32_t)(worker->highest_token - first);
   if (worker->token_sequence < TMX_TOKEN_SEQUENCE_MAX) worker->token_sequence++;
   worker->required_token =
-      tmx_controller_fencing_token(worker->workers->controller, worker->token_sequence);
+      tmx_authority_fencing_token(worker->workers->authority, worker->token_sequence);
 }
 
 /* Takes a report in: from a request, or (hello false) from the answer to a command or a probe.
@@ -312,8 +320,7 @@
   tmx_cbor_get_u64(map, W_TOKEN, &seen);
   tmx_cbor_get_number(map, W_NOTICE, &notice);
   *in_session = session;
-  if (tmx_machine_was_removed(&workers->controller->replica, facts.id))
-    return true; /* a late copy */
+  if (tmx_machine_was_removed(workers->replica, facts.id)) return true; /* a late copy */
   struct tmx_worker *r = tmx_worker_create(workers, facts.id);
   if (!r) return false;
   /* late copies of older reports say nothing new */
@@ -328,7 +335,7 @@
   *fresh = true;
   double now = tmx_clock_steady();
   if (now - fmax(r->heard_at, r->acknowledged_at) >
-      workers->controller->settings.report_s * 1.25 + TMX_REPORT_LATE_S)
+      workers->settings->report_s * 1.25 + TMX_REPORT_LATE_S)
     r->recovered_at = now;
   r->session = session;
   r->report_sequence = seq;
@@ -352,7 +359,7 @@
   if ((notice >= 0) != r->spot_notice) {
     r->spot_notice = notice >= 0;
     tmx_log(TMX_LOG_INFO, "worker: %s notice %s", r->id, r->spot_notice ? "given" : "withdrawn");
-    tmx_scheduler_trigger(workers->controller);
+    tmx_scheduler_trigger(workers->scheduler);
   }
   free(r->tasks);
   r->tasks = loads;
@@ -361,7 +368,7 @@
   r->report_number = workers->report_counter;
   if (!r->machine || !r->machine->registered) {
     workers->unregistered_seen_at = now;
-    tmx_scheduler_trigger(workers->controller);
+    tmx_scheduler_trigger(workers->scheduler);
   } else
     note_report(workers, r);
   return true;
@@ -381,7 +388,7 @@
 /* Appends orders; returns their number. Stops alone may go at any time, and more than once. */
 static size_t put_commands(struct tmx_worker *worker, struct tmx_buffer *buffer, bool stops_only,
                            bool *starts) {
-  bool may_start = tmx_controller_may_start_tasks(worker->workers->controller);
+  bool may_start = tmx_authority_may_start_tasks(worker->workers->authority);
   struct tmx_machine *machine = worker->machine;
   size_t n = 0;
   *starts = false;
@@ -447,7 +454,7 @@
     worker->command_unanswered = true;
     if (worker->token_sequence < TMX_TOKEN_SEQUENCE_MAX) worker->token_sequence++;
     worker->required_token =
-        tmx_controller_fencing_token(workers->controller, worker->token_sequence);
+        tmx_authority_fencing_token(workers->authority, worker->token_sequence);
     if (!worker->inherited) worker->required_token_session = worker->session;
     return;
   }
@@ -463,7 +470,7 @@
   }
   if (!worker->client) {
     snprintf(worker->client_address, sizeof worker->client_address, "%s", addr);
-    worker->client = tmx_http_client_new(worker->workers->controller->loop, addr, 2);
+    worker->client = tmx_http_client_new(worker->workers->loop, addr, 2);
     if (worker->client) worker->workers->n_clients++;
   }
   return worker->client;
@@ -476,8 +483,8 @@
     worker->commands_due = worker->command_in_flight;
     return;
   }
-  if (!tmx_worker_is_owned(workers, worker) || !tmx_controller_may_act(workers->controller)) return;
-  uint64_t token = tmx_controller_fencing_token(workers->controller, worker->token_sequence);
+  if (!tmx_worker_is_owned(workers, worker) || !tmx_authority_may_act(workers->authority)) return;
+  uint64_t token = tmx_authority_fencing_token(workers->authority, worker->token_sequence);
   if (worker->highest_token > token) return;
   struct tmx_buffer commands = {0}, buffer = {0};
   bool starts;
@@ -551,12 +558,12 @@
     if (!worker->parked_request->conn ||
         tmx_clock_steady() - worker->parked_at > TMX_FAILOVER_PARK_S)
       reply_redirect(answer_parked_request(worker), NULL);
-    else if (tmx_controller_may_act(workers->controller) && tmx_worker_is_owned(workers, worker))
+    else if (tmx_authority_may_act(workers->authority) && tmx_worker_is_owned(workers, worker))
       reply_as_owner(workers, worker, answer_parked_request(worker), false);
     else if (n < TMX_FAILOVER_MACHINES_MAX)
       take[n++] = worker->id;
   }
-  if (n) tmx_controller_take_over(workers->controller, take, n);
+  if (n) tmx_view_manager_take_over(workers->view_manager, take, n);
 }
 
 /* ------------------------------------------------------------ reports */
@@ -565,7 +572,7 @@
 static bool is_cut_off_from_owner(struct tmx_workers *workers, struct tmx_worker *worker,
                                   const char *owner, double now) {
   double back = now - worker->redirected_at;
-  double silence = tmx_peers_silence(workers->controller->peers, owner);
+  double silence = tmx_peers_silence(workers->peers, owner);
   if (worker->redirected_at && back >= TMX_FAILOVER_AFTER_S && back <= TMX_FAILOVER_WITHIN_S)
     return true;
   if (silence > TMX_HEARTBEAT_LOST_S) return worker->redirected_at && back < TMX_FAILOVER_WITHIN_S;
@@ -579,7 +586,7 @@
  * task would go on until the lease ends: it must not be renewed beyond the time of the
  * cancellation. */
 static bool starts_in_doubt(const struct tmx_worker *worker, double now) {
-  const struct tmx_settings *settings = &worker->workers->controller->settings;
+  const struct tmx_settings *settings = worker->workers->settings;
   for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
        task = task->next)
     if (task->job->outcome && !reported(worker, task) &&
@@ -594,14 +601,14 @@
  * cancellation has. Where a newer owner has been at it, that one sees to it. */
 static bool may_renew_lease_for_owner(struct tmx_workers *workers, const struct tmx_worker *worker,
                                       const char *owner, double now) {
-  const struct tmx_controller *controller = workers->controller;
-  if (!tmx_store_is_member(controller->store) ||
-      now - tmx_store_fresh_as_of(controller->store) < TMX_STORE_LOST_S)
+  if (!tmx_store_is_member(workers->store) ||
+      now - tmx_store_fresh_as_of(workers->store) < TMX_STORE_LOST_S)
     return false;
-  if (worker->highest_token > tmx_controller_fencing_token(controller, TMX_TOKEN_SEQUENCE_MAX) ||
+  if (worker->highest_token >
+          tmx_authority_fencing_token(workers->authority, TMX_TOKEN_SEQUENCE_MAX) ||
       starts_in_doubt(worker, now))
     return false;
-  return tmx_peers_silence(controller->peers, owner) > TMX_HEARTBEAT_LOST_S ||
+  return tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_LOST_S ||
          (worker->redirected_at && now - worker->redirected_at >= TMX_FAILOVER_AFTER_S);
 }
 
@@ -625,7 +632,7 @@
   size_t n = 0;
   for (size_t i = 0; i < worker->n_tasks && n < TMX_COMMANDS_MAX; i++) {
     const struct tmx_reported_task *reported = &worker->tasks[i];
-    const struct tmx_job *job = tmx_job_find(&workers->controller->replica, reported->job);
+    const struct tmx_job *job = tmx_job_find(workers->replica, reported->job);
     if (reported->state == TMX_REPORTED_EXITED || !job || !job->outcome) continue;
     put_command(&commands, WV_STOP, reported->job, reported->task, reported->attempt, 0.0);
     n++;
@@ -634,7 +641,6 @@
 }
 
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request) {
-  struct tmx_controller *controller = workers->controller;
   cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
   struct tmx_worker *worker = NULL;
   bool latest;
@@ -652,23 +658,23 @@
   double now = tmx_clock_steady();
   if (latest) worker->heard_at = workers->last_report_at = now;
   /* A cut-off controller must not renew leases for longer than a cancellation allows. */
-  if (!tmx_controller_may_act(controller)) {
+  if (!tmx_authority_may_act(workers->authority)) {
     tmx_http_reply(request, 503, NULL, 1);
     return;
   }
-  if (tmx_controller_lost_store_alone(controller)) {
+  if (tmx_peers_lost_store_alone(workers->peers)) {
     reply_redirect(request, NULL);
     return;
   }
   if (!tmx_worker_is_owned(workers, worker)) {
-    const char *owner = tmx_machine_owner(&controller->replica, worker->id);
-    if (owner && !strcmp(owner, controller->settings.node_name))
+    const char *owner = tmx_machine_owner(workers->replica, worker->id);
+    if (owner && !strcmp(owner, workers->settings->node_name))
       owner = NULL; /* this run is not in the view yet */
     if (owner && latest && may_renew_lease_for_owner(workers, worker, owner, now)) {
       reply_for_owner(workers, worker, request);
       return;
     }
-    if (owner && latest && !worker->parked_request && tmx_store_is_member(controller->store) &&
+    if (owner && latest && !worker->parked_request && tmx_store_is_member(workers->store) &&
         is_cut_off_from_owner(workers, worker, owner, now)) {
       worker->parked_request = request;
       worker->parked_at = now;
@@ -691,7 +697,7 @@
 static void reply_as_owner(struct tmx_workers *workers, struct tmx_worker *worker,
                            struct tmx_http_request *request, bool older) {
   worker->redirected_at = 0;
-  uint64_t token = tmx_controller_fencing_token(workers->controller, worker->token_sequence);
+  uint64_t token = tmx_authority_fencing_token(workers->authority, worker->token_sequence);
   if (worker->highest_token > token) { /* a newer owner has been at it */
     reply_redirect(request, NULL);
     return;
@@ -758,13 +764,13 @@
   double now = tmx_clock_steady();
   struct tmx_worker *worker, *next_worker;
   if (!workers->unregistered_seen_at ||
-      now - workers->unregistered_seen_at > 2 * workers->controller->settings.report_s)
+      now - workers->unregistered_seen_at > 2 * workers->settings->report_s)
     return 0;
   HASH_ITER(hh, workers->all, worker, next_worker) {
     if (n == max) break;
     if ((worker->machine && worker->machine->registered) || !worker->session || !worker->heard_at)
       continue;
-    if (now - worker->heard_at > 2 * workers->controller->settings.report_s ||
+    if (now - worker->heard_at > 2 * workers->settings->report_s ||
         !tmx_worker_is_owned(workers, worker))
       continue;
     if (!tmx_worker_is_acknowledged(worker)) continue;
--- /dev/null
+++ b/src/worker/workers.h
@@ -0,0 +1,84 @@
+/**
+ * @file
+ * The machines' workers: their heartbeats and leases, the commands that they get, reconciliation of
+ * their reports with the log, and probes of machines that are in doubt. Loop's thread only.
+ */
+#ifndef TMX_WORKERS_H
+#define TMX_WORKERS_H
+#include <ev.h>
+
+#include "base/loop_monitor.h"
+#include "config/settings.h"
+#include "membership/authority.h"
+#include "membership/failure_detector.h"
+#include "membership/view_manager.h"
+#include "net/http.h"
+#include "peer/peers.h"
+#include "replica/replica.h"
+#include "scheduler/scheduler.h"
+#include "store/store.h"
+
+struct tmx_workers;
+
+/** What the module works on; all of it must outlive it. */
+struct tmx_workers_dependencies {
+  struct ev_loop *loop;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
+  const struct tmx_authority *authority;
+  struct tmx_view_manager *view_manager;
+  const struct tmx_loop_monitor *loop_monitor;
+  struct tmx_peers *peers;
+  struct tmx_scheduler *scheduler;
+};
+
+struct tmx_workers *tmx_workers_new(const struct tmx_workers_dependencies *dependencies);
+void tmx_workers_free(struct tmx_workers *workers);
+
+/** Answers a worker's report; the request is answered now, or parked for a moment. */
+void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request);
+/** Sends the commands that the latest events made due; after each turn of the loop. */
+void tmx_workers_flush(struct tmx_workers *workers);
+/** Probes machines and judges their health. */
+void tmx_workers_tick(struct tmx_workers *workers);
+
+/** The machine's tasks, orders or owner changed in the replica. */
+void tmx_workers_machine_changed(struct tmx_workers *workers, struct tmx_machine *machine);
+/** The machine is about to be freed. */
+void tmx_workers_machine_removed(struct tmx_workers *workers, struct tmx_machine *machine);
+/** Owners of machines may differ. */
+void tmx_workers_view_changed(struct tmx_workers *workers);
+/** The replica is being cleared and will be read anew. */
+void tmx_workers_replica_cleared(struct tmx_workers *workers);
+
+/** Attempts whose end the reports prove, at most `max`; returns how many. */
+size_t tmx_workers_collect_completions(struct tmx_workers *workers,
+                                       struct tmx_operation *operations, size_t max);
+/** Machines that report and are not in the log, at most `max`; returns how many. */
+size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
+                                        struct tmx_machine_facts *facts, size_t max);
+
+/** Calls back for each machine of this controller with which something is wrong. */
+void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg);
+/** Takes what another owner says of one of its machines, by the view of this term. */
+void tmx_workers_take_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
+                                const struct tmx_suspicion *suspicion);
+/** What the machine's owner says of it; false: nothing is wrong, or the owner is not heard. */
+bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
+                                const struct tmx_machine *machine, struct tmx_suspicion *out);
+
+/** Of the machines that this controller owns. */
+struct tmx_reachability {
+  unsigned owned;
+  unsigned reached;
+  double report_age_s; /**< since any worker's report came here; 1e9: never */
+};
+struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers);
+/** Whether this controller reaches hardly any of its machines: others should drive them. */
+bool tmx_workers_are_unreachable(const struct tmx_workers *workers);
+/** Signs of life of this controller's machines, one entry for each zone of the settings. */
+const struct tmx_zone_liveness *tmx_workers_zone_liveness(const struct tmx_workers *workers);
+/** Probes that one controller may send in a second. */
+double tmx_workers_probe_rate(const struct tmx_settings *settings);
+#endif
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -1,7 +1,7 @@
 /* Shared by the files of src/worker only. */
 #ifndef TMX_WORKERS_INTERNAL_H
 #define TMX_WORKERS_INTERNAL_H
-#include "controller/controller.h"
+#include "worker/workers.h"
 
 struct tmx_reported_task {
   char job[TMX_ID_MAX];
@@ -58,7 +58,15 @@
 };
 
 struct tmx_workers {
-  struct tmx_controller *controller;
+  struct ev_loop *loop;
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
+  const struct tmx_authority *authority;
+  struct tmx_view_manager *view_manager;
+  const struct tmx_loop_monitor *loop_monitor;
+  struct tmx_peers *peers;
+  struct tmx_scheduler *scheduler;
   struct tmx_worker *all;
   struct tmx_worker **command_queue; /* whose orders may differ */
   size_t n_command_queue, cap_command_queue;
--- a/tests/fake.c
+++ b/tests/fake.c
@@ -219,9 +219,8 @@
 
 bool fake_controller_is_ready(void *controller) {
   struct tmx_controller *c = controller;
-  size_t n;
-  tmx_cloud_types(c->cloud, &n);
-  return n > 0 && tmx_store_is_member(c->store) && tmx_controller_may_act(c);
+  return c->catalog.n_types > 0 && tmx_store_is_member(c->store) &&
+         tmx_authority_may_act(&c->authority);
 }
 
 bool fake_any_planner_busy(void) {
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -6,7 +6,8 @@
 
 #include <ev.h>
 
-#include "controller/controller.h"
+#include "controller/controller_internal.h"
+#include "planner/planner.h"
 
 #define FAKE_NODES 5
 #define FAKE_LOADS 64 /* tasks that a worker shows, those that ended included */
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -91,9 +91,8 @@
 }
 
 static void catalog_was_read(void) {
-  size_t n;
-  const struct tmx_machine_type *t = tmx_cloud_types(a->cloud, &n);
-  assert_int_equal(n, 1);
+  const struct tmx_machine_type *t = a->catalog.types;
+  assert_int_equal(a->catalog.n_types, 1);
   assert_string_equal(t->name, "big");
   assert_true(t->cpus == 16 && t->gpus == 2 && t->mem_gb == 64);
   assert_true(t->cache_gb == 200 && t->fetch_gb_per_s == 0.5);
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "planner/scale_out_plan.h"
-#include "controller/failure_detector.h"
+#include "membership/failure_detector.h"
 #include "planner/planner.h"
 #include "tmx/constants.h"
 
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -183,7 +183,7 @@
   assert_true(tmx_clock_steady() + keeper->settings.lease_s <
               confirmed + keeper->settings.cancel_s);
   tmx_clock_advance(7);
-  assert_true(tmx_controller_may_act(keeper));
+  assert_true(tmx_authority_may_act(&keeper->authority));
   fake_worker_send_heartbeat(&w, keeper);
   assert_int_not_equal(w.status, 200);
 }
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -64,7 +64,7 @@
   size_t of_other = 0, heard_of = 0;
   struct tmx_suspicion suspicion;
   HASH_ITER(hh, b->replica.machines, machine, next) {
-    if (machine->owner == tmx_controller_member_index(b)) continue;
+    if (machine->owner == tmx_authority_member_index(&b->authority)) continue;
     of_other++;
     heard_of += tmx_workers_find_suspicion(b->workers, machine, &suspicion);
   }
