--- a/src/planner/planner.c
+++ b/src/planner/planner.c
@@ -9,28 +9,6 @@
 #include "planner/round.h"
 #include "base/memory.h"
 
-uint32_t tmx_zone_cap(const struct tmx_job_spec *spec, size_t zones) {
-  if (spec->same_zone || spec->zone[0] || zones < 2) {
-    return spec->spread ? (spec->tasks + 1) / 2 : spec->tasks;
-  }
-  uint32_t cap = spec->service ? (uint32_t)((spec->tasks + zones - 1) / zones) : spec->tasks;
-  uint32_t half = (spec->tasks + 1) / 2; /* PROTOCOL: at most half, rounded up, in one zone */
-  return spec->spread && half < cap ? half : cap;
-}
-
-uint32_t tmx_machine_cap(const struct tmx_job_spec *spec, uint32_t eligible) {
-  if (!spec->service) return UINT32_MAX;
-  if (eligible == 0 || eligible >= spec->tasks) return 1;
-  return (spec->tasks + eligible - 1) / eligible;
-}
-
-bool tmx_type_allowed(const struct tmx_job_spec *spec, const char *type) {
-  if (!spec->n_types) return true;
-  for (size_t i = 0; i < spec->n_types; i++)
-    if (!strcmp(spec->types[i], type)) return true;
-  return false;
-}
-
 /* ------------------------------------------------------------ the order */
 
 /* The place of an array in the order, lower first. What can still meet an aim comes before what
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -4,6 +4,7 @@
 #ifndef TMX_PLANNER_H
 #define TMX_PLANNER_H
 #include "admission/start_rotation.h"
+#include "replica/placement_caps.h"
 #include "replica/replica.h"
 
 struct tmx_plan_task { /* placed on a machine */
@@ -93,11 +94,6 @@
 void tmx_planner_run_round(struct tmx_planner *planner, const struct tmx_round_input *input,
                            struct tmx_round_output *output);
 
-/* the caps, apart for the tests and for the check before a commit */
-uint32_t tmx_zone_cap(const struct tmx_job_spec *spec, size_t zones);
-uint32_t tmx_machine_cap(const struct tmx_job_spec *spec, uint32_t eligible);
-/* may this kind of machine ever run the job */
-bool tmx_type_allowed(const struct tmx_job_spec *spec, const char *type);
 double tmx_booked_share(const struct tmx_plan_machine *machine, const struct tmx_job_spec *spec,
                         double now);
 #endif
--- a/src/replica/job_dependencies.c
+++ b/src/replica/job_dependencies.c
@@ -5,7 +5,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "planner/planner.h"
 #include "base/log.h"
 #include "replica/replica.h"
 #include "base/memory.h"
--- a/src/replica/operation_check.c
+++ b/src/replica/operation_check.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "planner/planner.h"
+#include "replica/placement_caps.h"
 
 #define RESOURCE_EPSILON 1e-6
 
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <utlist.h>
 
-#include "planner/planner.h"
+#include "replica/placement_caps.h"
 #include "base/log.h"
 #include "tmx/wire.h"
 #include "base/memory.h"
--- a/src/user/user_api.c
+++ b/src/user/user_api.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "planner/planner.h"
+#include "replica/placement_caps.h"
 #include "user/user_api.h"
 #include "base/log.h"
 #include "tmx/wire.h"
