--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -264,7 +264,7 @@
 
 /* ------------------------------------------------------------ controllers */
 
-static struct tmx_controller *a, *b;
+static struct tmx_controller *first_controller, *second_controller;
 static unsigned next_job;
 
 static void with_admission(struct tmx_settings *settings) {
@@ -293,17 +293,17 @@
   (void)st;
   fake_start();
   fake_adjust_settings = with_admission;
-  a = begin(0);
-  b = begin(1);
+  first_controller = begin(0);
+  second_controller = begin(1);
   run_loop_for(0.5);
   next_job = 0;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) stop_controller(a);
-  if (b) stop_controller(b);
-  a = b = NULL;
+  if (first_controller) stop_controller(first_controller);
+  if (second_controller) stop_controller(second_controller);
+  first_controller = second_controller = NULL;
   fake_stop();
   return 0;
 }
@@ -330,13 +330,14 @@
 
 static void a_surge_at_one_controller_is_known_at_the_other(void **st) {
   (void)st;
-  unsigned n = flood(a, "t", "c");
+  unsigned n = flood(first_controller, "t", "c");
   assert_in_range(n, 5, 30);
   run_loop_for(0.2);
-  assert_int_equal(submit_some(b, "t", "c"), 503);
-  assert_int_equal(submit_some(b, "t", "d"), 201); /* another class of the same team */
-  assert_int_equal(submit_some(b, "u", "c"), 201); /* another team */
-  assert_true(backlog_of(a) == backlog_of(b));
+  assert_int_equal(submit_some(second_controller, "t", "c"), 503);
+  assert_int_equal(submit_some(second_controller, "t", "d"),
+                   201); /* another class of the same team */
+  assert_int_equal(submit_some(second_controller, "u", "c"), 201); /* another team */
+  assert_true(backlog_of(first_controller) == backlog_of(second_controller));
 }
 
 enum { AT_ONCE = 60 };
@@ -360,7 +361,8 @@
   char addr[32], id[TMX_ID_MAX];
   struct tmx_http_client *clients[2];
   for (int k = 0; k < 2; k++) {
-    snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port((k ? b : a)->server));
+    snprintf(addr, sizeof addr, "127.0.0.1:%d",
+             tmx_http_server_port((k ? second_controller : first_controller)->server));
     clients[k] = tmx_http_client_new(test_loop, addr, AT_ONCE);
   }
   for (int i = 0; i < AT_ONCE; i++) {
@@ -378,47 +380,47 @@
               1); /* refused as soon as it is known, not when time is up */
   run_loop_for(0.2);
   assert_in_range(x.accepted, 5, 30);
-  assert_int_equal(a->replica.backlog->accounts[0][0].jobs, x.accepted);
+  assert_int_equal(first_controller->replica.backlog->accounts[0][0].jobs, x.accepted);
   unsigned alone = x.accepted;
   for (unsigned i = 0; i < AT_ONCE; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
-    cancel_job(a, id);
+    cancel_job(first_controller, id);
   }
   next_job = 100;
-  assert_int_equal(flood(a, "t", "c"), alone); /* as many as one after the other */
+  assert_int_equal(flood(first_controller, "t", "c"), alone); /* as many as one after the other */
   for (int k = 0; k < 2; k++) tmx_http_client_free(clients[k]);
 }
 
 static void a_late_copy_does_not_admit_by_old_shares(void **st) {
   (void)st;
   fake_store.endpoints[1].freeze_watch = true;
-  unsigned n = flood(a, "t", "c");
-  for (unsigned i = 0; i < 10; i++) assert_int_equal(submit_some(b, "t", "c"), 503);
+  unsigned n = flood(first_controller, "t", "c");
+  for (unsigned i = 0; i < 10; i++) assert_int_equal(submit_some(second_controller, "t", "c"), 503);
   fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
   run_loop_for(3);
-  assert_int_equal(submit_some(b, "t", "c"), 503);
-  assert_int_equal(a->replica.backlog->accounts[0][0].jobs, n);
-  assert_int_equal(b->replica.backlog->accounts[0][0].jobs, n);
+  assert_int_equal(submit_some(second_controller, "t", "c"), 503);
+  assert_int_equal(first_controller->replica.backlog->accounts[0][0].jobs, n);
+  assert_int_equal(second_controller->replica.backlog->accounts[0][0].jobs, n);
 }
 
 static void retries_questions_and_cancellations_pass(void **st) {
   (void)st;
-  unsigned n = flood(a, "t", "c");
+  unsigned n = flood(first_controller, "t", "c");
   char id[TMX_ID_MAX];
   struct fake_job first = {.id = "wk-000001", .class = "c", .team = "t", .tasks = 4, .cpus = 1};
-  assert_int_equal(submit_job(a, &first), 200);
-  assert_int_equal(submit_job(b, &first), 200);
+  assert_int_equal(submit_job(first_controller, &first), 200);
+  assert_int_equal(submit_job(second_controller, &first), 200);
   snprintf(id, sizeof id, "wk-%06u", n + 1); /* the one that was refused is not remembered */
-  assert_int_equal(poll_job(a, id).status, 404);
+  assert_int_equal(poll_job(first_controller, id).status, 404);
   /* what is called off makes room again, on every controller */
   for (unsigned i = 1; i <= n; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
-    assert_int_equal(cancel_job(b, id).status, 200);
+    assert_int_equal(cancel_job(second_controller, id).status, 200);
   }
   run_loop_for(0.5);
-  assert_true(backlog_of(a) == 0 && backlog_of(b) == 0);
-  assert_int_equal(submit_some(a, "t", "c"), 201);
+  assert_true(backlog_of(first_controller) == 0 && backlog_of(second_controller) == 0);
+  assert_int_equal(submit_some(first_controller, "t", "c"), 201);
 }
 
 /* Its class has no room at a controller whose copy does not know the job yet: it reads first. */
@@ -427,13 +429,13 @@
   struct at_once x = {.answered = AT_ONCE - 1};
   struct tmx_buffer body = {0};
   struct fake_job job = {.id = "wk-900000", .class = "d", .team = "t", .tasks = 1, .cpus = 1};
-  flood(b, "t", "c");
+  flood(second_controller, "t", "c");
   run_loop_for(0.5);
   fake_store.endpoints[1].freeze_watch = true;
-  assert_int_equal(submit_job(a, &job), 201);
+  assert_int_equal(submit_job(first_controller, &job), 201);
   job.class = "c"; /* by another body, of the class that would be refused */
   encode_submission_of(&body, &job);
-  struct tmx_http_client *client = client_of(b);
+  struct tmx_http_client *client = client_of(second_controller);
   assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
   run_loop_for(0.3);
   assert_int_equal(x.answered, AT_ONCE - 1);
@@ -447,48 +449,49 @@
 
 static void the_judgement_outlives_leaders_folds_and_restarts(void **st) {
   (void)st;
-  flood(a, "t", "c");
+  flood(first_controller, "t", "c");
   run_loop_for(0.5);
-  double before = backlog_of(a);
-  stop_controller(a); /* the leader */
-  a = NULL;
+  double before = backlog_of(first_controller);
+  stop_controller(first_controller); /* the leader */
+  first_controller = NULL;
   run_loop_for(8);
-  assert_int_equal(submit_some(b, "t", "c"), 503);
-  tmx_compaction_set_threshold(b->compaction, 0);
+  assert_int_equal(submit_some(second_controller, "t", "c"), 503);
+  tmx_compaction_set_threshold(second_controller->compaction, 0);
   run_loop_for(5);
-  tmx_compaction_set_threshold(b->compaction, 1000);
-  assert_int_equal(submit_some(b, "t", "c"), 503);
-  stop_controller(b);
-  b = NULL;
-  a = begin(0);
-  assert_true(backlog_of(a) == before);
-  assert_int_equal(submit_some(a, "t", "c"), 503);
-  assert_int_equal(submit_some(a, "u", "c"), 201);
+  tmx_compaction_set_threshold(second_controller->compaction, 1000);
+  assert_int_equal(submit_some(second_controller, "t", "c"), 503);
+  stop_controller(second_controller);
+  second_controller = NULL;
+  first_controller = begin(0);
+  assert_true(backlog_of(first_controller) == before);
+  assert_int_equal(submit_some(first_controller, "t", "c"), 503);
+  assert_int_equal(submit_some(first_controller, "u", "c"), 201);
 }
 
 static void an_outage_in_the_surge_admits_nothing(void **st) {
   (void)st;
-  for (int i = 0; i < 5; i++) assert_int_equal(submit_some(a, "t", "c"), 201);
+  for (int i = 0; i < 5; i++) assert_int_equal(submit_some(first_controller, "t", "c"), 201);
   for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = true;
   run_loop_for(1);
-  assert_int_equal(submit_some(a, "t", "c"), 503);
+  assert_int_equal(submit_some(first_controller, "t", "c"), 503);
   for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = false;
   run_loop_for(3);
-  flood(a, "t", "c");
-  assert_int_equal(submit_some(b, "t", "c"), 503);
-  assert_int_equal(submit_some(b, "u", "c"), 201);
+  flood(first_controller, "t", "c");
+  assert_int_equal(submit_some(second_controller, "t", "c"), 503);
+  assert_int_equal(submit_some(second_controller, "u", "c"), 201);
 }
 
 static void beside_a_controller_without_admission(void **st) {
   (void)st;
-  stop_controller(b);
+  stop_controller(second_controller);
   fake_adjust_settings = without_admission;
-  b = begin(1);
-  for (int i = 0; i < 60; i++) assert_int_equal(submit_some(b, "t", "c"), 201);
+  second_controller = begin(1);
+  for (int i = 0; i < 60; i++) assert_int_equal(submit_some(second_controller, "t", "c"), 201);
   run_loop_for(0.5);
-  assert_int_equal(submit_some(a, "t", "c"), 503); /* what the other admitted counts */
-  assert_int_equal(submit_some(a, "u", "c"), 201);
-  assert_null(b->replica.backlog);
+  assert_int_equal(submit_some(first_controller, "t", "c"),
+                   503); /* what the other admitted counts */
+  assert_int_equal(submit_some(first_controller, "u", "c"), 201);
+  assert_null(second_controller->replica.backlog);
 }
 
 static void smaller(struct tmx_settings *settings) {
@@ -497,27 +500,28 @@
 }
 static void settings_changed_between_restarts(void **st) {
   (void)st;
-  unsigned n = flood(a, "t", "c");
-  stop_controller(a);
-  stop_controller(b);
-  b = NULL;
+  unsigned n = flood(first_controller, "t", "c");
+  stop_controller(first_controller);
+  stop_controller(second_controller);
+  second_controller = NULL;
   fake_adjust_settings = smaller;
-  a = begin(0);
+  first_controller = begin(0);
   char id[TMX_ID_MAX];
   for (unsigned i = 1; i < n; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
-    assert_int_equal(poll_job(a, id).status, 200); /* what was admitted stays so */
+    assert_int_equal(poll_job(first_controller, id).status, 200); /* what was admitted stays so */
   }
   for (unsigned i = 1; i < n - 2; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
-    assert_int_equal(cancel_job(a, id).status, 200);
+    assert_int_equal(cancel_job(first_controller, id).status, 200);
   }
-  assert_int_equal(submit_some(a, "t", "c"), 503); /* three left: over the new ceiling */
+  assert_int_equal(submit_some(first_controller, "t", "c"),
+                   503); /* three left: over the new ceiling */
 }
 
 static void a_pipeline_begun_is_carried_on_within_a_bound(void **st) {
   (void)st;
-  flood(a, "t", "c");
+  flood(first_controller, "t", "c");
   struct tmx_buffer list = {0};
   char id[TMX_ID_MAX];
   unsigned n = 0;
@@ -528,13 +532,13 @@
     snprintf(id, sizeof id, "wk-%06u", 700000 + n);
     struct fake_job job = {
         .id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1, .awaits = &list};
-    status = submit_job(a, &job);
+    status = submit_job(first_controller, &job);
   }
   tmx_buffer_free(&list);
   assert_int_equal(status, 503);
   assert_in_range(n, 10,
                   40); /* up to the raised ceiling of the team, 81 s, rather than of the class */
-  assert_int_equal(submit_some(a, "u", "c"), 201);
+  assert_int_equal(submit_some(first_controller, "u", "c"), 201);
 }
 
 /* ------------------------------------------------------------ turns */
@@ -682,5 +686,5 @@
       cmocka_unit_test_setup_teardown(a_pipeline_begun_is_carried_on_within_a_bound, setup,
                                       teardown),
   };
-  return cmocka_run_group_tests(tests, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -12,7 +12,7 @@
 #include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_controller *a;
+static struct tmx_controller *first_controller;
 static struct fake_worker workers[2];
 static struct relay store, rental; /* between the controller and the scripted peers */
 static struct tmx_http_server *rental_server;
@@ -31,12 +31,12 @@
   fake_worker_open(&workers[1], "n-000002");
   relay_open(&store, tmx_http_server_port(fake_store.endpoints[0].server));
   fake_adjust_settings = through_relays;
-  a = NULL;
+  first_controller = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) stop_controller(a);
+  if (first_controller) stop_controller(first_controller);
   relay_close(&store);
   relay_close(&rental);
   if (rental_server) tmx_http_server_free(rental_server);
@@ -47,8 +47,8 @@
 }
 
 static void begin(void) {
-  a = start_controller(0, 1);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  first_controller = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 
 static void record_exchange(struct recording *r, const char *title, const struct exchange *x) {
@@ -78,21 +78,21 @@
     {"/machines", "{\"rigs\":[\"n-000201\"]}"},
 };
 
-static void on_rental(void *arg, struct tmx_http_request *q) {
+static void on_rental(void *arg, struct tmx_http_request *request) {
   struct tmx_buffer b = {0};
   (void)arg;
   for (size_t i = 0; i < sizeof rental_answers / sizeof *rental_answers; i++) {
-    if (strncmp(q->path, rental_answers[i].start, strlen(rental_answers[i].start))) continue;
+    if (strncmp(request->path, rental_answers[i].start, strlen(rental_answers[i].start))) continue;
     encode_json(&b, rental_answers[i].json);
     break;
   }
-  tmx_http_reply(q, b.length ? 200 : 404, &b, 0);
+  tmx_http_reply(request, b.length ? 200 : 404, &b, 0);
   tmx_buffer_free(&b);
 }
 
 static void catalog_was_read(void) {
-  const struct tmx_machine_type *t = a->catalog.types;
-  assert_int_equal(a->catalog.n_types, 1);
+  const struct tmx_machine_type *t = first_controller->catalog.types;
+  assert_int_equal(first_controller->catalog.n_types, 1);
   assert_string_equal(t->name, "big");
   assert_true(t->cpus == 16 && t->gpus == 2 && t->mem_gb == 64);
   assert_true(t->cache_gb == 200 && t->fetch_gb_per_s == 0.5);
@@ -112,7 +112,7 @@
   record_exchange(&r, "the next page", relay_wait(&rental, NULL, "GET /machines?from", NULL));
   record_exchange(&r, "a failed machine is deleted",
                   relay_wait(&rental, NULL, "POST /machines/delete", NULL));
-  assert_int_equal(submit_simple_job(a, "wk-000001", WV_ARRAY, 40, 8, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", WV_ARRAY, 40, 8, "t"), 201);
   record_exchange(&r, "machines are rented",
                   relay_wait(&rental, NULL, "POST /machines HTTP", NULL));
   recording_check(&r, "cloud-calls.txt");
@@ -170,12 +170,12 @@
 }
 
 static bool job_done(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&a->replica, arg);
+  const struct tmx_job *j = tmx_job_find(&first_controller->replica, arg);
   return j && j->outcome == TMX_JOB_DONE;
 }
 
 static void report(int i) {
-  fake_worker_send_heartbeat(&workers[i], a);
+  fake_worker_send_heartbeat(&workers[i], first_controller);
   run_loop_for(0.2);
 }
 
@@ -191,7 +191,7 @@
   unsigned three = 3;
   for (int i = 0; i < 3; i++) report(0);
   record_commit(r, "a machine is registered", "m n-000001");
-  assert_int_equal(submit_simple_job(a, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
   record_commit(r, "a submission", "t/job/wk-000001");
   assert_true(run_loop_until(started, &three));
   record_commit(r, "placements", "p wk-000001/0");
@@ -200,11 +200,11 @@
   struct tmx_buffer list = {0}, body = {0};
   encode_json(&list, "[\"wk-000001\"]");
   encode_submission_awaiting(&body, "wk-000002", WV_ARRAY, 1, 1, "t", &list);
-  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 201);
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
   record_commit(r, "a submission that awaits another", "t/job/wk-000002");
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
-  assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
+  assert_string_equal(cancel_job(first_controller, "wk-000002").state, WV_CANCELLED);
   const struct exchange *x = relay_wait(&store, NULL, "POST /commit", "t/job/wk-000002");
   x = relay_wait(&store, x, "POST /commit", "t/job/wk-000002");
   record_line(r, "== a cancellation");
@@ -216,24 +216,25 @@
 }
 
 static bool all_placed(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&a->replica, arg);
+  const struct tmx_job *j = tmx_job_find(&first_controller->replica, arg);
   return j && j->n_placed == j->spec.tasks;
 }
 
 static void commits_of_a_fold(struct recording *r) {
-  assert_int_equal(submit_simple_job(a, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
   assert_true(run_loop_until(all_placed, "wk-000003"));
-  tmx_compaction_set_threshold(a->compaction, 0);
-  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  tmx_compaction_set_threshold(first_controller->compaction, 0);
+  for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
   record_commit(r, "pages", "t/page/");
   record_commit(r, "the mark of the fold", "gen");
-  uint64_t mark = a->replica.compaction_point;
+  uint64_t mark = first_controller->replica.compaction_point;
   report(1); /* something new, so that it folds again */
   report(1);
   report(1);
-  for (int i = 0; i < 600 && a->replica.compaction_point == mark; i++) run_loop_for(0.02);
+  for (int i = 0; i < 600 && first_controller->replica.compaction_point == mark; i++)
+    run_loop_for(0.02);
   record_commit(r, "pages of the fold before are dropped", "drop");
-  tmx_compaction_set_threshold(a->compaction, 1000);
+  tmx_compaction_set_threshold(first_controller->compaction, 1000);
 }
 
 static bool returned(void *arg) {
@@ -268,7 +269,7 @@
   tmx_cbor_put_list(&awaits, 20);
   for (unsigned i = 0; i < 20; i++) {
     snprintf(id, sizeof id, "wk-1%05u", i);
-    assert_int_equal(submit_simple_job(a, id, WV_ARRAY, 1, 1, "t"), 201);
+    assert_int_equal(submit_simple_job(first_controller, id, WV_ARRAY, 1, 1, "t"), 201);
     tmx_cbor_put_text(&awaits, id);
   }
   tmx_cbor_put_list(&types, 30);
@@ -279,7 +280,7 @@
   struct fake_job job = {
       .id = "wk-000001", .team = "t", .tasks = 1, .cpus = 1, .awaits = &awaits, .types = &types};
   encode_submission_of(&body, &job);
-  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 201);
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
   tmx_buffer_free(&awaits);
   tmx_buffer_free(&types);
   tmx_buffer_free(&body);
@@ -289,16 +290,17 @@
   (void)st;
   struct recording r = {0};
   begin();
-  a->settings.value_kb = 1.2;
+  first_controller->settings.value_kb = 1.2;
   submit_with_long_lists();
   record_commit(&r, "ids that found no room in the record follow in lines", "w wk-000001");
-  a->settings.value_kb = 0.5; /* lowered meanwhile: its page has no room for all types */
-  tmx_compaction_set_threshold(a->compaction, 0);
-  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
+  first_controller->settings.value_kb =
+      0.5; /* lowered meanwhile: its page has no room for all types */
+  tmx_compaction_set_threshold(first_controller->compaction, 0);
+  for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
   const struct exchange *x = relay_wait(&store, NULL, "POST /commit", "y wk-000001");
   record_line(&r, "== pages with types and ids in lines");
   record_http(&r, "> ", x->request.data, x->request.length);
-  assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
+  assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   x = relay_wait(&store, x, "POST /commit", "t/job/wk-000001");
   record_line(&r, "== its final state is cut down");
   record_http(&r, "> ", x->request.data, x->request.length);
@@ -306,14 +308,11 @@
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(calls_to_the_cloud, setup, teardown),
       cmocka_unit_test_setup_teardown(calls_at_the_start, setup, teardown),
       cmocka_unit_test_setup_teardown(commits, setup, teardown),
       cmocka_unit_test_setup_teardown(commits_of_long_lists, setup, teardown),
   };
-  setenv("LOG_LEVEL", "error", 0);
-  tmx_log_init("test");
-  if (getenv("TMX_TEST")) cmocka_set_test_filter(getenv("TMX_TEST")); /* one of them, by hand */
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- /dev/null
+++ b/tests/test_compaction.c
@@ -0,0 +1,163 @@
+/* Log compaction keeps what counts, and small values hold many submissions. */
+#include "controller_fixture.h"
+
+#include <stdio.h>
+#include <string.h>
+#include <unistd.h>
+
+#include "tmx/wire.h"
+
+static bool compaction_point_is_set(void *arg) {
+  (void)arg;
+  struct tmx_log_key *key, *next_key;
+  if (!first_controller->replica.compaction_point ||
+      !HASH_COUNT(first_controller->replica.page_keys))
+    return false;
+  HASH_ITER(hh, first_controller->replica.batch_keys, key, next_key)
+  if (key->version > first_controller->replica.compaction_point) return false;
+  return true;
+}
+
+/* Folding loses nothing: a controller that starts from the pages alone knows attempts, results
+ * and what runs where, and starts nothing a second time. */
+static void compaction_keeps_jobs_and_placements(void **st) {
+  (void)st;
+  register_worker_at(first_controller);
+  submit_simple_job(first_controller, "wk-000001", "batch", 3, 2, "t");
+  for (int i = 0; i < 200 && worker.executed_starts < 3; i++) run_loop_for(0.02);
+  fake_worker_set_task(&worker, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/2", 1, WV_EXITED, WV_ERROR);
+  fake_worker_send_heartbeat(&worker, first_controller);
+  for (int i = 0; i < 200 && worker.executed_starts < 4; i++) {
+    run_loop_for(0.02);
+    fake_worker_send_heartbeat(&worker, first_controller);
+    fake_worker_execute_commands(&worker);
+  }
+  assert_int_equal(worker.executed_starts, 4);
+  tmx_compaction_set_threshold(first_controller->compaction, 0);
+  assert_true(run_loop_until(compaction_point_is_set, NULL));
+  stop_controller(first_controller);
+  first_controller = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
+  struct tmx_job *job = tmx_job_find(&first_controller->replica, "wk-000001");
+  assert_int_equal(job->tasks[0].state, TMX_TASK_PLACED);
+  assert_int_equal(job->tasks[1].state, TMX_TASK_DONE);
+  assert_int_equal(job->tasks[2].attempt, 2);
+  fake_worker_send_heartbeat(&worker, first_controller);
+  fake_worker_execute_commands(&worker);
+  run_loop_for(0.3);
+  assert_int_equal(worker.executed_starts, 4);
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/2", 2, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&worker, first_controller);
+  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
+  /* log keys are written over from here on: another start still finds the whole story */
+  struct tmx_log_key *key, *kt;
+  bool reused = false;
+  HASH_ITER(hh, first_controller->replica.batch_keys, key, kt)
+  reused |= key->version > first_controller->replica.compaction_point &&
+            strstr(key->key, "/000000") != NULL;
+  assert_true(reused);
+  restart_first_controller();
+  assert_true(worker_is_registered_at(first_controller));
+  assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
+  assert_int_equal(tmx_job_find(&first_controller->replica, "wk-000001")->n_placed, 0);
+}
+
+static void store_status(void *arg, int status, const uint8_t *body, size_t len) {
+  (void)body;
+  (void)len;
+  *(int *)arg = status;
+}
+
+/* Many submissions at once go into values as large as the state service takes. It counts them as
+ * JSON, in which numbers are several times as long: a batch that it refuses for its size would come
+ * again and again, and hold the whole log up. Pages of a fold hold the same. */
+static void many_submissions_fit_small_values(void **st) {
+  (void)st;
+  enum { MANY = 150 };
+  static int status[MANY];
+  struct tmx_http_client *c[MANY];
+  char addr[32], id[32];
+  first_controller->settings.value_kb = 4;
+  fake_store.value_max = 4096;
+  tmx_compaction_set_threshold(first_controller->compaction, 3);
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(first_controller->server));
+  for (int i = 0; i < MANY; i++) {
+    struct tmx_buffer buffer = {0};
+    snprintf(id, sizeof id, "wk-%06d", i);
+    encode_submission(&buffer, id, "batch", 3, 1.0 / 3, "t");
+    c[i] = tmx_http_client_new(test_loop, addr, 1);
+    status[i] = -2;
+    assert_true(tmx_http_client_call(c[i], "POST", WP_JOBS, &buffer, 5, store_status, &status[i]));
+    tmx_buffer_free(&buffer);
+  }
+  for (int i = 0, busy = 1; i < 400 && busy; i++) {
+    run_loop_for(0.01);
+    busy = 0;
+    for (int k = 0; k < MANY; k++) busy += status[k] == -2;
+  }
+  for (int i = 0; i < MANY; i++) {
+    assert_int_equal(status[i], 201);
+    tmx_http_client_free(c[i]);
+  }
+  for (int i = 0; i < 400 && !fake_get(TMX_KEY_COMPACTION); i++) run_loop_for(0.02);
+  assert_non_null(fake_get(TMX_KEY_COMPACTION));
+  assert_int_equal(fake_store.too_large, 0);
+}
+
+static bool is_loaded(void *arg) { return ((struct tmx_controller *)arg)->replica.loaded; }
+
+/* A fold ends while a controller that starts reads the keys: it has the mark before, and the pages
+ * of that one are dropped, and keys of batches written over, before it comes to them. What was in
+ * them is known all the same. */
+static void keys_are_read_again_when_the_compaction_point_moves(void **st) {
+  (void)st;
+  register_worker(&worker);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
+  wait_for_starts(1);
+  tmx_compaction_set_threshold(first_controller->compaction, 0);
+  for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
+  uint64_t mark = first_controller->replica.compaction_point;
+  assert_true(mark > 0);
+  tmx_compaction_set_threshold(first_controller->compaction, 1000);
+  run_loop_for(3); /* what the first fold leaves is dropped */
+  struct fake_endpoint *endpoint = &fake_store.endpoints[1];
+  endpoint->page_max = 1;
+  strcpy(endpoint->hold_from, TMX_KEY_COMPACTION);
+  second_controller = start_controller(1, 2);
+  for (int i = 0; i < 400 && !endpoint->held_read; i++) run_loop_for(0.02);
+  const struct tmx_http_request *held = endpoint->held_read;
+  assert_non_null(held);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
+  tmx_compaction_set_threshold(first_controller->compaction, 0);
+  for (int i = 0; i < 600 && first_controller->replica.compaction_point == mark; i++)
+    run_loop_for(0.02);
+  assert_true(first_controller->replica.compaction_point > mark);
+  tmx_compaction_set_threshold(first_controller->compaction, 1000);
+  run_loop_for(1);
+  endpoint->page_max = 0;
+  assert_ptr_equal(endpoint->held_read, held); /* it was not given up in the meantime */
+  fake_release_held_read(endpoint);
+  assert_true(run_loop_until(is_loaded, second_controller));
+  assert_int_equal(second_controller->replica.compaction_point,
+                   first_controller->replica.compaction_point);
+  struct tmx_job *job = tmx_job_find(&second_controller->replica, "wk-000001");
+  assert_non_null(job);
+  assert_int_equal(job->n_placed, 1);
+  assert_non_null(tmx_job_find(&second_controller->replica, "wk-000002"));
+  assert_int_equal(poll_job(second_controller, "wk-000001").status, 200);
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test_setup_teardown(compaction_keeps_jobs_and_placements, setup_one_controller,
+                                      teardown_controllers),
+      cmocka_unit_test_setup_teardown(many_submissions_fit_small_values, setup_one_controller,
+                                      teardown_controllers),
+      cmocka_unit_test_setup_teardown(keys_are_read_again_when_the_compaction_point_moves,
+                                      setup_one_controller, teardown_controllers),
+  };
+  return RUN_TESTS(tests);
+}
--- a/tests/test_depend.c
+++ b/tests/test_depend.c
@@ -388,5 +388,5 @@
       cmocka_unit_test_setup_teardown(form_without_dependencies, setup, teardown),
       cmocka_unit_test_setup_teardown(final_state_fits_the_smallest_value, setup, teardown),
   };
-  return cmocka_run_group_tests(tests, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_history.c
+++ b/tests/test_history.c
@@ -90,5 +90,5 @@
 int main(void) {
   const struct CMUnitTest tests[] = {cmocka_unit_test(a_history_in_order_breaks_nothing),
                                      cmocka_unit_test(each_rule_is_found_broken)};
-  return cmocka_run_group_tests(tests, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -245,10 +245,10 @@
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test(round_trip),        cmocka_unit_test(hostile_bodies),
       cmocka_unit_test(fuzzed_bodies),     cmocka_unit_test(settings),
       cmocka_unit_test(operator_settings),
   };
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_peer_format.c
+++ b/tests/test_peer_format.c
@@ -15,17 +15,17 @@
 #include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_controller *a;
+static struct tmx_controller *first_controller;
 
 static int setup(void **st) {
   (void)st;
   fake_start();
-  a = NULL;
+  first_controller = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) stop_controller(a);
+  if (first_controller) stop_controller(first_controller);
   fake_stop();
   return 0;
 }
@@ -246,14 +246,14 @@
 
 static bool heard(void *arg) {
   (void)arg;
-  return tmx_peers_silence(a->peers, "hand-1") < 1;
+  return tmx_peers_silence(first_controller->peers, "hand-1") < 1;
 }
 
 static void send_heartbeat(const char *bytes, size_t n) {
   struct sockaddr_in at;
   uint32_t length = htonl((uint32_t)n);
   int fd = socket(AF_INET, SOCK_STREAM, 0);
-  assert_true(tmx_parse_address(a->settings.peer_listen, &at));
+  assert_true(tmx_parse_address(first_controller->settings.peer_listen, &at));
   assert_int_equal(connect(fd, (struct sockaddr *)&at, sizeof at), 0);
   assert_int_equal(send(fd, &length, sizeof length, 0), sizeof length);
   assert_int_equal(send(fd, bytes, n, 0), n);
@@ -267,16 +267,16 @@
   char bytes[512];
   peer_listen();
   fake_adjust_settings = reach_peer_socket;
-  a = start_controller(0, 2);
+  first_controller = start_controller(0, 2);
   record_line(&r, "== every field in use");
   size_t n = full_heartbeat(&r, bytes, sizeof bytes);
   heartbeat_of_a_controller(&r);
   assert_false(heard(NULL));
   send_heartbeat(bytes, n);
-  assert_int_equal(tmx_peers_zone_liveness(a->peers, "hand-1")[0].machines, 40);
-  assert_int_equal(tmx_peers_zone_liveness(a->peers, "hand-1")[0].lost, 2);
-  assert_int_equal(tmx_peers_zone_liveness(a->peers, "hand-1")[0].alive, 38);
-  assert_true(tmx_peers_reports_no_workers(a->peers, "hand-1"));
+  assert_int_equal(tmx_peers_zone_liveness(first_controller->peers, "hand-1")[0].machines, 40);
+  assert_int_equal(tmx_peers_zone_liveness(first_controller->peers, "hand-1")[0].lost, 2);
+  assert_int_equal(tmx_peers_zone_liveness(first_controller->peers, "hand-1")[0].alive, 38);
+  assert_true(tmx_peers_reports_no_workers(first_controller->peers, "hand-1"));
   close(peer.listener);
   close(peer.fd);
   tmx_buffer_free(&peer.in);
@@ -284,11 +284,9 @@
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test(names_of_the_protocol),
       cmocka_unit_test_setup_teardown(heartbeats, setup, teardown),
   };
-  setenv("LOG_LEVEL", "error", 0);
-  tmx_log_init("test");
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -10,21 +10,21 @@
 #include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_controller *a, *b;
-static struct fake_worker w;
+static struct tmx_controller *first_controller, *second_controller;
+static struct fake_worker worker;
 
 static int setup(void **st) {
   (void)st;
   fake_start();
-  fake_worker_open(&w, "n-000001");
-  a = b = NULL;
+  fake_worker_open(&worker, "n-000001");
+  first_controller = second_controller = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) stop_controller(a);
-  if (b) stop_controller(b);
-  tmx_http_server_free(w.server);
+  if (first_controller) stop_controller(first_controller);
+  if (second_controller) stop_controller(second_controller);
+  tmx_http_server_free(worker.server);
   fake_stop();
   return 0;
 }
@@ -54,19 +54,19 @@
 static void doubts_beyond_one_record(void **st) {
   (void)st;
   enum { MACHINES = 5000 };
-  a = start_controller(0, 2);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
-  b = start_controller(1, 2);
-  assert_true(run_loop_until(fake_controller_is_ready, b));
+  first_controller = start_controller(0, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
+  second_controller = start_controller(1, 2);
+  assert_true(run_loop_until(fake_controller_is_ready, second_controller));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
   run_loop_for(8); /* none of them reports */
   struct tmx_machine *machine, *next;
   size_t of_other = 0, heard_of = 0;
   struct tmx_suspicion suspicion;
-  HASH_ITER(hh, b->replica.machines, machine, next) {
-    if (machine->owner == tmx_authority_member_index(&b->authority)) continue;
+  HASH_ITER(hh, second_controller->replica.machines, machine, next) {
+    if (machine->owner == tmx_authority_member_index(&second_controller->authority)) continue;
     of_other++;
-    heard_of += tmx_workers_find_suspicion(b->workers, machine, &suspicion);
+    heard_of += tmx_workers_find_suspicion(second_controller->workers, machine, &suspicion);
   }
   assert_true(of_other > TMX_HEARTBEAT_SUSPICIONS_MAX);
   assert_int_equal(heard_of, of_other);
@@ -77,19 +77,19 @@
 static void gone_thousands_of_machines_ago(void **st) {
   (void)st;
   enum { GONE = 20000 };
-  a = start_controller(0, 1);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
-  fake_worker_send_heartbeat(&w, a);
-  uint64_t token = w.token;
+  first_controller = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
+  fake_worker_send_heartbeat(&worker, first_controller);
+  uint64_t token = worker.token;
   put_lines("x n-%06zu", 1, GONE);
   run_loop_for(0.5);
-  assert_true(tmx_machine_was_removed(&a->replica, "n-000001"));
-  w.token = token;
+  assert_true(tmx_machine_was_removed(&first_controller->replica, "n-000001"));
+  worker.token = token;
   for (int i = 0; i < 5; i++) {
-    fake_worker_send_heartbeat(&w, a);
+    fake_worker_send_heartbeat(&worker, first_controller);
     run_loop_for(0.2);
   }
-  assert_null(tmx_machine_find(&a->replica, "n-000001"));
+  assert_null(tmx_machine_find(&first_controller->replica, "n-000001"));
 }
 
 /* More machines report than were ever allowed for at once. */
@@ -97,24 +97,24 @@
   (void)st;
   enum { MACHINES = 9000 };
   struct tmx_buffer body = {0};
-  a = start_controller(0, 1);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  first_controller = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
   run_loop_for(1);
-  assert_int_equal(HASH_COUNT(a->replica.machines), MACHINES);
-  fake_worker_send_heartbeat(&w, a);
-  assert_int_equal(w.status, 200);
+  assert_int_equal(HASH_COUNT(first_controller->replica.machines), MACHINES);
+  fake_worker_send_heartbeat(&worker, first_controller);
+  assert_int_equal(worker.status, 200);
   tmx_buffer_free(&body);
 }
 
-static size_t listed(void) { return HASH_COUNT(a->cloud->instances); }
+static size_t listed(void) { return HASH_COUNT(first_controller->cloud->instances); }
 
 /* A listing of many pages is read to its end, also when it grows between them. */
 static void listing_of_many_pages(void **st) {
   (void)st;
   fake_cloud.listed = 6100;
-  a = start_controller(0, 1);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  first_controller = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   for (int i = 0; i < 100 && fake_cloud.pages < 5; i++) run_loop_for(0.1);
   fake_cloud.listed = 6900;
   for (int i = 0; i < 400 && listed() < 6900; i++) run_loop_for(0.1);
@@ -126,8 +126,8 @@
   (void)st;
   fake_cloud.listed = 2000;
   fake_cloud.same_page = true;
-  a = start_controller(0, 1);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  first_controller = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   fake_cloud.pages = 0;
   run_loop_for(10);
   assert_in_range(fake_cloud.pages, 2, 14); /* two a pass, a pass each 2 s */
@@ -135,15 +135,12 @@
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(doubts_beyond_one_record, setup, teardown),
       cmocka_unit_test_setup_teardown(gone_thousands_of_machines_ago, setup, teardown),
       cmocka_unit_test_setup_teardown(more_workers_than_before, setup, teardown),
       cmocka_unit_test_setup_teardown(listing_of_many_pages, setup, teardown),
       cmocka_unit_test_setup_teardown(listing_that_does_not_go_on, setup, teardown),
   };
-  setenv("LOG_LEVEL", "error", 0);
-  tmx_log_init("test");
-  if (getenv("TMX_TEST")) cmocka_set_test_filter(getenv("TMX_TEST")); /* one of them, by hand */
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -386,7 +386,7 @@
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(log_of_one_task, setup, teardown),
       cmocka_unit_test_setup_teardown(dropped_machine_loses_its_tasks, setup, teardown),
       cmocka_unit_test_setup_teardown(cancelled_work_counts_until_it_is_gone, setup, teardown),
@@ -400,5 +400,5 @@
       cmocka_unit_test_setup_teardown(ownership, setup, teardown),
       cmocka_unit_test(op_lines),
   };
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -481,7 +481,7 @@
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(open_jobs, setup, teardown),
       cmocka_unit_test_setup_teardown(jobs_that_await_others, setup, teardown),
       cmocka_unit_test_setup_teardown(jobs_with_many_types, setup, teardown),
@@ -490,7 +490,5 @@
       cmocka_unit_test_setup_teardown(batches_and_pages, setup, teardown),
       cmocka_unit_test_setup_teardown(views, setup, teardown),
   };
-  setenv("LOG_LEVEL", "error", 0);
-  tmx_log_init("test");
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -10,29 +10,29 @@
 #include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_controller *a;
-static struct fake_worker w;
+static struct tmx_controller *first_controller;
+static struct fake_worker worker;
 
 static int setup(void **st) {
   (void)st;
   fake_start();
-  fake_worker_open(&w, "n-000001");
-  a = NULL;
+  fake_worker_open(&worker, "n-000001");
+  first_controller = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) stop_controller(a);
-  tmx_http_server_free(w.server);
+  if (first_controller) stop_controller(first_controller);
+  tmx_http_server_free(worker.server);
   fake_stop();
   return 0;
 }
 static void begin(void) {
-  a = start_controller(0, 1);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  first_controller = start_controller(0, 1);
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 static void restart(void) {
-  stop_controller(a);
+  stop_controller(first_controller);
   begin();
 }
 
@@ -95,16 +95,16 @@
 }
 
 static void machine_as_production_left_it(void) {
-  fake_worker_set_task(&w, "wk-000002/0", 1, WV_RUNNING, "");
-  fake_worker_set_task(&w, "wk-000001/0", 1, WV_RUNNING, "");
-  fake_worker_set_task(&w, "wk-000001/2", 2, WV_RUNNING, "");
-  fake_worker_set_task(&w, "wk-000006/1", 1, WV_RUNNING, "");
-  w.token = 16777216; /* of its first view */
-  w.sequence = 30;
+  fake_worker_set_task(&worker, "wk-000002/0", 1, WV_RUNNING, "");
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_RUNNING, "");
+  fake_worker_set_task(&worker, "wk-000001/2", 2, WV_RUNNING, "");
+  fake_worker_set_task(&worker, "wk-000006/1", 1, WV_RUNNING, "");
+  worker.token = 16777216; /* of its first view */
+  worker.sequence = 30;
 }
 
 static bool job_done(void *arg) {
-  struct tmx_job *job = tmx_job_find(&a->replica, arg);
+  struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
   return job && job->outcome == TMX_JOB_DONE;
 }
 
@@ -112,40 +112,42 @@
   (void)st;
   load_production_state();
   begin();
-  as_production_left_it(&a->replica);
-  tmx_compaction_set_threshold(a->compaction, 0); /* folded by this version, and read again */
-  uint64_t mark = a->replica.compaction_point;
-  for (int i = 0; i < 600 && a->replica.compaction_point == mark; i++) run_loop_for(0.02);
-  assert_true(a->replica.compaction_point > mark);
+  as_production_left_it(&first_controller->replica);
+  tmx_compaction_set_threshold(first_controller->compaction,
+                               0); /* folded by this version, and read again */
+  uint64_t mark = first_controller->replica.compaction_point;
+  for (int i = 0; i < 600 && first_controller->replica.compaction_point == mark; i++)
+    run_loop_for(0.02);
+  assert_true(first_controller->replica.compaction_point > mark);
   restart();
-  as_production_left_it(&a->replica);
-  tmx_compaction_set_threshold(a->compaction, 1000);
+  as_production_left_it(&first_controller->replica);
+  tmx_compaction_set_threshold(first_controller->compaction, 1000);
   machine_as_production_left_it();
   for (int i = 0; i < 5; i++) {
-    fake_worker_send_heartbeat(&w, a);
-    fake_worker_execute_commands(&w);
+    fake_worker_send_heartbeat(&worker, first_controller);
+    fake_worker_execute_commands(&worker);
     run_loop_for(0.2);
   }
-  assert_int_equal(w.executed_starts, 0); /* what runs is not started once more */
-  fake_worker_set_task(&w, "wk-000006/1", 1, WV_EXITED, WV_DONE);
-  fake_worker_send_heartbeat(&w, a);
+  assert_int_equal(worker.executed_starts, 0); /* what runs is not started once more */
+  fake_worker_set_task(&worker, "wk-000006/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(job_done, "wk-000006"));
-  assert_string_equal(poll_job(a, "wk-000003").state, WV_DONE);
-  assert_string_equal(poll_job(a, "wk-000004").state, WV_CANCELLED);
+  assert_string_equal(poll_job(first_controller, "wk-000003").state, WV_DONE);
+  assert_string_equal(poll_job(first_controller, "wk-000004").state, WV_CANCELLED);
   /* and jobs may await those that production accepted */
   struct tmx_buffer list = {0}, body = {0};
   tmx_cbor_put_list(&list, 2);
   tmx_cbor_put_text(&list, "wk-000003");
   tmx_cbor_put_text(&list, "wk-000001");
   encode_submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
-  assert_int_equal(send_request(a, "POST", WP_JOBS, &body).status, 201);
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
   run_loop_for(0.5);
-  assert_true(tmx_job_is_blocked(tmx_job_find(&a->replica, "wk-000007")));
-  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  fake_worker_set_task(&w, "wk-000001/2", 2, WV_EXITED, WV_DONE);
-  fake_worker_send_heartbeat(&w, a);
+  assert_true(tmx_job_is_blocked(tmx_job_find(&first_controller->replica, "wk-000007")));
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/2", 2, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(job_done, "wk-000001"));
-  assert_false(tmx_job_is_blocked(tmx_job_find(&a->replica, "wk-000007")));
+  assert_false(tmx_job_is_blocked(tmx_job_find(&first_controller->replica, "wk-000007")));
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
 }
@@ -205,25 +207,25 @@
   (void)st;
   begin();
   for (int i = 0; i < 5; i++) {
-    fake_worker_send_heartbeat(&w, a);
+    fake_worker_send_heartbeat(&worker, first_controller);
     run_loop_for(0.1);
   }
-  assert_int_equal(submit_simple_job(a, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
-  assert_int_equal(submit_simple_job(a, "wk-000002", WV_SERVICE, 1, 1, "t"), 201);
-  assert_int_equal(submit_simple_job(a, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", WV_SERVICE, 1, 1, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
   run_loop_for(1);
-  assert_int_equal(w.executed_starts, 6);
-  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_ERROR);
-  fake_worker_set_task(&w, "wk-000003/0", 1, WV_EXITED, WV_DONE);
-  fake_worker_set_task(&w, "wk-000003/1", 1, WV_EXITED, WV_DONE);
-  fake_worker_send_heartbeat(&w, a);
+  assert_int_equal(worker.executed_starts, 6);
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/1", 1, WV_EXITED, WV_ERROR);
+  fake_worker_set_task(&worker, "wk-000003/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000003/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(job_done, "wk-000003"));
-  assert_string_equal(cancel_job(a, "wk-000002").state, WV_CANCELLED);
+  assert_string_equal(cancel_job(first_controller, "wk-000002").state, WV_CANCELLED);
   all_as_production_reads();
-  tmx_compaction_set_threshold(a->compaction, 0);
-  for (int i = 0; i < 600 && !a->replica.compaction_point; i++) run_loop_for(0.02);
-  assert_true(a->replica.compaction_point > 0);
+  tmx_compaction_set_threshold(first_controller->compaction, 0);
+  for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
+  assert_true(first_controller->replica.compaction_point > 0);
   run_loop_for(1);
   all_as_production_reads();
 }
@@ -257,13 +259,10 @@
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(production_data_is_gone_on_with, setup, teardown),
       cmocka_unit_test_setup_teardown(forms_before_the_first_pipeline, setup, teardown),
       cmocka_unit_test_setup_teardown(heartbeat_of_production, setup, teardown),
   };
-  setenv("LOG_LEVEL", "error", 0);
-  tmx_log_init("test");
-  if (getenv("TMX_TEST")) cmocka_set_test_filter(getenv("TMX_TEST")); /* one of them, by hand */
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
--- /dev/null
+++ b/tests/test_user_requests.c
@@ -0,0 +1,275 @@
+/* Answers to users: validation, refusals, overload and hostile connections. */
+#include "controller_fixture.h"
+
+#include <arpa/inet.h>
+#include <stdio.h>
+#include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include "base/clock.h"
+#include "tmx/wire.h"
+
+/* A controller whose copy lags gives no older answer, and no 404 for an accepted job. */
+static void a_lagging_controller_gives_no_older_answer(void **st) {
+  (void)st;
+  fake_store.endpoints[1].freeze_watch = true;
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
+  struct fake_answer p = poll_job(second_controller, "wk-000001");
+  assert_int_equal(p.status, 503);
+  fake_store.endpoints[1].freeze_watch = false;
+  fake_free_watches();
+  assert_int_equal(poll_job(second_controller, "wk-000001").status, 200);
+  fake_store.endpoints[1].freeze_watch = true;
+  assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
+  p = poll_job(second_controller, "wk-000001");
+  assert_true(p.status == 503 || !strcmp(p.state, WV_CANCELLED));
+  assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_CANCELLED);
+  assert_int_equal(poll_job(first_controller, "wk-999999").status, 404);
+}
+
+/* The same submission at two controllers at once, one of them behind: the job is taken once. */
+static void a_job_id_is_accepted_once_by_two_controllers(void **st) {
+  (void)st;
+  fake_store.endpoints[1].freeze_watch = true; /* b does not see what a accepts */
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
+  assert_int_not_equal(submit_simple_job(second_controller, "wk-000001", "batch", 1, 2, "t"), 201);
+  fake_store.endpoints[1].freeze_watch = false;
+  fake_free_watches();
+  assert_int_equal(submit_simple_job(second_controller, "wk-000001", "batch", 1, 2, "t"), 200);
+  assert_int_equal(tmx_job_find(&second_controller->replica, "wk-000001")->spec.tasks, 2);
+}
+
+/* A controller whose state is out of reach sends submissions and polls on at once. */
+static void requests_are_refused_at_once_without_the_store(void **st) {
+  (void)st;
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
+  fake_store.endpoints[0].refuse = true;
+  run_loop_for(1.5);
+  double t = tmx_clock_steady();
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
+  assert_int_equal(poll_job(first_controller, "wk-000001").status, 503);
+  assert_true(tmx_clock_steady() - t < 0.5);
+  fake_store.endpoints[0].refuse = false;
+  run_loop_for(1.0);
+  assert_int_equal(poll_job(first_controller, "wk-000001").status, 200);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
+}
+
+struct count {
+  unsigned refused, answered;
+};
+
+static void count_answer(void *arg, int status, const uint8_t *body, size_t len) {
+  struct count *n = arg;
+  (void)body;
+  (void)len;
+  n->answered += status == 200;
+  n->refused += status == 503;
+}
+
+/* When more polls come than can be answered, a job of which nobody was told for long goes before
+ * one that was just answered for: none stays without an answer, however many ask for others. */
+static void polls_take_turns_under_overload(void **st) {
+  (void)st;
+  struct count often = {0, 0}, late = {0, 0}, more = {0, 0};
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
+  assert_int_equal(poll_job(first_controller, "wk-000001").status, 200);
+  char addr[32];
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(first_controller->server));
+  struct tmx_http_client *client = tmx_http_client_new(test_loop, addr, 300);
+  assert_non_null(client);
+  fake_store.endpoints[0].freeze_watch = true;
+  assert_int_equal(submit_simple_job(first_controller, "wk-000003", "batch", 1, 2, "t"),
+                   201); /* the copy is behind now */
+  for (int i = 0; i < TMX_USER_QUEUE / 2; i++)
+    assert_true(
+        tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer, &often));
+  run_loop_for(0.3);
+  assert_int_equal(often.refused, 0);
+  assert_true(
+      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer, &more));
+  assert_true(
+      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000002", NULL, 5, count_answer, &late));
+  run_loop_for(0.3);
+  assert_int_equal(more.refused, 1);
+  assert_int_equal(late.refused, 0);
+  fake_store.endpoints[0].freeze_watch = false;
+  fake_free_watches();
+  for (int i = 0; i < 100 && !late.answered; i++) run_loop_for(0.02);
+  assert_int_equal(late.answered, 1);
+  tmx_http_client_free(client);
+}
+
+static void submissions_are_validated(void **st) {
+  (void)st;
+  struct tmx_buffer body = {0};
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 200);
+  /* known ids are answered before any validation */
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "nonsense", 1, 2, "t"), 200);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 99, "nobody"), 200);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "nonsense", 1, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(first_controller, "job-2", "batch", 1, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 0, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 100001, 2, "t"), 400);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "nobody"), 422);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 9, "t"),
+                   422); /* over the team's limit */
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "service", 5, 2, "t"),
+                   422); /* all of a service count */
+  assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 5, 2, "t"), 201);
+  tmx_buffer_append(&body, "\xa1\x62", 2);
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 400);
+  tmx_buffer_free(&body);
+  tmx_cbor_put_list(&body, 0);
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 400);
+  tmx_buffer_free(&body);
+  assert_int_equal(send_request(first_controller, "GET", WP_JOBS "/nothing", NULL).status, 404);
+  assert_int_equal(send_request(first_controller, "GET", "/elsewhere", NULL).status, 404);
+  assert_int_equal(cancel_job(first_controller, "wk-777777").status, 404);
+}
+
+/* Bytes that are no HTTP, and bodies past the limit, close their connection and nothing else. */
+static int send_raw(const char *head, size_t fill) {
+  struct sockaddr_in to_a = {
+      .sin_family = AF_INET,
+      .sin_port = htons((uint16_t)tmx_http_server_port(first_controller->server))};
+  char buf[512] = "";
+  to_a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  int fd = socket(AF_INET, SOCK_STREAM, 0), status = 0;
+  assert_int_equal(connect(fd, (struct sockaddr *)&to_a, sizeof to_a), 0);
+  assert_true(send(fd, head, strlen(head), MSG_NOSIGNAL) > 0);
+  char junk[1024];
+  memset(junk, 'x', sizeof junk);
+  for (size_t i = 0; i < fill; i += sizeof junk) {
+    if (send(fd, junk, sizeof junk, MSG_NOSIGNAL | MSG_DONTWAIT) < 0) break;
+    run_loop_for(0.001);
+  }
+  for (int i = 0; i < 200; i++) {
+    run_loop_for(0.01);
+    if (recv(fd, buf, sizeof buf - 1, MSG_DONTWAIT) > 0) break;
+  }
+  sscanf(buf, "HTTP/1.1 %d", &status);
+  close(fd);
+  return status;
+}
+
+static void oversized_and_partial_requests_are_refused(void **st) {
+  (void)st;
+  assert_int_equal(send_raw("this is not HTTP at all\r\n\r\n", 0), 400);
+  assert_int_equal(send_raw("POST /v2/runs HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 2048),
+                   413);
+  assert_int_equal(
+      send_raw("POST /v2/runs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n", 131072),
+      413);
+  assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
+}
+
+static void answer_anything(void *arg, struct tmx_http_request *request) {
+  (void)arg;
+  tmx_http_reply(request, 200, NULL, 0);
+}
+
+static void store_status(void *arg, int status, const uint8_t *body, size_t len) {
+  (void)body;
+  (void)len;
+  *(int *)arg = status;
+}
+
+static int request_once(struct tmx_http_client *client) {
+  int status = -2;
+  assert_true(tmx_http_client_call(client, "GET", "/", NULL, 1, store_status, &status));
+  for (int i = 0; i < 100 && status == -2; i++) run_loop_for(0.01);
+  return status;
+}
+
+/* Workers that went elsewhere leave connections open: when all are taken, the one that was unused
+ * longest makes room for a newcomer, and none that was just used does. */
+static void idle_connections_are_closed_for_new_ones(void **st) {
+  (void)st;
+  struct tmx_http_server *server =
+      tmx_http_server_new(test_loop, "127.0.0.1:0", 2, 60, answer_anything, NULL);
+  char addr[32];
+  snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(server));
+  struct tmx_http_client *c[3];
+  for (int i = 0; i < 3; i++) c[i] = tmx_http_client_new(test_loop, addr, 1);
+  assert_int_equal(request_once(c[0]), 200);
+  assert_int_equal(request_once(c[1]), 200);
+  assert_int_not_equal(request_once(c[2]), 200);
+  run_loop_for(TMX_IDLE_LEAST_S + 0.1);
+  assert_int_equal(request_once(c[0]), 200); /* so the other one is the longest unused */
+  assert_int_equal(request_once(c[2]), 200);
+  assert_int_equal(request_once(c[0]), 200);
+  for (int i = 0; i < 3; i++) tmx_http_client_free(c[i]);
+  tmx_http_server_free(server);
+}
+
+/* In the midst of trouble: nothing that lacks a field or cannot run is accepted, and what is known
+ * is never refused for its body. */
+static void malformed_requests_get_400_in_an_outage(void **st) {
+  (void)st;
+  struct tmx_buffer ok = {0};
+  static const char *needed[] = {W_GPUS,  W_ONE_ZONE, W_SPREAD,   W_SPOT,  W_CPUS, W_MEM,
+                                 W_IMAGE, W_TASKS,    W_ESTIMATE, W_CLASS, W_TEAM, W_PRIORITY};
+  encode_submission(&ok, "wk-000001", "batch", 1, 2, "t");
+  for (size_t i = 0; i < sizeof needed / sizeof *needed; i++) {
+    struct tmx_buffer bad = {0};
+    size_t len = strlen(needed[i]);
+    tmx_buffer_append(&bad, ok.data, ok.length);
+    uint8_t *at = memmem(bad.data + 1, bad.length - 1, needed[i], len);
+    while (at && at[-1] != 0x60 + len) /* the name itself, not a part of another */
+      at = memmem(at + 1, bad.length - (size_t)(at + 1 - bad.data), needed[i], len);
+    assert_non_null(at);
+    at[0] = 'X'; /* the field is missing now */
+    assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &bad).status, 400);
+    fake_store.endpoints[0].refuse = true;
+    run_loop_for(0.4);
+    assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &bad).status, 503);
+    fake_store.endpoints[0].refuse = false;
+    run_loop_for(0.4);
+    tmx_buffer_free(&bad);
+  }
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &ok).status, 201);
+  tmx_buffer_free(&ok);
+  /* a body that is too large for a value, under a name that only another controller knows yet */
+  struct tmx_buffer large = {0}, list = {0};
+  encode_submission(&ok, "wk-000001", "batch", 1, 2, "t");
+  tmx_cbor_put_map(&large, 18);
+  tmx_cbor_put_text(&large, W_TYPES);
+  tmx_cbor_put_list(&list, TMX_TYPES_MAX);
+  for (int i = 0; i < TMX_TYPES_MAX; i++) tmx_cbor_put_text(&list, "big");
+  tmx_buffer_append(&large, list.data, list.length);
+  tmx_buffer_append(&large, ok.data + 1, ok.length - 1);
+  first_controller->settings.value_kb = 0.4;
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &large).status, 200);
+  first_controller->settings.value_kb = 16;
+  assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &large).status, 200);
+  tmx_buffer_free(&ok);
+  tmx_buffer_free(&large);
+  tmx_buffer_free(&list);
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test_setup_teardown(a_lagging_controller_gives_no_older_answer,
+                                      setup_two_controllers, teardown_controllers),
+      cmocka_unit_test_setup_teardown(a_job_id_is_accepted_once_by_two_controllers,
+                                      setup_two_controllers, teardown_controllers),
+      cmocka_unit_test_setup_teardown(requests_are_refused_at_once_without_the_store,
+                                      setup_one_controller, teardown_controllers),
+      cmocka_unit_test_setup_teardown(polls_take_turns_under_overload, setup_one_controller,
+                                      teardown_controllers),
+      cmocka_unit_test_setup_teardown(submissions_are_validated, setup_one_controller,
+                                      teardown_controllers),
+      cmocka_unit_test_setup_teardown(oversized_and_partial_requests_are_refused,
+                                      setup_one_controller, teardown_controllers),
+      cmocka_unit_test_setup_teardown(idle_connections_are_closed_for_new_ones,
+                                      setup_one_controller, teardown_controllers),
+      cmocka_unit_test_setup_teardown(malformed_requests_get_400_in_an_outage, setup_one_controller,
+                                      teardown_controllers),
+  };
+  return RUN_TESTS(tests);
+}
--- a/tests/test_wire_format.c
+++ b/tests/test_wire_format.c
@@ -13,36 +13,36 @@
 #include "base/log.h"
 #include "tmx/wire.h"
 
-static struct tmx_controller *a;
-static struct fake_worker w;
+static struct tmx_controller *first_controller;
+static struct fake_worker worker;
 static struct relay commands; /* between the controller and the worker's server */
 static char address[32];      /* of the controller */
 
 static int setup(void **st) {
   (void)st;
   fake_start();
-  fake_worker_open(&w, "n-000001");
-  relay_open(&commands, tmx_http_server_port(w.server));
-  snprintf(w.addr, sizeof w.addr, "%s", commands.address);
-  a = NULL;
+  fake_worker_open(&worker, "n-000001");
+  relay_open(&commands, tmx_http_server_port(worker.server));
+  snprintf(worker.addr, sizeof worker.addr, "%s", commands.address);
+  first_controller = NULL;
   return 0;
 }
 static int teardown(void **st) {
   (void)st;
-  if (a) stop_controller(a);
+  if (first_controller) stop_controller(first_controller);
   relay_close(&commands);
-  tmx_http_server_free(w.server);
+  tmx_http_server_free(worker.server);
   fake_stop();
   return 0;
 }
 
 static void make_controller(int of) {
-  a = start_controller(0, of);
-  snprintf(address, sizeof address, "127.0.0.1:%d", tmx_http_server_port(a->server));
+  first_controller = start_controller(0, of);
+  snprintf(address, sizeof address, "127.0.0.1:%d", tmx_http_server_port(first_controller->server));
 }
 static void begin(void) {
   make_controller(1);
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 
 /* ------------------------------------------------------------ users */
@@ -89,7 +89,7 @@
   ask(r, "a cancellation while the state is out of reach", "POST /v2/runs/wk-000001/withdraw",
       NULL);
   fake_store.endpoints[0].refuse = false;
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 
 static void answers_that_refuse(struct recording *r) {
@@ -117,17 +117,17 @@
 }
 
 static void report_plainly(void) {
-  fake_worker_send_heartbeat(&w, a);
+  fake_worker_send_heartbeat(&worker, first_controller);
   run_loop_for(0.2);
 }
 
 static bool job_done(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&a->replica, arg);
+  const struct tmx_job *j = tmx_job_find(&first_controller->replica, arg);
   return j && j->outcome == TMX_JOB_DONE;
 }
 
 static bool one_done(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&a->replica, arg);
+  const struct tmx_job *j = tmx_job_find(&first_controller->replica, arg);
   return j && j->n_done == 1;
 }
 
@@ -136,13 +136,13 @@
   ask(r, "pending", "GET /v2/runs/wk-000001", NULL);
   ask(r, "submitted again", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
   for (int i = 0; i < 4; i++) report_plainly();
-  assert_int_equal(w.executed_starts, 3);
-  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  assert_int_equal(worker.executed_starts, 3);
+  fake_worker_set_task(&worker, "wk-000001/1", 1, WV_EXITED, WV_DONE);
   report_plainly();
   assert_true(run_loop_until(one_done, "wk-000001"));
   ask(r, "running", "GET /v2/runs/wk-000001", NULL);
-  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  fake_worker_set_task(&w, "wk-000001/2", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/2", 1, WV_EXITED, WV_DONE);
   report_plainly();
   assert_true(run_loop_until(job_done, "wk-000001"));
   ask(r, "done", "GET /v2/runs/wk-000001", NULL);
@@ -190,14 +190,14 @@
 static void send_report(struct recording *r, const char *title) {
   struct exchange x;
   struct tmx_buffer body = {0};
-  w.sequence = (w.sequence / 100 + 1) * 100; /* above those that probes have used up */
-  fake_worker_encode_report(&w, &body);
+  worker.sequence = (worker.sequence / 100 + 1) * 100; /* above those that probes have used up */
+  fake_worker_encode_report(&worker, &body);
   raw_request(address, "POST /hello", &body, &x);
   record_exchange(r, title, &x);
   const uint8_t *answer = memmem(x.answer.data, x.answer.length, "\r\n\r\n", 4);
   size_t length = x.answer.length - (size_t)(answer + 4 - x.answer.data);
-  fake_worker_take_response(&w, atoi((const char *)x.answer.data + strlen("HTTP/1.1 ")), answer + 4,
-                            length);
+  fake_worker_take_response(&worker, atoi((const char *)x.answer.data + strlen("HTTP/1.1 ")),
+                            answer + 4, length);
   exchange_free(&x);
   tmx_buffer_free(&body);
 }
@@ -234,7 +234,7 @@
 
 static bool four_started(void *arg) {
   (void)arg;
-  return w.executed_starts == 4;
+  return worker.executed_starts == 4;
 }
 
 static void direct_commands(void **st) {
@@ -249,7 +249,7 @@
   x = record_command(&r, "its end is in the log", x, "POST /commands", "reap");
   assert_true(run_loop_until(four_started, NULL)); /* it was placed again */
   x = record_command(&r, "its next attempt", x, "POST /commands", "start");
-  assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
+  assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   record_command(&r, "the job is cancelled", x, "POST /commands", "halt");
   record_command(&r, "a probe", NULL, "GET /show", NULL);
   recording_check(&r, "direct-commands.txt");
@@ -263,34 +263,34 @@
   make_controller(1);
   send_report(&r, "the state is out of reach");
   fake_store.endpoints[0].refuse = false;
-  assert_true(run_loop_until(fake_controller_is_ready, a));
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   send_report(&r, "the first report");
   send_report(&r, "... which shows the token");
   run_loop_for(0.5);
-  w.mute = true;
+  worker.mute = true;
   submit_literally();
   run_loop_for(0.5);
   send_report(&r, "the command to start got no answer");
-  fake_worker_execute_commands(&w);
-  assert_int_equal(w.executed_starts, 3);
+  fake_worker_execute_commands(&worker);
+  assert_int_equal(worker.executed_starts, 3);
   send_report(&r, "the tasks run");
   run_loop_for(0.5);
   put_line("t/batch/hand-9/000000", "s wk-000001/0 1 2");
   send_report(&r, "a task is to save and end");
-  fake_worker_set_task(&w, "wk-000001/0", 1, WV_SAVING, NULL);
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_SAVING, NULL);
   send_report(&r, "it saves");
-  fake_worker_set_task(&w, "wk-000001/0", 1, WV_EXITED, WV_STOPPED);
-  fake_worker_set_task(&w, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_STOPPED);
+  fake_worker_set_task(&worker, "wk-000001/1", 1, WV_EXITED, WV_DONE);
   send_report(&r, "tasks have ended");
   run_loop_for(0.5);
-  assert_string_equal(cancel_job(a, "wk-000001").state, WV_CANCELLED);
+  assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   run_loop_for(0.5);
   send_report(&r, "the ends are in the log, and the job is cancelled");
-  w.sequence -= 150;
+  worker.sequence -= 150;
   send_report(&r, "a report that a later one has overtaken");
-  w.session = 0;
+  worker.session = 0;
   send_report(&r, "a report of an earlier session");
-  w.session = 1;
+  worker.session = 1;
   ask(&r, "malformed: a field is missing", "POST /hello", "{\"rig\":\"n-000001\"}");
   ask(&r, "another method", "GET /hello", NULL);
   recording_check(&r, "report-answers.txt");
@@ -298,7 +298,8 @@
 
 static bool two_members(void *arg) {
   (void)arg;
-  return a->replica.view.n_members == 2 && fake_controller_is_ready(a);
+  return first_controller->replica.view.n_members == 2 &&
+         fake_controller_is_ready(first_controller);
 }
 
 static void answers_that_send_elsewhere(void **st) {
@@ -310,26 +311,23 @@
   fake_put("t/node/hand-1", &v);
   tmx_buffer_free(&v);
   assert_true(run_loop_until(two_members, NULL));
-  strcpy(w.id, "n-000002");
+  strcpy(worker.id, "n-000002");
   send_report(&r, "a machine of another controller");
-  assert_string_equal(w.redirected_to, "hand-1");
-  strcpy(w.id, "n-000006");
-  w.token = 1ull << 40;
+  assert_string_equal(worker.redirected_to, "hand-1");
+  strcpy(worker.id, "n-000006");
+  worker.token = 1ull << 40;
   send_report(&r, "a newer owner's token was seen");
-  assert_string_equal(w.redirected_to, "");
+  assert_string_equal(worker.redirected_to, "");
   recording_check(&r, "report-answers-elsewhere.txt");
 }
 
 int main(void) {
-  const struct CMUnitTest t[] = {
+  const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(answers_to_users, setup, teardown),
       cmocka_unit_test_setup_teardown(answer_of_admission, setup, teardown),
       cmocka_unit_test_setup_teardown(direct_commands, setup, teardown),
       cmocka_unit_test_setup_teardown(answers_to_reports, setup, teardown),
       cmocka_unit_test_setup_teardown(answers_that_send_elsewhere, setup, teardown),
   };
-  setenv("LOG_LEVEL", "error", 0);
-  tmx_log_init("test");
-  if (getenv("TMX_TEST")) cmocka_set_test_filter(getenv("TMX_TEST")); /* one of them, by hand */
-  return cmocka_run_group_tests(t, NULL, NULL);
+  return RUN_TESTS(tests);
 }
