--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -14,8 +14,8 @@
 #ifndef TMX_PLANNER_H
 #define TMX_PLANNER_H
 #include "admission/start_rotation.h"
-#include "planner/caps.h"
 #include "planner/planner_delta.h"
+#include "replica/placement_caps.h"
 #include "replica/replica.h"
 
 /** What a round depends on besides the tables. The caller owns it; the round only reads it. */
--- a/src/planner/scale_out_plan.h
+++ b/src/planner/scale_out_plan.h
@@ -7,7 +7,9 @@
  */
 #ifndef TMX_SCALE_OUT_PLAN_H
 #define TMX_SCALE_OUT_PLAN_H
-#include "controller/controller.h"
+#include "catalog/machine_catalog.h"
+#include "planner/planner.h"
+#include "replica/replica.h"
 
 /** Waiting tasks of one job that found no room. */
 struct tmx_demand {
--- a/src/planner/caps.c
+++ b/src/replica/placement_caps.c
@@ -1,4 +1,4 @@
-#include "planner/caps.h"
+#include "replica/placement_caps.h"
 
 #include <string.h>
 
--- a/src/planner/caps.h
+++ b/src/replica/placement_caps.h
@@ -5,8 +5,8 @@
  * Pure functions of their arguments: they may be called from any thread. The planner keeps them
  * when it places; the check of an operation before a commit applies them again.
  */
-#ifndef TMX_CAPS_H
-#define TMX_CAPS_H
+#ifndef TMX_PLACEMENT_CAPS_H
+#define TMX_PLACEMENT_CAPS_H
 #include "replica/replica.h"
 
 /**
