--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -1,33 +1,28 @@
-/* Shared by the files of src/cloud only. */
+/**
+ * @file
+ * State that the files of src/cloud share. Loop's thread only.
+ */
 #ifndef TMX_CLOUD_INTERNAL_H
 #define TMX_CLOUD_INTERNAL_H
 #include "cloud/cloud.h"
+#include "cloud/cloud_api.h"
+#include "cloud/demand_history.h"
+#include "cloud/inventory.h"
+#include "cloud/offer_backoff.h"
 
-enum { TMX_INSTANCE_BOOTING, TMX_INSTANCE_RUNNING, TMX_INSTANCE_FAILED };
-struct tmx_instance { /* a machine that the cloud lists, or that a rental answer named */
-  char id[TMX_ID_MAX], type[TMX_ID_MAX];
-  int zone, state;
-  bool spot;
-  double age_s, age_as_of; /* held_s as of the list read at `at` */
-  double rented_at;        /* by this controller; 0: from a list */
-  double unheard_since;    /* up by the list, but no report */
-  unsigned list_pass;      /* list pass that showed it */
-  bool deleting;
-  UT_hash_handle hh;
-};
-struct offer_backoff { /* a refused type, zone and kind */
-  char type[TMX_ID_MAX];
-  int zone;
-  bool spot;
-  double until, wait_s;
-};
-struct idle_machine { /* since when a machine has had no task, as seen by this leader */
+/** Since when a machine has had no task, as this leader has seen it. */
+struct tmx_idle_machine {
   char id[TMX_ID_MAX];
-  double since;
-  unsigned sweep_pass;
+  double since; /**< steady clock */
   UT_hash_handle hh;
 };
 
+/** Network partitions between the owners and the machines of a zone; steady clock, by zone. */
+struct tmx_zone_partitions {
+  double partitioned_until[TMX_ZONES_MAX]; /**< the zone counts as partitioned */
+  double spared_until[TMX_ZONES_MAX];      /**< none of its machines is replaced for silence */
+};
+
 struct tmx_cloud {
   const struct tmx_settings *settings;
   struct tmx_replica *replica;
@@ -36,32 +31,45 @@
   struct tmx_peers *peers;
   struct tmx_scheduler *scheduler;
   struct tmx_workers *workers;
-  struct tmx_http_client *http;
-  double types_read_at, list_read_at, scale_out_at, reclaim_at, call_tokens, call_tokens_at,
-      leading_since;
-  bool types_read_in_flight, list_read_in_flight, delete_in_flight;
-  int scale_outs_in_flight;
-  unsigned list_pass;
-  char list_cursor[TMX_ID_MAX];
-  struct tmx_instance *instances;
-  struct idle_machine *idle_machines;
-  struct offer_backoff offer_backoffs[TMX_TYPES_MAX * TMX_ZONES_MAX * 2];
-  size_t n_offer_backoffs;
-  uint64_t next_request_number;
-  double demand_by_second[TMX_PEAK_DEMAND_S]; /* CPUs booked and asked for, the most in each of the
-                                          last seconds */
-  int demand_second;                          /* second of the latest entry */
-  double demand_since;                        /* entries have been made without a gap since */
-  double drain_chosen_at, usage_logged_at;
-  double zone_partitioned_until[TMX_ZONES_MAX]; /* zones that seem cut off */
-  double zone_spared_until[TMX_ZONES_MAX];      /* ... and none of it is given up for silence */
+  struct tmx_cloud_api *api;
+  struct tmx_inventory inventory;
+  struct tmx_demand_history demand;
+  struct tmx_offer_backoffs offer_backoffs;
+  struct tmx_idle_machine *idle_machines;
+  struct tmx_zone_partitions zone_partitions;
+  double leading_since; /**< steady clock */
+  double catalog_read_at, list_read_at, scale_out_at, reclaim_at, drain_chosen_at, usage_logged_at;
+  bool catalog_read_in_flight, delete_in_flight;
+  int rentals_in_flight;
+  uint64_t last_rental_number;
 };
 
-/* The rate of calls is shared by all controllers; the leader makes nearly all of them. */
-bool tmx_cloud_may_call(struct tmx_cloud *cloud);
-struct tmx_instance *tmx_cloud_find_instance(struct tmx_cloud *cloud, const char *id);
-/* src/cloud/scale_in.c: gives up what is dead, returns what is not needed */
-void tmx_cloud_reclaim(struct tmx_cloud *cloud);
-void tmx_cloud_record_demand(struct tmx_cloud *cloud, double now);
+/** Reads the machine types that the cloud offers into the catalogue, when that is due. */
+void tmx_cloud_read_catalog(struct tmx_cloud *cloud, double now);
+
+/** Rents machines for the tasks that found no room. */
+void tmx_cloud_scale_out(struct tmx_cloud *cloud, double now);
+/** Requests `count` machines of a type, in requests of at most TMX_SCALE_OUT_MAX. */
+void tmx_cloud_rent(struct tmx_cloud *cloud, const struct tmx_machine_type *type, int zone,
+                    bool spot, uint32_t count);
+
+/** Replaces failed machines and returns those that are not needed. */
+void tmx_cloud_reclaim(struct tmx_cloud *cloud, double now);
+/** Drains the most expensive machines that the peak of the demand would not have needed; `busy`
+ * forbids it, as work waits or machines are out of reach. */
+void tmx_cloud_drain_to_peak(struct tmx_cloud *cloud, bool busy, double now);
+/** Records in the log that the machine is draining, or no longer: a draining machine gets no new
+ * work, and is returned when it is empty. */
+void tmx_cloud_set_draining(struct tmx_cloud *cloud, const struct tmx_machine *machine,
+                            bool draining);
+
+/** The idle timer of the machine, which starts now if there is none. */
+struct tmx_idle_machine *tmx_cloud_idle_timer(struct tmx_cloud *cloud, const char *id, double now);
+/** Drops the idle timers of machines that the replica no longer holds. */
+void tmx_cloud_drop_idle_timers(struct tmx_cloud *cloud);
+/** Frees all idle timers. */
+void tmx_cloud_free_idle_timers(struct tmx_cloud *cloud);
+
+/** Logs what is rented and what of it is used, every TMX_USAGE_LOG_S. */
 void tmx_cloud_log_usage(struct tmx_cloud *cloud, double now);
 #endif
--- /dev/null
+++ b/src/cloud/deletion_request.h
@@ -0,0 +1,24 @@
+/**
+ * @file
+ * A request to the cloud to delete machines, at most TMX_SCALE_IN_MAX of them. Loop's thread only.
+ */
+#ifndef TMX_DELETION_REQUEST_H
+#define TMX_DELETION_REQUEST_H
+#include "cloud/cloud_internal.h"
+#include "cloud/replacement_policy.h"
+
+struct tmx_deletion_request {
+  struct tmx_cloud *cloud;
+  char ids[TMX_SCALE_IN_MAX][TMX_ID_MAX];
+  size_t count;
+};
+
+struct tmx_deletion_request *tmx_deletion_request_new(struct tmx_cloud *cloud);
+/** Whether it holds as many machines as one request may. */
+bool tmx_deletion_request_is_full(const struct tmx_deletion_request *request);
+/** Adds a machine and logs why. The request must not be full. */
+void tmx_deletion_request_add(struct tmx_deletion_request *request, const char *id,
+                              enum tmx_deletion_reason reason);
+/** Sends the request, if it names any machine and the rate limit allows it, and frees it. */
+void tmx_deletion_request_send(struct tmx_deletion_request *request);
+#endif
--- /dev/null
+++ b/src/cloud/inventory.c
@@ -0,0 +1,121 @@
+#include "cloud/inventory.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "base/clock.h"
+#include "base/log.h"
+#include "base/memory.h"
+#include "net/cbor.h"
+#include "tmx/wire.h"
+
+void tmx_inventory_init(struct tmx_inventory *inventory, const struct tmx_settings *settings,
+                        struct tmx_cloud_api *api) {
+  inventory->settings = settings;
+  inventory->api = api;
+}
+
+void tmx_inventory_clear(struct tmx_inventory *inventory) {
+  struct tmx_instance *instance, *next_instance;
+  HASH_ITER(hh, inventory->instances, instance, next_instance) {
+    HASH_DEL(inventory->instances, instance);
+    free(instance);
+  }
+}
+
+void tmx_inventory_rewind(struct tmx_inventory *inventory) { inventory->cursor[0] = 0; }
+
+struct tmx_instance *tmx_inventory_find(const struct tmx_inventory *inventory, const char *id) {
+  struct tmx_instance *instance;
+  HASH_FIND_STR(inventory->instances, id, instance);
+  return instance;
+}
+
+struct tmx_instance *tmx_inventory_obtain(struct tmx_inventory *inventory, const char *id) {
+  struct tmx_instance *instance = tmx_inventory_find(inventory, id);
+  if (instance) return instance;
+  instance = tmx_allocate(1, sizeof *instance);
+  snprintf(instance->id, sizeof instance->id, "%s", id);
+  HASH_ADD_STR(inventory->instances, id, instance);
+  return instance;
+}
+
+static enum tmx_instance_state state_of_text(const char *text) {
+  if (!strcmp(text, WV_BOOTING)) return TMX_INSTANCE_BOOTING;
+  if (!strcmp(text, WV_FAILED)) return TMX_INSTANCE_FAILED;
+  return TMX_INSTANCE_RUNNING;
+}
+
+static void read_entry(struct tmx_inventory *inventory, const cbor_item_t *entry, double now) {
+  char id[TMX_ID_MAX], state_text[16], zone[TMX_NAME_MAX];
+  if (!tmx_cbor_get_text(entry, W_ID, id, sizeof id)) return;
+  struct tmx_instance *instance = tmx_inventory_obtain(inventory, id);
+  tmx_cbor_get_text(entry, W_TYPE, instance->type, sizeof instance->type);
+  instance->zone = tmx_cbor_get_text(entry, W_ZONE, zone, sizeof zone)
+                       ? tmx_zone_index(inventory->settings, zone)
+                       : -1;
+  tmx_cbor_get_bool(entry, W_SPOT, &instance->spot);
+  tmx_cbor_get_number(entry, W_AGE, &instance->age_s);
+  if (tmx_cbor_get_text(entry, W_STATE, state_text, sizeof state_text)) {
+    enum tmx_instance_state state = state_of_text(state_text);
+    /* A list may be older than the one before it, so a state never goes back. */
+    if (state > instance->state) instance->state = state;
+  }
+  instance->age_as_of = now;
+  if (strcmp(id, inventory->cursor) > 0)
+    snprintf(inventory->cursor, sizeof inventory->cursor, "%s", id);
+}
+
+/* Drops instances that have been unlisted for longer than any list lags: they are gone. */
+static void drop_unlisted(struct tmx_inventory *inventory, double now) {
+  const double keep_s = 2 * inventory->settings->list_lag_s + 3 * TMX_LIST_S;
+  struct tmx_instance *instance, *next_instance;
+  HASH_ITER(hh, inventory->instances, instance, next_instance) {
+    double seen_at =
+        instance->age_as_of > instance->rented_at ? instance->age_as_of : instance->rented_at;
+    if (now - seen_at <= keep_s) continue;
+    HASH_DEL(inventory->instances, instance);
+    free(instance);
+  }
+}
+
+static void on_page(void *arg, int status, const uint8_t *body, size_t length) {
+  struct tmx_inventory *inventory = arg;
+  inventory->read_in_flight = false;
+  cbor_item_t *page = status == 200 ? tmx_cbor_parse(body, length) : NULL;
+  if (!page) {
+    tmx_inventory_rewind(inventory);
+    return;
+  }
+  double now = tmx_clock_steady();
+  char previous_cursor[TMX_ID_MAX];
+  memcpy(previous_cursor, inventory->cursor, sizeof previous_cursor);
+  const cbor_item_t *machines = tmx_cbor_get(page, W_MACHINES);
+  for (size_t i = 0; i < tmx_cbor_list_length(machines); i++)
+    read_entry(inventory, tmx_cbor_list_at(machines, i), now);
+  bool more = false;
+  tmx_cbor_get_bool(page, W_MORE, &more);
+  tmx_cbor_free(page);
+  /* A page without an id behind the cursor would be read again and again. */
+  bool advanced = strcmp(inventory->cursor, previous_cursor) > 0;
+  if (more && advanced) {
+    tmx_inventory_read(inventory);
+    return;
+  }
+  if (more)
+    tmx_log(TMX_LOG_ERROR, "cloud: the list of machines is not in order behind %s",
+            previous_cursor);
+  tmx_inventory_rewind(inventory);
+  drop_unlisted(inventory, now);
+}
+
+void tmx_inventory_read(struct tmx_inventory *inventory) {
+  char path[128];
+  if (inventory->read_in_flight || !tmx_cloud_api_take_token(inventory->api)) return;
+  bool from_cursor = inventory->cursor[0];
+  snprintf(path, sizeof path, WP_MACHINES "?%s%s%spage=500", from_cursor ? "from=" : "",
+           inventory->cursor, from_cursor ? "&" : "");
+  inventory->read_in_flight =
+      tmx_cloud_api_call(inventory->api, "GET", path, NULL, on_page, inventory);
+}
--- /dev/null
+++ b/src/cloud/offer_backoff.h
@@ -0,0 +1,39 @@
+/**
+ * @file
+ * Backoff of offers: an offer is a machine type in one zone, on demand or spot. One that the cloud
+ * refused is not asked for until its backoff is over; each refusal doubles it. No I/O.
+ */
+#ifndef TMX_OFFER_BACKOFF_H
+#define TMX_OFFER_BACKOFF_H
+#include <stdbool.h>
+#include <stddef.h>
+
+#include "tmx/constants.h"
+
+enum { TMX_OFFERS_MAX = TMX_TYPES_MAX * TMX_ZONES_MAX * 2 };
+
+/** The backoff of one offer. */
+struct tmx_offer_backoff {
+  char type[TMX_ID_MAX];
+  int zone;
+  bool spot;
+  double until;  /**< steady clock; 0: never refused */
+  double wait_s; /**< length of the latest backoff; 0: the latest request was granted */
+};
+
+/** All offers that were looked up. A zeroed table is an empty one. */
+struct tmx_offer_backoffs {
+  struct tmx_offer_backoff entries[TMX_OFFERS_MAX];
+  size_t count;
+};
+
+/** Whether the offer must not be asked for at `now`. */
+bool tmx_offer_is_backed_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone,
+                             bool spot, double now);
+/** The cloud refused the offer or granted less than was asked for. */
+void tmx_offer_back_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone, bool spot,
+                        double now);
+/** The cloud granted the offer in full: the next backoff starts from the shortest again. */
+void tmx_offer_reset_backoff(struct tmx_offer_backoffs *backoffs, const char *type, int zone,
+                             bool spot);
+#endif
--- /dev/null
+++ b/src/cloud/rental.c
@@ -0,0 +1,125 @@
+/* Requests for machines, each repeated under its name until the cloud has answered. */
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "base/clock.h"
+#include "base/log.h"
+#include "base/memory.h"
+#include "cloud/cloud_internal.h"
+#include "net/cbor.h"
+#include "tmx/wire.h"
+
+enum { TRIES_MAX = 4, HTTP_OK = 200, HTTP_TOO_MANY_REQUESTS = 429, HTTP_UNAVAILABLE = 503 };
+
+struct rental_request {
+  struct tmx_cloud *cloud;
+  char name[TMX_NAME_MAX + 48]; /* the idempotency key */
+  char type[TMX_ID_MAX];
+  int zone;
+  bool spot;
+  uint32_t count;
+  int tries;
+  double started_at;
+};
+
+static void free_request(struct rental_request *request) {
+  request->cloud->rentals_in_flight--;
+  free(request);
+}
+
+static void add_rented_instance(struct rental_request *request, const char *id, double now) {
+  struct tmx_instance *instance = tmx_inventory_obtain(&request->cloud->inventory, id);
+  if (!instance->type[0]) {
+    snprintf(instance->type, sizeof instance->type, "%s", request->type);
+    instance->zone = request->zone;
+    instance->spot = request->spot;
+  }
+  instance->rented_at = request->started_at;
+  if (!instance->age_as_of) instance->age_as_of = now;
+}
+
+static void take_granted(struct rental_request *request, const cbor_item_t *machines) {
+  struct tmx_cloud *cloud = request->cloud;
+  double now = tmx_clock_steady();
+  uint32_t granted = 0;
+  for (size_t i = 0; i < tmx_cbor_list_length(machines); i++) {
+    char id[TMX_ID_MAX];
+    if (!tmx_cbor_as_text(tmx_cbor_list_at(machines, i), id, sizeof id)) continue;
+    add_rented_instance(request, id, now);
+    granted++;
+  }
+  tmx_log(TMX_LOG_INFO, "cloud: rented %u of %u %s in %s%s", granted, request->count, request->type,
+          cloud->settings->zones[request->zone], request->spot ? ", spot" : "");
+  if (granted < request->count)
+    tmx_offer_back_off(&cloud->offer_backoffs, request->type, request->zone, request->spot,
+                       tmx_clock_steady());
+  else
+    tmx_offer_reset_backoff(&cloud->offer_backoffs, request->type, request->zone, request->spot);
+}
+
+static void take_refusal(struct rental_request *request, int status) {
+  struct tmx_cloud *cloud = request->cloud;
+  tmx_log(TMX_LOG_INFO, "cloud: %s in %s%s refused (%d)", request->type,
+          cloud->settings->zones[request->zone], request->spot ? ", spot" : "", status);
+  if (status == HTTP_UNAVAILABLE || status == HTTP_OK)
+    tmx_offer_back_off(&cloud->offer_backoffs, request->type, request->zone, request->spot,
+                       tmx_clock_steady());
+}
+
+static void send_request(struct rental_request *request);
+
+static void on_response(void *arg, int status, const uint8_t *body, size_t length) {
+  struct rental_request *request = arg;
+  cbor_item_t *map = tmx_cbor_parse(body, length);
+  if (status == HTTP_OK && map) {
+    take_granted(request, tmx_cbor_get(map, W_MACHINES));
+    free_request(request);
+  } else if ((status == 0 || status == HTTP_TOO_MANY_REQUESTS) && ++request->tries < TRIES_MAX &&
+             tmx_store_is_leader(request->cloud->store)) {
+    /* The cloud rents nothing twice under one name, so a request without an answer is repeated. */
+    send_request(request);
+  } else {
+    take_refusal(request, status);
+    free_request(request);
+  }
+  tmx_cbor_free(map);
+}
+
+static void encode_request(struct tmx_buffer *buffer, const struct rental_request *request) {
+  tmx_cbor_put_map(buffer, 5);
+  tmx_cbor_put_text_field(buffer, W_REQUEST, request->name);
+  tmx_cbor_put_text_field(buffer, W_TYPE, request->type);
+  tmx_cbor_put_text_field(buffer, W_ZONE, request->cloud->settings->zones[request->zone]);
+  tmx_cbor_put_bool_field(buffer, W_SPOT, request->spot);
+  tmx_cbor_put_u64_field(buffer, W_COUNT, request->count);
+}
+
+static void send_request(struct rental_request *request) {
+  struct tmx_cloud_api *api = request->cloud->api;
+  struct tmx_buffer body = {0};
+  encode_request(&body, request);
+  bool sent = tmx_cloud_api_take_token(api) &&
+              tmx_cloud_api_call(api, "POST", WP_MACHINES, &body, on_response, request);
+  tmx_buffer_free(&body);
+  if (!sent) free_request(request);
+}
+
+void tmx_cloud_rent(struct tmx_cloud *cloud, const struct tmx_machine_type *type, int zone,
+                    bool spot, uint32_t count) {
+  while (count) {
+    struct rental_request *request = tmx_allocate(1, sizeof *request);
+    request->cloud = cloud;
+    request->zone = zone;
+    request->spot = spot;
+    request->count = count < TMX_SCALE_OUT_MAX ? count : TMX_SCALE_OUT_MAX;
+    request->started_at = tmx_clock_steady();
+    snprintf(request->type, sizeof request->type, "%s", type->name);
+    /* The name holds the incarnation of this process, so that no other process ever uses it. */
+    snprintf(request->name, sizeof request->name, "%s-%llu-%llu", cloud->settings->node_name,
+             (unsigned long long)tmx_store_incarnation(cloud->store),
+             (unsigned long long)++cloud->last_rental_number);
+    count -= request->count;
+    cloud->rentals_in_flight++;
+    send_request(request);
+  }
+}
--- /dev/null
+++ b/src/cloud/replacement_policy.c
@@ -0,0 +1,87 @@
+#include "cloud/replacement_policy.h"
+
+/* s: the least time that any machine may take to boot, on top of TMX_BOOT_LATE times the usual. */
+static const double BOOT_GRACE_S = 10;
+
+/* Of report_s: a heartbeat may come this much later than its period. */
+static const double HEARTBEAT_TOLERANCE = 1.25;
+
+const char *tmx_deletion_reason_text(enum tmx_deletion_reason reason) {
+  switch (reason) {
+    case TMX_DELETE_NOT:
+      return "";
+    case TMX_DELETE_FAILED:
+      return "failed";
+    case TMX_DELETE_SILENT:
+      return "silent";
+    case TMX_DELETE_UNACKNOWLEDGED:
+      return "not both heard and reached";
+    case TMX_DELETE_DRAINED:
+      return "drained";
+    case TMX_DELETE_FAULTY:
+      return "faulty";
+    case TMX_DELETE_BOOT_TIMEOUT:
+      return "boots too long";
+    case TMX_DELETE_NEVER_HEARD:
+      return "never heard";
+  }
+  return "";
+}
+
+struct tmx_machine_deadlines tmx_machine_deadlines(const struct tmx_settings *settings) {
+  double silence_s = settings->operators.silent_s;
+  return (struct tmx_machine_deadlines){
+      .silence_s = silence_s > 0 ? silence_s : TMX_MACHINE_SILENCE_S,
+      .leases_expired_s = settings->cancel_s + settings->lease_s,
+      .heartbeat_late_s = settings->report_s * HEARTBEAT_TOLERANCE + TMX_REPORT_LATE_S,
+      .unacknowledged_s = settings->lease_s * TMX_UNACKNOWLEDGED_LEASES};
+}
+
+/* A machine of which several probes in a row were lost is dead, unless its zone is cut off. Then
+ * it may come back with its work, and what it holds could hardly run elsewhere: it is kept until
+ * its leases have expired, and twice as long where replicas would only wait for room. */
+static bool is_dead(const struct tmx_machine_evidence *evidence,
+                    const struct tmx_machine_deadlines *deadlines) {
+  double silence_s = evidence->suspicion.silence_s;
+  if (!evidence->leader_settled || !evidence->suspected) return false;
+  if (evidence->suspicion.probes_lost < TMX_PROBES_LOST) return false;
+  if (silence_s <= deadlines->silence_s) return false;
+  return !evidence->silence_excused ||
+         silence_s > deadlines->leases_expired_s * (evidence->has_services ? 2 : 1);
+}
+
+/* Its heartbeats arrive, but it takes no command, so no work can start or be cancelled on it. */
+static bool is_unreachable(const struct tmx_machine_evidence *evidence,
+                           const struct tmx_machine_deadlines *deadlines) {
+  return evidence->leader_settled && evidence->suspected && !evidence->silence_excused &&
+         evidence->suspicion.silence_s < deadlines->heartbeat_late_s &&
+         evidence->suspicion.unacknowledged_s > deadlines->unacknowledged_s;
+}
+
+enum tmx_deletion_reason tmx_machine_deletion_reason(
+    const struct tmx_machine_evidence *evidence, const struct tmx_machine_deadlines *deadlines) {
+  if (evidence->listed_as_failed) return TMX_DELETE_FAILED;
+  if (is_dead(evidence, deadlines)) return TMX_DELETE_SILENT;
+  if (is_unreachable(evidence, deadlines)) return TMX_DELETE_UNACKNOWLEDGED;
+  if (evidence->draining && !evidence->has_tasks) return TMX_DELETE_DRAINED;
+  if (evidence->faulty && !evidence->has_tasks) return TMX_DELETE_FAULTY;
+  return TMX_DELETE_NOT;
+}
+
+enum tmx_deletion_reason tmx_instance_deletion_reason(
+    const struct tmx_instance_evidence *evidence) {
+  switch (evidence->state) {
+    case TMX_INSTANCE_FAILED:
+      return TMX_DELETE_FAILED;
+    case TMX_INSTANCE_BOOTING:
+      return evidence->type_known &&
+                     evidence->age_s > evidence->boot_s * TMX_BOOT_LATE + BOOT_GRACE_S
+                 ? TMX_DELETE_BOOT_TIMEOUT
+                 : TMX_DELETE_NOT;
+    case TMX_INSTANCE_RUNNING:
+      return evidence->leader_settled && evidence->unheard_s > evidence->unheard_max_s
+                 ? TMX_DELETE_NEVER_HEARD
+                 : TMX_DELETE_NOT;
+  }
+  return TMX_DELETE_NOT;
+}
--- /dev/null
+++ b/src/cloud/scale_out.c
@@ -0,0 +1,119 @@
+/* Scale-out: plans what to rent for the tasks that found no room. */
+#include <stdlib.h>
+
+#include "base/memory.h"
+#include "cloud/cloud_internal.h"
+#include "cloud/scale_out_demand.h"
+#include "planner/scale_out_plan.h"
+
+enum { SCALE_OUTS_MAX = 32 };
+
+struct offer_list {
+  struct tmx_offer offers[TMX_OFFERS_MAX];
+  size_t count;
+};
+
+/* Room that is there or on its way, and the CPUs of all machines that count. */
+struct capacity {
+  struct tmx_coming *rooms;
+  size_t count;
+  double cpus;
+};
+
+static void add_machines(const struct tmx_cloud *cloud, struct capacity *capacity) {
+  struct tmx_machine *machine, *next_machine;
+  HASH_ITER(hh, cloud->replica->machines, machine, next_machine) {
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
+    if (!type || !machine->registered || machine->draining) continue;
+    capacity->cpus += type->cpus;
+    if (machine->usable && type->cpus > machine->booked_cpus &&
+        type->mem_gb > machine->booked_mem_gb)
+      capacity->rooms[capacity->count++] =
+          (struct tmx_coming){.type = type,
+                              .zone = machine->zone,
+                              .spot = machine->spot,
+                              .cpus = type->cpus - machine->booked_cpus,
+                              .gpus = type->gpus - machine->booked_gpus,
+                              .mem = type->mem_gb - machine->booked_mem_gb};
+  }
+}
+
+static void add_instances_on_their_way(const struct tmx_cloud *cloud, struct capacity *capacity) {
+  struct tmx_instance *instance, *next_instance;
+  HASH_ITER(hh, cloud->inventory.instances, instance, next_instance) {
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, instance->type);
+    const struct tmx_machine *machine = tmx_machine_find(cloud->replica, instance->id);
+    if (!type || instance->state == TMX_INSTANCE_FAILED || instance->deleting ||
+        (machine && machine->registered))
+      continue;
+    capacity->cpus += type->cpus;
+    capacity->rooms[capacity->count++] = (struct tmx_coming){.type = type,
+                                                             .zone = instance->zone,
+                                                             .spot = instance->spot,
+                                                             .cpus = type->cpus,
+                                                             .gpus = type->gpus,
+                                                             .mem = type->mem_gb};
+  }
+}
+
+static struct capacity collect_capacity(const struct tmx_cloud *cloud) {
+  size_t most = HASH_COUNT(cloud->replica->machines) + HASH_COUNT(cloud->inventory.instances) + 1;
+  struct capacity capacity = {.rooms = tmx_allocate(most, sizeof *capacity.rooms)};
+  add_machines(cloud, &capacity);
+  add_instances_on_their_way(cloud, &capacity);
+  return capacity;
+}
+
+/* What may be rented now. A machine that is rented in a zone that is cut off would not be heard. */
+static void collect_offers(struct tmx_cloud *cloud, double now, struct offer_list *list) {
+  list->count = 0;
+  for (size_t i = 0; i < cloud->catalog->n_types; i++) {
+    const struct tmx_machine_type *type = &cloud->catalog->types[i];
+    for (size_t z = 0; z < cloud->settings->n_zones; z++) {
+      if (!type->zones[z] || cloud->zone_partitions.partitioned_until[z] > now) continue;
+      for (int spot = 0; spot < 2; spot++) {
+        if (tmx_offer_is_backed_off(&cloud->offer_backoffs, type->name, (int)z, spot, now))
+          continue;
+        list->offers[list->count++] =
+            (struct tmx_offer){type, (int)z, spot, spot ? type->spot_price : type->price};
+      }
+    }
+  }
+}
+
+/* Calls are few, and the large machines bring the most room with each call. The order of equal
+ * ones stays, so that the same plan always leads to the same requests. */
+static void sort_largest_first(struct tmx_scale_out *scale_outs, size_t count,
+                               const struct tmx_offer *offers) {
+  for (size_t i = 1; i < count; i++)
+    for (size_t j = i;
+         j && offers[scale_outs[j].offer].type->cpus > offers[scale_outs[j - 1].offer].type->cpus;
+         j--) {
+      struct tmx_scale_out larger = scale_outs[j];
+      scale_outs[j] = scale_outs[j - 1];
+      scale_outs[j - 1] = larger;
+    }
+}
+
+static void rent_for(struct tmx_cloud *cloud, const struct tmx_demand_list *demand, double now) {
+  struct offer_list list;
+  struct tmx_scale_out scale_outs[SCALE_OUTS_MAX];
+  struct capacity capacity = collect_capacity(cloud);
+  collect_offers(cloud, now, &list);
+  size_t count =
+      tmx_plan_scale_out(demand->demands, demand->count, list.offers, list.count, capacity.rooms,
+                         capacity.count, capacity.cpus, scale_outs, SCALE_OUTS_MAX);
+  sort_largest_first(scale_outs, count, list.offers);
+  for (size_t i = 0; i < count; i++) {
+    const struct tmx_offer *offer = &list.offers[scale_outs[i].offer];
+    tmx_cloud_rent(cloud, offer->type, offer->zone, offer->spot, scale_outs[i].count);
+  }
+  free(capacity.rooms);
+}
+
+void tmx_cloud_scale_out(struct tmx_cloud *cloud, double now) {
+  struct tmx_demand_list demand = {0};
+  tmx_demand_list_collect(&demand, cloud->settings, cloud->replica, now);
+  if (demand.count) rent_for(cloud, &demand, now);
+  free(demand.demands);
+}
--- /dev/null
+++ b/src/cloud/scale_out_demand.c
@@ -0,0 +1,111 @@
+#include "cloud/scale_out_demand.h"
+
+#include <string.h>
+
+#include "base/memory.h"
+
+/* s: a job younger than this may still find room in the next scheduling round. */
+static const double JOB_SETTLE_S = 0.5;
+
+static const double UNLIMITED_CPUS = 1e9;
+
+static bool specs_are_alike(const struct tmx_job_spec *left, const struct tmx_job_spec *right) {
+  return left->service == right->service && left->cpus == right->cpus &&
+         left->gpus == right->gpus && left->mem_gb == right->mem_gb &&
+         left->spot_allowed == right->spot_allowed && left->n_types == right->n_types &&
+         left->spread == right->spread &&
+         !memcmp(left->types, right->types, left->n_types * sizeof left->types[0]);
+}
+
+/* Jobs of one shape and of similar run time count as one demand: what is rented for them is the
+ * same. `zone` -1: any. */
+static void add_demand(struct tmx_demand_list *list, const struct tmx_job_spec *spec, int zone,
+                       uint32_t tasks, double run_s) {
+  if (!tasks) return;
+  for (size_t i = 0; i < list->count; i++) {
+    struct tmx_demand *demand = &list->demands[i];
+    if (demand->zone != zone || !specs_are_alike(demand->spec, spec)) continue;
+    if (demand->run_s <= 2 * run_s && run_s <= 2 * demand->run_s) {
+      demand->tasks += tasks;
+      return;
+    }
+  }
+  list->demands = tmx_grow(list->demands, &list->capacity, list->count + 1, sizeof *list->demands);
+  list->demands[list->count++] = (struct tmx_demand){spec, tasks, zone, run_s};
+}
+
+static int zone_of_spec(const struct tmx_settings *settings, const struct tmx_job_spec *spec) {
+  return spec->zone[0] ? tmx_zone_index(settings, spec->zone) : -1;
+}
+
+/* The zone of a service that must be in a single one: where its replicas are already. */
+static int single_zone(const struct tmx_settings *settings, const struct tmx_job *job) {
+  int zone = zone_of_spec(settings, &job->spec);
+  for (size_t z = 0; zone < 0 && job->spec.same_zone && z < settings->n_zones; z++)
+    if (job->placed_in_zone[z]) zone = (int)z;
+  return zone;
+}
+
+/* The zone below the cap that holds the fewest replicas; n_zones: none is below it. */
+static size_t emptiest_zone(const struct tmx_settings *settings, const struct tmx_job *job,
+                            const uint32_t added[], uint32_t cap) {
+  size_t best = settings->n_zones;
+  for (size_t z = 0; z < settings->n_zones; z++) {
+    uint32_t replicas = job->placed_in_zone[z] + added[z];
+    if (replicas >= cap) continue;
+    if (best == settings->n_zones || replicas < job->placed_in_zone[best] + added[best]) best = z;
+  }
+  return best;
+}
+
+/* A service's waiting replicas by the zones that its cap leaves open, the emptiest first. */
+static void add_service_demand(const struct tmx_settings *settings, struct tmx_demand_list *list,
+                               const struct tmx_job *job, uint32_t tasks) {
+  const struct tmx_job_spec *spec = &job->spec;
+  if (spec->zone[0] || spec->same_zone || settings->n_zones < 2) {
+    add_demand(list, spec, single_zone(settings, job), tasks, 0);
+    return;
+  }
+  uint32_t cap = tmx_zone_cap(spec, settings->n_zones), added[TMX_ZONES_MAX] = {0};
+  for (; tasks; tasks--) {
+    size_t zone = emptiest_zone(settings, job, added, cap);
+    if (zone == settings->n_zones) break;
+    added[zone]++;
+  }
+  for (size_t z = 0; z < settings->n_zones; z++) add_demand(list, spec, (int)z, added[z], 0);
+}
+
+/* Tasks of the job that wait and that the CPUs left to its team allow. */
+static uint32_t waiting_tasks(const struct tmx_job *job, double team_cpus, double now) {
+  if (job->outcome || job->team < 0 || tmx_job_is_blocked(job)) return 0;
+  uint32_t tasks = job->spec.tasks - job->n_done - job->n_placed;
+  if (!tasks || now - job->loaded_at < JOB_SETTLE_S) return 0;
+  if (job->spec.cpus > 0 && team_cpus < tasks * job->spec.cpus)
+    return team_cpus > 0 ? (uint32_t)(team_cpus / job->spec.cpus) : 0;
+  return tasks;
+}
+
+static void team_cpus_left(const struct tmx_settings *settings, const struct tmx_replica *replica,
+                           double left[]) {
+  for (size_t i = 0; i < settings->n_teams; i++) {
+    double limit = settings->teams[i].cpus_max;
+    left[i] = limit > 0 ? limit - replica->team_usage[i].cpus : UNLIMITED_CPUS;
+  }
+}
+
+void tmx_demand_list_collect(struct tmx_demand_list *list, const struct tmx_settings *settings,
+                             const struct tmx_replica *replica, double now) {
+  double cpus_left[TMX_TEAMS_MAX];
+  team_cpus_left(settings, replica, cpus_left);
+  struct tmx_job *job, *next_job;
+  HASH_ITER(hh, replica->jobs, job, next_job) {
+    uint32_t tasks = waiting_tasks(job, job->team < 0 ? 0 : cpus_left[job->team], now);
+    if (!tasks) continue;
+    cpus_left[job->team] -= tasks * job->spec.cpus;
+    if (job->spec.service)
+      add_service_demand(settings, list, job, tasks);
+    else
+      add_demand(list, &job->spec, zone_of_spec(settings, &job->spec), tasks,
+                 tmx_run_estimate_expected(replica, &job->spec));
+  }
+}
--- /dev/null
+++ b/src/cloud/usage_log.c
@@ -0,0 +1,28 @@
+/* A line for operators: what is rented and what of it is used. */
+#include "base/log.h"
+#include "cloud/cloud_internal.h"
+
+void tmx_cloud_log_usage(struct tmx_cloud *cloud, double now) {
+  if (!tmx_log_enabled(TMX_LOG_INFO) || now - cloud->usage_logged_at < TMX_USAGE_LOG_S) return;
+  cloud->usage_logged_at = now;
+  double cpus[2] = {0, 0}, booked[2] = {0, 0}; /* on demand, spot */
+  double draining = 0, services = 0;
+  size_t machines = 0, unusable = 0;
+  struct tmx_machine *machine, *next_machine;
+  HASH_ITER(hh, cloud->replica->machines, machine, next_machine) {
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
+    if (!machine->registered || !type) continue;
+    machines++;
+    unusable += !machine->usable;
+    cpus[machine->spot] += type->cpus;
+    booked[machine->spot] += machine->booked_cpus;
+    if (machine->draining) draining += type->cpus;
+    services += machine->service_cpus;
+  }
+  tmx_log(
+      TMX_LOG_INFO,
+      "use: %zu machines (%zu not usable), CPUs booked %.0f of %.0f, spot %.0f of %.0f, services "
+      "%.0f, being returned %.0f, waiting %.0f",
+      machines, unusable, booked[0], cpus[0], booked[1], cpus[1], services, draining,
+      cloud->replica->waiting_cpus);
+}
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -107,7 +107,7 @@
   tmx_buffer_free(&body);
 }
 
-static size_t listed(void) { return HASH_COUNT(a->cloud->instances); }
+static size_t listed(void) { return HASH_COUNT(a->cloud->inventory.instances); }
 
 /* A listing of many pages is read to its end, also when it grows between them. */
 static void listing_of_many_pages(void **st) {
