--- /dev/null
+++ b/src/peer/outgoing_connection.c
@@ -0,0 +1,101 @@
+#include "peer/outgoing_connection.h"
+
+#include <errno.h>
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include "base/clock.h"
+#include "net/http.h"
+#include "tmx/constants.h"
+
+void tmx_outgoing_connection_init(struct tmx_outgoing_connection *connection, struct ev_loop *loop,
+                                  const char *address) {
+  connection->loop = loop;
+  connection->fd = -1;
+  tmx_parse_address(address, &connection->address);
+}
+
+static void close_connection(struct tmx_outgoing_connection *connection) {
+  if (connection->fd < 0) return;
+  ev_io_stop(connection->loop, &connection->write_watcher);
+  close(connection->fd);
+  connection->fd = -1;
+  connection->unsent.length = connection->sent = 0;
+}
+
+void tmx_outgoing_connection_release(struct tmx_outgoing_connection *connection) {
+  close_connection(connection);
+  tmx_buffer_free(&connection->unsent);
+}
+
+static void note_refusal(struct tmx_outgoing_connection *connection, int error, double now) {
+  if (error != ECONNREFUSED) return;
+  connection->refused_at = now;
+  connection->refusals++;
+}
+
+/* False: the attempt to connect failed, and the connection is closed. */
+static bool finish_connecting(struct tmx_outgoing_connection *connection) {
+  int error = 0;
+  socklen_t length = sizeof error;
+  getsockopt(connection->fd, SOL_SOCKET, SO_ERROR, &error, &length);
+  if (error) {
+    note_refusal(connection, error, tmx_clock_steady());
+    close_connection(connection);
+    return false;
+  }
+  connection->connecting = false;
+  connection->refusals = 0;
+  return true;
+}
+
+static void on_writable(struct ev_loop *loop, ev_io *watcher, int events) {
+  (void)events;
+  struct tmx_outgoing_connection *connection = watcher->data;
+  if (connection->connecting && !finish_connecting(connection)) return;
+  while (connection->sent < connection->unsent.length) {
+    ssize_t count = send(connection->fd, connection->unsent.data + connection->sent,
+                         connection->unsent.length - connection->sent, MSG_NOSIGNAL);
+    if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
+    if (count <= 0) {
+      close_connection(connection);
+      return;
+    }
+    connection->sent += (size_t)count;
+  }
+  connection->unsent.length = connection->sent = 0;
+  ev_io_stop(loop, &connection->write_watcher);
+}
+
+static void open_connection(struct tmx_outgoing_connection *connection, double now) {
+  int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), no_delay = 1;
+  if (fd < 0) return;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &no_delay, sizeof no_delay);
+  connection->blocked_since = now;
+  if (connect(fd, (struct sockaddr *)&connection->address, sizeof connection->address) &&
+      errno != EINPROGRESS) {
+    note_refusal(connection, errno, now);
+    close(fd);
+    return;
+  }
+  connection->fd = fd;
+  connection->connecting = true;
+  ev_io_init(&connection->write_watcher, on_writable, fd, EV_WRITE);
+  connection->write_watcher.data = connection;
+  ev_io_start(connection->loop, &connection->write_watcher);
+}
+
+void tmx_outgoing_connection_maintain(struct tmx_outgoing_connection *connection, double now) {
+  if (!connection->unsent.length && !connection->connecting) connection->blocked_since = now;
+  if (connection->fd >= 0 && now - connection->blocked_since > TMX_HEARTBEAT_LOST_S)
+    close_connection(connection);
+  if (connection->fd < 0) open_connection(connection, now);
+}
+
+void tmx_outgoing_connection_send(struct tmx_outgoing_connection *connection,
+                                  const struct tmx_buffer *bytes) {
+  if (connection->fd < 0 || connection->connecting || connection->unsent.length) return;
+  tmx_buffer_append(&connection->unsent, bytes->data, bytes->length);
+  ev_io_start(connection->loop, &connection->write_watcher);
+}
--- a/tests/test_peer_format.c
+++ b/tests/test_peer_format.c
@@ -158,12 +158,12 @@
 
 static void record_heartbeat(struct recording *r, const struct tmx_heartbeat *b) {
   record_line(r, "%s revision %llu term %llu state_age_ms %u no_workers %d", b->node,
-              (unsigned long long)b->revision, (unsigned long long)b->term, b->state_age_ms,
-              b->no_workers);
-  for (u_int i = 0; i < b->suspects.suspects_len; i++) {
-    const struct tmx_heartbeat_suspicion *s = &b->suspects.suspects_val[i];
+              (unsigned long long)b->revision, (unsigned long long)b->term, b->replica_age_ms,
+              b->reaches_no_workers);
+  for (u_int i = 0; i < b->suspicions.suspicions_len; i++) {
+    const struct tmx_heartbeat_suspicion *s = &b->suspicions.suspicions_val[i];
     record_line(r, "suspect %s silence_ms %u lost %u unreached_ms %u notice %d", s->id,
-                s->silence_ms, s->lost, s->unreached_ms, s->notice);
+                s->silence_ms, s->probes_lost, s->unacknowledged_ms, s->spot_notice);
   }
   for (u_int i = 0; i < b->zones.zones_len; i++) {
     const struct tmx_heartbeat_zone *z = &b->zones.zones_val[i];
@@ -190,9 +190,9 @@
   struct tmx_heartbeat beat = {.node = "hand-1",
                                .revision = 4711,
                                .term = 1ull << 33,
-                               .state_age_ms = 250,
-                               .no_workers = 1,
-                               .suspects = {2, suspects},
+                               .replica_age_ms = 250,
+                               .reaches_no_workers = 1,
+                               .suspicions = {2, suspects},
                                .zones = {2, zones}};
   return record_encoded(r, &beat, bytes, cap);
 }
@@ -238,7 +238,7 @@
   assert_true(peer.in.length >= 4 + length);
   decode_heartbeat(&sent, p + 4, length);
   sent.revision = 0;
-  sent.state_age_ms = 0;
+  sent.replica_age_ms = 0;
   record_line(r, "== as a controller sends it, with a length of %zu bytes before it", length);
   record_encoded(r, &sent, bytes, sizeof bytes);
   xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&sent);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -247,7 +247,7 @@
   assert_int_equal(xdr_getpos(&x), n);
   assert_string_equal(beat.node, "hand-1");
   assert_int_equal(beat.revision, 4711);
-  assert_int_equal(beat.suspects.suspects_len, 2);
+  assert_int_equal(beat.suspicions.suspicions_len, 2);
   assert_string_equal(beat.zones.zones_val[0].name, "a");
   xdrmem_create(&x, again, sizeof again, XDR_ENCODE);
   assert_true(xdr_tmx_heartbeat(&x, &beat));
