--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,4 +1,8 @@
-/* How the other controllers look from one of them, and what to make of it: pure. */
+/**
+ * @file
+ * The failure detector: what a controller concludes about other controllers, and about the network
+ * between zones, from what it has heard. Pure functions of their arguments.
+ */
 #ifndef TMX_FAILURE_DETECTOR_H
 #define TMX_FAILURE_DETECTOR_H
 #include <stdbool.h>
@@ -7,44 +11,56 @@
 
 #include "tmx/constants.h"
 
-struct tmx_peer_census { /* registered controllers other than this one */
-  size_t others, heard;
-  size_t same_zone, same_zone_heard, other_zones,
-      other_zones_heard; /* of this one's zone, and of other zones */
+/** Counts of the registered controllers other than this one; "heard" are those whose heartbeats
+ * arrive. */
+struct tmx_peer_census {
+  size_t others;
+  size_t heard;
+  size_t same_zone; /**< in this controller's zone */
+  size_t same_zone_heard;
+  size_t other_zones; /**< in any other zone */
+  size_t other_zones_heard;
 };
-struct tmx_peer_evidence {  /* of one of them */
-  bool refuses_connections; /* its process refuses connections */
-  bool reports_no_workers;  /* it says that it reaches hardly any of its workers */
-  double silence_s;         /* s since its last heartbeat */
-  double last_batch_age_s;  /* s since its last batch in the log */
-  double observed_for_s;    /* s that this one has been in a position to hear it */
+
+/** What this controller knows of one other controller. */
+struct tmx_peer_evidence {
+  bool refuses_connections; /**< its host answers, and nothing listens on its port */
+  bool reports_no_workers;  /**< it reports that it reaches hardly any of its workers */
+  double silence_s;         /**< s since its last heartbeat */
+  double last_batch_age_s;  /**< s since its last batch in the log */
+  double observed_for_s;    /**< s that this controller has been in a position to hear it */
 };
-/* All of another zone is silent and this one is whole: the zones cannot reach each other, and each
- * must drive its own machines. */
+
+/** Whether the zones seem to be partitioned from each other: no controller of another zone is
+ * heard, and every one of this zone is. Each zone must then drive its own machines. */
 bool tmx_zones_are_partitioned(const struct tmx_peer_census *census);
-/* Should others do its work. Being wrong is safe, as terms order the tokens, but leaving out
- * healthy ones puts their work on the rest: a refused connection alone is no proof of death, and
- * silence may be this controller's own trouble. */
+
+/** Whether the controller is suspected of having failed, so that others should do its work. A false
+ * suspicion is safe, as terms order the fencing tokens, but it puts the work of a healthy
+ * controller on the others. */
 bool tmx_peer_is_suspected(const struct tmx_peer_census *census,
                            const struct tmx_peer_evidence *evidence);
 
-struct tmx_zone_liveness { /* of one zone's machines, as their owners tell */
+/** Liveness of the machines of one zone, as their owners report it. */
+struct tmx_zone_liveness {
   unsigned machines;
-  unsigned lost;  /* several probes in a row were lost */
-  unsigned alive; /* live, as far as signs of life within TMX_ALIVE_S tell */
+  unsigned lost;  /**< several probes in a row were lost */
+  unsigned alive; /**< estimate, from signs of life within TMX_ALIVE_S */
 };
-/* Does the zone seem cut off, rather than its machines dead. Those that nobody asked of late say
- * nothing: when a zone falls silent its machines are asked one after the other, and the first ones
- * are lost while most have not been asked. So the lost are weighed against those that live. */
+
+/** Whether the zone seems to be partitioned from the owners of its machines, rather than its
+ * machines dead. */
 bool tmx_zone_is_partitioned(const struct tmx_zone_liveness *zone);
 
-/* What a machine's owner says when something is wrong with the machine. */
+/** What the owner of a machine reports when something is wrong with the machine. */
 struct tmx_suspicion {
-  char id[TMX_ID_MAX];
-  double silence_s;        /* since its last sign of life */
-  int probes_lost;         /* in a row */
-  double unacknowledged_s; /* nothing has shown that it hears its owner; 0: it does */
-  bool spot_notice;        /* the cloud is about to take it back */
+  char id[TMX_ID_MAX];     /**< of the machine */
+  double silence_s;        /**< s since its last sign of life */
+  int probes_lost;         /**< in a row */
+  double unacknowledged_s; /**< s that nothing has shown that it hears its owner; 0: it does */
+  bool spot_notice;        /**< the cloud is about to take it back */
 };
+
+/** Receives one suspicion, which is valid during the call only. */
 typedef void (*tmx_suspicion_cb)(void *arg, const struct tmx_suspicion *suspicion);
 #endif
