--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -55,13 +55,12 @@
 
 /** Replaces failed machines and returns those that are not needed. */
 void tmx_cloud_reclaim(struct tmx_cloud *cloud, double now);
-/** Drains the most expensive machines that the peak of the demand would not have needed; `busy`
- * forbids it, as work waits or machines are out of reach. */
-void tmx_cloud_drain_to_peak(struct tmx_cloud *cloud, bool busy, double now);
-/** Records in the log that the machine is draining, or no longer: a draining machine gets no new
- * work, and is returned when it is empty. */
-void tmx_cloud_set_draining(struct tmx_cloud *cloud, const struct tmx_machine *machine,
-                            bool draining);
+
+/** Whether tasks of several jobs failed on the machine in a row. */
+static inline bool tmx_cloud_machine_is_faulty(const struct tmx_machine *machine) {
+  return machine->consecutive_errors >= TMX_FAULTY_MACHINE_ERRORS &&
+         machine->errors_of_several_jobs;
+}
 
 /** The idle timer of the machine, which starts now if there is none. */
 struct tmx_idle_machine *tmx_cloud_idle_timer(struct tmx_cloud *cloud, const char *id, double now);
--- a/src/cloud/reclaim.c
+++ b/src/cloud/reclaim.c
@@ -3,7 +3,8 @@
 #include <math.h>
 
 #include "cloud/deletion_request.h"
-#include "cloud/zone_evidence.h"
+#include "cloud/reclaim_evidence.h"
+#include "cloud/scale_in.h"
 
 /* The leader before this one would have deleted what was silent for so long, unless it spared it: a
  * new leader spares it as well, as it cannot know of a partition that has just ended. */
@@ -13,11 +14,6 @@
          silence_s > evidence->leading_s + TMX_INHERITED_SILENCE_S;
 }
 
-static bool is_faulty(const struct tmx_machine *machine) {
-  return machine->consecutive_errors >= TMX_FAULTY_MACHINE_ERRORS &&
-         machine->errors_of_several_jobs;
-}
-
 static struct tmx_machine_evidence evidence_of_machine(const struct tmx_cloud *cloud,
                                                        const struct tmx_reclaim_evidence *evidence,
                                                        const struct tmx_machine *machine) {
@@ -28,7 +24,7 @@
       .has_tasks = machine->tasks,
       .has_services = machine->service_cpus > 0,
       .draining = machine->draining,
-      .faulty = is_faulty(machine)};
+      .faulty = tmx_cloud_machine_is_faulty(machine)};
   /* The word of its owner counts if the owner reaches its other machines. */
   result.suspected = machine->owner >= 0 && evidence->owner_heard[machine->owner] &&
                      tmx_workers_find_suspicion(cloud->workers, machine, &result.suspicion);
@@ -39,24 +35,6 @@
   return result;
 }
 
-/* Drains the machine if it has been idle for long and the room that stays suffices for restarts of
- * services. While work waits or machines are out of reach, no idle time counts. */
-static void drain_if_idle(struct tmx_cloud *cloud, struct tmx_reclaim_evidence *evidence,
-                          const struct tmx_machine *machine) {
-  const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
-  struct tmx_idle_machine *idle = tmx_cloud_idle_timer(cloud, machine->id, evidence->now);
-  if (machine->tasks || evidence->work_waits || evidence->any_zone_partitioned)
-    idle->since = evidence->now;
-  if (!type || machine->draining || machine->tasks) return;
-  if (evidence->now - idle->since <= cloud->settings->operators.idle_return_s) return;
-  if (evidence->free_cpus - type->cpus <=
-      evidence->service_cpus * cloud->settings->operators.headroom)
-    return;
-  evidence->free_cpus -= type->cpus;
-  tmx_cloud_set_draining(cloud, machine, true);
-  idle->since = evidence->now;
-}
-
 static void reclaim_machines(struct tmx_cloud *cloud, struct tmx_reclaim_evidence *evidence,
                              struct tmx_deletion_request *request) {
   const struct tmx_machine_deadlines deadlines = tmx_machine_deadlines(cloud->settings);
@@ -66,7 +44,7 @@
     const struct tmx_machine_evidence known = evidence_of_machine(cloud, evidence, machine);
     enum tmx_deletion_reason reason = tmx_machine_deletion_reason(&known, &deadlines);
     if (reason == TMX_DELETE_NOT)
-      drain_if_idle(cloud, evidence, machine);
+      tmx_cloud_drain_if_idle(cloud, evidence, machine);
     else
       tmx_deletion_request_add(request, machine->id, reason);
   }
--- a/src/cloud/zone_evidence.c
+++ b/src/cloud/reclaim_evidence.c
@@ -1,4 +1,4 @@
-#include "cloud/zone_evidence.h"
+#include "cloud/reclaim_evidence.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/cloud/zone_evidence.h
+++ b/src/cloud/reclaim_evidence.h
@@ -3,8 +3,8 @@
  * What the leader knows when it looks through the machines: which owners of machines it hears,
  * which zones are cut off, and how much room there is. Loop's thread only.
  */
-#ifndef TMX_ZONE_EVIDENCE_H
-#define TMX_ZONE_EVIDENCE_H
+#ifndef TMX_RECLAIM_EVIDENCE_H
+#define TMX_RECLAIM_EVIDENCE_H
 #include "cloud/cloud_internal.h"
 
 /** Gathered anew for each pass through the machines. */
--- /dev/null
+++ b/src/cloud/scale_in.c
@@ -0,0 +1,121 @@
+/* Scale-in: drains machines that have been idle for long, and the most expensive ones that the peak
+ * of the demand would not have needed, a few at a time. The job arrays of a draining machine run to
+ * their end; its replicas move, so room for them must be free in the same zone. */
+#include "cloud/scale_in.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "base/log.h"
+#include "base/memory.h"
+#include "cloud/scale_in_policy.h"
+
+static void set_draining(struct tmx_cloud *cloud, const char *id, bool draining) {
+  char line[TMX_LINE_MAX];
+  snprintf(line, sizeof line, "%c %s %d", TMX_LINE_MACHINE_DRAINING, id, draining);
+  tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", id, draining ? "no longer" : "again");
+  tmx_scheduler_append_line(cloud->scheduler, line);
+}
+
+void tmx_cloud_drain_if_idle(struct tmx_cloud *cloud, struct tmx_reclaim_evidence *evidence,
+                             const struct tmx_machine *machine) {
+  const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
+  struct tmx_idle_machine *idle = tmx_cloud_idle_timer(cloud, machine->id, evidence->now);
+  if (machine->tasks || evidence->work_waits || evidence->any_zone_partitioned)
+    idle->since = evidence->now;
+  const struct tmx_idle_evidence known = {.type_known = type,
+                                          .draining = machine->draining,
+                                          .has_tasks = machine->tasks,
+                                          .idle_s = evidence->now - idle->since,
+                                          .idle_max_s = cloud->settings->operators.idle_return_s,
+                                          .cpus = type ? type->cpus : 0,
+                                          .free_cpus = evidence->free_cpus,
+                                          .service_cpus = evidence->service_cpus,
+                                          .headroom = cloud->settings->operators.headroom};
+  if (tmx_idle_drain_decision(&known) != TMX_DRAIN) return;
+  evidence->free_cpus -= type->cpus;
+  set_draining(cloud, machine->id, true);
+  idle->since = evidence->now;
+}
+
+/* While work waits, a machine with tasks that is about to be returned is nearer than any that must
+ * boot. A faulty one stays draining. */
+static bool is_needed_again(const struct tmx_machine *machine, bool busy) {
+  return busy && machine->tasks && !tmx_cloud_machine_is_faulty(machine);
+}
+
+/* Adds up the fleet, and takes back what is needed again. */
+static struct tmx_fleet survey_fleet(struct tmx_cloud *cloud, bool busy) {
+  struct tmx_fleet fleet = {.machines = 0};
+  struct tmx_machine *machine, *next_machine;
+  HASH_ITER(hh, cloud->replica->machines, machine, next_machine) {
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
+    if (!machine->registered || !type) continue;
+    fleet.machines++;
+    if (machine->draining) {
+      if (is_needed_again(machine, busy))
+        set_draining(cloud, machine->id, false);
+      else if (machine->service_cpus > 0) /* arrays that run to their end hold up nothing else */
+        fleet.draining_cpus += type->cpus;
+      continue;
+    }
+    fleet.cpus += type->cpus;
+    if (machine->zone >= 0 && !machine->spot)
+      fleet.free_cpus_in_zone[machine->zone] += type->cpus - machine->booked_cpus;
+  }
+  return fleet;
+}
+
+static size_t collect_candidates(const struct tmx_cloud *cloud, const struct tmx_fleet *fleet,
+                                 const struct tmx_reserve *reserve,
+                                 struct tmx_drain_candidate *candidates) {
+  size_t count = 0;
+  struct tmx_machine *machine, *next_machine;
+  HASH_ITER(hh, cloud->replica->machines, machine, next_machine) {
+    const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
+    if (!machine->registered || !type || machine->draining || machine->zone < 0) continue;
+    const struct tmx_drain_candidate candidate = {.id = machine->id,
+                                                  .type = type,
+                                                  .zone = machine->zone,
+                                                  .spot = machine->spot,
+                                                  .booked_cpus = machine->booked_cpus,
+                                                  .service_cpus = machine->service_cpus};
+    if (tmx_replicas_can_move(fleet, reserve, &candidate, cloud->settings->n_zones))
+      candidates[count++] = candidate;
+  }
+  qsort(candidates, count, sizeof *candidates, tmx_drain_candidate_compare);
+  return count;
+}
+
+/* Drains the first of the candidates, up to a share of the fleet at a time. */
+static void drain_first(struct tmx_cloud *cloud, struct tmx_fleet *fleet,
+                        const struct tmx_reserve *reserve,
+                        const struct tmx_drain_candidate *candidates, size_t count) {
+  const double step_cpus = TMX_DRAIN_SHARE * fleet->cpus;
+  double drained_cpus = 0;
+  for (size_t i = 0; i < count && drained_cpus < step_cpus; i++) {
+    if (tmx_peak_drain_decision(fleet, reserve, &candidates[i]) != TMX_DRAIN) continue;
+    tmx_fleet_drain(fleet, &candidates[i]);
+    drained_cpus += candidates[i].type->cpus;
+    set_draining(cloud, candidates[i].id, true);
+  }
+}
+
+/* A controller that has just started, or just become leader, does not know the peak yet. */
+static bool knows_peak(const struct tmx_cloud *cloud, double now) {
+  return now - cloud->leading_since >= TMX_LEADER_SETTLE_S &&
+         now - cloud->demand.since >= TMX_PEAK_DEMAND_S;
+}
+
+void tmx_cloud_drain_to_peak(struct tmx_cloud *cloud, bool busy, double now) {
+  if (now - cloud->drain_chosen_at < TMX_DRAIN_SPACING_S) return;
+  cloud->drain_chosen_at = now;
+  struct tmx_fleet fleet = survey_fleet(cloud, busy);
+  if (busy || !knows_peak(cloud, now)) return;
+  const struct tmx_reserve reserve =
+      tmx_reserve_for(tmx_demand_history_peak(&cloud->demand), fleet.machines);
+  struct tmx_drain_candidate *candidates = tmx_allocate(fleet.machines + 1, sizeof *candidates);
+  size_t count = collect_candidates(cloud, &fleet, &reserve, candidates);
+  drain_first(cloud, &fleet, &reserve, candidates, count);
+  free(candidates);
+}
