--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -22,9 +22,11 @@
 }
 
 void tmx_cloud_free(struct tmx_cloud *cloud) {
+  tmx_cloud_api_free(cloud->api);
+  tmx_cloud_free_rentals(cloud);
+  free(cloud->deletion_in_flight);
   tmx_inventory_clear(&cloud->inventory);
   tmx_cloud_free_idle_timers(cloud);
-  tmx_cloud_api_free(cloud->api);
   free(cloud);
 }
 
--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -23,6 +23,9 @@
   double spared_until[TMX_ZONES_MAX];      /**< none of its machines is replaced for silence */
 };
 
+struct tmx_rental_request;
+struct tmx_deletion_request;
+
 struct tmx_cloud {
   const struct tmx_settings *settings;
   struct tmx_replica *replica;
@@ -39,8 +42,9 @@
   struct tmx_zone_partitions zone_partitions;
   double leading_since; /**< steady clock */
   double catalog_read_at, list_read_at, scale_out_at, reclaim_at, drain_chosen_at, usage_logged_at;
-  bool catalog_read_in_flight, delete_in_flight;
-  int rentals_in_flight;
+  bool catalog_read_in_flight;
+  struct tmx_rental_request *rentals_in_flight;    /**< a list */
+  struct tmx_deletion_request *deletion_in_flight; /**< at most one */
   uint64_t last_rental_number;
 };
 
@@ -52,6 +56,8 @@
 /** Requests `count` machines of a type, in requests of at most TMX_SCALE_OUT_MAX. */
 void tmx_cloud_rent(struct tmx_cloud *cloud, const struct tmx_machine_type *type, int zone,
                     bool spot, uint32_t count);
+/** Frees the requests in flight, once their callbacks can no longer be called. */
+void tmx_cloud_free_rentals(struct tmx_cloud *cloud);
 
 /** Replaces failed machines and returns those that are not needed. */
 void tmx_cloud_reclaim(struct tmx_cloud *cloud, double now);
--- a/src/cloud/deletion_request.c
+++ b/src/cloud/deletion_request.c
@@ -53,7 +53,7 @@
   struct tmx_deletion_request *request = arg;
   (void)body;
   (void)length;
-  request->cloud->delete_in_flight = false;
+  request->cloud->deletion_in_flight = NULL;
   if (status == 200)
     take_deleted(request);
   else
@@ -75,8 +75,10 @@
 }
 
 void tmx_deletion_request_send(struct tmx_deletion_request *request) {
-  request->cloud->delete_in_flight = send_request(request);
-  if (request->cloud->delete_in_flight) return;
-  take_refused(request);
-  free(request);
+  if (send_request(request)) {
+    request->cloud->deletion_in_flight = request;
+  } else {
+    take_refused(request);
+    free(request);
+  }
 }
--- a/src/cloud/deletion_request.h
+++ b/src/cloud/deletion_request.h
@@ -19,6 +19,7 @@
 /** Adds a machine and logs why. The request must not be full. */
 void tmx_deletion_request_add(struct tmx_deletion_request *request, const char *id,
                               enum tmx_deletion_reason reason);
-/** Sends the request, if it names any machine and the rate limit allows it, and frees it. */
+/** Sends the request, if it names any machine and the rate limit allows it. It is
+ * freed when it is answered, refused or cannot be sent. */
 void tmx_deletion_request_send(struct tmx_deletion_request *request);
 #endif
--- a/src/cloud/reclaim.c
+++ b/src/cloud/reclaim.c
@@ -94,7 +94,7 @@
 }
 
 void tmx_cloud_reclaim(struct tmx_cloud *cloud, double now) {
-  if (cloud->delete_in_flight) return;
+  if (cloud->deletion_in_flight) return;
   struct tmx_reclaim_evidence evidence;
   struct tmx_deletion_request *request = tmx_deletion_request_new(cloud);
   tmx_reclaim_evidence_gather(&evidence, cloud, now);
--- a/src/cloud/rental.c
+++ b/src/cloud/rental.c
@@ -1,6 +1,7 @@
 /* Requests for machines, each repeated under its name until the cloud has answered. */
 #include <stdio.h>
 #include <stdlib.h>
+#include <utlist.h>
 
 #include "base/clock.h"
 #include "base/log.h"
@@ -11,7 +12,7 @@
 
 enum { TRIES_MAX = 4, HTTP_OK = 200, HTTP_TOO_MANY_REQUESTS = 429, HTTP_UNAVAILABLE = 503 };
 
-struct rental_request {
+struct tmx_rental_request {
   struct tmx_cloud *cloud;
   char name[TMX_NAME_MAX + 48]; /* the idempotency key */
   char type[TMX_ID_MAX];
@@ -20,14 +21,15 @@
   uint32_t count;
   int tries;
   double started_at;
+  struct tmx_rental_request *prev, *next;
 };
 
-static void free_request(struct rental_request *request) {
-  request->cloud->rentals_in_flight--;
+static void free_request(struct tmx_rental_request *request) {
+  DL_DELETE(request->cloud->rentals_in_flight, request);
   free(request);
 }
 
-static void add_rented_instance(struct rental_request *request, const char *id, double now) {
+static void add_rented_instance(struct tmx_rental_request *request, const char *id, double now) {
   struct tmx_instance *instance = tmx_inventory_obtain(&request->cloud->inventory, id);
   if (!instance->type[0]) {
     snprintf(instance->type, sizeof instance->type, "%s", request->type);
@@ -38,7 +40,7 @@
   if (!instance->age_as_of) instance->age_as_of = now;
 }
 
-static void take_granted(struct rental_request *request, const cbor_item_t *machines) {
+static void take_granted(struct tmx_rental_request *request, const cbor_item_t *machines) {
   struct tmx_cloud *cloud = request->cloud;
   double now = tmx_clock_steady();
   uint32_t granted = 0;
@@ -57,7 +59,7 @@
     tmx_offer_reset_backoff(&cloud->offer_backoffs, request->type, request->zone, request->spot);
 }
 
-static void take_refusal(struct rental_request *request, int status) {
+static void take_refusal(struct tmx_rental_request *request, int status) {
   struct tmx_cloud *cloud = request->cloud;
   tmx_log(TMX_LOG_INFO, "cloud: %s in %s%s refused (%d)", request->type,
           cloud->settings->zones[request->zone], request->spot ? ", spot" : "", status);
@@ -66,10 +68,10 @@
                        tmx_clock_steady());
 }
 
-static void send_request(struct rental_request *request);
+static void send_request(struct tmx_rental_request *request);
 
 static void on_response(void *arg, int status, const uint8_t *body, size_t length) {
-  struct rental_request *request = arg;
+  struct tmx_rental_request *request = arg;
   cbor_item_t *map = tmx_cbor_parse(body, length);
   if (status == HTTP_OK && map) {
     take_granted(request, tmx_cbor_get(map, W_MACHINES));
@@ -85,7 +87,7 @@
   tmx_cbor_free(map);
 }
 
-static void encode_request(struct tmx_buffer *buffer, const struct rental_request *request) {
+static void encode_request(struct tmx_buffer *buffer, const struct tmx_rental_request *request) {
   tmx_cbor_put_map(buffer, 5);
   tmx_cbor_put_text_field(buffer, W_REQUEST, request->name);
   tmx_cbor_put_text_field(buffer, W_TYPE, request->type);
@@ -94,7 +96,7 @@
   tmx_cbor_put_u64_field(buffer, W_COUNT, request->count);
 }
 
-static void send_request(struct rental_request *request) {
+static void send_request(struct tmx_rental_request *request) {
   struct tmx_cloud_api *api = request->cloud->api;
   struct tmx_buffer body = {0};
   encode_request(&body, request);
@@ -107,7 +109,7 @@
 void tmx_cloud_rent(struct tmx_cloud *cloud, const struct tmx_machine_type *type, int zone,
                     bool spot, uint32_t count) {
   while (count) {
-    struct rental_request *request = tmx_allocate(1, sizeof *request);
+    struct tmx_rental_request *request = tmx_allocate(1, sizeof *request);
     request->cloud = cloud;
     request->zone = zone;
     request->spot = spot;
@@ -119,7 +121,11 @@
              (unsigned long long)tmx_store_incarnation(cloud->store),
              (unsigned long long)++cloud->last_rental_number);
     count -= request->count;
-    cloud->rentals_in_flight++;
+    DL_APPEND(cloud->rentals_in_flight, request);
     send_request(request);
   }
 }
+
+void tmx_cloud_free_rentals(struct tmx_cloud *cloud) {
+  while (cloud->rentals_in_flight) free_request(cloud->rentals_in_flight);
+}
