--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * The cloud: reads its catalogue and its list of instances, scales out for what waits, scales in
- * what is not needed and replaces what failed. The leader does nearly all of it. Loop's thread
+ * The cloud module: reads the cloud's catalogue and list of instances, scales out for tasks that
+ * wait, scales in what is not needed and replaces what failed. The leader does nearly all of it;
+ * the other controllers only read the catalogue and keep the history of the demand. Loop's thread
  * only.
  */
 #ifndef TMX_CLOUD_H
@@ -30,7 +31,10 @@
   struct tmx_workers *workers;
 };
 
+/** Makes the module; nothing is sent before the first tick. Free it with tmx_cloud_free(). */
 struct tmx_cloud *tmx_cloud_new(const struct tmx_cloud_dependencies *dependencies);
+/** Requests that are still under way end without effect here; the cloud may execute them. */
 void tmx_cloud_free(struct tmx_cloud *cloud);
+/** Does what is due; called every TMX_TICK_S. */
 void tmx_cloud_tick(struct tmx_cloud *cloud);
 #endif
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -40,26 +40,30 @@
   struct tmx_peers_source source;
 };
 
-/** NULL: the settings' peer_listen cannot be listened on. */
+/** Listens for the peers of the settings; the connections to them are opened by the first tick.
+ * NULL: the settings' peer_listen cannot be listened on. */
 struct tmx_peers *tmx_peers_new(const struct tmx_peers_dependencies *dependencies);
+/** Closes all connections. */
 void tmx_peers_free(struct tmx_peers *peers);
-/** Sends heartbeats when they are due. */
+/** Every TMX_HEARTBEAT_PERIOD_S: opens connections that are closed, and sends heartbeats. */
 void tmx_peers_tick(struct tmx_peers *peers);
 
 /** s since the peer's last heartbeat; TMX_PEER_NEVER_HEARD_S: never. */
 double tmx_peers_silence(const struct tmx_peers *peers, const char *node);
-/** Whether its process refuses connections. */
+/** Whether its host refuses connections, several in a row, while no heartbeat of it comes. */
 bool tmx_peers_refuses_connections(const struct tmx_peers *peers, const char *node);
-/** Whether any peer is heard. */
+/** Whether any peer's heartbeats arrive. */
 bool tmx_peers_any_alive(const struct tmx_peers *peers);
-/** Age of the freshest replica among the peers that are heard, s. */
+/** s; age of the freshest replica among the peers, by their latest heartbeats;
+ * TMX_PEER_NEVER_HEARD_S: none was ever heard. */
 double tmx_peers_store_age(const struct tmx_peers *peers);
 /** Whether the store answers peers but not this controller: others should do its work. When the
  * store answers nobody, everybody stays at work as far as freshness allows. */
 bool tmx_peers_lost_store_alone(const struct tmx_peers *peers);
 /** Whether the peer says that it reaches hardly any of its machines. */
 bool tmx_peers_reports_no_workers(const struct tmx_peers *peers, const char *node);
-/** What it says of its machines by zone; NULL: nothing that counts by the view that stands. */
+/** What the peer reports of its machines, by zone of the settings; NULL: nothing, or by a view that
+ * no longer stands. Valid until its next heartbeat. */
 const struct tmx_zone_liveness *tmx_peers_zone_liveness(const struct tmx_peers *peers,
                                                         const char *node);
 #endif
