--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -307,5 +307,5 @@
       cmocka_unit_test(peak_of_the_last_while),
       cmocka_unit_test(backoff_of_offers),
   };
-  return cmocka_run_group_tests(tests, NULL, NULL);
+  return RUN_TESTS(tests);
 }
