--- a/src/store/store.c
+++ b/src/store/store.c
@@ -31,6 +31,7 @@
   tmx_watch_free(store);
   tmx_read_index_free(store);
   tmx_http_client_free(store->request_connections);
+  tmx_transactions_abandon(store);
   tmx_initial_load_reset(&store->load);
   free(store);
 }
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -107,6 +107,7 @@
   struct tmx_lease lease;
   struct tmx_registration registration;
   struct tmx_election election;
+  struct pending_transaction *pending_transactions; /**< sent, without a response */
 };
 
 /* store.c */
@@ -147,6 +148,11 @@
 /** Calls and frees the waiters that the replica has caught up with, or whose time is up. */
 void tmx_read_index_complete(struct tmx_store *store);
 
+/* transaction.c */
+
+/** Forgets the transactions without a response; their callbacks are not called. */
+void tmx_transactions_abandon(struct tmx_store *store);
+
 /* lease.c */
 
 void tmx_lease_init(struct tmx_lease *lease);
--- a/src/store/transaction.c
+++ b/src/store/transaction.c
@@ -1,15 +1,17 @@
 /* Transactions: builds compare-and-swaps, sends them and interprets their responses. */
 #include <stdlib.h>
 #include <string.h>
+#include <utlist.h>
 
 #include "base/log.h"
 #include "base/memory.h"
 #include "store/store_internal.h"
 #include "tmx/wire.h"
 
-/** A transaction that was sent and has no response yet. Owned by its response callback. */
+/** A transaction that was sent and has no response yet. In the store's list until then. */
 struct pending_transaction {
   struct tmx_store *store;
+  struct pending_transaction *prev, *next;
   tmx_transaction_cb callback; /**< may be NULL */
   void *arg;
   uint64_t lease_id; /**< the lease that stood when it was sent */
@@ -76,6 +78,15 @@
     tmx_log(TMX_LOG_ERROR, "state: a transaction was refused: %s", error);
 }
 
+static void remove_pending(struct pending_transaction *pending) {
+  DL_DELETE(pending->store->pending_transactions, pending);
+  free(pending);
+}
+
+void tmx_transactions_abandon(struct tmx_store *store) {
+  while (store->pending_transactions) remove_pending(store->pending_transactions);
+}
+
 static void on_response(void *arg, int status, const uint8_t *body, size_t length) {
   struct pending_transaction *pending = arg;
   cbor_item_t *response = tmx_cbor_parse(body, length);
@@ -92,7 +103,7 @@
     tmx_log(TMX_LOG_INFO, "state: too many puts");
   }
   if (pending->callback) pending->callback(pending->arg, result_of(status, revision), revision);
-  free(pending);
+  remove_pending(pending);
 }
 
 static void encode(struct tmx_buffer *body, const struct tmx_transaction *transaction) {
@@ -115,7 +126,10 @@
   encode(&body, transaction);
   bool sent = tmx_http_client_call(store->request_connections, "POST", WP_TXN, &body,
                                    TMX_STORE_TIMEOUT_S, on_response, pending);
-  if (!sent) free(pending);
+  if (sent)
+    DL_APPEND(store->pending_transactions, pending);
+  else
+    free(pending);
   tmx_buffer_free(&body);
   return sent;
 }
