--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,11 +1,26 @@
-/* Clocks. All times in the program are doubles in seconds. */
+/**
+ * @file
+ * Clocks. All times and durations in the program are doubles in seconds. Every function here may
+ * be called by any thread, except tmx_clock_advance().
+ */
 #ifndef TMX_CLOCK_H
 #define TMX_CLOCK_H
 
-/* Monotonic clock, s since an arbitrary point; may run fast by TMX_CLOCK_DRIFT. */
+/**
+ * Monotonic clock: seconds since an arbitrary point in the past. For durations and timeouts; its
+ * rate may differ from real time by up to TMX_CLOCK_DRIFT.
+ */
 double tmx_clock_steady(void);
-/* Time of day, s since the epoch; off by at most the settings' clock_off_ms. */
+
+/**
+ * Time of day: seconds since the Unix epoch. It differs from the other nodes' clocks by at most the
+ * setting `clock_off_ms` and may jump.
+ */
 double tmx_clock_wall(void);
-/* For tests: the monotonic clock jumps forward by this many seconds. */
+
+/**
+ * For tests: makes the monotonic clock jump forward by this many seconds. Not synchronised: no
+ * other thread may read the clock meanwhile.
+ */
 void tmx_clock_advance(double seconds);
 #endif
--- a/src/base/memory.c
+++ b/src/base/memory.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* items; the first size of a growing array */
+/* Items in an array that grows for the first time. */
 #define CAPACITY_MIN 16
 
 void *tmx_allocate(size_t count, size_t size) {
--- a/src/base/random.c
+++ b/src/base/random.c
@@ -6,7 +6,8 @@
 
 #include "tmx/constants.h"
 
-/* Processes that start in the same second must not draw the same numbers. */
+/* Processes that start in the same second must not draw the same numbers: the nanoseconds and the
+ * process id differ between them. */
 static unsigned long process_seed(void) {
   struct timespec time;
   clock_gettime(CLOCK_REALTIME, &time);
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,10 +1,17 @@
-/* Random numbers for spreading requests over time; seeded once for each process. Loop's thread
- * only. */
+/**
+ * @file
+ * Random numbers to spread requests over time, not for secrets. The generator is seeded once for
+ * each process and is not synchronised: only the event loop's thread may call these functions.
+ */
 #ifndef TMX_RANDOM_H
 #define TMX_RANDOM_H
 
-/* Uniform in 0 to bound - 1. */
+/** A uniformly distributed number from 0 to `bound` - 1; `bound` has to be positive. */
 int tmx_random_below(int bound);
-/* s; a Retry-After for a request that can be decided soon. */
+
+/**
+ * Seconds for the Retry-After header of a request that can be decided soon: TMX_RETRY_AFTER_MIN
+ * and a random part below TMX_RETRY_AFTER_SPAN, so that refused clients do not come back together.
+ */
 int tmx_retry_after(void);
 #endif
