--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -1,4 +1,3 @@
-/* Values and lines of a batch, within the limits of the state service. */
 #include "scheduler/log_batch.h"
 
 #include <stdio.h>
@@ -6,27 +5,48 @@
 
 #include "base/log.h"
 
-/* Keys are written over once a fold has taken their batches into its pages: nothing has to be
- * dropped, which would cost as much as a put. */
-static void next_key(struct tmx_scheduler *scheduler, char *key, size_t cap) {
+void tmx_log_batch_begin(struct tmx_log_batch *batch, struct tmx_scheduler *scheduler,
+                         int max_writes) {
+  memset(batch, 0, sizeof *batch);
+  batch->scheduler = scheduler;
+  batch->value_json_max = tmx_value_room(scheduler->settings);
+  batch->grouped = scheduler->replica->dependencies_in_use;
+  batch->writes_left = max_writes;
+  tmx_transaction_require_version(&batch->transaction, TMX_KEY_HEAD,
+                                  scheduler->replica->head_version);
+}
+
+void tmx_log_batch_free_buffers(struct tmx_log_batch *batch) {
+  tmx_buffer_free(&batch->operations);
+  tmx_buffer_free(&batch->jobs);
+  tmx_buffer_free(&batch->value_buffer);
+}
+
+/* Keys are written again once a compaction has taken their batches into its pages: nothing has to
+ * be deleted, which would cost as much as a put. */
+static void next_key(struct tmx_scheduler *scheduler, char *key, size_t capacity) {
   const struct tmx_replica *replica = scheduler->replica;
-  struct tmx_log_key *k;
+  const struct tmx_log_key *existing;
   if (scheduler->key_compaction_point != replica->compaction_point) {
     scheduler->key_compaction_point = replica->compaction_point;
     scheduler->next_key_number = 0;
   }
   do {
-    snprintf(key, cap, TMX_KEY_BATCH "%s/%06llx", scheduler->settings->node_name,
+    snprintf(key, capacity, TMX_KEY_BATCH "%s/%06llx", scheduler->settings->node_name,
              (unsigned long long)scheduler->next_key_number++);
-    HASH_FIND_STR(replica->batch_keys, key, k);
-  } while (k && k->version > replica->compaction_point);
+    HASH_FIND_STR(replica->batch_keys, key, existing);
+  } while (existing && existing->version > replica->compaction_point);
+}
+
+static void append_line(struct tmx_log_batch *batch, const char *line) {
+  if (tmx_log_enabled(TMX_LOG_DEBUG)) tmx_log(TMX_LOG_DEBUG, "op: %s", line);
+  tmx_cbor_put_text(&batch->operations, line);
+  batch->n_lines++;
 }
 
 static void end_group(struct tmx_log_batch *batch) {
   if (!batch->group_line[0]) return;
-  if (tmx_log_enabled(TMX_LOG_DEBUG)) tmx_log(TMX_LOG_DEBUG, "op: %s", batch->group_line);
-  tmx_cbor_put_text(&batch->operations, batch->group_line);
-  batch->n_lines++;
+  append_line(batch, batch->group_line);
   batch->group_line[0] = 0;
 }
 
@@ -46,57 +66,80 @@
   batch->writes_left--;
 }
 
-/* Room for n more bytes in a value that is not full; false: the batch is full. Limits are counted
- * as JSON: a value that is larger would be refused again and again, and hold up the log. */
-bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t n, int more_puts) {
-  size_t all = batch->transaction_json_length + batch->value_json_length + n +
-               (size_t)batch->transaction.n_conditions * TMX_JSON_FRAME;
-  if (all > TMX_TRANSACTION_BYTES) return false;
-  if (batch->value_json_length + n > batch->value_json_max) tmx_log_batch_end_value(batch);
+/* A value above the limit would be refused again and again, and hold up the log. */
+bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int more_puts) {
+  size_t total = batch->transaction_json_length + batch->value_json_length + length +
+                 (size_t)batch->transaction.n_conditions * TMX_JSON_FRAME;
+  if (total > TMX_TRANSACTION_BYTES) return false;
+  if (batch->value_json_length + length > batch->value_json_max) tmx_log_batch_end_value(batch);
   return batch->writes_left - more_puts >= 1;
 }
 
+void tmx_log_batch_add_job(struct tmx_log_batch *batch, const struct tmx_buffer *record,
+                           size_t json_length) {
+  tmx_buffer_append(&batch->jobs, record->data, record->length);
+  batch->value_json_length += json_length;
+  batch->n_jobs++;
+}
+
+/* Length of the line as JSON, with the comma after it. */
+static size_t line_length(const char *line) { return tmx_json_text_length(line, strlen(line)) + 1; }
+
 bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int more_puts) {
-  size_t len = tmx_json_text_length(line, strlen(line)) + 1;
+  size_t length = line_length(line);
   end_group(batch);
-  if (!tmx_log_batch_fits(batch, len, more_puts)) return false;
-  batch->value_json_length += len;
-  if (tmx_log_enabled(TMX_LOG_DEBUG)) tmx_log(TMX_LOG_DEBUG, "op: %s", line);
-  tmx_cbor_put_text(&batch->operations, line);
-  batch->n_lines++;
+  if (!tmx_log_batch_fits(batch, length, more_puts)) return false;
+  batch->value_json_length += length;
+  append_line(batch, line);
   return true;
 }
 
-/* The operation joins the line before it; false: it begins another. */
+/* Adds the operation to the line that grows; false: it must begin another. */
 static bool join_group(struct tmx_log_batch *batch, const struct tmx_operation *operation,
                        const char *item, int more_puts) {
-  size_t len = tmx_json_text_length(item, strlen(item)), used = strlen(batch->group_line);
+  size_t length = tmx_json_text_length(item, strlen(item)), used = strlen(batch->group_line);
   if (!used || !tmx_operation_same_group(&batch->group_first, operation)) return false;
-  if (used + strlen(item) >= sizeof batch->group_line ||
-      batch->value_json_length + len > batch->value_json_max)
-    return false;
-  if (!tmx_log_batch_fits(batch, len, more_puts)) return false;
+  if (used + strlen(item) >= sizeof batch->group_line) return false;
+  if (batch->value_json_length + length > batch->value_json_max) return false;
+  if (!tmx_log_batch_fits(batch, length, more_puts)) return false;
   strcpy(batch->group_line + used, item);
-  batch->value_json_length += len;
+  batch->value_json_length += length;
   return true;
 }
 
-bool tmx_log_batch_add_operation(struct tmx_log_batch *batch, const struct tmx_operation *operation,
-                                 int more_puts) {
-  char line[TMX_LINE_MAX], item[TMX_LINE_MAX];
-  if (!batch->grouped || !tmx_operation_can_group(operation)) {
-    tmx_operation_print(line, sizeof line, operation);
-    return tmx_log_batch_add_line(batch, line, more_puts);
-  }
-  tmx_operation_group_item_print(item, sizeof item, operation);
-  if (join_group(batch, operation, item, more_puts)) return true;
+static bool begin_group(struct tmx_log_batch *batch, const struct tmx_operation *operation,
+                        const char *item, int more_puts) {
+  char line[TMX_LINE_MAX];
   end_group(batch);
-  int head = tmx_operation_group_head_print(line, sizeof line, operation);
-  snprintf(line + head, sizeof line - (size_t)head, "%s", item);
-  size_t len = tmx_json_text_length(line, strlen(line)) + 1;
-  if (!tmx_log_batch_fits(batch, len, more_puts)) return false;
+  int head_length = tmx_operation_group_head_print(line, sizeof line, operation);
+  snprintf(line + head_length, sizeof line - (size_t)head_length, "%s", item);
+  size_t length = line_length(line);
+  if (!tmx_log_batch_fits(batch, length, more_puts)) return false;
   strcpy(batch->group_line, line);
   batch->group_first = *operation;
-  batch->value_json_length += len;
+  batch->value_json_length += length;
   return true;
 }
+
+bool tmx_log_batch_add_operation(struct tmx_log_batch *batch, const struct tmx_operation *operation,
+                                 int more_puts) {
+  char text[TMX_LINE_MAX];
+  if (!batch->grouped || !tmx_operation_can_group(operation)) {
+    tmx_operation_print(text, sizeof text, operation);
+    return tmx_log_batch_add_line(batch, text, more_puts);
+  }
+  tmx_operation_group_item_print(text, sizeof text, operation);
+  return join_group(batch, operation, text, more_puts) ||
+         begin_group(batch, operation, text, more_puts);
+}
+
+void tmx_log_batch_put_outcome(struct tmx_log_batch *batch, const struct tmx_job *job, int outcome,
+                               double ended_at) {
+  char key[TMX_KEY_MAX + 1];
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", job->id);
+  tmx_transaction_require_version(&batch->transaction, key, job->version);
+  batch->value_buffer.length = 0;
+  tmx_job_encode_final(&batch->value_buffer, job, outcome, ended_at,
+                       tmx_value_room(batch->scheduler->settings));
+  tmx_transaction_put(&batch->transaction, key, &batch->value_buffer, 0);
+}
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -1,27 +1,51 @@
-/* A batch in the making: values of bounded size, and the puts that hold them. */
+/**
+ * @file
+ * A log batch under construction: puts whose values hold job records and lines, within the limits
+ * of the state service for a value and for a transaction. Loop's thread only.
+ */
 #ifndef TMX_LOG_BATCH_H
 #define TMX_LOG_BATCH_H
+#include "replica/operation_check.h"
 #include "scheduler/scheduler_internal.h"
 
 struct tmx_log_batch {
   struct tmx_scheduler *scheduler;
-  struct tmx_transaction transaction;
-  struct tmx_buffer operations, jobs, value_buffer;
-  size_t n_lines, n_jobs;
-  bool grouped;                     /* operations of one job share lines */
-  char group_line[TMX_LINE_MAX];    /* the line that grows; empty: none */
-  struct tmx_operation group_first; /* ... its first operation */
-  size_t value_json_length, value_json_max,
-      transaction_json_length; /* of this value, at most, and of all before it; as JSON */
-  int writes_left;             /* puts that may still be used, head aside */
+  struct tmx_transaction transaction; /**< the values that are complete */
+  /** The value under construction. Lengths are counted as JSON, which is how the limits count. */
+  struct tmx_buffer jobs, operations;
+  size_t n_jobs, n_lines;
+  size_t value_json_length, value_json_max;
+  size_t transaction_json_length; /**< of all values before it */
+  int writes_left;                /**< puts that may still be used, the one of head aside */
+  /** Whether operations of one job share lines. The line that grows, empty if there is none, and
+   * the first of its operations. */
+  bool grouped;
+  char group_line[TMX_LINE_MAX];
+  struct tmx_operation group_first;
+  struct tmx_buffer value_buffer; /**< where values are encoded */
 };
 
-/* Is there room for n more bytes (as JSON), and more_puts besides; false: the batch is full. */
-bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t n, int more_puts);
-/* Appends a line, or an operation that may share a line with those before it; false: no room. */
+/** Begins a batch of at most `max_writes` puts beside the one of head, conditional on the head that
+ * the replica holds. */
+void tmx_log_batch_begin(struct tmx_log_batch *batch, struct tmx_scheduler *scheduler,
+                         int max_writes);
+/** Frees the buffers; the transaction remains. */
+void tmx_log_batch_free_buffers(struct tmx_log_batch *batch);
+/** Whether `length` more bytes (as JSON) have room, and `more_puts` puts besides. Ends the present
+ * value if they need another one. false: the batch is full. */
+bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int more_puts);
+/** Appends a line; false: it has no room. */
 bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int more_puts);
+/** Appends an operation, which may share a line with those before it; false: it has no room. */
 bool tmx_log_batch_add_operation(struct tmx_log_batch *batch, const struct tmx_operation *operation,
                                  int more_puts);
-/* Ends the value at hand. */
+/** Appends an encoded job record, for which there must be room. */
+void tmx_log_batch_add_job(struct tmx_log_batch *batch, const struct tmx_buffer *record,
+                           size_t json_length);
+/** Puts the job's final state under the job's own key, on the condition that its record did not
+ * change. `ended_at`: time of day, s; 0: not stored. */
+void tmx_log_batch_put_outcome(struct tmx_log_batch *batch, const struct tmx_job *job, int outcome,
+                               double ended_at);
+/** Ends the value under construction, if anything is in it. */
 void tmx_log_batch_end_value(struct tmx_log_batch *batch);
 #endif
--- /dev/null
+++ b/src/scheduler/round_batch.c
@@ -0,0 +1,160 @@
+#include "scheduler/round_batch.h"
+
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "base/clock.h"
+#include "base/log.h"
+#include "scheduler/pending_lines.h"
+#include "scheduler/submission_queue.h"
+
+static int compare_by_group(const void *a, const void *b) {
+  const struct tmx_operation *left = a, *right = b;
+  int order = strcmp(left->job, right->job);
+  if (!order) order = (left->attempt > right->attempt) - (left->attempt < right->attempt);
+  if (!order) order = left->reason - right->reason;
+  return order ? order : (left->task > right->task) - (left->task < right->task);
+}
+
+static struct tmx_task *completed_task(const struct tmx_scheduler *scheduler, size_t index) {
+  return tmx_operation_task(scheduler->replica, &scheduler->completions[index]);
+}
+
+static void clear_completion_counts(struct tmx_scheduler *scheduler) {
+  for (size_t i = 0; i < scheduler->n_completions; i++) {
+    struct tmx_task *task = completed_task(scheduler, i);
+    if (task) task->job->n_completions_in_batch = 0;
+  }
+}
+
+/* Jobs whose last completion is among those at hand. Their final states need a put each, and users
+ * and dependent jobs wait for these. */
+static int count_last_completions(struct tmx_scheduler *scheduler) {
+  int n = 0;
+  for (size_t i = 0; i < scheduler->n_completions; i++) {
+    struct tmx_task *task = completed_task(scheduler, i);
+    if (!task || scheduler->completions[i].reason != TMX_END_DONE || task->job->outcome) continue;
+    if (task->job->n_done + ++task->job->n_completions_in_batch == task->job->spec.tasks) n++;
+  }
+  clear_completion_counts(scheduler);
+  return n;
+}
+
+/* How many puts the batch may take, beside the one of head. */
+static int max_writes(struct tmx_scheduler *scheduler) {
+  double budget = tmx_store_write_budget(scheduler->store);
+  int limit = scheduler->settings->txn_ops - 1, writes = limit;
+  if (budget < writes + 1) writes = (int)floor(budget) - 1;
+  if (writes < 1) writes = 1; /* no round begins without the budget for this much */
+  int for_final_states = (int)fmin(limit - writes, count_last_completions(scheduler));
+  if (for_final_states > 0)
+    writes += tmx_store_reserve_unused_writes(scheduler->store, for_final_states);
+  return writes;
+}
+
+/* The last completion and the job's final state are one transaction, so it needs a put more. When
+ * there is none for it the other completions go on without it, and the next round waits for enough
+ * of them: or one such completion would hold the whole log up for good. */
+static void defer_last_completion(struct tmx_scheduler *scheduler, struct tmx_round_batch *batch,
+                                  const char *job_id) {
+  scheduler->needed_writes = TMX_ROUND_WRITES + 1;
+  batch->completion_deferred = true;
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "job: %s is done, and waits for a put", job_id);
+}
+
+/* false: the batch is full. */
+static bool add_completion(struct tmx_scheduler *scheduler, struct tmx_round_batch *batch,
+                           const struct tmx_operation *operation) {
+  const struct tmx_task *task = tmx_operation_task(scheduler->replica, operation);
+  if (!task || task->state != TMX_TASK_PLACED || task->attempt != operation->attempt) return true;
+  struct tmx_job *job = task->job;
+  bool counts = operation->reason == TMX_END_DONE && !job->outcome;
+  bool last = counts && job->n_done + job->n_completions_in_batch + 1 == job->spec.tasks;
+  if (last && (batch->n_finished_jobs == TMX_FINISHED_MAX || batch->log.writes_left < 2)) {
+    defer_last_completion(scheduler, batch, operation->job);
+    return true;
+  }
+  if (!tmx_log_batch_add_operation(&batch->log, operation, last)) return false;
+  tmx_operation_check_apply(&batch->check, operation);
+  if (counts) job->n_completions_in_batch++;
+  if (!last) return true;
+  batch->finished_jobs[batch->n_finished_jobs++] = job;
+  batch->log.writes_left--;
+  return true;
+}
+
+static void add_completions(struct tmx_scheduler *scheduler, struct tmx_round_batch *batch) {
+  if (batch->log.grouped)
+    qsort(scheduler->completions, scheduler->n_completions, sizeof *scheduler->completions,
+          compare_by_group);
+  for (size_t i = 0; i < scheduler->n_completions && !batch->full; i++)
+    batch->full = !add_completion(scheduler, batch, &scheduler->completions[i]);
+  clear_completion_counts(scheduler);
+}
+
+static void add_registrations(struct tmx_scheduler *scheduler, struct tmx_round_batch *batch) {
+  struct tmx_machine_facts facts[TMX_REGISTER_MAX];
+  char line[TMX_LINE_MAX];
+  if (batch->full) return;
+  size_t n =
+      scheduler->source.collect_unregistered(scheduler->source.context, facts, TMX_REGISTER_MAX);
+  for (size_t i = 0; i < n && !batch->full; i++) {
+    snprintf(line, sizeof line, "m %.31s %.63s %.31s %.63s %d 0", facts[i].id, facts[i].addr,
+             facts[i].type, facts[i].zone, facts[i].spot);
+    batch->full = !tmx_log_batch_add_line(&batch->log, line, 0);
+  }
+  if (n == TMX_REGISTER_MAX) batch->full = true;
+}
+
+/* The check rejects what is no longer valid: also placements into the room of a task whose
+ * completion did not fit into the batch. */
+static void add_planned_operations(const struct tmx_scheduler *scheduler,
+                                   struct tmx_round_batch *batch) {
+  for (size_t i = 0; i < scheduler->plan.n_operations && !batch->full; i++) {
+    const struct tmx_operation *operation = &scheduler->plan.operations[i];
+    if (!tmx_operation_check_apply(&batch->check, operation)) continue;
+    batch->full = !tmx_log_batch_add_operation(&batch->log, operation, 0);
+    batch->n_planned += !batch->full;
+  }
+}
+
+static void add_final_states(const struct tmx_scheduler *scheduler, struct tmx_round_batch *batch) {
+  double ended_at = scheduler->replica->dependencies_in_use ? tmx_clock_wall() : 0;
+  for (size_t i = 0; i < batch->n_finished_jobs; i++)
+    tmx_log_batch_put_outcome(&batch->log, batch->finished_jobs[i], TMX_JOB_DONE, ended_at);
+}
+
+/* Jobs that were cancelled through others get a final state of their own while puts are to spare:
+ * until then every replica, and every compaction, keeps what they were derived from. */
+static void add_derived_final_states(struct tmx_scheduler *scheduler,
+                                     struct tmx_log_batch *log_batch) {
+  struct tmx_replica *replica = scheduler->replica;
+  tmx_replica_prune_unstored(replica);
+  if (!tmx_store_is_leader(scheduler->store) ||
+      !tmx_store_has_housekeeping_budget(scheduler->store))
+    return;
+  for (size_t i = 0; i < replica->n_unstored_outcomes && log_batch->writes_left >= 1; i++) {
+    tmx_log_batch_put_outcome(log_batch, replica->unstored_outcomes[i], TMX_JOB_CANCELLED, 0);
+    log_batch->writes_left--;
+  }
+}
+
+/* Production's version does not read lines of several operations: see docs/design.md. */
+void tmx_round_batch_build(struct tmx_round_batch *batch, struct tmx_scheduler *scheduler) {
+  memset(batch, 0, sizeof *batch);
+  tmx_log_batch_begin(&batch->log, scheduler, max_writes(scheduler));
+  scheduler->needed_writes = TMX_ROUND_WRITES;
+  tmx_operation_check_begin(&batch->check, scheduler->replica);
+  tmx_submission_queue_add_to_batch(scheduler, &batch->log);
+  add_completions(scheduler, batch);
+  tmx_pending_lines_add_to_batch(scheduler, &batch->log, &batch->full);
+  add_registrations(scheduler, batch);
+  add_planned_operations(scheduler, batch);
+  tmx_log_batch_end_value(&batch->log);
+  add_final_states(scheduler, batch);
+  add_derived_final_states(scheduler, &batch->log);
+  tmx_log_batch_free_buffers(&batch->log);
+}
--- /dev/null
+++ b/src/scheduler/single_submission.c
@@ -0,0 +1,73 @@
+/* A few submissions are committed at once, each in a transaction of its own; when there are many,
+ * or puts are short, they wait for the next batch, which holds dozens in one put. */
+#include <stdio.h>
+
+#include "base/clock.h"
+#include "scheduler/round_timing.h"
+#include "scheduler/submission_queue.h"
+
+/* After a conflict it is sent again once the replica holds the transaction that won. */
+static void on_single_answered(void *arg, enum tmx_transaction_result result, uint64_t revision) {
+  struct tmx_pending_submission *pending = arg;
+  struct tmx_scheduler *scheduler = pending->scheduler;
+  pending->state = TMX_PENDING_SUBMISSION_QUEUED;
+  tmx_admission_control_release(scheduler->admission, &pending->candidate);
+  if (result == TMX_TRANSACTION_CONFLICT && !pending->answered) {
+    pending->n_single_conflicts++;
+    tmx_scheduler_await_revision(scheduler, revision);
+    return;
+  }
+  tmx_submission_queue_settle_single(scheduler, pending, result);
+}
+
+static bool send_single(struct tmx_scheduler *scheduler, struct tmx_pending_submission *pending) {
+  struct tmx_transaction transaction = {0};
+  char key[TMX_KEY_MAX + 1];
+  snprintf(key, sizeof key, TMX_KEY_JOB "%s", pending->id);
+  tmx_transaction_require_version(&transaction, TMX_KEY_HEAD, scheduler->replica->head_version);
+  tmx_pending_submission_require_absent(pending, &transaction);
+  tmx_transaction_put(&transaction, key, &pending->record, 0);
+  pending->sent_at = tmx_clock_steady();
+  if (!tmx_store_commit(scheduler->store, &transaction, true, on_single_answered, pending))
+    return false;
+  pending->state = TMX_PENDING_SUBMISSION_SINGLE;
+  tmx_admission_control_hold(scheduler->admission, &pending->candidate);
+  return true;
+}
+
+/* The last check reserves the put. */
+static bool may_be_single(const struct tmx_scheduler *scheduler,
+                          struct tmx_pending_submission *pending) {
+  return pending->state == TMX_PENDING_SUBMISSION_QUEUED && pending->n_values == 1 &&
+         pending->n_single_conflicts < TMX_SINGLE_SUBMISSION_TRIES &&
+         tmx_admission_control_may_commit_alone(scheduler->admission, &pending->candidate,
+                                                &pending->dependencies) &&
+         tmx_store_reserve_submission_write(scheduler->store);
+}
+
+static size_t count_queued(const struct tmx_scheduler *scheduler) {
+  size_t n = 0;
+  for (size_t i = 0; i < scheduler->n_submissions; i++)
+    n += scheduler->submissions[i]->state == TMX_PENDING_SUBMISSION_QUEUED;
+  return n;
+}
+
+/* A batch in flight is decided once head has moved, whenever its answer comes. */
+static bool is_head_settled(const struct tmx_scheduler *scheduler) {
+  bool decided = !scheduler->batch_in_flight ||
+                 scheduler->replica->head_version != scheduler->sent_head_version;
+  return scheduler->replica->loaded && decided && tmx_scheduler_caught_up(scheduler);
+}
+
+void tmx_scheduler_flush(struct tmx_scheduler *scheduler) {
+  if (!scheduler->n_submissions) return;
+  tmx_submission_queue_settle_decided(scheduler);
+  size_t n_queued = count_queued(scheduler);
+  if (!n_queued) return;
+  if (n_queued <= TMX_SINGLE_SUBMISSIONS_MAX && is_head_settled(scheduler))
+    for (size_t i = 0; i < scheduler->n_submissions; i++) {
+      struct tmx_pending_submission *pending = scheduler->submissions[i];
+      if (may_be_single(scheduler, pending) && send_single(scheduler, pending)) n_queued--;
+    }
+  if (n_queued) tmx_scheduler_trigger_within(scheduler, 0.02);
+}
