--- /dev/null
+++ b/src/user/submissions.c
@@ -0,0 +1,221 @@
+#include <stdlib.h>
+#include <string.h>
+
+#include "base/clock.h"
+#include "base/log.h"
+#include "base/memory.h"
+#include "tmx/wire.h"
+#include "user/submission_reader.h"
+#include "user/submission_validation.h"
+#include "user/user_internal.h"
+
+void tmx_user_request_reply_overload(const struct tmx_user_request *request) {
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", request->id,
+            request->ruling.backlog_s, request->ruling.ceiling_s);
+  tmx_admission_control_count_answer(request->users->admission, &request->candidate,
+                                     request->ruling.verdict);
+  tmx_http_reply(request->http, 503, NULL, tmx_admission_control_retry_after(&request->ruling));
+}
+
+static void reply_accepted(const struct tmx_user_request *request) {
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "job: %s accepted in %.0f ms", request->id,
+            (tmx_clock_steady() - request->received_at) * 1000);
+  tmx_user_reply_state(request->http, 201, request->id,
+                       request->depends_on_cancelled ? WV_CANCELLED : WV_PENDING);
+  tmx_admission_control_count_answer(request->users->admission, &request->candidate, TMX_ADMITTED);
+}
+
+/* Its team or class has no room. One that was accepted by another controller is answered as such
+ * all the same: the state is read before it is refused. */
+static bool read_state_before_refusal(struct tmx_user_request *request) {
+  static const struct tmx_job_ids no_dependencies;
+  request->ruling =
+      tmx_admission_control_judge(request->users->admission, &request->candidate, &no_dependencies);
+  request->if_unknown = TMX_UNKNOWN_JOB_OVERLOAD;
+  return tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S);
+}
+
+/* The job is known already: its state is read before it is told. */
+static bool read_state_of_known_job(struct tmx_user_request *request) {
+  request->if_unknown = TMX_UNKNOWN_JOB_RETRY;
+  if (!tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S)) return false;
+  tmx_store_expedite_read_index(request->users->store);
+  return true;
+}
+
+static void on_submission_settled(void *arg, enum tmx_submission_outcome outcome) {
+  struct tmx_user_request *request = arg;
+  switch (outcome) {
+    case TMX_SUBMISSION_COMMITTED:
+      reply_accepted(request);
+      break;
+    case TMX_SUBMISSION_OVERLOAD:
+      if (read_state_before_refusal(request)) return;
+      tmx_user_request_reply_overload(request);
+      break;
+    case TMX_SUBMISSION_NOT_COMMITTED:
+      tmx_user_reply_unavailable(request->http, "not committed in time");
+      break;
+    case TMX_SUBMISSION_KNOWN:
+      if (read_state_of_known_job(request)) return;
+      tmx_user_reply_unavailable(request->http, "not known whether committed");
+      break;
+    case TMX_SUBMISSION_UNDECIDED:
+      tmx_user_reply_unavailable(request->http, "not known whether committed");
+      break;
+  }
+  tmx_user_request_finish(request);
+}
+
+/* A job that is done stays done: only the others need to be stored. */
+static void remove_done(const struct tmx_replica *replica, struct tmx_job_ids *ids) {
+  uint32_t n = 0;
+  for (uint32_t i = 0; i < ids->count; i++) {
+    const struct tmx_job *job = tmx_job_find(replica, ids->ids[i]);
+    if (job && job->outcome == TMX_JOB_DONE) continue;
+    if (n != i) memcpy(ids->ids[n], ids->ids[i], TMX_ID_MAX);
+    n++;
+  }
+  ids->count = n;
+}
+
+static bool contains_cancelled(const struct tmx_replica *replica, const struct tmx_job_ids *ids) {
+  for (uint32_t i = 0; i < ids->count; i++) {
+    const struct tmx_job *job = tmx_job_find(replica, ids->ids[i]);
+    if (job && job->outcome == TMX_JOB_CANCELLED) return true;
+  }
+  return false;
+}
+
+static enum tmx_submit_result queue_submission(struct tmx_user_request *request,
+                                               struct tmx_submission *submission) {
+  const struct tmx_users *users = request->users;
+  remove_done(users->replica, &submission->dependencies);
+  request->depends_on_cancelled = contains_cancelled(users->replica, &submission->dependencies);
+  if (users->n_waiting > TMX_USER_QUEUE) return TMX_SUBMIT_QUEUE_FULL;
+  return tmx_scheduler_submit(users->scheduler, submission, TMX_SUBMIT_WAIT_S,
+                              on_submission_settled, request);
+}
+
+/* Hands a submission, all of whose dependencies are known, over to the log. One that is too large
+ * may have been accepted, with another body, by another controller. */
+static void send_submission(struct tmx_user_request *request) {
+  struct tmx_submission *submission = request->submission;
+  request->submission = NULL;
+  enum tmx_submit_result result = queue_submission(request, submission);
+  tmx_user_submission_free(submission);
+  switch (result) {
+    case TMX_SUBMIT_QUEUED:
+      return;
+    case TMX_SUBMIT_TOO_LARGE:
+      request->if_unknown = TMX_UNKNOWN_JOB_REJECTED;
+      if (tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S)) return;
+      break;
+    case TMX_SUBMIT_QUEUE_FULL:
+      break;
+  }
+  tmx_user_reply_unavailable(request->http, "too many submissions");
+  tmx_user_request_finish(request);
+}
+
+void tmx_user_request_submit(struct tmx_user_request *request) {
+  const struct tmx_replica *replica = request->users->replica;
+  if (tmx_user_validate_dependencies(replica, request->submission) == TMX_DEPENDENCIES_VALID) {
+    send_submission(request);
+    return;
+  }
+  tmx_http_reply(request->http, 422, NULL, 0);
+  tmx_user_request_finish(request);
+}
+
+/* What is known before the state is read. */
+enum early_decision {
+  EARLY_SEND,   /* the submission goes to the log at once */
+  EARLY_VERIFY, /* a dependency is not known here: the state is read, and the submission kept */
+  EARLY_REFUSE, /* the state is read, then it is refused as the request tells, if not known */
+};
+
+static enum early_decision refuse(struct tmx_user_request *request,
+                                  enum tmx_unknown_job_step step) {
+  request->if_unknown = step;
+  return EARLY_REFUSE;
+}
+
+static enum early_decision decide_admission(const struct tmx_users *users,
+                                            struct tmx_user_request *request) {
+  const struct tmx_submission *submission = request->submission;
+  switch (tmx_user_validate_dependencies(users->replica, submission)) {
+    case TMX_DEPENDENCIES_NEVER_DONE:
+      return refuse(request, TMX_UNKNOWN_JOB_REJECTED);
+    case TMX_DEPENDENCIES_UNKNOWN:
+      request->if_unknown = TMX_UNKNOWN_JOB_SUBMIT;
+      return EARLY_VERIFY;
+    case TMX_DEPENDENCIES_VALID:
+      break;
+  }
+  request->ruling =
+      tmx_admission_control_judge(users->admission, &request->candidate, &submission->dependencies);
+  return request->ruling.verdict == TMX_ADMITTED ? EARLY_SEND
+                                                 : refuse(request, TMX_UNKNOWN_JOB_OVERLOAD);
+}
+
+static enum early_decision decide_early(const struct tmx_users *users,
+                                        struct tmx_user_request *request,
+                                        enum tmx_submission_form form) {
+  const struct tmx_submission *submission = request->submission;
+  if (tmx_job_find(users->replica, submission->id)) return refuse(request, TMX_UNKNOWN_JOB_RETRY);
+  if (form != TMX_SUBMISSION_FORM_VALID) return refuse(request, TMX_UNKNOWN_JOB_MALFORMED);
+  switch (tmx_user_validate_spec(users, &submission->spec)) {
+    case TMX_SPEC_NEVER_RUNNABLE:
+      return refuse(request, TMX_UNKNOWN_JOB_REJECTED);
+    case TMX_SPEC_UNDECIDED:
+      return refuse(request, TMX_UNKNOWN_JOB_RETRY);
+    case TMX_SPEC_RUNNABLE:
+      break;
+  }
+  request->candidate = tmx_admission_control_candidate(
+      users->admission, &submission->spec, tmx_team_index(users->settings, submission->spec.team));
+  return decide_admission(users, request);
+}
+
+/* Takes the submission over. */
+static void start_submission(struct tmx_users *users, struct tmx_http_request *http,
+                             struct tmx_submission *submission, enum tmx_submission_form form) {
+  struct tmx_user_request request = {.kind = TMX_USER_SUBMIT, .submission = submission};
+  memcpy(request.id, submission->id, sizeof request.id);
+  submission->submitted_at = tmx_clock_wall();
+  switch (decide_early(users, &request, form)) {
+    case EARLY_SEND:
+      send_submission(tmx_user_request_new(users, http, &request));
+      break;
+    case EARLY_VERIFY:
+      tmx_user_request_wait(users, http, &request);
+      break;
+    case EARLY_REFUSE:
+      tmx_user_submission_free(submission);
+      request.submission = NULL;
+      tmx_user_request_wait(users, http, &request);
+      break;
+  }
+}
+
+/* A known job is answered before any validation: what was accepted stays accepted. A final state
+ * never changes, so it needs no read of the state. */
+void tmx_user_submit(struct tmx_users *users, struct tmx_http_request *http) {
+  struct tmx_submission *submission = tmx_allocate(1, sizeof *submission);
+  enum tmx_submission_form form = tmx_user_submission_read(http, submission);
+  struct tmx_job *job = NULL;
+  if (form == TMX_SUBMISSION_FORM_UNNAMED)
+    tmx_http_reply(http, 400, NULL, 0);
+  else if (!users->replica->loaded || !tmx_store_is_reachable(users->store))
+    tmx_user_reply_unavailable(http, "no state");
+  else if ((job = tmx_job_find(users->replica, submission->id)) && job->outcome)
+    tmx_user_reply_job(http, job);
+  else {
+    start_submission(users, http, submission, form);
+    return;
+  }
+  tmx_user_submission_free(submission);
+}
--- /dev/null
+++ b/src/user/user_internal.h
@@ -0,0 +1,87 @@
+/**
+ * @file
+ * What the files of this folder share. Nothing is answered before it is certain, and no request is
+ * held back for long: one that cannot be decided gets a 503 with a Retry-After. Loop's thread only.
+ */
+#ifndef TMX_USER_INTERNAL_H
+#define TMX_USER_INTERNAL_H
+#include "user/user_api.h"
+
+struct tmx_users {
+  const struct tmx_settings *settings;
+  struct tmx_replica *replica;
+  struct tmx_store *store;
+  const struct tmx_machine_catalog *catalog;
+  struct tmx_admission_control *admission;
+  struct tmx_scheduler *scheduler;
+  int n_waiting; /**< requests without an answer */
+};
+
+enum tmx_user_request_kind { TMX_USER_POLL, TMX_USER_SUBMIT, TMX_USER_CANCEL };
+
+/** What becomes of a request once the state was read, if its job is not known then. */
+enum tmx_unknown_job_step {
+  TMX_UNKNOWN_JOB_NOT_FOUND, /**< 404 */
+  TMX_UNKNOWN_JOB_MALFORMED, /**< 400: the submission's body */
+  TMX_UNKNOWN_JOB_REJECTED,  /**< 422: the job could never run */
+  TMX_UNKNOWN_JOB_RETRY,     /**< 503: not decided; the user is to repeat the request */
+  TMX_UNKNOWN_JOB_OVERLOAD,  /**< 503: its team or class has no room */
+  TMX_UNKNOWN_JOB_SUBMIT,    /**< the submission is validated anew and queued for the log */
+};
+
+/** A request that waits: for the state to be read, or for a commit. */
+struct tmx_user_request {
+  struct tmx_users *users;
+  struct tmx_http_request *http;
+  enum tmx_user_request_kind kind;
+  enum tmx_unknown_job_step if_unknown;
+  char id[TMX_ID_MAX]; /**< of the job */
+  double received_at;  /**< steady clock, s */
+  double deadline;     /**< steady clock, s; of a cancellation's retries */
+  int n_conflicts;     /**< of a cancellation's commits */
+  /* Only for submissions: */
+  struct tmx_submission *submission; /**< owned; NULL once it is decided or handed over */
+  bool depends_on_cancelled;
+  struct tmx_candidate candidate; /**< what admission decides on */
+  struct tmx_ruling ruling;       /**< the latest decision of admission */
+};
+
+/** user_answers.c: each answers the request, which is gone then. */
+void tmx_user_reply_unavailable(struct tmx_http_request *http, const char *why);
+/** Id and state only. */
+void tmx_user_reply_state(struct tmx_http_request *http, int status, const char *id,
+                          const char *state);
+/** The job's state and progress. */
+void tmx_user_reply_job(struct tmx_http_request *http, struct tmx_job *job);
+/** For a job that is over: the state in which it ended. */
+void tmx_user_reply_cancel_too_late(struct tmx_http_request *http, const struct tmx_job *job);
+
+/** waiting_request.c: waits until the replica holds all that was committed before the request came,
+ * and takes the next step then. `request` tells which, and is copied; its submission is handed
+ * over. */
+void tmx_user_request_wait(struct tmx_users *users, struct tmx_http_request *http,
+                           const struct tmx_user_request *request);
+/** Reads the state anew for a request that waits already; false: too many wait for it. */
+bool tmx_user_request_read_state(struct tmx_user_request *request, double within_s);
+/** Counts a copy of the request among those that wait. */
+struct tmx_user_request *tmx_user_request_new(struct tmx_users *users,
+                                              struct tmx_http_request *http,
+                                              const struct tmx_user_request *request);
+/** Frees the request, which must have been answered. */
+void tmx_user_request_finish(struct tmx_user_request *request);
+
+/** polls.c */
+void tmx_user_poll(struct tmx_users *users, struct tmx_http_request *http, const char *id);
+
+/** cancellations.c */
+void tmx_user_cancel(struct tmx_users *users, struct tmx_http_request *http, const char *id);
+/** The step after the state was read: the job is known and not over. */
+void tmx_user_request_commit_cancellation(struct tmx_user_request *request);
+
+/** submissions.c */
+void tmx_user_submit(struct tmx_users *users, struct tmx_http_request *http);
+/** The step after the state was read: the job is not known. */
+void tmx_user_request_submit(struct tmx_user_request *request);
+/** Answers a submission for which admission had no room. */
+void tmx_user_request_reply_overload(const struct tmx_user_request *request);
+#endif
