--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -1,56 +1,43 @@
-/* The judgement whether a submission is admitted: a pure function of the accounts that the log
- * gives, of the settings, and of the sizes of the machine types. See docs/admission.md. */
+/**
+ * @file
+ * The decision whether a submission is admitted: a pure function of the accounts that follow from
+ * the log, of the settings, and of the sizes of the machine types. See docs/admission.md.
+ */
 #ifndef TMX_ADMISSION_POLICY_H
 #define TMX_ADMISSION_POLICY_H
+#include "admission/admission_rates.h"
+#include "admission/admission_settings.h"
 #include "replica/backlog.h"
 
-/* What the cluster works off in a second, by resource. 0: it has none, which then bounds nothing.
- */
-struct tmx_rates {
-  double per_s[TMX_ADMISSION_RESOURCES];
-};
-struct tmx_machine_size {
-  double cpus, gpus, mem_gb;
+/** A submission on which admission decides. */
+struct tmx_admission_request {
+  int team;       /**< index */
+  size_t account; /**< of its class within the team */
+  struct tmx_load load;
+  /** It depends on accepted jobs that are not over: it is part of a pipeline that has begun. */
+  bool has_open_dependencies;
 };
 
-enum tmx_admission_verdict {
+enum tmx_admission_result {
   TMX_ADMITTED,
-  TMX_REFUSED_TEAM,  /* the team has reached its ceiling */
-  TMX_REFUSED_CLASS, /* the class has reached its ceiling within the team */
+  TMX_REFUSED_TEAM,  /**< the team has reached its ceiling */
+  TMX_REFUSED_CLASS, /**< the class has reached its ceiling within the team */
 };
-struct tmx_ruling {
-  enum tmx_admission_verdict verdict;
-  double backlog_s; /* of the account that decided, with the submission: s of the whole cluster */
-  double ceiling_s; /* what that account may have now */
-};
-struct tmx_candidate { /* a submission to be judged */
-  int team;
-  size_t account;
-  struct tmx_load load;
-  bool awaits_open; /* it awaits accepted jobs that are not over: part of a pipeline begun */
+
+struct tmx_admission_decision {
+  enum tmx_admission_result result;
+  /** Of the account that decided, with the submission, s of the whole cluster's time; and what that
+   * account may have now. */
+  double backlog_s, ceiling_s;
 };
 
-/* Rates of the machines that are `present`, at least what the teams are guaranteed and what the
- * operators expect, with memory in the proportion of the `largest` machine; the log's and the
- * controllers' memory from the settings. */
-struct tmx_rates tmx_admission_rates(const struct tmx_settings *settings,
-                                     const struct tmx_machine_size *present,
-                                     const struct tmx_machine_size *largest);
-/* `on_its_way`: accounts of submissions of this controller that are being committed. */
-struct tmx_ruling tmx_admission_judge(const struct tmx_settings *settings,
-                                      const struct tmx_backlog *backlog,
-                                      const struct tmx_backlog *on_its_way,
-                                      const struct tmx_rates *rates,
-                                      const struct tmx_candidate *candidate);
-/* Time that the whole cluster needs for a load: its most-asked resource, s. */
-double tmx_load_seconds(const struct tmx_load *load, const struct tmx_rates *rates);
-/* ... for all that a team has in its accounts, and for all teams. */
-double tmx_team_seconds(const struct tmx_backlog *backlog, size_t team,
-                        const struct tmx_rates *rates);
-double tmx_total_seconds(const struct tmx_backlog *backlog, const struct tmx_rates *rates);
-/* When room for a refused submission is expected, s from now; at least 1. */
-double tmx_admission_retry_s(const struct tmx_ruling *ruling);
-/* false: err names the key. Checks the teams' shares against the platform's settings, and gives
- * teams that are not named equal parts of what is left. */
-bool tmx_admission_resolve(struct tmx_settings *settings, char *err, size_t cap);
+/** `in_flight`: accounts of submissions of this controller whose commits have no answer yet; NULL:
+ * none. */
+struct tmx_admission_decision tmx_admission_decide(const struct tmx_settings *settings,
+                                                   const struct tmx_backlog *backlog,
+                                                   const struct tmx_backlog *in_flight,
+                                                   const struct tmx_rates *rates,
+                                                   const struct tmx_admission_request *request);
+/** When room for a refused submission is expected, s from now; at least 1. */
+double tmx_admission_retry_s(const struct tmx_admission_decision *decision);
 #endif
--- a/src/admission/statistics.c
+++ b/src/admission/statistics.c
@@ -1,13 +1,14 @@
 #include "admission/statistics.h"
-#include "base/memory.h"
 
 #include <gsl/gsl_histogram.h>
 #include <math.h>
 #include <stdlib.h>
 
+#include "base/memory.h"
+
 struct entry {
-  unsigned long rulings[TMX_REFUSED_CLASS + 1];
-  double most_s;
+  unsigned long n_results[TMX_REFUSED_CLASS + 1];
+  double max_s;
   gsl_histogram *waits; /* NULL until the first start */
 };
 struct tmx_statistics {
@@ -15,8 +16,7 @@
 };
 
 struct tmx_statistics *tmx_statistics_new(void) {
-  struct tmx_statistics *statistics = tmx_allocate(1, sizeof *statistics);
-  return statistics;
+  return tmx_allocate(1, sizeof(struct tmx_statistics));
 }
 
 void tmx_statistics_free(struct tmx_statistics *statistics) {
@@ -29,9 +29,9 @@
   free(statistics);
 }
 
-void tmx_statistics_ruling(struct tmx_statistics *statistics, size_t team, size_t account,
-                           enum tmx_admission_verdict verdict) {
-  statistics->entries[team][account].rulings[verdict]++;
+void tmx_statistics_count_result(struct tmx_statistics *statistics, size_t team, size_t account,
+                                 enum tmx_admission_result result) {
+  statistics->entries[team][account].n_results[result]++;
 }
 
 /* Bounds of the bins grow by a constant factor: the relative error is the same for all waits. */
@@ -49,7 +49,7 @@
                           double wait_s) {
   struct entry *entry = &statistics->entries[team][account];
   if (!entry->waits) entry->waits = new_histogram();
-  entry->most_s = fmax(entry->most_s, wait_s);
+  entry->max_s = fmax(entry->max_s, wait_s);
   double last = nextafter(gsl_histogram_max(entry->waits), 0);
   gsl_histogram_increment(entry->waits, fmin(fmax(wait_s, 0), last));
 }
@@ -68,13 +68,13 @@
 struct tmx_account_figures tmx_statistics_figures(const struct tmx_statistics *statistics,
                                                   size_t team, size_t account) {
   const struct entry *entry = &statistics->entries[team][account];
-  struct tmx_account_figures figures = {.admitted = entry->rulings[TMX_ADMITTED],
-                                        .refused_team = entry->rulings[TMX_REFUSED_TEAM],
-                                        .refused_class = entry->rulings[TMX_REFUSED_CLASS]};
+  struct tmx_account_figures figures = {.admitted = entry->n_results[TMX_ADMITTED],
+                                        .refused_team = entry->n_results[TMX_REFUSED_TEAM],
+                                        .refused_class = entry->n_results[TMX_REFUSED_CLASS]};
   if (!entry->waits) return figures;
   figures.starts = (unsigned long)gsl_histogram_sum(entry->waits);
-  figures.start_median_s = fmin(quantile(entry->waits, 0.5), entry->most_s);
-  figures.start_p99_s = fmin(quantile(entry->waits, 0.99), entry->most_s);
-  figures.start_most_s = entry->most_s;
+  figures.start_median_s = fmin(quantile(entry->waits, 0.5), entry->max_s);
+  figures.start_p99_s = fmin(quantile(entry->waits, 0.99), entry->max_s);
+  figures.start_max_s = entry->max_s;
   return figures;
 }
--- a/src/admission/statistics.h
+++ b/src/admission/statistics.h
@@ -1,21 +1,23 @@
-/* Counters and distributions of admission, by account. */
+/** @file Counters and distributions of admission, by account. Not thread-safe. */
 #ifndef TMX_STATISTICS_H
 #define TMX_STATISTICS_H
 #include "admission/admission_policy.h"
 
 struct tmx_statistics;
+
 struct tmx_statistics *tmx_statistics_new(void);
 void tmx_statistics_free(struct tmx_statistics *statistics);
-void tmx_statistics_ruling(struct tmx_statistics *statistics, size_t team, size_t account,
-                           enum tmx_admission_verdict verdict);
-/* A job's first task was placed so long after the job could have begun, s. */
+void tmx_statistics_count_result(struct tmx_statistics *statistics, size_t team, size_t account,
+                                 enum tmx_admission_result result);
+/** A job's first task was placed so long after the job could have begun, s. */
 void tmx_statistics_start(struct tmx_statistics *statistics, size_t team, size_t account,
                           double wait_s);
 
 struct tmx_account_figures {
-  unsigned long admitted, refused_team, refused_class; /* attempts that this controller answered */
-  unsigned long starts;                                /* jobs whose first task was placed */
-  double start_median_s, start_p99_s, start_most_s;    /* their waits; 0: none */
+  unsigned long admitted, refused_team,
+      refused_class;                               /**< attempts that this controller answered */
+  unsigned long starts;                            /**< jobs whose first task was placed */
+  double start_median_s, start_p99_s, start_max_s; /**< their waits; 0: none */
 };
 struct tmx_account_figures tmx_statistics_figures(const struct tmx_statistics *statistics,
                                                   size_t team, size_t account);
--- a/src/scheduler/pending_submission.c
+++ b/src/scheduler/pending_submission.c
@@ -46,7 +46,7 @@
   pending->record_json_length = tmx_json_length(&pending->record);
   copy_ids(&pending->dependencies, &submission->dependencies);
   pending->n_values = count_values(pending);
-  pending->candidate = tmx_admission_control_candidate(
+  pending->admission_request = tmx_admission_control_request(
       scheduler->admission, &submission->spec, tmx_team_index(settings, submission->spec.team));
   return pending;
 }
--- a/src/scheduler/pending_submission.h
+++ b/src/scheduler/pending_submission.h
@@ -18,8 +18,8 @@
   struct tmx_job_ids dependencies;
   uint32_t n_dependencies_in_record;
   int n_values; /**< puts that record and lines take; 1: it may be committed by itself */
-  struct tmx_candidate candidate; /**< what admission decides on */
-  double deadline;                /**< steady clock, s */
+  struct tmx_admission_request admission_request; /**< what admission decides on */
+  double deadline;                                /**< steady clock, s */
   tmx_submission_cb callback;
   void *callback_arg;
   enum tmx_pending_submission_state state;
--- a/src/scheduler/single_submission.c
+++ b/src/scheduler/single_submission.c
@@ -11,7 +11,7 @@
   struct tmx_pending_submission *pending = arg;
   struct tmx_scheduler *scheduler = pending->scheduler;
   pending->state = TMX_PENDING_SUBMISSION_QUEUED;
-  tmx_admission_control_release(scheduler->admission, &pending->candidate);
+  tmx_admission_control_release(scheduler->admission, &pending->admission_request);
   if (result == TMX_TRANSACTION_CONFLICT && !pending->answered) {
     pending->n_single_conflicts++;
     tmx_scheduler_await_revision(scheduler, revision);
@@ -31,7 +31,7 @@
   if (!tmx_store_commit(scheduler->store, &transaction, true, on_single_answered, pending))
     return false;
   pending->state = TMX_PENDING_SUBMISSION_SINGLE;
-  tmx_admission_control_hold(scheduler->admission, &pending->candidate);
+  tmx_admission_control_reserve(scheduler->admission, &pending->admission_request);
   return true;
 }
 
@@ -40,7 +40,7 @@
                           struct tmx_pending_submission *pending) {
   return pending->state == TMX_PENDING_SUBMISSION_QUEUED && pending->n_values == 1 &&
          pending->n_single_conflicts < TMX_SINGLE_SUBMISSION_TRIES &&
-         tmx_admission_control_may_commit_alone(scheduler->admission, &pending->candidate,
+         tmx_admission_control_may_commit_alone(scheduler->admission, &pending->admission_request,
                                                 &pending->dependencies) &&
          tmx_store_reserve_submission_write(scheduler->store);
 }
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -52,7 +52,7 @@
   pending->answered = true;
   if (pending->state == TMX_PENDING_SUBMISSION_SINGLE) return false;
   if (pending->state == TMX_PENDING_SUBMISSION_IN_BATCH)
-    tmx_admission_control_release(scheduler->admission, &pending->candidate);
+    tmx_admission_control_release(scheduler->admission, &pending->admission_request);
   scheduler->submissions[index] = scheduler->submissions[--scheduler->n_submissions];
   tmx_pending_submission_free(pending);
   return true;
@@ -86,7 +86,7 @@
     bool sent = pending->state == TMX_PENDING_SUBMISSION_IN_BATCH, removed = false;
     if (sent) {
       pending->state = TMX_PENDING_SUBMISSION_QUEUED;
-      tmx_admission_control_release(scheduler->admission, &pending->candidate);
+      tmx_admission_control_release(scheduler->admission, &pending->admission_request);
     }
     if (sent && result != TMX_TRANSACTION_CONFLICT)
       removed = settle_at(scheduler, i, outcome_of(result));
@@ -107,9 +107,9 @@
 /* The decision that counts: on the replica whose head is the commit's condition. */
 static bool is_admitted(const struct tmx_scheduler *scheduler,
                         struct tmx_pending_submission *pending) {
-  return tmx_admission_control_judge(scheduler->admission, &pending->candidate,
-                                     &pending->dependencies)
-             .verdict == TMX_ADMITTED;
+  return tmx_admission_control_decide(scheduler->admission, &pending->admission_request,
+                                      &pending->dependencies)
+             .result == TMX_ADMITTED;
 }
 
 static void refuse_overload(struct tmx_scheduler *scheduler) {
@@ -158,7 +158,7 @@
     pending->state = sent ? TMX_PENDING_SUBMISSION_IN_BATCH : TMX_PENDING_SUBMISSION_QUEUED;
     pending->sent_at = tmx_clock_steady();
     if (!sent) continue;
-    tmx_admission_control_hold(scheduler->admission, &pending->candidate);
+    tmx_admission_control_reserve(scheduler->admission, &pending->admission_request);
     add_submission(batch, pending);
   }
 }
--- a/src/user/submissions.c
+++ b/src/user/submissions.c
@@ -12,10 +12,11 @@
 void tmx_user_request_reply_overload(const struct tmx_user_request *request) {
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", request->id,
-            request->ruling.backlog_s, request->ruling.ceiling_s);
-  tmx_admission_control_count_answer(request->users->admission, &request->candidate,
-                                     request->ruling.verdict);
-  tmx_http_reply(request->http, 503, NULL, tmx_admission_control_retry_after(&request->ruling));
+            request->admission_decision.backlog_s, request->admission_decision.ceiling_s);
+  tmx_admission_control_count_answer(request->users->admission, &request->admission_request,
+                                     request->admission_decision.result);
+  tmx_http_reply(request->http, 503, NULL,
+                 tmx_admission_control_retry_after(&request->admission_decision));
 }
 
 static void reply_accepted(const struct tmx_user_request *request) {
@@ -24,15 +25,16 @@
             (tmx_clock_steady() - request->received_at) * 1000);
   tmx_user_reply_state(request->http, 201, request->id,
                        request->depends_on_cancelled ? WV_CANCELLED : WV_PENDING);
-  tmx_admission_control_count_answer(request->users->admission, &request->candidate, TMX_ADMITTED);
+  tmx_admission_control_count_answer(request->users->admission, &request->admission_request,
+                                     TMX_ADMITTED);
 }
 
 /* Its team or class has no room. One that was accepted by another controller is answered as such
  * all the same: the state is read before it is refused. */
 static bool read_state_before_refusal(struct tmx_user_request *request) {
   static const struct tmx_job_ids no_dependencies;
-  request->ruling =
-      tmx_admission_control_judge(request->users->admission, &request->candidate, &no_dependencies);
+  request->admission_decision = tmx_admission_control_decide(
+      request->users->admission, &request->admission_request, &no_dependencies);
   request->if_unknown = TMX_UNKNOWN_JOB_OVERLOAD;
   return tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S);
 }
@@ -155,10 +157,11 @@
     case TMX_DEPENDENCIES_VALID:
       break;
   }
-  request->ruling =
-      tmx_admission_control_judge(users->admission, &request->candidate, &submission->dependencies);
-  return request->ruling.verdict == TMX_ADMITTED ? EARLY_SEND
-                                                 : refuse(request, TMX_UNKNOWN_JOB_OVERLOAD);
+  request->admission_decision = tmx_admission_control_decide(
+      users->admission, &request->admission_request, &submission->dependencies);
+  return request->admission_decision.result == TMX_ADMITTED
+             ? EARLY_SEND
+             : refuse(request, TMX_UNKNOWN_JOB_OVERLOAD);
 }
 
 static enum early_decision decide_early(const struct tmx_users *users,
@@ -175,7 +178,7 @@
     case TMX_SPEC_RUNNABLE:
       break;
   }
-  request->candidate = tmx_admission_control_candidate(
+  request->admission_request = tmx_admission_control_request(
       users->admission, &submission->spec, tmx_team_index(users->settings, submission->spec.team));
   return decide_admission(users, request);
 }
--- a/src/user/user_internal.h
+++ b/src/user/user_internal.h
@@ -42,8 +42,8 @@
   /* Only for submissions: */
   struct tmx_submission *submission; /**< owned; NULL once it is decided or handed over */
   bool depends_on_cancelled;
-  struct tmx_candidate candidate; /**< what admission decides on */
-  struct tmx_ruling ruling;       /**< the latest decision of admission */
+  struct tmx_admission_request admission_request;   /**< what admission decides on */
+  struct tmx_admission_decision admission_decision; /**< the latest decision of admission */
 };
 
 /** user_answers.c: each answers the request, which is gone then. */
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -87,15 +87,15 @@
 }
 
 static void judge(struct history *h, const struct tmx_job_spec *spec, const char *id) {
-  struct tmx_candidate x = {.team = tmx_team_index(&h->settings, spec->team),
-                            .account = tmx_backlog_account(&h->live.backlog, spec->class),
-                            .load = tmx_load_of(spec, spec->tasks)};
-  struct tmx_ruling ruling =
-      tmx_admission_judge(&h->settings, &h->live.backlog, NULL, &h->rates, &x);
+  struct tmx_admission_request x = {.team = tmx_team_index(&h->settings, spec->team),
+                                    .account = tmx_backlog_account(&h->live.backlog, spec->class),
+                                    .load = tmx_load_of(spec, spec->tasks)};
+  struct tmx_admission_decision decision =
+      tmx_admission_decide(&h->settings, &h->live.backlog, NULL, &h->rates, &x);
   bool newcomer = !h->live.backlog.accounts[x.team][x.account].jobs;
   double charge = tmx_load_seconds(&x.load, &h->rates);
   h->report.submitted++;
-  if (ruling.verdict != TMX_ADMITTED) {
+  if (decision.result != TMX_ADMITTED) {
     h->report.refused++;
     h->report.newcomers_refused += newcomer;
     h->report.refused_without_load += sum(h) + charge <= smallest_reserve(h);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -94,12 +94,12 @@
   assert_int_equal(b.accounts[0][0].jobs, 1);
 }
 
-static struct tmx_candidate candidate(const struct tmx_backlog *b, int team, const char *class_name,
-                                      uint32_t tasks) {
+static struct tmx_admission_request candidate(const struct tmx_backlog *b, int team,
+                                              const char *class_name, uint32_t tasks) {
   struct tmx_job_spec spec = {.cpus = 1, .mem_gb = 1, .estimate_s = 10, .tasks = tasks};
-  return (struct tmx_candidate){.team = team,
-                                .account = tmx_backlog_account(b, class_name),
-                                .load = tmx_load_of(&spec, tasks)};
+  return (struct tmx_admission_request){.team = team,
+                                        .account = tmx_backlog_account(b, class_name),
+                                        .load = tmx_load_of(&spec, tasks)};
 }
 
 static unsigned admit_until_refused(const struct tmx_settings *settings, struct tmx_backlog *b,
@@ -109,8 +109,8 @@
   unsigned n = 0, refused = 0;
   for (unsigned i = 0; refused < classes * 4 && i < 100000; i++) {
     snprintf(name, sizeof name, classes > 1 ? "%s-%u" : "%s", prefix, i % classes);
-    struct tmx_candidate x = candidate(b, team, name, tasks);
-    if (tmx_admission_judge(settings, b, NULL, rates, &x).verdict != TMX_ADMITTED) {
+    struct tmx_admission_request x = candidate(b, team, name, tasks);
+    if (tmx_admission_decide(settings, b, NULL, rates, &x).result != TMX_ADMITTED) {
       refused++;
       continue;
     }
@@ -138,10 +138,10 @@
     admit_until_refused(&s, &b, &rates, 0, floods[i].class_name, floods[i].classes,
                         floods[i].tasks);
     /* the flooder's other listed class, and the other team with either, still find room */
-    struct tmx_candidate other_class = candidate(&b, 0, "d", 4);
-    struct tmx_candidate other_team = candidate(&b, 1, "c", 4);
-    assert_int_equal(tmx_admission_judge(&s, &b, NULL, &rates, &other_class).verdict, TMX_ADMITTED);
-    assert_int_equal(tmx_admission_judge(&s, &b, NULL, &rates, &other_team).verdict, TMX_ADMITTED);
+    struct tmx_admission_request other_class = candidate(&b, 0, "d", 4);
+    struct tmx_admission_request other_team = candidate(&b, 1, "c", 4);
+    assert_int_equal(tmx_admission_decide(&s, &b, NULL, &rates, &other_class).result, TMX_ADMITTED);
+    assert_int_equal(tmx_admission_decide(&s, &b, NULL, &rates, &other_team).result, TMX_ADMITTED);
     /* what is set aside: 14.2 s of the bound of 100 s, at 0.625 s a job */
     assert_true(admit_until_refused(&s, &b, &rates, 1, "c", 1, 4) >= 22);
   }
@@ -175,9 +175,9 @@
   tmx_backlog_init(&b, &s);
   admit_until_refused(&s, &b, &before, 0, "c", 1, 4);
   assert_true(tmx_total_seconds(&b, &after) > s.operators.admission.backlog_s);
-  struct tmx_candidate more = candidate(&b, 0, "c", 1), newcomer = candidate(&b, 1, "c", 1);
-  assert_int_equal(tmx_admission_judge(&s, &b, NULL, &after, &more).verdict, TMX_REFUSED_TEAM);
-  assert_int_equal(tmx_admission_judge(&s, &b, NULL, &after, &newcomer).verdict, TMX_ADMITTED);
+  struct tmx_admission_request more = candidate(&b, 0, "c", 1), newcomer = candidate(&b, 1, "c", 1);
+  assert_int_equal(tmx_admission_decide(&s, &b, NULL, &after, &more).result, TMX_REFUSED_TEAM);
+  assert_int_equal(tmx_admission_decide(&s, &b, NULL, &after, &newcomer).result, TMX_ADMITTED);
 }
 
 /* A bench day refused services in its first second: the log held no machine yet. */
@@ -189,22 +189,23 @@
   struct tmx_backlog b;
   tmx_backlog_init(&b, &s);
   for (int i = 0; i < 200; i++) {
-    struct tmx_candidate x = candidate(&b, 0, "c", 500);
-    assert_int_equal(tmx_admission_judge(&s, &b, NULL, &unknown, &x).verdict, TMX_ADMITTED);
+    struct tmx_admission_request x = candidate(&b, 0, "c", 500);
+    assert_int_equal(tmx_admission_decide(&s, &b, NULL, &unknown, &x).result, TMX_ADMITTED);
     tmx_load_add(&b.accounts[0][x.account].load, &x.load, 1);
     b.accounts[0][x.account].jobs++;
   }
   s.operators.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
   struct tmx_rates expected = tmx_admission_rates(&s, &none, &one);
-  struct tmx_candidate more = candidate(&b, 0, "c", 1);
-  assert_int_equal(tmx_admission_judge(&s, &b, NULL, &expected, &more).verdict, TMX_REFUSED_TEAM);
+  struct tmx_admission_request more = candidate(&b, 0, "c", 1);
+  assert_int_equal(tmx_admission_decide(&s, &b, NULL, &expected, &more).result, TMX_REFUSED_TEAM);
   struct tmx_rates present = tmx_admission_rates(&s, &some, &one); /* ... and gives way to more */
   assert_true(present.per_s[TMX_ADMISSION_CPU] > expected.per_s[TMX_ADMISSION_CPU]);
 }
 
 static void a_retry_is_expected_when_there_is_room(void **st) {
   (void)st;
-  struct tmx_ruling little = {TMX_REFUSED_TEAM, 10.2, 10}, much = {TMX_REFUSED_TEAM, 1e9, 10};
+  struct tmx_admission_decision little = {TMX_REFUSED_TEAM, 10.2, 10},
+                                much = {TMX_REFUSED_TEAM, 1e9, 10};
   assert_true(tmx_admission_retry_s(&little) == 1);
   assert_true(tmx_admission_retry_s(&much) == TMX_ADMISSION_RETRY_MAX_S);
   for (int i = 0; i < 100; i++) assert_in_range(tmx_admission_control_retry_after(&much), 20, 30);
