--- a/src/scheduler/planner_delta.c
+++ b/src/scheduler/delta_collection.c
@@ -1,6 +1,6 @@
 /* Collects the delta for the planner: the machines and jobs that changed, and what else a round
  * depends on. */
-#include "scheduler/planner_delta.h"
+#include "scheduler/delta_collection.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/scheduler/planner_delta.h
+++ b/src/scheduler/delta_collection.h
@@ -1,6 +1,6 @@
 /** @file The delta that the planner gets with a round. Loop's thread only. */
-#ifndef TMX_PLANNER_DELTA_H
-#define TMX_PLANNER_DELTA_H
+#ifndef TMX_DELTA_COLLECTION_H
+#define TMX_DELTA_COLLECTION_H
 #include "scheduler/scheduler_internal.h"
 
 /** Fills the scheduler's delta with all machines and jobs that changed since the last one, and
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -8,7 +8,7 @@
 #include "base/clock.h"
 #include "base/memory.h"
 #include "scheduler/pending_submission.h"
-#include "scheduler/planner_delta.h"
+#include "scheduler/delta_collection.h"
 #include "scheduler/round_commit.h"
 #include "scheduler/round_timing.h"
 #include "scheduler/scheduler_internal.h"
