--- a/src/admission/start_rotation.h
+++ b/src/admission/start_rotation.h
@@ -1,8 +1,8 @@
 /**
  * @file
  * Rotation of starts: a class whose work waits gets a first task placed at least every start_s,
- * whatever else the order of the round would serve first. Pure
- * functions.
+ * whatever else the order of the round would serve first.
+ * Pure functions.
  */
 #ifndef TMX_START_ROTATION_H
 #define TMX_START_ROTATION_H
@@ -11,7 +11,7 @@
 /** How long each account has gone without a start. */
 struct tmx_turns {
   double start_s; /**< 0: there is no rotation */
-  /** since a task of the account was last placed, s; TMX_NEVER_S: never */
+  /** Since a task of the account was last placed, s; TMX_NEVER_S: never. */
   double since_start[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX];
 };
 
--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -5,6 +5,8 @@
 
 #include "base/log.h"
 
+/* Operations share lines only where dependencies are in use: the version in production does not
+ * read such lines, see docs/design.md. */
 void tmx_log_batch_begin(struct tmx_log_batch *batch, struct tmx_scheduler *scheduler,
                          int max_writes) {
   memset(batch, 0, sizeof *batch);
--- a/src/scheduler/round_batch.c
+++ b/src/scheduler/round_batch.c
@@ -47,7 +47,8 @@
   double budget = tmx_store_write_budget(scheduler->store);
   int limit = scheduler->settings->txn_ops - 1, writes = limit;
   if (budget < writes + 1) writes = (int)floor(budget) - 1;
-  if (writes < 1) writes = 1; /* no round begins without the budget for this much */
+  if (writes < 1)
+    writes = 1; /* a round begins with the budget for this much, or once a second without */
   int for_final_states = (int)fmin(limit - writes, count_last_completions(scheduler));
   if (for_final_states > 0)
     writes += tmx_store_reserve_unused_writes(scheduler->store, for_final_states);
@@ -142,7 +143,6 @@
   }
 }
 
-/* Production's version does not read lines of several operations: see docs/design.md. */
 void tmx_round_batch_build(struct tmx_round_batch *batch, struct tmx_scheduler *scheduler) {
   memset(batch, 0, sizeof *batch);
   tmx_log_batch_begin(&batch->log, scheduler, max_writes(scheduler));
