--- /dev/null
+++ b/src/scheduler/delta_collection.c
@@ -0,0 +1,122 @@
+/* Collects the delta for the planner: the machines and jobs that changed, and what else a round
+ * depends on. */
+#include "scheduler/delta_collection.h"
+
+#include <math.h>
+#include <string.h>
+
+#include "base/clock.h"
+#include "base/memory.h"
+#include "scheduler/planner_records.h"
+#include "scheduler/round_timing.h"
+
+void tmx_scheduler_machine_changed(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
+  if (machine->planner_update_due) return;
+  machine->planner_update_due = true;
+  scheduler->changed_machines =
+      tmx_grow(scheduler->changed_machines, &scheduler->cap_changed_machines,
+               scheduler->n_changed_machines + 1, sizeof *scheduler->changed_machines);
+  scheduler->changed_machines[scheduler->n_changed_machines++] = machine;
+}
+
+void tmx_scheduler_job_changed(struct tmx_scheduler *scheduler, struct tmx_job *job) {
+  if (job->planner_update_due) return;
+  job->planner_update_due = true;
+  scheduler->changed_jobs =
+      tmx_grow(scheduler->changed_jobs, &scheduler->cap_changed_jobs, scheduler->n_changed_jobs + 1,
+               sizeof *scheduler->changed_jobs);
+  scheduler->changed_jobs[scheduler->n_changed_jobs++] = job;
+}
+
+void tmx_scheduler_machine_removed(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
+  tmx_planner_delta_removed(&scheduler->delta, machine->planner_slot);
+  for (size_t i = 0; machine->planner_update_due && i < scheduler->n_changed_machines; i++)
+    if (scheduler->changed_machines[i] == machine) {
+      scheduler->changed_machines[i] = scheduler->changed_machines[--scheduler->n_changed_machines];
+      break;
+    }
+}
+
+void tmx_scheduler_reset(struct tmx_scheduler *scheduler) {
+  tmx_planner_delta_clear(&scheduler->delta);
+  scheduler->delta.reset = true;
+  scheduler->n_changed_machines = scheduler->n_changed_jobs = 0;
+}
+
+/* While puts are short every member waits for its commit slot, so a job's own planner gets one
+ * period of all slots more before another planner may take the job. */
+static double own_planner_grace(const struct tmx_scheduler *scheduler) {
+  if (tmx_store_is_write_load_low(scheduler->store)) return TMX_OWN_PLANNER_GRACE_S;
+  return TMX_OWN_PLANNER_GRACE_S + tmx_commit_slot_length(scheduler->settings) *
+                                       (double)(scheduler->replica->view.n_members + 1);
+}
+
+/* Machines and tasks that a round may look at, by the processor time that it may take. */
+static size_t max_visits(const struct tmx_settings *settings) {
+  double affordable = settings->core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S;
+  return (size_t)fmax(fmin(affordable, TMX_PLAN_VISITS_MAX), TMX_PLAN_VISITS_MIN);
+}
+
+/* Operations that a batch has room for. They share lines where dependencies are in use. */
+static size_t max_operations(const struct tmx_scheduler *scheduler) {
+  const struct tmx_settings *settings = scheduler->settings;
+  double room = (double)tmx_value_room(settings) * (settings->txn_ops - 1);
+  double typical_length =
+      scheduler->replica->dependencies_in_use ? TMX_ITEM_TYPICAL : TMX_LINE_TYPICAL;
+  return (size_t)(fmin(room, TMX_TRANSACTION_BYTES) / typical_length);
+}
+
+static void fill_input(const struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
+  const struct tmx_replica *replica = scheduler->replica;
+  memset(input, 0, sizeof *input);
+  input->now_steady = tmx_clock_steady();
+  input->now_wall = tmx_clock_wall();
+  input->self_member = tmx_authority_member_index(scheduler->authority);
+  input->leading = tmx_store_is_leader(scheduler->store);
+  input->n_zones = scheduler->settings->n_zones;
+  input->own_planner_grace_s = own_planner_grace(scheduler);
+  tmx_turns_fill(&input->turns, replica->backlog, scheduler->settings, input->now_steady);
+  input->n_teams = scheduler->settings->n_teams;
+  memcpy(input->teams, scheduler->settings->teams, sizeof input->teams);
+  memcpy(input->usage, replica->team_usage, sizeof input->usage);
+  input->max_visits = max_visits(scheduler->settings);
+  input->max_operations = max_operations(scheduler);
+}
+
+/* The completions at hand count as room: they come first in the batch, before what is placed. */
+static void count_completions_as_room(struct tmx_scheduler *scheduler,
+                                      struct tmx_round_input *input) {
+  for (size_t i = 0; i < scheduler->n_completions; i++) {
+    struct tmx_task *task = tmx_operation_task(scheduler->replica, &scheduler->completions[i]);
+    task->completion_in_batch = true;
+    tmx_scheduler_machine_changed(scheduler, task->machine);
+    tmx_scheduler_job_changed(scheduler, task->job);
+    if (task->machine->zone >= 0) task->job->placed_in_zone[task->machine->zone]--;
+    if (task->job->team < 0) continue;
+    input->usage[task->job->team].cpus -= task->job->spec.cpus;
+    input->usage[task->job->team].gpus -= task->job->spec.gpus;
+  }
+}
+
+/* The replica is put back as it was. What the planner was told may not come about, so the machines
+ * and jobs remain due for the next delta. */
+static void undo_completions(struct tmx_scheduler *scheduler) {
+  for (size_t i = 0; i < scheduler->n_completions; i++) {
+    struct tmx_task *task = tmx_operation_task(scheduler->replica, &scheduler->completions[i]);
+    task->completion_in_batch = false;
+    if (task->machine->zone >= 0) task->job->placed_in_zone[task->machine->zone]++;
+    tmx_scheduler_machine_changed(scheduler, task->machine);
+    tmx_scheduler_job_changed(scheduler, task->job);
+  }
+}
+
+void tmx_scheduler_collect_delta(struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
+  fill_input(scheduler, input);
+  count_completions_as_room(scheduler, input);
+  for (size_t i = 0; i < scheduler->n_changed_jobs; i++)
+    tmx_planner_records_add_job(scheduler, scheduler->changed_jobs[i]);
+  for (size_t i = 0; i < scheduler->n_changed_machines; i++)
+    tmx_planner_records_add_machine(scheduler, scheduler->changed_machines[i]);
+  scheduler->n_changed_jobs = scheduler->n_changed_machines = 0;
+  undo_completions(scheduler);
+}
