--- /dev/null
+++ b/src/worker/commands.c
@@ -0,0 +1,168 @@
+#include "worker/commands.h"
+
+#include <stdio.h>
+
+#include "tmx/wire.h"
+#include "worker/fencing.h"
+#include "worker/reconciliation.h"
+#include "worker/report_intake.h"
+#include "worker/worker_connection.h"
+
+/* Value of tmx_task.stop_mode. */
+enum { STOP_AFTER_SAVING = 2 };
+/* A command that has no grace. */
+static const double NO_GRACE = -1;
+
+/* An attempt, as commands name it. */
+struct attempt_name {
+  const char *job;
+  uint32_t task;
+  uint32_t attempt;
+};
+
+static struct attempt_name name_of_task(const struct tmx_task *task) {
+  return (struct attempt_name){task->job->id, tmx_task_index(task), task->attempt};
+}
+
+static struct attempt_name name_of_reported(const struct tmx_reported_task *reported) {
+  return (struct attempt_name){reported->job, reported->task, reported->attempt};
+}
+
+static void append_command(struct tmx_command_list *list, const char *operation,
+                           struct attempt_name name, double grace_s) {
+  struct tmx_buffer *buffer = &list->encoded;
+  char task[TMX_ID_MAX + 16];
+  snprintf(task, sizeof task, "%s/%u", name.job, name.task);
+  tmx_cbor_put_map(buffer, grace_s >= 0 ? 4 : 3);
+  tmx_cbor_put_text_field(buffer, W_OP, operation);
+  tmx_cbor_put_text_field(buffer, W_TASK, task);
+  tmx_cbor_put_u64_field(buffer, W_ATTEMPT, name.attempt);
+  if (grace_s >= 0) tmx_cbor_put_number_field(buffer, W_GRACE, grace_s);
+  list->count++;
+}
+
+/* Attempts that the log places there and that must end. */
+static void append_stops(const struct tmx_worker *worker, struct tmx_command_list *list) {
+  for (const struct tmx_task *task = worker->machine->tasks; task && list->count < TMX_COMMANDS_MAX;
+       task = task->next) {
+    if (!tmx_worker_reports(worker, task) || task->reported_state == TMX_REPORTED_EXITED ||
+        !tmx_task_is_leaving(task))
+      continue;
+    bool saves = task->stop_mode == STOP_AFTER_SAVING && !task->job->outcome;
+    if (saves && task->reported_state == TMX_REPORTED_SAVING) continue;
+    append_command(list, WV_STOP, name_of_task(task),
+                   saves ? task->job->spec.checkpoint_save_s + 1.0 : 0.0);
+  }
+}
+
+/* Attempts of the report that the log does not place there. The log has settled them: one that has
+ * exited may be forgotten (test_rules: no_start_after_forgetting). One that still runs must not, it
+ * is stopped. */
+static void append_settled(const struct tmx_worker *worker, enum tmx_command_scope scope,
+                           struct tmx_command_list *list) {
+  const struct tmx_worker_report *report = &worker->report;
+  for (size_t i = 0; i < report->n_tasks && list->count < TMX_COMMANDS_MAX; i++) {
+    const struct tmx_reported_task *reported = &report->tasks[i];
+    if (reported->in_log) continue;
+    if (reported->state != TMX_REPORTED_EXITED)
+      append_command(list, WV_STOP, name_of_reported(reported), 0.0);
+    else if (scope == TMX_COMMANDS_ALL)
+      append_command(list, WV_FORGET, name_of_reported(reported), NO_GRACE);
+  }
+}
+
+/* Attempts that the log places there and the report lacks. */
+static void append_starts(const struct tmx_worker *worker, struct tmx_command_list *list) {
+  for (const struct tmx_task *task = worker->machine->tasks; task && list->count < TMX_COMMANDS_MAX;
+       task = task->next) {
+    if (tmx_task_is_leaving(task) || tmx_worker_reports(worker, task)) continue;
+    append_command(list, WV_START, name_of_task(task), NO_GRACE);
+    list->has_starts = true;
+  }
+}
+
+void tmx_worker_derive_commands(struct tmx_worker *worker, enum tmx_command_scope scope,
+                                struct tmx_command_list *list) {
+  /* On an old copy of the state nothing is started: somebody may have cancelled the job
+   * (test_meetings: no_start_on_an_old_copy). */
+  bool may_start =
+      scope == TMX_COMMANDS_ALL && tmx_authority_may_start_tasks(worker->workers->authority);
+  if (!worker->machine || !worker->machine->registered) return;
+  tmx_worker_reconcile(worker);
+  append_stops(worker, list); /* stops come first: they make the room that starts need */
+  append_settled(worker, scope, list);
+  if (may_start) append_starts(worker, list);
+}
+
+void tmx_worker_derive_stops_of_ended_jobs(const struct tmx_worker *worker,
+                                           struct tmx_command_list *list) {
+  const struct tmx_worker_report *report = &worker->report;
+  for (size_t i = 0; i < report->n_tasks && list->count < TMX_COMMANDS_MAX; i++) {
+    const struct tmx_reported_task *reported = &report->tasks[i];
+    const struct tmx_job *job = tmx_job_find(worker->workers->replica, reported->job);
+    if (reported->state == TMX_REPORTED_EXITED || !job || !job->outcome) continue;
+    append_command(list, WV_STOP, name_of_reported(reported), 0.0);
+  }
+}
+
+void tmx_command_list_free(struct tmx_command_list *list) { tmx_buffer_free(&list->encoded); }
+
+void tmx_worker_post_commands(struct tmx_worker *worker, const struct tmx_command_list *list,
+                              double timeout_s, tmx_http_response_cb callback) {
+  struct tmx_buffer body = {0};
+  tmx_cbor_put_map(&body, 3);
+  tmx_cbor_put_u64_field(&body, W_TOKEN, tmx_worker_token(worker));
+  tmx_cbor_put_u64_field(&body, W_SESSION, worker->report.session);
+  tmx_cbor_put_text(&body, W_COMMANDS);
+  tmx_cbor_put_list(&body, list->count);
+  if (list->count) tmx_buffer_append(&body, list->encoded.data, list->encoded.length);
+  worker->commands.in_flight = tmx_http_client_call(worker->connection.client, "POST", WP_COMMANDS,
+                                                    &body, timeout_s, callback, worker);
+  tmx_buffer_free(&body);
+}
+
+static void on_command_response(void *arg, int status, const uint8_t *body, size_t length);
+
+static void send_commands(struct tmx_worker *worker) {
+  struct tmx_worker_commands *commands = &worker->commands;
+  const struct tmx_workers *workers = worker->workers;
+  commands->are_due = false;
+  if (!worker->report.session || commands->in_flight || commands->is_unanswered ||
+      commands->starts_unconfirmed) {
+    commands->are_due = commands->in_flight;
+    return;
+  }
+  if (!tmx_worker_update_ownership(worker) || !tmx_authority_may_act(workers->authority)) return;
+  if (tmx_worker_has_newer_owner(worker)) return;
+  struct tmx_command_list list = {0};
+  tmx_worker_derive_commands(worker, TMX_COMMANDS_ALL, &list);
+  if (list.count && tmx_worker_connect(worker, worker->report.facts.addr))
+    tmx_worker_post_commands(worker, &list, TMX_COMMAND_TIMEOUT_S, on_command_response);
+  tmx_command_list_free(&list);
+}
+
+/* 409: the worker refused the token or the session, and says what it has. */
+static void on_command_response(void *arg, int status, const uint8_t *body, size_t length) {
+  struct tmx_worker *worker = arg;
+  worker->commands.in_flight = false;
+  bool has_report =
+      (status == 200 || status == 409) && tmx_worker_take_answer(worker, body, length);
+  /* Refused as malformed, or nobody accepted the connection. */
+  bool was_not_executed = status == 400 || status == -1;
+  if (!has_report && !was_not_executed) {
+    tmx_worker_fence_unanswered_command(worker);
+    return;
+  }
+  if (has_report && (status == 200 || worker->commands.are_due)) send_commands(worker);
+}
+
+void tmx_workers_send_due_commands(struct tmx_workers *workers) {
+  struct tmx_worker_queue *queue = &workers->command_queue;
+  for (size_t i = 0; i < queue->length; i++) {
+    struct tmx_worker *worker = queue->items[i];
+    if (!worker) continue;
+    worker->commands.is_queued = false;
+    if (worker->commands.are_due && !worker->commands.in_flight) send_commands(worker);
+  }
+  queue->length = 0;
+}
--- /dev/null
+++ b/src/worker/lease_renewal.c
@@ -0,0 +1,228 @@
+#include "worker/lease_renewal.h"
+
+#include <string.h>
+
+#include "base/clock.h"
+#include "net/cbor.h"
+#include "net/http.h"
+#include "tmx/wire.h"
+#include "worker/commands.h"
+#include "worker/fencing.h"
+#include "worker/reconciliation.h"
+#include "worker/report_intake.h"
+
+/* owner: where the worker finds its owner; NULL: it asks another controller. */
+static void reply_redirect(struct tmx_http_request *request, const char *owner) {
+  struct tmx_buffer body = {0};
+  tmx_cbor_put_map(&body, owner ? 1 : 0);
+  if (owner) tmx_cbor_put_text_field(&body, W_REPORT_TO, owner);
+  tmx_http_reply(request, 421, &body, 0);
+  tmx_buffer_free(&body);
+}
+
+/* Renews the lease. */
+static void reply_commands(struct tmx_http_request *request, uint64_t token,
+                           const struct tmx_command_list *list) {
+  struct tmx_buffer body = {0};
+  tmx_cbor_put_map(&body, 2);
+  tmx_cbor_put_u64_field(&body, W_TOKEN, token);
+  tmx_cbor_put_text(&body, W_COMMANDS);
+  tmx_cbor_put_list(&body, list->count);
+  if (list->count) tmx_buffer_append(&body, list->encoded.data, list->encoded.length);
+  tmx_http_reply(request, 200, &body, 0);
+  tmx_buffer_free(&body);
+}
+
+/* is_older: the answer to a probe has overtaken the heartbeat, which its worker still waits for
+ * (test_meetings: probe_overtakes_a_report); or it is a late copy, and nobody waits. The worker
+ * counts its lease from when it sent the heartbeat, in either case. */
+static void reply_as_owner(struct tmx_worker *worker, struct tmx_http_request *request,
+                           bool is_older) {
+  worker->redirection.redirected_at = 0;
+  /* A newer owner was there, whose lease this controller must not renew (test_rules:
+   * newer_owner). */
+  if (tmx_worker_has_newer_owner(worker)) {
+    reply_redirect(request, NULL);
+    return;
+  }
+  /* While a direct command is under way its effect is not known: nothing is started. An answer that
+   * renews a lease always stops what is cancelled, though. */
+  bool stops_only = is_older || worker->commands.in_flight;
+  struct tmx_command_list list = {0};
+  tmx_worker_derive_commands(worker, stops_only ? TMX_COMMANDS_STOPS_ONLY : TMX_COMMANDS_ALL,
+                             &list);
+  if (list.has_starts) worker->commands.starts_unconfirmed = true;
+  reply_commands(request, tmx_worker_token(worker), &list);
+  tmx_command_list_free(&list);
+}
+
+/* A command of the owner that starts a task may still be under way, and the task's job is over by
+ * now. A controller that renews the lease on behalf of the owner raises no token, so the command is
+ * not ruled out, and the task would go on until the lease ends: it must not be renewed beyond the
+ * time of the cancellation (test_meetings: lease_not_kept_for_a_held_start). */
+static bool is_late_start_possible(const struct tmx_worker *worker, double now) {
+  const struct tmx_settings *settings = worker->workers->settings;
+  for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
+       task = task->next)
+    if (task->job->outcome && !tmx_worker_reports(worker, task) &&
+        now - task->job->outcome_after > tmx_fresh_bound(settings))
+      return true;
+  return false;
+}
+
+/* While the state service is out of reach no view can give the machine to another controller, and
+ * its owner does not receive its heartbeats: any member whose copy is fresh renews the lease, so
+ * that running work is not killed (test_rules: lease_kept_for_an_owner_out_of_reach). */
+static bool may_renew_lease_for_owner(const struct tmx_worker *worker, const char *owner,
+                                      double now) {
+  const struct tmx_workers *workers = worker->workers;
+  double redirected_at = worker->redirection.redirected_at;
+  if (!tmx_store_is_member(workers->store) ||
+      now - tmx_store_fresh_as_of(workers->store) < TMX_STORE_LOST_S)
+    return false;
+  /* Where an owner by a newer view was there, that one sees to the lease. */
+  if (worker->ownership.highest_token >
+      tmx_authority_fencing_token(workers->authority, TMX_TOKEN_SEQUENCE_MAX))
+    return false;
+  if (is_late_start_possible(worker, now)) return false;
+  return tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_LOST_S ||
+         (redirected_at && now - redirected_at >= TMX_FAILOVER_AFTER_S);
+}
+
+/* On behalf of the owner, with the token that the worker has seen, and with no commands but one
+ * kind: a job that is over stays over, and its tasks must not outlast the time that a cancellation
+ * has (test_meetings: gap). */
+static void reply_for_owner(const struct tmx_worker *worker, struct tmx_http_request *request) {
+  struct tmx_command_list list = {0};
+  tmx_worker_derive_stops_of_ended_jobs(worker, &list);
+  reply_commands(request, worker->ownership.highest_token, &list);
+  tmx_command_list_free(&list);
+}
+
+/* A worker that was sent to its owner and is back, or that its owner has lost, cannot reach it. */
+static bool is_cut_off_from_owner(const struct tmx_worker *worker, const char *owner, double now) {
+  const struct tmx_workers *workers = worker->workers;
+  double redirected_at = worker->redirection.redirected_at;
+  double since_redirect = now - redirected_at;
+  if (redirected_at && since_redirect >= TMX_FAILOVER_AFTER_S &&
+      since_redirect <= TMX_FAILOVER_WITHIN_S)
+    return true;
+  if (tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_LOST_S)
+    return redirected_at && since_redirect < TMX_FAILOVER_WITHIN_S;
+  struct tmx_suspicion suspicion;
+  return worker->machine && tmx_workers_find_suspicion(workers, worker->machine, &suspicion) &&
+         suspicion.silence_s > TMX_FAILOVER_SILENT_S && suspicion.probes_lost >= TMX_PROBES_LOST;
+}
+
+static void park_request(struct tmx_worker *worker, struct tmx_http_request *request, double now) {
+  worker->redirection.parked_request = request;
+  worker->redirection.parked_at = now;
+  worker->workers->n_parked++;
+}
+
+/* The caller answers what is returned; NULL: no heartbeat waits. */
+static struct tmx_http_request *unpark_request(struct tmx_worker *worker) {
+  struct tmx_http_request *request = worker->redirection.parked_request;
+  if (request) worker->workers->n_parked--;
+  worker->redirection.parked_request = NULL;
+  return request;
+}
+
+void tmx_worker_redirect_parked_request(struct tmx_worker *worker) {
+  struct tmx_http_request *request = unpark_request(worker);
+  if (request) reply_redirect(request, NULL);
+}
+
+void tmx_workers_answer_parked_requests(struct tmx_workers *workers) {
+  if (!workers->n_parked) return;
+  const char *machines[TMX_FAILOVER_MACHINES_MAX];
+  size_t n_machines = 0;
+  struct tmx_worker *worker, *next;
+  HASH_ITER(hh, workers->all, worker, next) {
+    const struct tmx_worker_redirection *redirection = &worker->redirection;
+    if (!redirection->parked_request) continue;
+    if (!redirection->parked_request->conn ||
+        tmx_clock_steady() - redirection->parked_at > TMX_FAILOVER_PARK_S)
+      tmx_worker_redirect_parked_request(worker);
+    else if (tmx_authority_may_act(workers->authority) && tmx_worker_update_ownership(worker))
+      reply_as_owner(worker, unpark_request(worker), false);
+    else if (n_machines < TMX_FAILOVER_MACHINES_MAX)
+      machines[n_machines++] = worker->id;
+  }
+  if (n_machines) tmx_view_manager_take_over(workers->view_manager, machines, n_machines);
+}
+
+/* The owner by the view; NULL: there is none, or it is this controller, whose present run is not in
+ * the view yet. */
+static const char *find_other_owner(const struct tmx_worker *worker) {
+  const struct tmx_workers *workers = worker->workers;
+  const char *owner = tmx_machine_owner(workers->replica, worker->id);
+  return owner && strcmp(owner, workers->settings->node_name) ? owner : NULL;
+}
+
+static void reply_as_other(struct tmx_worker *worker, struct tmx_http_request *request,
+                           bool is_older) {
+  struct tmx_worker_redirection *redirection = &worker->redirection;
+  const char *owner = find_other_owner(worker);
+  double now = tmx_clock_steady();
+  if (!owner || is_older) {
+    reply_redirect(request, owner);
+    return;
+  }
+  if (may_renew_lease_for_owner(worker, owner, now)) {
+    reply_for_owner(worker, request);
+    return;
+  }
+  if (!redirection->parked_request && tmx_store_is_member(worker->workers->store) &&
+      is_cut_off_from_owner(worker, owner, now)) {
+    park_request(worker, request, now);
+    return;
+  }
+  redirection->redirected_at = now;
+  reply_redirect(request, owner);
+}
+
+static struct tmx_intake take_heartbeat(struct tmx_workers *workers,
+                                        const struct tmx_http_request *request) {
+  struct tmx_intake intake = {.result = TMX_INTAKE_REFUSED};
+  cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
+  if (map) intake = tmx_workers_take_report(workers, map, TMX_REPORT_FROM_HEARTBEAT);
+  tmx_cbor_free(map);
+  return intake;
+}
+
+void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request) {
+  struct tmx_intake intake = take_heartbeat(workers, request);
+  struct tmx_worker *worker = intake.worker;
+  bool is_older = intake.result == TMX_INTAKE_OLDER;
+  if (intake.result == TMX_INTAKE_REFUSED) {
+    tmx_http_reply(request, 400, NULL, 0);
+    return;
+  }
+  if (intake.result == TMX_INTAKE_MACHINE_REMOVED) {
+    reply_redirect(request, NULL);
+    return;
+  }
+  /* A controller that is cut off must not renew leases for longer than a cancellation elsewhere
+   * allows (test_rules: withdrawal_during_a_cut). */
+  if (!tmx_authority_may_act(workers->authority)) {
+    tmx_http_reply(request, 503, NULL, 1);
+    return;
+  }
+  /* Others still have the state service: they serve its machines. */
+  if (tmx_peers_lost_store_alone(workers->peers)) {
+    reply_redirect(request, NULL);
+    return;
+  }
+  if (!tmx_worker_update_ownership(worker)) {
+    reply_as_other(worker, request, is_older);
+    return;
+  }
+  /* A late copy of an earlier session: nobody waits for its answer (test_meetings:
+   * probe_overtakes_a_report). */
+  if (intake.session < worker->report.session) {
+    reply_redirect(request, NULL);
+    return;
+  }
+  reply_as_owner(worker, request, is_older);
+}
--- /dev/null
+++ b/src/worker/reconciliation.c
@@ -0,0 +1,150 @@
+#include "worker/reconciliation.h"
+
+#include <stdio.h>
+#include <string.h>
+
+#include "base/clock.h"
+#include "base/log.h"
+#include "worker/fencing.h"
+#include "worker/worker_table.h"
+
+/* The task of the log that is this very attempt on this machine; NULL: there is none. */
+static struct tmx_task *find_in_log(const struct tmx_worker *worker,
+                                    const struct tmx_reported_task *reported) {
+  const struct tmx_job *job = tmx_job_find(worker->workers->replica, reported->job);
+  if (!job || !job->tasks || reported->task >= job->spec.tasks) return NULL;
+  struct tmx_task *task = &job->tasks[reported->task];
+  bool is_same = task->state == TMX_TASK_PLACED && task->attempt == reported->attempt &&
+                 task->machine == worker->machine;
+  return is_same ? task : NULL;
+}
+
+void tmx_worker_reconcile(struct tmx_worker *worker) {
+  struct tmx_worker_reconciliation *last = &worker->reconciliation;
+  const struct tmx_worker_report *report = &worker->report;
+  if (!worker->machine || (last->report_number == report->number &&
+                           last->machine_changes == worker->machine->change_count))
+    return;
+  last->report_number = report->number;
+  last->machine_changes = worker->machine->change_count;
+  for (size_t i = 0; i < report->n_tasks; i++) {
+    struct tmx_reported_task *reported = &report->tasks[i];
+    struct tmx_task *task = find_in_log(worker, reported);
+    reported->in_log = task != NULL;
+    if (!task) continue;
+    task->reported_in = report->number;
+    task->reported_state = reported->state;
+    task->reported_end = reported->end_reason;
+  }
+}
+
+bool tmx_worker_reports(const struct tmx_worker *worker, const struct tmx_task *task) {
+  return task->reported_in == worker->report.number;
+}
+
+bool tmx_task_is_leaving(const struct tmx_task *task) {
+  return task->stop_mode || task->job->outcome;
+}
+
+static void note_running(const struct tmx_worker *worker, struct tmx_task *task) {
+  if (task->running_since) return;
+  task->running_since = (float)tmx_clock_steady();
+  if (tmx_log_enabled(TMX_LOG_DEBUG))
+    tmx_log(TMX_LOG_DEBUG, "task: %s/%u %u runs on %s, image %s, placed %.2f s ago", task->job->id,
+            tmx_task_index(task), task->attempt, worker->id, task->job->spec.image,
+            tmx_clock_steady() - task->placed_at);
+}
+
+void tmx_worker_note_report(struct tmx_worker *worker) {
+  struct tmx_scheduler *scheduler = worker->workers->scheduler;
+  tmx_worker_reconcile(worker);
+  for (struct tmx_task *task = worker->machine->tasks; task; task = task->next) {
+    bool is_reported = tmx_worker_reports(worker, task);
+    bool has_exited = is_reported && task->reported_state == TMX_REPORTED_EXITED;
+    if (is_reported && task->reported_state == TMX_REPORTED_RUNNING) note_running(worker, task);
+    if (!has_exited && !tmx_task_is_leaving(task)) continue;
+    tmx_worker_enqueue_completion(worker);
+    if (has_exited && task->stop_mode)
+      tmx_scheduler_trigger(
+          scheduler); /* it was stopped for other work, which waits for the room */
+    else
+      tmx_scheduler_trigger_within(scheduler, TMX_COMPLETIONS_DELAY_S);
+  }
+}
+
+/* The end (TMX_END_*) that report and log together prove; 0: none. */
+static char proven_end(const struct tmx_worker *worker, const struct tmx_task *task) {
+  if (!tmx_worker_reports(worker, task))
+    return tmx_task_is_leaving(task) && tmx_worker_absence_proves_end(worker) ? TMX_END_STOPPED : 0;
+  if (task->reported_state != TMX_REPORTED_EXITED ||
+      !tmx_worker_end_is_proven(worker, task->reported_end))
+    return 0;
+  return task->reported_end;
+}
+
+static void put_end(struct tmx_operation *operation, const struct tmx_task *task, char end_reason) {
+  memset(operation, 0, sizeof *operation);
+  operation->kind = TMX_OPERATION_END;
+  operation->task = tmx_task_index(task);
+  operation->attempt = task->attempt;
+  operation->reason = end_reason;
+  snprintf(operation->job, sizeof operation->job, "%s", task->job->id);
+}
+
+/* Returns how many; *is_pending: the worker must be looked at again, as an end may follow or is not
+ * committed yet. */
+static size_t collect_from_worker(struct tmx_worker *worker, struct tmx_operation *operations,
+                                  size_t max, bool *is_pending) {
+  size_t count = 0;
+  *is_pending = false;
+  if (!worker->machine || !worker->machine->registered || !worker->machine->tasks ||
+      !worker->report.session || !tmx_worker_update_ownership(worker))
+    return 0; /* it is queued again by whatever changes this */
+  tmx_worker_reconcile(worker);
+  for (const struct tmx_task *task = worker->machine->tasks; task && count < max;
+       task = task->next) {
+    char end_reason = proven_end(worker, task);
+    if (end_reason) put_end(&operations[count++], task, end_reason);
+    if (end_reason || tmx_task_is_leaving(task)) *is_pending = true;
+  }
+  return count;
+}
+
+size_t tmx_workers_collect_completions(struct tmx_workers *workers,
+                                       struct tmx_operation *operations, size_t max) {
+  struct tmx_worker_queue *queue = &workers->completion_queue;
+  size_t count = 0, kept = 0;
+  for (size_t i = 0; i < queue->length; i++) {
+    struct tmx_worker *worker = queue->items[i];
+    if (!worker) continue;
+    bool is_pending = true;
+    if (count < max)
+      count += collect_from_worker(worker, operations + count, max - count, &is_pending);
+    worker->reconciliation.is_queued = is_pending;
+    if (is_pending) queue->items[kept++] = worker;
+  }
+  queue->length = kept;
+  return count;
+}
+
+/* A machine is registered only once its worker shows a token of this controller: a late copy of a
+ * report of a machine that was returned never does (test_rules:
+ * late_copy_of_a_returned_machine). */
+static bool may_be_registered(struct tmx_worker *worker, double since) {
+  if ((worker->machine && worker->machine->registered) || !worker->report.session) return false;
+  if (!worker->liveness.heartbeat_at || worker->liveness.heartbeat_at < since) return false;
+  return tmx_worker_update_ownership(worker) && tmx_worker_is_acknowledged(worker);
+}
+
+size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
+                                        struct tmx_machine_facts *facts, size_t max) {
+  size_t count = 0;
+  double since = tmx_clock_steady() - 2 * workers->settings->report_s;
+  struct tmx_worker *worker, *next;
+  if (!workers->unregistered_seen_at || workers->unregistered_seen_at < since) return 0;
+  HASH_ITER(hh, workers->all, worker, next) {
+    if (count == max) break;
+    if (may_be_registered(worker, since)) facts[count++] = worker->report.facts;
+  }
+  return count;
+}
--- /dev/null
+++ b/src/worker/worker_table.c
@@ -0,0 +1,98 @@
+#include "worker/worker_table.h"
+
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "base/log.h"
+#include "base/memory.h"
+#include "worker/lease_renewal.h"
+#include "worker/worker_connection.h"
+
+struct tmx_worker *tmx_worker_find(const struct tmx_workers *workers, const char *id) {
+  struct tmx_worker *worker;
+  HASH_FIND_STR(workers->all, id, worker);
+  return worker;
+}
+
+/* Machines that a controller's memory allows for: far more than it is run for. */
+static size_t max_workers(const struct tmx_workers *workers) {
+  return (size_t)(workers->settings->ram_mb * TMX_BYTES_PER_MB * TMX_WORKERS_MEMORY_SHARE /
+                  TMX_WORKER_BYTES);
+}
+
+static bool is_evictable(const struct tmx_worker *worker) {
+  return !worker->machine && !worker->redirection.parked_request && !worker->commands.in_flight &&
+         !worker->probing.in_flight;
+}
+
+static double last_mention(const struct tmx_worker *worker) {
+  return fmax(worker->liveness.heartbeat_at, worker->owner_suspicion.received_at);
+}
+
+/* The table is full. Of the machines that sent a heartbeat once and were never registered, the one
+ * that was silent longest is forgotten: over months there are many of those. */
+static bool evict_one(struct tmx_workers *workers) {
+  struct tmx_worker *worker, *next, *oldest = NULL;
+  HASH_ITER(hh, workers->all, worker, next) {
+    if (!is_evictable(worker)) continue;
+    if (!oldest || last_mention(worker) < last_mention(oldest)) oldest = worker;
+  }
+  if (oldest) tmx_worker_free(oldest);
+  return oldest != NULL;
+}
+
+struct tmx_worker *tmx_worker_create(struct tmx_workers *workers, const char *id) {
+  struct tmx_worker *worker = tmx_worker_find(workers, id);
+  if (worker) return worker;
+  if (HASH_COUNT(workers->all) >= max_workers(workers) && !evict_one(workers)) {
+    tmx_log(TMX_LOG_ERROR, "worker: %s is refused: memory is kept for %zu machines", id,
+            max_workers(workers));
+    return NULL;
+  }
+  worker = tmx_allocate(1, sizeof *worker);
+  snprintf(worker->id, sizeof worker->id, "%s", id);
+  worker->workers = workers;
+  worker->machine = tmx_machine_find(workers->replica, id);
+  if (worker->machine) worker->machine->worker = worker;
+  HASH_ADD_STR(workers->all, id, worker);
+  return worker;
+}
+
+static void queue_append(struct tmx_worker_queue *queue, struct tmx_worker *worker) {
+  queue->items = tmx_grow(queue->items, &queue->capacity, queue->length + 1, sizeof *queue->items);
+  queue->items[queue->length++] = worker;
+}
+
+/* Leaves a gap: the queue may be walked by a caller further up. */
+static void queue_clear_entry(struct tmx_worker_queue *queue, const struct tmx_worker *worker) {
+  for (size_t i = 0; i < queue->length; i++)
+    if (queue->items[i] == worker) queue->items[i] = NULL;
+}
+
+void tmx_worker_free(struct tmx_worker *worker) {
+  struct tmx_workers *workers = worker->workers;
+  struct tmx_probe_budget *budget = &workers->probe_budget;
+  if (budget->next == worker) budget->next = worker->hh.next;
+  if (budget->next_suspect == worker) budget->next_suspect = worker->hh.next;
+  HASH_DEL(workers->all, worker);
+  tmx_worker_redirect_parked_request(worker);
+  tmx_worker_disconnect(worker);
+  if (worker->commands.is_queued) queue_clear_entry(&workers->command_queue, worker);
+  if (worker->reconciliation.is_queued) queue_clear_entry(&workers->completion_queue, worker);
+  if (worker->machine) worker->machine->worker = NULL;
+  free(worker->report.tasks);
+  free(worker);
+}
+
+void tmx_worker_enqueue_command(struct tmx_worker *worker) {
+  if (worker->commands.is_queued) return;
+  worker->commands.is_queued = true;
+  queue_append(&worker->workers->command_queue, worker);
+}
+
+void tmx_worker_enqueue_completion(struct tmx_worker *worker) {
+  if (worker->reconciliation.is_queued) return;
+  worker->reconciliation.is_queued = true;
+  queue_append(&worker->workers->completion_queue, worker);
+}
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -2,6 +2,11 @@
  * @file
  * The machines' workers: their heartbeats and leases, the commands that they get, reconciliation of
  * their reports with the log, and probes of machines that are in doubt. Loop's thread only.
+ *
+ * One file for each: worker_table.c (records of workers), report_intake.c (heartbeats and answers),
+ * fencing.c (ownership and tokens), reconciliation.c (proven ends), commands.c (what a machine
+ * should do), lease_renewal.c (answers to heartbeats, failover), probes.c, machine_health.c,
+ * suspicions.c (health as told to and by other controllers), worker_connection.c.
  */
 #ifndef TMX_WORKERS_H
 #define TMX_WORKERS_H
@@ -33,17 +38,21 @@
   struct tmx_scheduler *scheduler;
 };
 
+/** Makes the module; the caller owns it. */
 struct tmx_workers *tmx_workers_new(const struct tmx_workers_dependencies *dependencies);
+/** Redirects the heartbeats that wait, and closes the connections to workers. */
 void tmx_workers_free(struct tmx_workers *workers);
 
-/** Answers a worker's report; the request is answered now, or parked for a moment. */
+/** Answers a worker's heartbeat: at once, or, while this controller takes the machine over from an
+ * owner that its worker does not reach, within TMX_FAILOVER_PARK_S. */
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request);
-/** Sends the commands that the latest events made due; after each turn of the loop. */
+/** Sends the commands that the latest events made due, and answers heartbeats that waited. To be
+ * called after each turn of the loop, when its events were applied and not within. */
 void tmx_workers_flush(struct tmx_workers *workers);
-/** Probes machines and judges their health. */
+/** Probes machines and judges their health; does nothing before TMX_RECLAIM_PERIOD_S are over. */
 void tmx_workers_tick(struct tmx_workers *workers);
 
-/** The machine's tasks, orders or owner changed in the replica. */
+/** The machine's tasks, their stops, or its owner changed in the replica. */
 void tmx_workers_machine_changed(struct tmx_workers *workers, struct tmx_machine *machine);
 /** The machine is about to be freed. */
 void tmx_workers_machine_removed(struct tmx_workers *workers, struct tmx_machine *machine);
@@ -64,7 +73,8 @@
 /** Takes what another owner says of one of its machines, by the view of this term. */
 void tmx_workers_take_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
                                 const struct tmx_suspicion *suspicion);
-/** What the machine's owner says of it; false: nothing is wrong, or the owner is not heard. */
+/** What the machine's owner says of it; false: nothing is wrong, or no recent
+ * heartbeat of the owner says so. */
 bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
                                 const struct tmx_machine *machine, struct tmx_suspicion *out);
 
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -1,62 +1,153 @@
-/* Shared by the files of src/worker only. */
+/**
+ * @file
+ * The records that the files of src/worker share. Each part of a record is a struct, and the
+ * comment of the struct names the files that write it. Nothing outside src/worker includes this.
+ */
 #ifndef TMX_WORKERS_INTERNAL_H
 #define TMX_WORKERS_INTERNAL_H
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+
 #include "worker/workers.h"
 
+/** What a worker reports of an attempt. */
+enum tmx_reported_state {
+  TMX_REPORTED_FETCHING, /**< the image is being fetched */
+  TMX_REPORTED_RUNNING,
+  TMX_REPORTED_SAVING, /**< it writes its checkpoint, on request */
+  TMX_REPORTED_EXITED,
+};
+
+/** One attempt of the latest report. */
 struct tmx_reported_task {
   char job[TMX_ID_MAX];
-  uint32_t task, attempt;
-  uint8_t state;   /* LD_* */
-  char end_reason; /* TMX_END_*, when exited */
-  bool in_log;     /* the log has this very attempt here */
+  uint32_t task;
+  uint32_t attempt;
+  enum tmx_reported_state state;
+  char end_reason; /**< TMX_END_*, when exited */
+  bool in_log;     /**< the log places this very attempt on this machine */
+};
+
+/** The latest report, from a heartbeat or from an answer to a probe or a command. Written by
+ * report_intake.c. */
+struct tmx_worker_report {
+  uint64_t session;  /**< incarnation of the worker's set of tasks; 0: no report came yet */
+  uint64_t sequence; /**< of the report, within the session */
+  struct tmx_machine_facts facts;
+  bool spot_notice;                /**< the cloud is about to take the machine back */
+  struct tmx_reported_task *tasks; /**< owned by the record */
+  size_t n_tasks;
+  uint32_t number; /**< this process's count of reports, never 0 once one came */
+};
+
+/** Signs of life, each a time of the steady clock in s. Written by report_intake.c, and by
+ * fencing.c when a token shows one. */
+struct tmx_worker_liveness {
+  double heartbeat_at;    /**< latest new heartbeat that came here; 0: never */
+  double acknowledged_at; /**< latest proof that the worker receives what this controller sends: an
+                               answer, or a token of this controller; 0: never */
+  double recovered_at;    /**< first sign after the worker had been silent */
+};
+
+/** The report and the state of the log that were last compared. Written by reconciliation.c, and
+ * is_queued by worker_table.c. */
+struct tmx_worker_reconciliation {
+  uint32_t report_number;
+  uint32_t machine_changes;
+  bool is_queued; /**< in the queue of workers whose reports may prove an end */
+};
+
+/** This controller's ownership of the machine, and the fencing tokens of it. Written by
+ * fencing.c. */
+struct tmx_worker_ownership {
+  bool is_owner;             /**< by the view of `as_of_term` */
+  uint64_t as_of_term;       /**< term of the view that ownership was last compared with */
+  double since;              /**< steady clock, s: when this controller became the owner */
+  uint32_t token_sequence;   /**< of the current token of this controller for this machine */
+  uint64_t highest_token;    /**< that the worker has seen, as it reports */
+  uint64_t required_token;   /**< absence of an attempt proves nothing while highest_token is
+                                  lower and the session is not above required_session */
+  double required_since;     /**< steady clock, s: since when the worker owes that token */
+  uint64_t required_session; /**< UINT64_MAX: no later session makes up for the token */
+  bool is_inherited; /**< nothing has shown yet that a report was sent after this owner came */
+};
+
+/** Commands to the worker. commands.c writes all of it but what other events tell: fencing.c
+ * whether a command without an answer is still to be reckoned with, report_intake.c and
+ * lease_renewal.c whether starts are, probes.c and worker_connection.c whether a command is in
+ * flight. */
+struct tmx_worker_commands {
+  bool are_due;            /**< the log or a report changed since commands were last derived */
+  bool is_queued;          /**< in the queue of workers to which commands may be due */
+  bool in_flight;          /**< a direct command waits for its answer */
+  bool is_unanswered;      /**< a direct command got no answer: it may still be executed */
+  bool starts_unconfirmed; /**< an answer with starts was sent; the next heartbeat tells */
 };
-enum { TMX_REPORTED_FETCHING, TMX_REPORTED_RUNNING, TMX_REPORTED_SAVING, TMX_REPORTED_EXITED };
 
+/** Answers to heartbeats while another controller owns the machine. Written by
+ * lease_renewal.c. */
+struct tmx_worker_redirection {
+  double redirected_at; /**< steady clock, s: last sent to its owner; 0: not since it was served */
+  struct tmx_http_request *parked_request; /**< a heartbeat that waits for a moment until this
+                                                controller is the owner; NULL: none */
+  double parked_at;                        /**< steady clock, s */
+};
+
+/** The connection to the worker. Written by worker_connection.c. */
+struct tmx_worker_connection {
+  struct tmx_http_client *client; /**< NULL: none is open */
+  char address[TMX_NAME_MAX];
+};
+
+/** Probes of the machine. Written by probes.c; fencing.c begins a new ownership with none lost, and
+ * worker_connection.c ends a probe with its connection. */
+struct tmx_worker_probing {
+  bool in_flight;
+  int lost;       /**< in a row */
+  double sent_at; /**< steady clock, s */
+};
+
+/** What another owner says of its machine. Written by suspicions.c. */
+struct tmx_worker_owner_suspicion {
+  struct tmx_suspicion suspicion;
+  char reporter[TMX_NAME_MAX]; /**< name of the controller that said it */
+  double received_at;          /**< steady clock, s; 0: never */
+  uint64_t term;               /**< of the view by which it spoke */
+};
+
+/** The worker of one machine. */
 struct tmx_worker {
   char id[TMX_ID_MAX];
-  struct tmx_machine_facts facts;
   struct tmx_workers *workers;
-  struct tmx_machine *machine; /* once registered */
-  uint64_t session, report_sequence,
-      highest_token;      /* seen: the highest token the worker has seen */
-  double heard_at;        /* last new report that came here; 0: never */
-  double acknowledged_at; /* last proof that it hears us: an answer, or a token of ours */
-  double recovered_at;    /* it gave a sign after it had been silent */
-  double heartbeat_at;    /* its own report came here last, and not only answers; 0: never */
-  double redirected_at;
-  struct tmx_http_request
-      *parked_request; /* a report that waits, for a moment, until this controller is the owner */
-  double parked_at;
-  bool spot_notice;
-  struct tmx_reported_task *tasks;
-  size_t n_tasks;
-  uint32_t report_number, reconciled_report, reconciled_changes;
-  /* as its owner */
-  bool owned;
-  uint64_t owned_as_of_term; /* of the view that `owned` was last compared with */
-  uint32_t token_sequence;
-  uint64_t required_token; /* absence proves nothing while seen < fence ... */
-  double required_token_at;
-  uint64_t required_token_session; /* ... and the session is not a later one than this */
-  bool starts_unconfirmed;         /* a response with starts was sent; the next report tells */
-  bool inherited; /* nothing has shown yet that a report was sent after this owner came */
-  bool command_in_flight, command_unanswered;
-  bool commands_due, in_command_queue,
-      in_completion_queue; /* queued, may_end: in the list of those */
-  /* probes */
-  bool probe_in_flight;
-  int probes_lost; /* in a row */
-  double probed_at, owned_since;
-  struct tmx_http_client *client;
-  char client_address[TMX_NAME_MAX];
-  /* what another owner says of it */
-  struct tmx_suspicion owner_suspicion;
-  char suspicion_reporter[TMX_NAME_MAX];
-  double suspicion_at;
-  uint64_t suspicion_term; /* of the view that it spoke by */
+  struct tmx_machine *machine; /**< once the replica has it, else NULL */
+  struct tmx_worker_report report;
+  struct tmx_worker_liveness liveness;
+  struct tmx_worker_reconciliation reconciliation;
+  struct tmx_worker_ownership ownership;
+  struct tmx_worker_commands commands;
+  struct tmx_worker_redirection redirection;
+  struct tmx_worker_connection connection;
+  struct tmx_worker_probing probing;
+  struct tmx_worker_owner_suspicion owner_suspicion;
   UT_hash_handle hh;
 };
 
+/** Workers to look at later. An entry is NULL when its worker was freed in the meantime. */
+struct tmx_worker_queue {
+  struct tmx_worker **items;
+  size_t length;
+  size_t capacity;
+};
+
+/** The budget of probes and where their turns stand. Written by probes.c. */
+struct tmx_probe_budget {
+  double available;                /**< probes that may be sent now */
+  struct tmx_worker *next;         /**< where the next turn begins; NULL: at the first */
+  struct tmx_worker *next_suspect; /**< the same for machines in doubt */
+};
+
+/** The module: its table of workers and what it works on. */
 struct tmx_workers {
   struct ev_loop *loop;
   const struct tmx_settings *settings;
@@ -67,27 +158,19 @@
   const struct tmx_loop_monitor *loop_monitor;
   struct tmx_peers *peers;
   struct tmx_scheduler *scheduler;
-  struct tmx_worker *all;
-  struct tmx_worker **command_queue; /* whose orders may differ */
-  size_t n_command_queue, cap_command_queue;
-  struct tmx_worker **completion_queue; /* whose reports may prove an end; NULL: gone */
-  size_t n_completion_queue, cap_completion_queue;
-  double unregistered_seen_at; /* latest report of a machine that is not registered */
-  int n_parked, n_clients;
+  struct tmx_worker *all; /**< hash table by id */
+  struct tmx_worker_queue command_queue;
+  struct tmx_worker_queue completion_queue;
+  double unregistered_seen_at; /**< latest report of a machine that is not registered */
+  double last_heartbeat_at;    /**< latest new heartbeat of any worker; 0: never */
+  int n_parked;                /**< heartbeats that wait */
+  int n_clients;               /**< open connections */
   uint32_t report_counter;
-  double last_report_at, swept_at, probe_tokens;
-  struct tmx_worker *next_probe, *next_suspect_probe; /* where the next turns of probes begin */
+  double checked_at; /**< when the health of machines was last judged */
+  struct tmx_probe_budget probe_budget;
   struct tmx_reachability reachability;
-  bool most_are_unreported; /* of its machines: that tells of this controller, not of them */
+  bool most_are_unreported; /**< most of its machines send no heartbeats: that tells of this
+                                 controller, not of them */
   struct tmx_zone_liveness zone_liveness[TMX_ZONES_MAX];
 };
-
-struct tmx_worker *tmx_worker_create(struct tmx_workers *workers, const char *id);
-bool tmx_worker_is_owned(struct tmx_workers *workers, struct tmx_worker *worker);
-struct tmx_http_client *tmx_worker_client(struct tmx_worker *worker, const char *addr);
-/* Takes the body of an answer to a probe or a command in; false: not one of this worker's. */
-bool tmx_worker_take_status(struct tmx_worker *worker, const uint8_t *body, size_t len);
-bool tmx_worker_is_acknowledged(const struct tmx_worker *worker);
-/* s since its own report came to this owner: only those renew its lease. */
-double tmx_worker_heartbeat_age(const struct tmx_worker *worker, double now);
 #endif
