--- a/src/worker/commands.c
+++ b/src/worker/commands.c
@@ -56,8 +56,7 @@
 }
 
 /* Attempts of the report that the log does not place there. The log has settled them: one that has
- * exited may be forgotten (test_rules: no_start_after_forgetting). One that still runs must not, it
- * is stopped. */
+ * exited may be forgotten. One that still runs must not, it is stopped. */
 static void append_settled(const struct tmx_worker *worker, enum tmx_command_scope scope,
                            struct tmx_command_list *list) {
   const struct tmx_worker_report *report = &worker->report;
--- a/src/worker/fencing.c
+++ b/src/worker/fencing.c
@@ -113,8 +113,8 @@
   return required_token_was_seen(&worker->ownership) && !worker->commands.is_unanswered;
 }
 
-/* Besides commands of earlier owners and sessions, a start of this owner may be on its way to the
- * worker: by a direct command (test_rules: unanswered_command) or in an answer to a heartbeat
+/* Besides commands from before the required token (test_rules: heir_and_late_commands), a start of
+ * this owner may be on its way to the worker: by a direct command, or in an answer to a heartbeat
  * (test_rules: probe_overtakes_an_answer). */
 bool tmx_worker_absence_proves_end(const struct tmx_worker *worker) {
   return earlier_commands_are_void(worker) && !worker->commands.in_flight &&
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -91,7 +91,7 @@
 
 /* On behalf of the owner, with the token that the worker has seen, and with no commands but one
  * kind: a job that is over stays over, and its tasks must not outlast the time that a cancellation
- * has (test_meetings: gap). */
+ * has (test_rules: lease_kept_for_an_owner_out_of_reach). */
 static void reply_for_owner(const struct tmx_worker *worker, struct tmx_http_request *request) {
   struct tmx_command_list list = {0};
   tmx_worker_derive_stops_of_ended_jobs(worker, &list);
@@ -204,7 +204,7 @@
     return;
   }
   /* A controller that is cut off must not renew leases for longer than a cancellation elsewhere
-   * allows (test_rules: withdrawal_during_a_cut). */
+   * allows (test_rules: withdrawal_during_a_cut; test_meetings: gap). */
   if (!tmx_authority_may_act(workers->authority)) {
     tmx_http_reply(request, 503, NULL, 1);
     return;
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -22,8 +22,7 @@
 }
 
 /* An answer may lie in a buffer while this controller stands still or is behind with its own work:
- * then a probe that timed out says nothing of the machine (test_rules:
- * no_verdict_after_standing_still). */
+ * then a probe that timed out says nothing of the machine. */
 static void count_lost_probe(struct tmx_worker *worker) {
   if (tmx_loop_monitor_on_time_since(worker->workers->loop_monitor, worker->probing.sent_at,
                                      tmx_clock_steady()))
--- a/src/worker/reconciliation.c
+++ b/src/worker/reconciliation.c
@@ -128,8 +128,7 @@
 }
 
 /* A machine is registered only once its worker shows a token of this controller: a late copy of a
- * report of a machine that was returned never does (test_rules:
- * late_copy_of_a_returned_machine). */
+ * report of a machine that was returned never does. */
 static bool may_be_registered(struct tmx_worker *worker, double since) {
   if ((worker->machine && worker->machine->registered) || !worker->report.session) return false;
   if (!worker->liveness.heartbeat_at || worker->liveness.heartbeat_at < since) return false;
--- a/src/worker/report_intake.c
+++ b/src/worker/report_intake.c
@@ -90,8 +90,8 @@
   return tasks;
 }
 
-/* A late copy, or a report that another one has overtaken (test_rules: lapsed_lease; test_meetings:
- * probe_overtakes_a_report). */
+/* What is not newer is a late copy (test_rules: lapsed_lease), or a report that another one has
+ * overtaken. */
 static bool is_newer(const struct parsed_report *report, const struct tmx_worker *worker) {
   const struct tmx_worker_report *latest = &worker->report;
   return report->session > latest->session ||
