--- a/src/worker/commands.c
+++ b/src/worker/commands.c
@@ -83,7 +83,7 @@
 void tmx_worker_derive_commands(struct tmx_worker *worker, enum tmx_command_scope scope,
                                 struct tmx_command_list *list) {
   /* On an old copy of the state nothing is started: somebody may have cancelled the job
-   * (test_meetings: no_start_on_an_old_copy). */
+   * (test_cancellation: nothing_starts_on_a_stale_replica). */
   bool may_start =
       scope == TMX_COMMANDS_ALL && tmx_authority_may_start_tasks(worker->workers->authority);
   if (!worker->machine || !worker->machine->registered) return;
--- a/src/worker/fencing.c
+++ b/src/worker/fencing.c
@@ -27,13 +27,14 @@
 }
 
 /* Commands of the owner before may still be under way: until the worker has seen a token of this
- * owner, absence proves nothing (test_rules: heir_and_late_commands). That a session is over proves
- * nothing either to a successor, which does not know for which session those commands were. */
+ * owner, absence proves nothing (test_fencing: late_commands_of_the_former_owner_are_fenced). That
+ * a session is over proves nothing either to a successor, which does not know for which session
+ * those commands were. */
 static void become_owner(struct tmx_worker *worker, uint64_t term) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
   /* By the same view as before, when the copy of the state was read anew: an answer with starts may
-   * be under way with the very token that the worker has seen (test_meetings:
-   * same_view_read_anew). */
+   * be under way with the very token that the worker has seen (test_leader_change:
+   * tokens_stay_valid_when_the_same_view_is_read_again). */
   if (term == ownership->as_of_term) raise_token(ownership);
   ownership->required_token = tmx_worker_token(worker);
   ownership->is_inherited = true;
@@ -57,10 +58,10 @@
   return is_owner;
 }
 
-/* The command may still be executed, minutes later: a higher token goes out first (test_rules:
- * unanswered_command). The session is the latest one: an earlier command may have been for an
- * earlier session, and the end of that one says nothing of this one (test_meetings:
- * late_command_of_a_later_session). */
+/* The command may still be executed, minutes later: a higher token goes out first
+ * (test_task_lifecycle: an_unanswered_command_raises_the_token). The session is the latest one: an
+ * earlier command may have been for an earlier session, and the end of that one says nothing of
+ * this one (test_late_messages: a_late_command_of_a_later_session_proves_no_end). */
 void tmx_worker_fence_unanswered_command(struct tmx_worker *worker) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
   if (tmx_worker_is_acknowledged(worker)) ownership->required_since = tmx_clock_steady();
@@ -113,17 +114,19 @@
   return required_token_was_seen(&worker->ownership) && !worker->commands.is_unanswered;
 }
 
-/* Besides commands from before the required token (test_rules: heir_and_late_commands), a start of
- * this owner may be on its way to the worker: by a direct command, or in an answer to a heartbeat
- * (test_rules: probe_overtakes_an_answer). */
+/* Besides commands from before the required token (test_fencing:
+ * late_commands_of_the_former_owner_are_fenced), a start of this owner may be on its way to the
+ * worker: by a direct command, or in an answer to a heartbeat (test_late_messages:
+ * a_probe_that_overtakes_an_answer_changes_nothing). */
 bool tmx_worker_absence_proves_end(const struct tmx_worker *worker) {
   return earlier_commands_are_void(worker) && !worker->commands.in_flight &&
          !worker->commands.is_unanswered && !worker->commands.starts_unconfirmed;
 }
 
 /* To a successor any copy of a report looks new, also one of an earlier session: the attempt may
- * have been forgotten with that session, and started once more (test_meetings:
- * late_copy_of_an_earlier_session). Only a result stays what it is, since the worker keeps it. */
+ * have been forgotten with that session, and started once more (test_late_messages:
+ * a_late_report_of_an_earlier_session_proves_no_end). Only a result stays what it is, since the
+ * worker keeps it. */
 bool tmx_worker_end_is_proven(const struct tmx_worker *worker, char end_reason) {
   return end_reason == TMX_END_DONE || !worker->ownership.is_inherited;
 }
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -34,13 +34,13 @@
 }
 
 /* is_older: the answer to a probe has overtaken the heartbeat, which its worker still waits for
- * (test_meetings: probe_overtakes_a_report); or it is a late copy, and nobody waits. The worker
- * counts its lease from when it sent the heartbeat, in either case. */
+ * (test_late_messages: a_probe_that_overtakes_a_report_proves_no_end); or it is a late copy, and
+ * nobody waits. The worker counts its lease from when it sent the heartbeat, in either case. */
 static void reply_as_owner(struct tmx_worker *worker, struct tmx_http_request *request,
                            bool is_older) {
   worker->redirection.redirected_at = 0;
-  /* A newer owner was there, whose lease this controller must not renew (test_rules:
-   * newer_owner). */
+  /* A newer owner was there, whose lease this controller must not renew (test_fencing:
+   * a_higher_token_is_not_answered_with_200). */
   if (tmx_worker_has_newer_owner(worker)) {
     reply_redirect(request, NULL);
     return;
@@ -59,7 +59,7 @@
 /* A command of the owner that starts a task may still be under way, and the task's job is over by
  * now. A controller that renews the lease on behalf of the owner raises no token, so the command is
  * not ruled out, and the task would go on until the lease ends: it must not be renewed beyond the
- * time of the cancellation (test_meetings: lease_not_kept_for_a_held_start). */
+ * time of the cancellation (test_cancellation: no_lease_is_kept_for_a_delayed_start). */
 static bool is_late_start_possible(const struct tmx_worker *worker, double now) {
   const struct tmx_settings *settings = worker->workers->settings;
   for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
@@ -72,7 +72,7 @@
 
 /* While the state service is out of reach no view can give the machine to another controller, and
  * its owner does not receive its heartbeats: any member whose copy is fresh renews the lease, so
- * that running work is not killed (test_rules: lease_kept_for_an_owner_out_of_reach). */
+ * that running work is not killed (test_fencing: a_lease_is_renewed_for_an_unreachable_owner). */
 static bool may_renew_lease_for_owner(const struct tmx_worker *worker, const char *owner,
                                       double now) {
   const struct tmx_workers *workers = worker->workers;
@@ -91,7 +91,7 @@
 
 /* On behalf of the owner, with the token that the worker has seen, and with no commands but one
  * kind: a job that is over stays over, and its tasks must not outlast the time that a cancellation
- * has (test_rules: lease_kept_for_an_owner_out_of_reach). */
+ * has (test_fencing: a_lease_is_renewed_for_an_unreachable_owner). */
 static void reply_for_owner(const struct tmx_worker *worker, struct tmx_http_request *request) {
   struct tmx_command_list list = {0};
   tmx_worker_derive_stops_of_ended_jobs(worker, &list);
@@ -204,7 +204,8 @@
     return;
   }
   /* A controller that is cut off must not renew leases for longer than a cancellation elsewhere
-   * allows (test_rules: withdrawal_during_a_cut; test_meetings: gap). */
+   * allows (test_cancellation: a_cancellation_holds_while_the_store_is_cut_off; test_cancellation:
+   * no_lease_outlasts_a_cancellation_in_a_store_outage). */
   if (!tmx_authority_may_act(workers->authority)) {
     tmx_http_reply(request, 503, NULL, 1);
     return;
@@ -218,8 +219,8 @@
     reply_as_other(worker, request, is_older);
     return;
   }
-  /* A late copy of an earlier session: nobody waits for its answer (test_meetings:
-   * probe_overtakes_a_report). */
+  /* A late copy of an earlier session: nobody waits for its answer (test_late_messages:
+   * a_probe_that_overtakes_a_report_proves_no_end). */
   if (intake.session < worker->report.session) {
     reply_redirect(request, NULL);
     return;
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -63,8 +63,9 @@
 }
 
 /* A machine that this controller owns; whether it is usable. One that answers and sends no
- * heartbeats is not (test_meetings: answers_and_cannot_report), nor is one whose heartbeats come
- * while it does not answer (test_rules: heard_and_not_reached). */
+ * heartbeats is not (test_machine_failure: a_machine_that_cannot_report_is_replaced), nor is one
+ * whose heartbeats come while it does not answer (test_machine_failure:
+ * a_machine_that_is_heard_and_not_reached_is_replaced). */
 static bool check_own_machine(struct tmx_worker *worker, struct health_check *check) {
   const struct tmx_settings *settings = worker->workers->settings;
   struct tmx_reachability *reachability = &check->reachability;
--- a/src/worker/report_intake.c
+++ b/src/worker/report_intake.c
@@ -90,8 +90,9 @@
   return tasks;
 }
 
-/* What is not newer is a late copy (test_rules: lapsed_lease), or a report that another one has
- * overtaken. */
+/* What is not newer is a late copy (test_fencing:
+ * a_worker_that_lost_its_lease_starts_a_new_session), or a report that another one has overtaken.
+ */
 static bool is_newer(const struct parsed_report *report, const struct tmx_worker *worker) {
   const struct tmx_worker_report *latest = &worker->report;
   return report->session > latest->session ||
@@ -105,8 +106,8 @@
     case TMX_REPORT_FROM_HEARTBEAT:
       liveness->heartbeat_at = worker->workers->last_heartbeat_at = now;
       /* Only the next heartbeat tells that the answer to the one before was executed or dropped: a
-       * probe may overtake an answer that is still on its way (test_rules:
-       * probe_overtakes_an_answer). */
+       * probe may overtake an answer that is still on its way (test_late_messages:
+       * a_probe_that_overtakes_an_answer_changes_nothing). */
       worker->commands.starts_unconfirmed = false;
       break;
     case TMX_REPORT_FROM_ANSWER:
@@ -154,7 +155,7 @@
   struct parsed_report parsed;
   if (!parse_report(map, &parsed)) return intake;
   intake.session = parsed.session;
-  /* test_rules: late_copy_of_a_returned_machine */
+  /* test_machine_failure: a_late_report_does_not_bring_a_removed_machine_back */
   if (tmx_machine_was_removed(workers->replica, parsed.facts.id)) {
     intake.result = TMX_INTAKE_MACHINE_REMOVED;
     return intake;
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -24,7 +24,7 @@
     time = fmin(time, since_recovery + 0.001);
   /* It answers and cannot report: direct commands renew no lease, so by now all that ran is over,
    * and would be again a lease later. When most machines are so, it is this controller that is not
-   * reached (test_meetings: answers_and_cannot_report). */
+   * reached (test_machine_failure: a_machine_that_cannot_report_is_replaced). */
   double heartbeat_age = tmx_worker_heartbeat_age(worker, now);
   if (heartbeat_age > settings->lease_s && !worker->workers->most_are_unreported)
     time = fmax(time, heartbeat_age);
@@ -68,8 +68,8 @@
 }
 
 /* Said in the owner's latest heartbeat, or not at all, and by the view that stands: a controller
- * that was cut off still tells of what it owned before, none of which it could reach (test_rules:
- * old_views_give_nothing_up). */
+ * that was cut off still tells of what it owned before, none of which it could reach
+ * (test_machine_failure: suspicions_of_an_older_view_are_ignored). */
 static bool owner_suspicion_stands(const struct tmx_workers *workers,
                                    const struct tmx_worker_owner_suspicion *record,
                                    const char *owner, double now) {
