--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -1,97 +1,128 @@
-// The operators' own settings are TOML. Debian has no TOML library for C, so toml11 is used
-// here behind one C function.
+/* Reads the operators' settings from TOML. Debian has no TOML library for C, so toml11 is used here
+ * behind one C function; no exception leaves this file. */
+#include <algorithm>
+#include <cstddef>
 #include <cstdio>
+#include <exception>
 #include <string>
 #include <toml.hpp>
 
-extern "C" {
 #include "config/settings.h"
-}
+#include "config/settings_error_internal.h"
 
 namespace {
 
-// One line about the key at fault.
+/* Thrown at the first key that is wrong. */
 struct invalid_key {
-  std::string key, why;
+  std::string key; /* with the names of its tables */
+  std::string reason;
+};
+
+/* A number of the table `Settings`: its key, its bounds and its place. */
+template <typename Settings>
+struct number_field {
+  const char *key;
+  double min, max;
+  double Settings::*place;
+};
+
+const number_field<tmx_operator_settings> operator_fields[] = {
+    {"idle_return_s", 10, 86400, &tmx_operator_settings::idle_return_s},
+    {"headroom", 0, 1, &tmx_operator_settings::headroom},
+    {"silent_s", 0, 3600, &tmx_operator_settings::silent_s},
 };
 
-double number(const std::string &key, const toml::value &v, double lo, double hi) {
-  double d = 0;
-  if (v.is_floating())
-    d = v.as_floating();
-  else if (v.is_integer())
-    d = static_cast<double>(v.as_integer());
+const number_field<tmx_admission_settings> admission_fields[] = {
+    {"backlog_s", 10, 86400, &tmx_admission_settings::backlog_s},
+    {"reserve", 0.05, 0.95, &tmx_admission_settings::reserve},
+    {"capacity_cpus", 0, 1e9, &tmx_admission_settings::capacity_cpus},
+    {"start_s", 1, 3600, &tmx_admission_settings::start_s},
+};
+
+const double TEAM_SHARE_MIN = 0.001, TEAM_SHARE_MAX = 1;
+/* bytes of a message of the TOML library that an error quotes */
+const std::size_t QUOTED_MAX = 300;
+
+double read_number(const std::string &path, const toml::value &value, double min, double max) {
+  double number = 0;
+  if (value.is_floating())
+    number = value.as_floating();
+  else if (value.is_integer())
+    number = static_cast<double>(value.as_integer());
   else
-    throw invalid_key{key, "not a number"};
-  if (!(d >= lo && d <= hi)) throw invalid_key{key, "out of range"};
-  return d;
+    throw invalid_key{path, "not a number"};
+  if (!(number >= min && number <= max)) throw invalid_key{path, "out of range"};
+  return number;
 }
 
-void read_team_shares(const toml::value &v, tmx_admission_settings *a) {
-  const std::string prefix = "admission.team_shares";
-  if (!v.is_table()) throw invalid_key{prefix, "not a table"};
-  for (const auto &kv : v.as_table()) {
-    const std::string key = prefix + "." + kv.first;
-    if (a->n_named == TMX_TEAMS_MAX) throw invalid_key{key, "too many teams"};
-    if (kv.first.size() >= TMX_NAME_MAX) throw invalid_key{key, "too long"};
-    tmx_team_share &named = a->named[a->n_named++];
-    snprintf(named.team, sizeof named.team, "%s", kv.first.c_str());
-    named.share = number(key, kv.second, 0.001, 1);
+/* Reads `value` if `key` is one of the fields; false: it is none of them. */
+template <typename Settings, std::size_t Count>
+bool read_field(const number_field<Settings> (&fields)[Count], const std::string &key,
+                const std::string &path, const toml::value &value, Settings *settings) {
+  for (const auto &field : fields) {
+    if (key != field.key) continue;
+    settings->*field.place = read_number(path, value, field.min, field.max);
+    return true;
   }
+  return false;
 }
 
-void read_admission(const toml::value &v, tmx_admission_settings *a) {
-  if (!v.is_table()) throw invalid_key{"admission", "not a table"};
-  for (const auto &kv : v.as_table()) {
-    const std::string key = "admission." + kv.first;
-    if (kv.first == "enabled") {
-      if (!kv.second.is_boolean()) throw invalid_key{key, "not a boolean"};
-      a->enabled = kv.second.as_boolean();
-    } else if (kv.first == "backlog_s") {
-      a->backlog_s = number(key, kv.second, 10, 86400);
-    } else if (kv.first == "reserve") {
-      a->reserve = number(key, kv.second, 0.05, 0.95);
-    } else if (kv.first == "capacity_cpus") {
-      a->capacity_cpus = number(key, kv.second, 0, 1e9);
-    } else if (kv.first == "start_s") {
-      a->start_s = number(key, kv.second, 1, 3600);
-    } else if (kv.first == "team_shares") {
-      read_team_shares(kv.second, a);
-    } else {
-      throw invalid_key{key, "unknown key"};
+void read_team_shares(const std::string &path, const toml::value &table,
+                      tmx_admission_settings *admission) {
+  if (!table.is_table()) throw invalid_key{path, "not a table"};
+  const std::string prefix = path + ".";
+  for (const auto &[team, value] : table.as_table()) {
+    const std::string team_path = prefix + team;
+    if (admission->n_named == TMX_TEAMS_MAX) throw invalid_key{team_path, "too many teams"};
+    if (team.size() >= TMX_NAME_MAX) throw invalid_key{team_path, "too long"};
+    tmx_team_share &named = admission->named[admission->n_named++];
+    std::snprintf(named.team, sizeof named.team, "%s", team.c_str());
+    named.share = read_number(team_path, value, TEAM_SHARE_MIN, TEAM_SHARE_MAX);
+  }
+}
+
+void read_admission(const toml::value &table, tmx_admission_settings *admission) {
+  if (!table.is_table()) throw invalid_key{"admission", "not a table"};
+  for (const auto &[key, value] : table.as_table()) {
+    const std::string path = "admission." + key;
+    if (key == "enabled") {
+      if (!value.is_boolean()) throw invalid_key{path, "not a boolean"};
+      admission->enabled = value.as_boolean();
+    } else if (key == "team_shares") {
+      read_team_shares(path, value, admission);
+    } else if (!read_field(admission_fields, key, path, value, admission)) {
+      throw invalid_key{path, "unknown key"};
     }
   }
-  if (!v.as_table().count("enabled")) throw invalid_key{"admission.enabled", "missing"};
+  if (!table.as_table().count("enabled")) throw invalid_key{"admission.enabled", "missing"};
 }
 
-void read_all(const toml::value &root, tmx_operator_settings *o) {
-  for (const auto &kv : root.as_table()) {
-    if (kv.first == "idle_return_s")
-      o->idle_return_s = number(kv.first, kv.second, 10, 86400);
-    else if (kv.first == "headroom")
-      o->headroom = number(kv.first, kv.second, 0, 1);
-    else if (kv.first == "silent_s")
-      o->silent_s = number(kv.first, kv.second, 0, 3600);
-    else if (kv.first == "admission")
-      read_admission(kv.second, &o->admission);
-    else
-      throw invalid_key{kv.first, "unknown key"};
+void read_root(const toml::value &root, tmx_operator_settings *operators) {
+  for (const auto &[key, value] : root.as_table()) {
+    if (key == "admission")
+      read_admission(value, &operators->admission);
+    else if (!read_field(operator_fields, key, key, value, operators))
+      throw invalid_key{key, "unknown key"};
   }
 }
 
+/* Errors are one line; those of the TOML library have several, with the source quoted. */
+std::string one_line(std::string message) {
+  std::replace(message.begin(), message.end(), '\n', ' ');
+  return message.substr(0, QUOTED_MAX);
+}
+
 }  // namespace
 
-extern "C" bool tmx_operator_load(struct tmx_operator_settings *o, const char *path, char *err, size_t cap) {
+bool tmx_operator_load(tmx_operator_settings *operators, const char *path, char *error,
+                       std::size_t error_capacity) {
+  settings_error first = {"operator settings", error, error_capacity, false};
   try {
-    read_all(toml::parse(path), o);
-    return true;
-  } catch (const invalid_key &e) {
-    snprintf(err, cap, "operator settings: %s: %s", e.key.c_str(), e.why.c_str());
-  } catch (const std::exception &e) {
-    std::string m = e.what();
-    for (char &c : m)
-      if (c == '\n') c = ' ';
-    snprintf(err, cap, "operator settings: %s: %.300s", path, m.c_str());
+    read_root(toml::parse(path), operators);
+  } catch (const invalid_key &fault) {
+    tmx_settings_set_error(&first, "", fault.key.c_str(), fault.reason.c_str());
+  } catch (const std::exception &fault) {
+    tmx_settings_set_error(&first, "", path, one_line(fault.what()).c_str());
   }
-  return false;
+  return !first.is_set;
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,6 @@
-/* The settings that the platform hands over (JSON) and the operators' own (TOML). */
+/** @file
+ * The settings: those that the platform hands over (JSON) and the operators' own (TOML). They are
+ * read once at the start and do not change afterwards, so any thread may read them. */
 #ifndef TMX_SETTINGS_H
 #define TMX_SETTINGS_H
 #include <stdbool.h>
@@ -6,42 +8,70 @@
 
 #include "tmx/constants.h"
 
+#ifdef __cplusplus
+extern "C" {
+#endif
+
+enum {
+  TMX_TEAMS_MAX = 32,     /**< teams that the settings may list */
+  TMX_OBJECTIVES_MAX = 32 /**< objectives that the settings may list */
+};
+
+/** Another controller of the cluster. */
 struct tmx_peer_settings {
-  char name[TMX_NAME_MAX], zone[TMX_NAME_MAX], addr[TMX_NAME_MAX];
+  char name[TMX_NAME_MAX];
+  char zone[TMX_NAME_MAX];
+  char addr[TMX_NAME_MAX]; /**< for heartbeats between controllers, such as 10.0.0.1:8080 */
 };
+
+/** A team with its quota: what it is guaranteed, and its limit (0: none). */
 struct tmx_team_settings {
   char name[TMX_NAME_MAX];
-  double cpus, cpus_max, gpus, gpus_max; /* max 0: no limit */
+  double cpus, cpus_max;
+  double gpus, gpus_max;
 };
+
+/** A service-level objective of a class of work. */
 struct tmx_objective {
-  char kind[16], class_name[TMX_NAME_MAX];
+  char kind[16];
+  char class_name[TMX_NAME_MAX];
   double within_s;
 };
-#define TMX_TEAMS_MAX 32
-#define TMX_OBJECTIVES_MAX 32
-struct tmx_team_share { /* as the operators name it */
+
+/** A team's share of the admitted work, as the operators name it. */
+struct tmx_team_share {
   char team[TMX_NAME_MAX];
-  double share;
+  double share; /**< 0 to 1 */
 };
+
+/** The operators' settings of admission control. */
 struct tmx_admission_settings {
   bool enabled;
-  double backlog_s;     /* work admitted and not done, at most: s of the whole cluster */
-  double reserve;       /* share of it that is set aside for teams and classes, 0 to 1 */
-  double capacity_cpus; /* CPUs that can be had at least, rented ones included; 0: not told */
-  double start_s;       /* a class whose work waits gets a start this often, s */
-  struct tmx_team_share named[TMX_TEAMS_MAX];
+  double backlog_s;     /**< work admitted and not done, at most: seconds of the whole cluster */
+  double reserve;       /**< share of it that is set aside for teams and classes, 0 to 1 */
+  double capacity_cpus; /**< CPUs that can be had at least, rented ones included; 0: not told */
+  double start_s;       /**< a class whose work waits gets a start this often, seconds */
+  struct tmx_team_share named[TMX_TEAMS_MAX]; /**< in the order of the file's table */
   size_t n_named;
-  double share[TMX_TEAMS_MAX]; /* of each team, by index; see tmx_admission_resolve */
+  double share[TMX_TEAMS_MAX]; /**< of each team, by index; see tmx_admission_resolve */
 };
+
+/** The operators' own settings. */
 struct tmx_operator_settings {
-  double idle_return_s; /* an empty machine is returned after this, s */
-  double headroom;      /* share of the services' room kept free */
-  double silent_s;      /* a machine that answers no probe goes after this, s; 0: the default */
+  double idle_return_s; /**< an empty machine is returned after this, seconds */
+  double headroom;      /**< share of the services' room kept free, 0 to 1 */
+  double silent_s; /**< a machine that answers no probe goes after this, seconds; 0: the default */
   struct tmx_admission_settings admission;
 };
+
+/** All settings of one controller. Addresses have the form 10.0.0.1:8080. */
 struct tmx_settings {
-  char node_name[TMX_NAME_MAX], zone[TMX_NAME_MAX], listen[TMX_NAME_MAX], peer_listen[TMX_NAME_MAX];
-  char cloud[TMX_NAME_MAX], state[TMX_NAME_MAX];
+  char node_name[TMX_NAME_MAX];   /**< of this controller */
+  char zone[TMX_NAME_MAX];        /**< of this controller */
+  char listen[TMX_NAME_MAX];      /**< for users and workers */
+  char peer_listen[TMX_NAME_MAX]; /**< for heartbeats between controllers */
+  char cloud[TMX_NAME_MAX];       /**< the cloud's API */
+  char state[TMX_NAME_MAX];       /**< the state service */
   struct tmx_peer_settings peers[TMX_MEMBERS_MAX];
   size_t n_peers;
   char zones[TMX_ZONES_MAX][TMX_NAME_MAX];
@@ -50,36 +80,61 @@
   size_t n_teams;
   struct tmx_objective objectives[TMX_OBJECTIVES_MAX];
   size_t n_objectives;
-  double report_s, lease_s, cancel_s;
-  /* of the state service: the smaller of the limits in force and of those announced in
-   * `state.next`, which may come into force at any moment */
-  double state_rps, write_rps, value_kb;
-  int txn_ops;
-  double cloud_rps, list_lag_s;
-  double core_share, ram_mb;
-  int sockets;
-  double clock_off_ms;
+  double report_s; /**< time between two heartbeats of a worker, seconds */
+  double lease_s;  /**< length of the lease that a worker gets, seconds */
+  double cancel_s; /**< a cancelled job must have stopped after this, seconds */
+  /* The limits of the state service are the smaller of those in force and those announced in
+   * `state.next`, which may come into force at any moment. */
+  double state_rps;    /**< requests a second */
+  double write_rps;    /**< puts a second */
+  double value_kb;     /**< length of a value, KiB */
+  int txn_ops;         /**< operations of one transaction */
+  double cloud_rps;    /**< requests a second to the cloud */
+  double list_lag_s;   /**< the cloud's list of machines may be as old as this, seconds */
+  double core_share;   /**< processor cores of this controller */
+  double ram_mb;       /**< memory of this controller, MB */
+  int sockets;         /**< open sockets of this controller, at most */
+  double clock_off_ms; /**< difference between the clocks of two hosts, at most */
   struct tmx_operator_settings operators;
 };
-/* false: err holds one line naming the field */
-bool tmx_settings_load(struct tmx_settings *settings, const char *path, char *err, size_t cap);
-bool tmx_settings_parse(struct tmx_settings *settings, const char *text, char *err, size_t cap);
+
+/**
+ * Reads the platform's settings from a file; the operators' settings get their defaults.
+ * @param error           receives one line that names the field at fault, and is left alone
+ *                        otherwise
+ * @param error_capacity  bytes of `error`
+ * @return false on an error; `settings` must not be used then.
+ */
+bool tmx_settings_load(struct tmx_settings *settings, const char *path, char *error,
+                       size_t error_capacity);
+/** The same from a text. */
+bool tmx_settings_parse(struct tmx_settings *settings, const char *text, char *error,
+                        size_t error_capacity);
+
+/** Sets every field of the operators' settings to its default. */
 void tmx_operator_defaults(struct tmx_operator_settings *operators);
-#ifdef __cplusplus
-extern "C"
-#endif
-    bool
-    tmx_operator_load(struct tmx_operator_settings *operators, const char *path, char *err,
-                      size_t cap);
-/* How the sockets are shared out: incoming connections, and connections kept to workers. */
+/** Reads the operators' settings from a TOML file over the defaults: a key that the file leaves out
+ *  keeps its value. Errors as with tmx_settings_load. */
+bool tmx_operator_load(struct tmx_operator_settings *operators, const char *path, char *error,
+                       size_t error_capacity);
+
+/** Connections that users and workers may open at once: their part of the sockets. */
 int tmx_sockets_in(const struct tmx_settings *settings);
+/** Connections that this controller may keep to workers: their part of the sockets. */
 int tmx_sockets_out(const struct tmx_settings *settings);
-/* s after the beginning of a read of the state during which leases may be renewed: a cancellation
- * that came after the read must not be outlasted by a lease. */
+/** Seconds after the beginning of a read of the state during which leases may be renewed: a
+ *  cancellation that came after the read must not be outlasted by a lease. */
 double tmx_fresh_bound(const struct tmx_settings *settings);
-size_t tmx_value_room(
-    const struct tmx_settings *settings); /* bytes, as JSON, for what a value lists */
-int tmx_node_zone(const struct tmx_settings *settings, const char *node); /* -1: not known */
+/** Bytes, counted as JSON, for what one value lists. */
+size_t tmx_value_room(const struct tmx_settings *settings);
+/** Index of the zone of a controller, this one or a peer; -1 if either is not known. */
+int tmx_node_zone(const struct tmx_settings *settings, const char *node);
+/** Index of a zone in `zones`; -1 if it is not there. */
 int tmx_zone_index(const struct tmx_settings *settings, const char *zone);
+/** Index of a team in `teams`; -1 if it is not there. */
 int tmx_team_index(const struct tmx_settings *settings, const char *team);
+
+#ifdef __cplusplus
+}
+#endif
 #endif
