--- a/include/tmx/wire.h
+++ b/include/tmx/wire.h
@@ -1,26 +1,37 @@
-/* The one place for the names that travel on the wire. Inside the program the usual terms
- * are used: class, team, task, attempt, token, lease, zone, spot, image. */
+/** @file
+ * The names that travel on the wire: this is the one place that maps the terms of the code (class,
+ * team, task, attempt, fencing token, incarnation, lease, zone, spot, image) to the words of the
+ * protocol. WP_ are paths, W_ are keys of maps, WV_ are values of such keys. A name that two
+ * messages share stands with the first of them. docs/naming.md explains the terms. */
 #ifndef TMX_WIRE_H
 #define TMX_WIRE_H
 
-/* paths */
+/* Paths that this program serves: to users, the load balancer and workers. */
 #define WP_JOBS "/v2/runs"
 #define WP_CANCEL "/withdraw"
 #define WP_READY "/ready"
 #define WP_REPORT "/hello"
+
+/* Paths of a worker. */
 #define WP_COMMANDS "/commands"
 #define WP_STATUS "/show"
+
+/* Paths of the cloud. */
 #define WP_TYPES "/catalog"
 #define WP_MACHINES "/machines"
 #define WP_DELETE "/machines/delete"
+
+/* Paths of the state service. */
 #define WP_KV "/kv"
 #define WP_TXN "/commit"
 #define WP_LEASES "/holds"
 #define WP_RENEW "/extend"
 #define WP_WATCH "/follow"
+
+/* Every job id begins with this. */
 #define W_JOB_PREFIX "wk-"
 
-/* fields */
+/* Keys of a submission; many return in reports and in the lists of the cloud. */
 #define W_ID "id"
 #define W_CLASS "crew"
 #define W_TEAM "outfit"
@@ -45,9 +56,13 @@
 #define W_SAVE "stow_s"
 #define W_DEADLINE "due_s"
 #define W_AWAITS "awaits"
+
+/* Keys of the answer about a job. */
 #define W_STATE "standing"
 #define W_DONE "done"
 #define W_RUNNING "running"
+
+/* Keys of a worker's heartbeat. */
 #define W_MACHINE "rig"
 #define W_MACHINES "rigs"
 #define W_ADDR "addr"
@@ -57,9 +72,13 @@
 #define W_NOTICE "recall_s"
 #define W_ATTEMPT "try"
 #define W_WHY "cause"
+
+/* Keys of commands to a worker. */
 #define W_COMMANDS "orders"
 #define W_OP "verb"
 #define W_GRACE "wind_s"
+
+/* Keys of rental requests, the list of machines and the list of machine types. */
 #define W_REQUEST "hire"
 #define W_COUNT "count"
 #define W_AGE "held_s"
@@ -70,7 +89,11 @@
 #define W_PRICE "hourly"
 #define W_SPOT_PRICE "market_price"
 #define W_BOOT_S "boot_s"
+
+/* Key of the 421 answer: the controller to which a worker is redirected. */
 #define W_REPORT_TO "foreman"
+
+/* Keys of the state service. */
 #define W_KEY "path"
 #define W_VALUE "data"
 #define W_VERSION "stamp"
@@ -84,9 +107,11 @@
 #define W_DROP "drop"
 #define W_TTL "ttl_ms"
 
-/* values */
+/* Values of W_KIND. */
 #define WV_ARRAY "batch"
 #define WV_SERVICE "service"
+
+/* Values of W_STATE of jobs and tasks; a running machine is WV_RUNNING too. */
 #define WV_PENDING "pending"
 #define WV_RUNNING "running"
 #define WV_DONE "done"
@@ -94,12 +119,20 @@
 #define WV_FETCHING "pulling"
 #define WV_SAVING "saving"
 #define WV_EXITED "ended"
+
+/* Values of W_OP. */
 #define WV_START "start"
 #define WV_STOP "halt"
 #define WV_FORGET "reap"
+
+/* More values of W_STATE: of machines in the cloud's list. */
 #define WV_BOOTING "booting"
 #define WV_FAILED "failed"
-#define WV_NO_LEASE "no such lease" /* an error of the state service */
+
+/* The error of the state service for a put under a lease that has expired. */
+#define WV_NO_LEASE "no such lease"
+
+/* Values of W_WHY, beside WV_DONE. */
 #define WV_STOPPED "stopped"
 #define WV_ERROR "error"
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -33,9 +33,9 @@
 
 /** A service-level objective of a class of work. */
 struct tmx_objective {
-  char kind[16];
-  char class_name[TMX_NAME_MAX];
-  double within_s;
+  char kind[16];                 /**< wait, deadline, finished or guarantee */
+  char class_name[TMX_NAME_MAX]; /**< empty if it names no class */
+  double within_s;               /**< seconds; 0 if it names none */
 };
 
 /** A team's share of the admitted work, as the operators name it. */
@@ -51,7 +51,7 @@
   double reserve;       /**< share of it that is set aside for teams and classes, 0 to 1 */
   double capacity_cpus; /**< CPUs that can be had at least, rented ones included; 0: not told */
   double start_s;       /**< a class whose work waits gets a start this often, seconds */
-  struct tmx_team_share named[TMX_TEAMS_MAX]; /**< in the order of the file's table */
+  struct tmx_team_share named[TMX_TEAMS_MAX]; /**< in no particular order */
   size_t n_named;
   double share[TMX_TEAMS_MAX]; /**< of each team, by index; see tmx_admission_resolve */
 };
@@ -90,11 +90,11 @@
   double value_kb;     /**< length of a value, KiB */
   int txn_ops;         /**< operations of one transaction */
   double cloud_rps;    /**< requests a second to the cloud */
-  double list_lag_s;   /**< the cloud's list of machines may be as old as this, seconds */
-  double core_share;   /**< processor cores of this controller */
+  double list_lag_s;   /**< usual lag of the cloud's list of machines, seconds */
+  double core_share;   /**< processor cores of this controller, often less than one */
   double ram_mb;       /**< memory of this controller, MB */
   int sockets;         /**< open sockets of this controller, at most */
-  double clock_off_ms; /**< difference between the clocks of two hosts, at most */
+  double clock_off_ms; /**< difference of this host's time of day from true time, at most */
   struct tmx_operator_settings operators;
 };
 
