--- a/src/cloud/scale_in_policy.c
+++ b/src/cloud/scale_in_policy.c
@@ -17,7 +17,7 @@
 }
 
 struct tmx_reserve tmx_reserve_for(double peak_cpus, size_t machines) {
-  double margin = fmin(TMX_PEAK_MARGIN, 1 / sqrt(fmax(machines, 1)));
+  double margin = fmin(TMX_PEAK_MARGIN, 1 / sqrt(fmax((double)machines, 1)));
   return (struct tmx_reserve){
       .peak_cpus = peak_cpus, .margin = margin, .move_room = fmin(TMX_MOVE_ROOM_SHARE, 2 * margin)};
 }
