--- /dev/null
+++ b/src/replica/apply_operation.c
@@ -0,0 +1,168 @@
+#include "replica/apply_operation.h"
+
+#include <stdio.h>
+#include <string.h>
+#include <utlist.h>
+
+#include "replica/job_table.h"
+#include "replica/machine_table.h"
+#include "replica/replica_internal.h"
+
+/* Steady clock, s: long before this process started, for images that were read at the start. */
+#define LONG_AGO (-1e9)
+
+/* Adds a placed task's size to all sums that count it; `sign` is -1 to take it out. */
+static void count_placement(struct tmx_replica *replica, const struct tmx_task *task, int sign) {
+  struct tmx_job *job = task->job;
+  struct tmx_machine *machine = task->machine;
+  const double cpus = sign * job->spec.cpus, gpus = sign * job->spec.gpus;
+  replica->booked_cpus += cpus;
+  machine->booked_cpus += cpus;
+  if (job->spec.service) machine->service_cpus += cpus;
+  machine->booked_gpus += gpus;
+  machine->booked_mem_gb += sign * job->spec.mem_gb;
+  if (machine->zone >= 0) job->placed_in_zone[machine->zone] += (uint32_t)sign;
+  if (job->team >= 0) {
+    replica->team_usage[job->team].cpus += cpus;
+    replica->team_usage[job->team].gpus += gpus;
+  }
+}
+
+void tmx_replica_unplace_task(struct tmx_replica *replica, struct tmx_task *task) {
+  struct tmx_machine *machine = task->machine;
+  struct tmx_job *job = task->job;
+  count_placement(replica, task, -1);
+  DL_DELETE(machine->tasks, task);
+  /* an empty machine is empty, whatever rounding has left in its sums */
+  if (--machine->n_tasks == 0)
+    machine->booked_cpus = machine->booked_gpus = machine->booked_mem_gb = machine->service_cpus =
+        0;
+  job->n_placed--;
+  task->machine = NULL;
+  task->prev = task->next = NULL;
+  task->state = TMX_TASK_WAITING;
+  task->stop_mode = TMX_STOP_NONE;
+  const uint32_t index = tmx_task_index(task);
+  if (index < job->first_waiting) job->first_waiting = index;
+  tmx_replica_notify_machine(replica, machine);
+  tmx_replica_job_updated(replica, job);
+}
+
+/* A machine keeps the images used latest. How many is bounded here, not by its cache size. */
+static void remember_image(struct tmx_machine *machine, int image_id, double fetch_started_at) {
+  struct tmx_image *images = machine->images;
+  size_t i = 0;
+  while (i < machine->n_images && images[i].id != image_id) i++;
+  if (i < machine->n_images) fetch_started_at = images[i].fetch_started_at;
+  if (i == machine->n_images && machine->n_images < TMX_IMAGES_KEPT) machine->n_images++;
+  if (i == TMX_IMAGES_KEPT) i--;
+  memmove(&images[1], &images[0], i * sizeof images[0]);
+  images[0] = (struct tmx_image){.id = image_id, .fetch_started_at = fetch_started_at};
+}
+
+/* Starts set the order of classes in the rounds, and the distribution of waits. */
+static void note_start(struct tmx_replica *replica, struct tmx_job *job) {
+  if (!replica->backlog || !replica->loaded || job->team < 0) return;
+  if (job->in_account)
+    replica->backlog->accounts[job->team][job->account].started_at = replica->now;
+  if (!job->started && replica->on_job_started) replica->on_job_started(replica->observer, job);
+  job->started = true;
+}
+
+static void put_on_machine(struct tmx_replica *replica, struct tmx_task *task,
+                           struct tmx_machine *machine) {
+  task->state = TMX_TASK_PLACED;
+  task->machine = machine;
+  task->placed_at = (float)replica->now;
+  task->running_since = 0;
+  DL_APPEND(machine->tasks, task);
+  machine->n_tasks++;
+  task->job->n_placed++;
+  count_placement(replica, task, 1);
+}
+
+/* Attempts only grow, so an event that is seen twice, or early while loading, changes nothing. */
+static void apply_place(struct tmx_replica *replica, struct tmx_task *task,
+                        const struct tmx_operation *operation) {
+  struct tmx_job *job = task->job;
+  if (operation->attempt <= task->attempt || task->state == TMX_TASK_DONE) return;
+  if (task->state == TMX_TASK_PLACED) tmx_replica_unplace_task(replica, task);
+  task->attempt = operation->attempt;
+  struct tmx_machine *machine = tmx_replica_ensure_machine(replica, operation->machine);
+  put_on_machine(replica, task, machine);
+  remember_image(machine, job->spec.image_id, replica->loaded ? replica->now : LONG_AGO);
+  tmx_replica_notify_machine(replica, machine);
+  job->unplaced_since = replica->now;
+  tmx_replica_job_updated(replica, job);
+  note_start(replica, job);
+  if (replica->loaded && !machine->registered) tmx_replica_unplace_task(replica, task);
+}
+
+static void apply_stop(struct tmx_replica *replica, struct tmx_task *task,
+                       const struct tmx_operation *operation) {
+  const bool after_saving = operation->reason == '0' + TMX_STOP_AFTER_SAVING;
+  task->stop_mode = after_saving ? TMX_STOP_AFTER_SAVING : TMX_STOP_AT_ONCE;
+  tmx_replica_notify_machine(replica, task->machine);
+}
+
+static void note_success(struct tmx_replica *replica, struct tmx_task *task,
+                         struct tmx_machine *machine, float ran_s) {
+  struct tmx_job *job = task->job;
+  task->state = TMX_TASK_DONE;
+  if (ran_s > job->longest_run_s) job->longest_run_s = ran_s;
+  tmx_run_estimate_observe(replica, &job->spec, ran_s);
+  if (job->outcome != TMX_JOB_DONE) job->n_done++;
+  job->consecutive_failures = 0;
+  machine->consecutive_errors = 0;
+  machine->errors_of_several_jobs = false;
+}
+
+/* The backoff doubles with each failure in a row, up to a bound. */
+static double retry_backoff_s(uint32_t failures_before) {
+  double backoff_s = TMX_RETRY_BASE_S;
+  for (uint32_t i = 0; i < failures_before && backoff_s < TMX_RETRY_MAX_S; i++) backoff_s *= 2;
+  return backoff_s < TMX_RETRY_MAX_S ? backoff_s : TMX_RETRY_MAX_S;
+}
+
+static void note_error(const struct tmx_replica *replica, struct tmx_job *job,
+                       struct tmx_machine *machine) {
+  job->retry_at = replica->now + retry_backoff_s(job->consecutive_failures++);
+  char *failed_machine =
+      job->failed_machines[job->next_failed_machine++ % TMX_FAILED_MACHINES_KEPT];
+  snprintf(failed_machine, TMX_ID_MAX, "%s", machine->id);
+  if (machine->consecutive_errors && strcmp(machine->error_job, job->id))
+    machine->errors_of_several_jobs = true;
+  snprintf(machine->error_job, sizeof machine->error_job, "%s", job->id);
+  machine->consecutive_errors++;
+}
+
+static void apply_end(struct tmx_replica *replica, struct tmx_task *task,
+                      const struct tmx_operation *operation) {
+  struct tmx_job *job = task->job;
+  struct tmx_machine *machine = task->machine;
+  const float ran_s = task->running_since ? (float)replica->now - task->running_since : 0;
+  tmx_replica_unplace_task(replica, task);
+  if (operation->reason == TMX_END_DONE)
+    note_success(replica, task, machine, ran_s);
+  else if (operation->reason == TMX_END_ERROR)
+    note_error(replica, job, machine);
+  tmx_replica_job_updated(replica, job);
+  tmx_replica_release_tasks(replica, job);
+  tmx_replica_notify_schedulable(replica);
+}
+
+void tmx_replica_apply_operation(struct tmx_replica *replica,
+                                 const struct tmx_operation *operation) {
+  struct tmx_job *job = tmx_job_find(replica, operation->job);
+  if (!job || operation->task >= job->spec.tasks || !job->tasks) return;
+  struct tmx_task *task = &job->tasks[operation->task];
+  if (operation->kind == TMX_OPERATION_PLACE) {
+    apply_place(replica, task, operation);
+    return;
+  }
+  if (task->attempt != operation->attempt || task->state != TMX_TASK_PLACED) return;
+  if (operation->kind == TMX_OPERATION_STOP)
+    apply_stop(replica, task, operation);
+  else
+    apply_end(replica, task, operation);
+}
--- a/src/replica/membership.c
+++ b/src/replica/membership.c
@@ -1,62 +1,73 @@
-/* Members and views on the replica: which controller owns a machine and plans a job. Pure. */
+#include "replica/membership.h"
+
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
 
 #include "replica/replica_internal.h"
-#include "base/memory.h"
+
+int tmx_member_index(const struct tmx_replica *replica, const char *name) {
+  for (size_t i = 0; name && i < replica->view.n_members; i++)
+    if (!strcmp(replica->view.members[i].name, name)) return (int)i;
+  return -1;
+}
+
+static const struct tmx_member *member_at(const struct tmx_replica *replica, int index) {
+  return index >= 0 ? &replica->view.members[index] : NULL;
+}
 
 const struct tmx_member *tmx_member_find(const struct tmx_replica *replica, const char *name) {
-  for (size_t i = 0; i < replica->view.n_members; i++)
-    if (!strcmp(replica->view.members[i].name, name)) return &replica->view.members[i];
-  return NULL;
+  return member_at(replica, tmx_member_index(replica, name));
 }
 
-/* Rendezvous hashing: when a member goes, only its own machines and jobs move. */
-static uint64_t hash_pair(const char *a, const char *b) {
-  uint64_t h = 1469598103934665603ull;
-  for (; *a; a++) h = (h ^ (uint8_t)*a) * 1099511628211ull;
-  h = (h ^ 0xff) * 1099511628211ull;
-  for (; *b; b++) h = (h ^ (uint8_t)*b) * 1099511628211ull;
-  h ^= h >> 33;
-  h *= 0xff51afd7ed558ccdull;
-  h ^= h >> 33;
-  return h;
+/* FNV-1a, 64 bits. */
+static uint64_t hash_text(uint64_t hash, const char *text) {
+  for (; *text; text++) hash = (hash ^ (uint8_t)*text) * 1099511628211ull;
+  return hash;
 }
 
-static int highest_weight(const struct tmx_replica *replica, const char *what, int zone) {
+/* The hash of two names, with the last bits of its sum mixed into all others. */
+static uint64_t hash_pair(const char *first, const char *second) {
+  uint64_t hash = hash_text(1469598103934665603ull, first);
+  hash = (hash ^ 0xff) * 1099511628211ull; /* no byte of a name: separates the two */
+  hash = hash_text(hash, second);
+  hash ^= hash >> 33;
+  hash *= 0xff51afd7ed558ccdull;
+  hash ^= hash >> 33;
+  return hash;
+}
+
+/* Rendezvous hashing: the member with the highest hash with `name`, so that when a member goes only
+ * its own machines and jobs move. Only members of `zone` count; -1: all. */
+static int highest_weight(const struct tmx_replica *replica, const char *name, int zone) {
   int best = -1;
-  uint64_t top = 0;
+  uint64_t best_weight = 0;
   for (size_t i = 0; i < replica->view.n_members; i++) {
-    if (zone >= 0 && replica->view.members[i].zone != zone) continue;
-    uint64_t h = hash_pair(replica->view.members[i].name, what);
-    if (best < 0 || h > top) {
-      top = h;
+    const struct tmx_member *member = &replica->view.members[i];
+    if (zone >= 0 && member->zone != zone) continue;
+    const uint64_t weight = hash_pair(member->name, name);
+    if (best < 0 || weight > best_weight) {
+      best_weight = weight;
       best = (int)i;
     }
   }
   return best;
 }
 
-int tmx_member_index(const struct tmx_replica *replica, const char *name) {
-  for (size_t i = 0; name && i < replica->view.n_members; i++)
-    if (!strcmp(replica->view.members[i].name, name)) return (int)i;
-  return -1;
-}
-
 int tmx_replica_owner_index(const struct tmx_replica *replica, const char *machine, int zone) {
   struct tmx_owner_override *override;
   HASH_FIND_STR(replica->view.overrides_by_machine, machine, override);
-  int i = override ? tmx_member_index(replica, override->node) : -1;
-  if (i < 0 && replica->view.zones_partitioned && zone >= 0)
-    i = highest_weight(replica, machine, zone);
-  return i >= 0 ? i : highest_weight(replica, machine, -1);
+  int owner = override ? tmx_member_index(replica, override->node) : -1;
+  if (owner < 0 && replica->view.zones_partitioned && zone >= 0)
+    owner = highest_weight(replica, machine, zone);
+  return owner >= 0 ? owner : highest_weight(replica, machine, -1);
 }
 
 const char *tmx_machine_owner(const struct tmx_replica *replica, const char *machine) {
-  const struct tmx_machine *m = tmx_machine_find(replica, machine);
-  int i = m && m->registered ? m->owner : tmx_replica_owner_index(replica, machine, -1);
-  return i >= 0 ? replica->view.members[i].name : NULL;
+  const struct tmx_machine *known = tmx_machine_find(replica, machine);
+  const int owner =
+      known && known->registered ? known->owner : tmx_replica_owner_index(replica, machine, -1);
+  const struct tmx_member *member = member_at(replica, owner);
+  return member ? member->name : NULL;
 }
 
 int tmx_job_planner_index(const struct tmx_replica *replica, const char *job) {
@@ -64,8 +75,8 @@
 }
 
 const char *tmx_job_planner(const struct tmx_replica *replica, const char *job) {
-  int i = highest_weight(replica, job, -1);
-  return i >= 0 ? replica->view.members[i].name : NULL;
+  const struct tmx_member *member = member_at(replica, tmx_job_planner_index(replica, job));
+  return member ? member->name : NULL;
 }
 
 double tmx_replica_last_batch_at(const struct tmx_replica *replica, const char *node) {
@@ -74,69 +85,62 @@
   return 0;
 }
 
-void tmx_replica_apply_node(struct tmx_replica *replica, const char *name, uint64_t version,
-                            const cbor_item_t *value) {
-  size_t i;
-  for (i = 0; i < replica->n_registered_members; i++)
-    if (!strcmp(replica->registered_members[i].name, name)) break;
+void tmx_replica_note_batch_of(struct tmx_replica *replica, const char *name, size_t length) {
+  if (!length || length >= TMX_NAME_MAX) return;
+  struct tmx_batch_sighting *sightings = replica->batch_sightings;
+  size_t i = 0;
+  while (i < replica->n_batch_sightings &&
+         (strncmp(sightings[i].node, name, length) || sightings[i].node[length]))
+    i++;
+  if (i == TMX_MEMBERS_MAX) return;
+  if (i == replica->n_batch_sightings) {
+    replica->n_batch_sightings++;
+    snprintf(sightings[i].node, sizeof sightings[i].node, "%.*s", (int)length, name);
+  }
+  sightings[i].at = replica->now;
+}
+
+static void remove_registered_member(struct tmx_replica *replica, size_t i) {
+  if (i == replica->n_registered_members) return;
+  replica->registered_members[i] = replica->registered_members[--replica->n_registered_members];
+}
+
+void tmx_replica_apply_member(struct tmx_replica *replica, const char *name, uint64_t version,
+                              const cbor_item_t *value) {
+  struct tmx_member *members = replica->registered_members;
+  size_t i = 0;
+  while (i < replica->n_registered_members && strcmp(members[i].name, name)) i++;
   if (!value) {
-    if (i < replica->n_registered_members)
-      replica->registered_members[i] = replica->registered_members[--replica->n_registered_members];
+    remove_registered_member(replica, i);
   } else {
+    if (i == TMX_MEMBERS_MAX) return;
     if (i == replica->n_registered_members) {
-      if (replica->n_registered_members == TMX_MEMBERS_MAX) return;
       replica->n_registered_members++;
-      snprintf(replica->registered_members[i].name, sizeof replica->registered_members[i].name,
-               "%s", name);
+      snprintf(members[i].name, sizeof members[i].name, "%s", name);
     }
-    replica->registered_members[i].incarnation = version;
+    members[i].incarnation = version;
   }
   tmx_replica_notify_schedulable(replica);
 }
 
+static void assign_owners(struct tmx_replica *replica) {
+  struct tmx_machine *machine, *next;
+  HASH_ITER(hh, replica->machines, machine, next) {
+    machine->owner = tmx_replica_owner_index(replica, machine->id, machine->zone);
+    tmx_replica_notify_machine(replica, machine);
+  }
+}
+
 void tmx_replica_apply_view(struct tmx_replica *replica, uint64_t version,
                             const cbor_item_t *value) {
   struct tmx_view *view = &replica->view;
   if (!value) return;
-  HASH_CLEAR(hh, view->overrides_by_machine);
-  free(view->overrides);
-  memset(view, 0, sizeof *view);
+  tmx_view_clear(view);
+  tmx_view_decode(view, value);
   view->version = version;
-  tmx_cbor_get_u64(value, "term", &view->term);
-  tmx_cbor_get_bool(value, "local", &view->zones_partitioned);
-  const cbor_item_t *machines = tmx_cbor_get(value, "members"),
-                    *overrides = tmx_cbor_get(value, "exceptions");
-  for (size_t i = 0; i < tmx_cbor_list_length(machines) && view->n_members < TMX_MEMBERS_MAX; i++) {
-    struct tmx_member *member = &view->members[view->n_members];
-    if (!tmx_cbor_get_text(tmx_cbor_list_at(machines, i), "name", member->name,
-                           sizeof member->name) ||
-        !tmx_cbor_get_u64(tmx_cbor_list_at(machines, i), "inc", &member->incarnation))
-      continue;
-    member->zone = tmx_node_zone(replica->settings, member->name);
-    view->n_members++;
-  }
-  size_t n = 0;
-  for (size_t i = 1; i < tmx_cbor_list_length(overrides); i += 2)
-    n += tmx_cbor_list_length(tmx_cbor_list_at(overrides, i));
-  view->overrides = tmx_allocate(1, sizeof *view->overrides * (n + 1));
-  for (size_t i = 0; i + 1 < tmx_cbor_list_length(overrides); i += 2) {
-    const cbor_item_t *ids = tmx_cbor_list_at(overrides, i + 1);
-    for (size_t k = 0; k < tmx_cbor_list_length(ids); k++) {
-      struct tmx_owner_override *override = &view->overrides[view->n_overrides], *old;
-      if (!tmx_cbor_as_text(tmx_cbor_list_at(overrides, i), override->node, TMX_NAME_MAX) ||
-          !tmx_cbor_as_text(tmx_cbor_list_at(ids, k), override->machine, TMX_ID_MAX))
-        continue;
-      HASH_FIND_STR(view->overrides_by_machine, override->machine, old);
-      if (old) continue;
-      HASH_ADD_STR(view->overrides_by_machine, machine, override);
-      view->n_overrides++;
-    }
-  }
-  struct tmx_machine *machine, *t;
-  HASH_ITER(hh, replica->machines, machine, t) {
-    machine->owner = tmx_replica_owner_index(replica, machine->id, machine->zone);
-    tmx_replica_notify_machine(replica, machine);
-  }
+  for (size_t i = 0; i < view->n_members; i++)
+    view->members[i].zone = tmx_node_zone(replica->settings, view->members[i].name);
+  assign_owners(replica);
   if (replica->on_view_changed) replica->on_view_changed(replica->observer);
   tmx_replica_notify_schedulable(replica);
 }
--- /dev/null
+++ b/src/replica/planner_slots.c
@@ -0,0 +1,20 @@
+#include "replica/planner_slots.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include "base/memory.h"
+
+int tmx_slot_pool_take(struct tmx_slot_pool *pool) {
+  return pool->n_free ? pool->free[--pool->n_free] : pool->n_given++;
+}
+
+void tmx_slot_pool_give_back(struct tmx_slot_pool *pool, int slot) {
+  pool->free = tmx_grow(pool->free, &pool->capacity, pool->n_free + 1, sizeof *pool->free);
+  pool->free[pool->n_free++] = slot;
+}
+
+void tmx_slot_pool_clear(struct tmx_slot_pool *pool) {
+  free(pool->free);
+  memset(pool, 0, sizeof *pool);
+}
--- a/src/replica/run_estimate.c
+++ b/src/replica/run_estimate.c
@@ -1,37 +1,41 @@
-/* How long the tasks of a class run, against what their owners estimate. Pure. */
+#include "replica/run_estimate.h"
+
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
 
 #include "replica/replica.h"
 
-static const struct tmx_run_estimate *class_of(const struct tmx_replica *replica,
-                                               const char *name) {
-  for (size_t i = 0; i < replica->n_run_estimates; i++)
-    if (!strcmp(replica->run_estimates[i].name, name)) return &replica->run_estimates[i];
-  return NULL;
+/* Index of the class among those learned; their number if it is none of them. */
+static size_t class_index(const struct tmx_replica *replica, const char *name) {
+  size_t i = 0;
+  while (i < replica->n_run_estimates && strcmp(replica->run_estimates[i].name, name)) i++;
+  return i;
 }
 
 double tmx_run_estimate_expected(const struct tmx_replica *replica,
                                  const struct tmx_job_spec *spec) {
-  const struct tmx_run_estimate *estimate = class_of(replica, spec->class);
-  if (!estimate || estimate->samples < TMX_RUN_ESTIMATE_SAMPLES_MIN) return spec->estimate_s;
+  const size_t i = class_index(replica, spec->class);
+  if (i == replica->n_run_estimates) return spec->estimate_s;
+  const struct tmx_run_estimate *estimate = &replica->run_estimates[i];
+  if (estimate->samples < TMX_RUN_ESTIMATE_SAMPLES_MIN) return spec->estimate_s;
   return spec->estimate_s * exp(estimate->log_ratio);
 }
 
 void tmx_run_estimate_observe(struct tmx_replica *replica, const struct tmx_job_spec *spec,
                               double ran) {
   if (spec->estimate_s <= 0 || ran <= 0) return;
-  struct tmx_run_estimate *estimate = (struct tmx_run_estimate *)class_of(replica, spec->class);
-  if (!estimate) {
-    if (replica->n_run_estimates == TMX_RUN_ESTIMATES_MAX) return;
-    estimate = &replica->run_estimates[replica->n_run_estimates++];
+  const size_t i = class_index(replica, spec->class);
+  if (i == TMX_RUN_ESTIMATES_MAX) return;
+  struct tmx_run_estimate *estimate = &replica->run_estimates[i];
+  if (i == replica->n_run_estimates) {
+    replica->n_run_estimates++;
     memset(estimate, 0, sizeof *estimate);
     snprintf(estimate->name, sizeof estimate->name, "%s", spec->class);
   }
-  double x = log(ran / spec->estimate_s);
-  x = fmax(-TMX_RUN_ESTIMATE_LOG_BOUND,
-           fmin(TMX_RUN_ESTIMATE_LOG_BOUND, x)); /* a hung machine tells nothing of the class */
+  /* the bound keeps a machine that hangs from counting as the class's run time */
+  const double sample = fmax(-TMX_RUN_ESTIMATE_LOG_BOUND,
+                             fmin(TMX_RUN_ESTIMATE_LOG_BOUND, log(ran / spec->estimate_s)));
   if (estimate->samples < TMX_RUN_ESTIMATE_SAMPLES_MAX) estimate->samples++;
-  estimate->log_ratio += (x - estimate->log_ratio) / estimate->samples;
+  estimate->log_ratio += (sample - estimate->log_ratio) / estimate->samples;
 }
