--- a/src/replica/backlog.c
+++ b/src/replica/backlog.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#include "replica/replica.h"
+#include "replica/job.h"
 
 void tmx_backlog_init(struct tmx_backlog *backlog, const struct tmx_settings *settings) {
   memset(backlog, 0, sizeof *backlog);
@@ -51,11 +51,11 @@
   for (size_t i = 0; i < TMX_ADMISSION_RESOURCES; i++) sum->amount[i] += sign * load->amount[i];
 }
 
-/* Replicas that are placed are served, and no longer a backlog; tasks of arrays are so once they
- * are done. Only facts of the log enter: no learned run times, no clocks. */
+/* A service's tasks are no longer a backlog once they are placed, an array's once they are done.
+ * Only facts of the log enter: no learned run times, no clocks. */
 static uint32_t tasks_left(const struct tmx_job *job) {
   if (job->outcome) return 0;
-  uint32_t served = job->spec.service ? job->n_placed : job->n_done;
+  const uint32_t served = job->spec.service ? job->n_placed : job->n_done;
   return job->spec.tasks - served;
 }
 
@@ -63,11 +63,11 @@
   if (job->team < 0) return;
   if (!job->in_account) job->account = (int)tmx_backlog_account(backlog, job->spec.class);
   struct tmx_account *account = &backlog->accounts[job->team][job->account];
-  struct tmx_load load = tmx_load_of(&job->spec, tasks_left(job));
+  const struct tmx_load load = tmx_load_of(&job->spec, tasks_left(job));
   tmx_load_add(&account->load, &job->remaining_load, -1);
   tmx_load_add(&account->load, &load, 1);
   job->remaining_load = load;
-  bool open = !job->outcome;
+  const bool open = !job->outcome;
   account->jobs += (uint32_t)open - (uint32_t)job->in_account;
   job->in_account = open;
 }
--- a/src/replica/operation_check.c
+++ b/src/replica/operation_check.c
@@ -4,18 +4,21 @@
 
 #include "planner/planner.h"
 
+/* Sums of sizes are not exact: a task fits that exceeds what is free by no more than this. */
 #define RESOURCE_EPSILON 1e-6
 
-static uint64_t checks;
+/* Ids of checks: those of different replicas in one process differ too. */
+static uint64_t n_checks;
 
 void tmx_operation_check_begin(struct tmx_operation_check *check, struct tmx_replica *replica) {
   check->replica = replica;
-  check->id = ++checks;
+  check->id = ++n_checks;
   memcpy(check->usage, replica->team_usage, sizeof check->usage);
 }
 
-static void start_job_check(struct tmx_operation_check *check, struct tmx_job *job,
-                            struct tmx_machine *machine) {
+/* Takes the counts from the replica where this check has none of its own yet. */
+static void begin_counts(const struct tmx_operation_check *check, struct tmx_job *job,
+                         struct tmx_machine *machine) {
   if (job->check_id != check->id) {
     job->check_id = check->id;
     memcpy(job->check_placed_in_zone, job->placed_in_zone, sizeof job->check_placed_in_zone);
@@ -28,6 +31,7 @@
   }
 }
 
+/* Counts a task on the machine; `sign` is -1 to take it off. */
 static void count_placement(struct tmx_operation_check *check, struct tmx_job *job,
                             struct tmx_machine *machine, int sign) {
   const struct tmx_job_spec *spec = &job->spec;
@@ -40,37 +44,68 @@
   check->usage[job->team].gpus += sign * spec->gpus;
 }
 
-static bool placement_is_allowed(const struct tmx_operation_check *check, const struct tmx_job *job,
-                                 const struct tmx_machine *machine, uint32_t cap) {
-  const struct tmx_job_spec *spec = &job->spec;
-  const struct tmx_settings *settings = check->replica->settings;
-  if (!machine->registered || machine->draining || machine->zone < 0 || job->team < 0 ||
-      (machine->spot && !spec->spot_allowed))
-    return false;
+static bool machine_is_permitted(const struct tmx_settings *settings,
+                                 const struct tmx_job_spec *spec,
+                                 const struct tmx_machine *machine) {
+  if (!machine->registered || machine->draining || machine->zone < 0) return false;
+  if (machine->spot && !spec->spot_allowed) return false;
   if (!tmx_type_allowed(spec, machine->type)) return false;
-  if (spec->zone[0] && tmx_zone_index(settings, spec->zone) != machine->zone) return false;
-  if (machine->check_cpus + spec->cpus > machine->size_cpus + RESOURCE_EPSILON ||
-      machine->check_gpus + spec->gpus > machine->size_gpus + RESOURCE_EPSILON ||
-      machine->check_mem_gb + spec->mem_gb > machine->size_mem_gb + RESOURCE_EPSILON)
-    return false;
-  const struct tmx_team_settings *team = &settings->teams[job->team];
+  return !spec->zone[0] || tmx_zone_index(settings, spec->zone) == machine->zone;
+}
+
+static bool machine_has_room(const struct tmx_job_spec *spec, const struct tmx_machine *machine) {
+  return machine->check_cpus + spec->cpus <= machine->size_cpus + RESOURCE_EPSILON &&
+         machine->check_gpus + spec->gpus <= machine->size_gpus + RESOURCE_EPSILON &&
+         machine->check_mem_gb + spec->mem_gb <= machine->size_mem_gb + RESOURCE_EPSILON;
+}
+
+static bool exceeds_limit(double used, double limit) {
+  return limit > 0 && used > limit + RESOURCE_EPSILON;
+}
+
+static bool team_is_within_limits(const struct tmx_operation_check *check,
+                                  const struct tmx_job *job) {
+  const struct tmx_team_settings *team = &check->replica->settings->teams[job->team];
   const struct tmx_usage *usage = &check->usage[job->team];
-  if (team->cpus_max > 0 && usage->cpus + spec->cpus > team->cpus_max + RESOURCE_EPSILON)
-    return false;
-  if (team->gpus_max > 0 && usage->gpus + spec->gpus > team->gpus_max + RESOURCE_EPSILON)
-    return false;
-  if (job->check_placed_in_zone[machine->zone] >= tmx_zone_cap(spec, settings->n_zones))
+  return !exceeds_limit(usage->cpus + job->spec.cpus, team->cpus_max) &&
+         !exceeds_limit(usage->gpus + job->spec.gpus, team->gpus_max);
+}
+
+static bool zone_is_permitted(const struct tmx_settings *settings, const struct tmx_job *job,
+                              int zone) {
+  if (job->check_placed_in_zone[zone] >= tmx_zone_cap(&job->spec, settings->n_zones)) return false;
+  for (size_t i = 0; job->spec.same_zone && i < settings->n_zones; i++)
+    if ((int)i != zone && job->check_placed_in_zone[i]) return false;
+  return true;
+}
+
+/* Whether the machine, as it stands, has as many of the service's tasks as it may; cap 0: any. */
+static bool service_is_at_cap(const struct tmx_job *job, const struct tmx_machine *machine,
+                              uint32_t cap) {
+  if (!job->spec.service || !cap) return false;
+  uint32_t n = 0;
+  for (const struct tmx_task *task = machine->tasks; task; task = task->next) n += task->job == job;
+  return n >= cap;
+}
+
+static bool placement_is_allowed(const struct tmx_operation_check *check, const struct tmx_job *job,
+                                 const struct tmx_machine *machine, uint32_t machine_cap) {
+  const struct tmx_settings *settings = check->replica->settings;
+  return job->team >= 0 && machine_is_permitted(settings, &job->spec, machine) &&
+         machine_has_room(&job->spec, machine) && team_is_within_limits(check, job) &&
+         zone_is_permitted(settings, job, machine->zone) &&
+         !service_is_at_cap(job, machine, machine_cap);
+}
+
+static bool check_placement(struct tmx_operation_check *check, struct tmx_job *job,
+                            const struct tmx_task *task, const struct tmx_operation *operation) {
+  struct tmx_machine *machine = tmx_machine_find(check->replica, operation->machine);
+  if (!machine || job->outcome || tmx_job_is_blocked(job) || task->state != TMX_TASK_WAITING ||
+      operation->attempt != task->attempt + 1)
     return false;
-  if (spec->same_zone)
-    for (size_t z = 0; z < settings->n_zones; z++)
-      if ((int)z != machine->zone && job->check_placed_in_zone[z]) return false;
-  if (spec->service && cap) {
-    uint32_t on = 0;
-    for (const struct tmx_task *other_task = machine->tasks; other_task;
-         other_task = other_task->next)
-      on += other_task->job == job;
-    if (on >= cap) return false;
-  }
+  begin_counts(check, job, machine);
+  if (!placement_is_allowed(check, job, machine, operation->machine_cap)) return false;
+  count_placement(check, job, machine, 1);
   return true;
 }
 
@@ -79,19 +114,10 @@
   struct tmx_job *job = tmx_job_find(check->replica, operation->job);
   if (!job || !job->tasks || operation->task >= job->spec.tasks) return false;
   const struct tmx_task *task = &job->tasks[operation->task];
-  if (operation->kind == TMX_OPERATION_PLACE) {
-    struct tmx_machine *machine = tmx_machine_find(check->replica, operation->machine);
-    if (!machine || job->outcome || tmx_job_is_blocked(job) || task->state != TMX_TASK_WAITING ||
-        operation->attempt != task->attempt + 1)
-      return false;
-    start_job_check(check, job, machine);
-    if (!placement_is_allowed(check, job, machine, operation->machine_cap)) return false;
-    count_placement(check, job, machine, 1);
-    return true;
-  }
+  if (operation->kind == TMX_OPERATION_PLACE) return check_placement(check, job, task, operation);
   if (task->state != TMX_TASK_PLACED || task->attempt != operation->attempt) return false;
   if (operation->kind == TMX_OPERATION_STOP) return !task->stop_mode && !job->outcome;
-  start_job_check(check, job, task->machine);
+  begin_counts(check, job, task->machine);
   count_placement(check, job, task->machine, -1);
   return true;
 }
