--- a/src/replica/apply_log.c
+++ b/src/replica/apply_log.c
@@ -6,10 +6,10 @@
 
 #include "base/log.h"
 #include "base/memory.h"
-#include "planner/planner.h"
 #include "replica/apply_operation.h"
 #include "replica/job_table.h"
 #include "replica/machine_table.h"
+#include "replica/placement_caps.h"
 #include "replica/replica_internal.h"
 
 /* Ids that the record has no room for follow in lines of the same transaction or of the same
--- a/src/replica/operation_check.c
+++ b/src/replica/operation_check.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "planner/planner.h"
+#include "replica/placement_caps.h"
 
 /* Sums of sizes are not exact: a task fits that exceeds what is free by no more than this. */
 #define RESOURCE_EPSILON 1e-6
