--- a/src/replica/log_codec.c
+++ b/src/replica/log_codec.c
@@ -87,7 +87,7 @@
 
 void tmx_log_value_encode(struct tmx_buffer *buffer, const struct tmx_buffer *jobs, size_t n_jobs,
                           const struct tmx_buffer *lines, size_t n_lines) {
-  tmx_cbor_put_map(buffer, (n_jobs > 0) + (n_lines > 0));
+  tmx_cbor_put_map(buffer, (size_t)(n_jobs > 0) + (size_t)(n_lines > 0));
   if (n_jobs) {
     tmx_cbor_put_text(buffer, VALUE_JOBS);
     tmx_cbor_put_list(buffer, n_jobs);
--- a/src/replica/membership.c
+++ b/src/replica/ownership.c
@@ -1,4 +1,4 @@
-#include "replica/membership.h"
+#include "replica/ownership.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/replica/membership.h
+++ b/src/replica/ownership.h
@@ -4,8 +4,8 @@
  *
  * Names that are returned belong to the replica and are valid until its view changes.
  */
-#ifndef TMX_MEMBERSHIP_H
-#define TMX_MEMBERSHIP_H
+#ifndef TMX_OWNERSHIP_H
+#define TMX_OWNERSHIP_H
 #include "replica/view.h"
 
 struct tmx_replica;
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -23,7 +23,7 @@
 #include "replica/log_codec.h"
 #include "replica/log_keys.h"
 #include "replica/machine.h"
-#include "replica/membership.h"
+#include "replica/ownership.h"
 #include "replica/operation.h"
 #include "replica/planner_slots.h"
 #include "replica/run_estimate.h"
