--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -100,9 +100,14 @@
   struct tmx_scale_out scale_outs[SCALE_OUTS_MAX];
   struct capacity capacity = collect_capacity(cloud);
   collect_offers(cloud, now, &list);
-  size_t count =
-      tmx_plan_scale_out(demand->demands, demand->count, list.offers, list.count, capacity.rooms,
-                         capacity.count, capacity.cpus, scale_outs, SCALE_OUTS_MAX);
+  struct tmx_scale_out_situation situation = {.demands = demand->demands,
+                                              .n_demands = demand->count,
+                                              .offers = list.offers,
+                                              .n_offers = list.count,
+                                              .coming = capacity.rooms,
+                                              .n_coming = capacity.count,
+                                              .have_cpus = capacity.cpus};
+  size_t count = tmx_plan_scale_out(&situation, scale_outs, SCALE_OUTS_MAX);
   sort_largest_first(scale_outs, count, list.offers);
   for (size_t i = 0; i < count; i++) {
     const struct tmx_offer *offer = &list.offers[scale_outs[i].offer];
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -59,12 +59,12 @@
 template <typename Settings, std::size_t Count>
 bool read_field(const number_field<Settings> (&fields)[Count], const std::string &key,
                 const std::string &path, const toml::value &value, Settings *settings) {
-  for (const auto &field : fields) {
-    if (key != field.key) continue;
-    settings->*field.place = read_number(path, value, field.min, field.max);
-    return true;
-  }
-  return false;
+  const auto *const end = std::end(fields);
+  const auto *const field =
+      std::find_if(std::begin(fields), end, [&](const auto &known) { return key == known.key; });
+  if (field == end) return false;
+  settings->*(field->place) = read_number(path, value, field->min, field->max);
+  return true;
 }
 
 void read_team_shares(const std::string &path, const toml::value &table,
@@ -94,7 +94,7 @@
       throw invalid_key{path, "unknown key"};
     }
   }
-  if (!table.as_table().count("enabled")) throw invalid_key{"admission.enabled", "missing"};
+  if (table.as_table().count("enabled") == 0) throw invalid_key{"admission.enabled", "missing"};
 }
 
 void read_root(const toml::value &root, tmx_operator_settings *operators) {
--- a/src/controller/controller_internal.h
+++ b/src/controller/controller_internal.h
@@ -45,5 +45,5 @@
 struct tmx_view_observer tmx_controller_view_observer(const struct tmx_controller *controller);
 bool tmx_controller_leader_is_suspected(const struct tmx_controller *controller);
 /* request_router.c */
-void tmx_controller_handle_request(void *controller, struct tmx_http_request *request);
+void tmx_controller_handle_request(void *arg, struct tmx_http_request *request);
 #endif
--- a/src/planner/scale_out_plan.c
+++ b/src/planner/scale_out_plan.c
@@ -150,27 +150,33 @@
                         fmin(1.0, fmax(demand->run_s, RUN_S_MIN) / FULL_ROOM_RUN_S));
 }
 
-size_t tmx_plan_scale_out(const struct tmx_demand *demands, size_t n_demands,
-                          const struct tmx_offer *offers, size_t n_offers,
-                          const struct tmx_coming *coming, size_t n_coming, double have_cpus,
+/* The room that is there already, as the first bins of the plan. */
+static void add_coming_bins(struct scale_out_plan *plan,
+                            const struct tmx_scale_out_situation *situation) {
+  for (size_t i = 0; i < situation->n_coming; i++) {
+    const struct tmx_coming *coming = &situation->coming[i];
+    plan->bins[plan->n_bins++] = (struct bin){
+        {coming->cpus, coming->gpus, coming->mem}, coming->type, coming->zone, coming->spot};
+  }
+}
+
+size_t tmx_plan_scale_out(const struct tmx_scale_out_situation *situation,
                           struct tmx_scale_out *out, size_t max) {
-  struct scale_out_plan plan = {.offers = offers,
-                                .n_offers = n_offers,
-                                .cap_bins = n_coming + TMX_SCALE_OUTS_MAX,
+  struct scale_out_plan plan = {.offers = situation->offers,
+                                .n_offers = situation->n_offers,
+                                .cap_bins = situation->n_coming + TMX_SCALE_OUTS_MAX,
                                 .rentals = out,
                                 .max_rentals = max};
   plan.bins = tmx_allocate(plan.cap_bins, sizeof *plan.bins);
-  for (size_t i = 0; i < n_coming; i++)
-    plan.bins[plan.n_bins++] = (struct bin){{coming[i].cpus, coming[i].gpus, coming[i].mem},
-                                            coming[i].type,
-                                            coming[i].zone,
-                                            coming[i].spot};
+  add_coming_bins(&plan, situation);
   /* Arrays that the machines at hand clear within about the boot time need no new ones. */
+  double backlog = backlog_of(situation->demands, situation->n_demands);
   bool cleared_soon =
-      have_cpus > 0 && backlog_of(demands, n_demands) / have_cpus < TMX_BACKLOG_CLEAR_S;
-  for (size_t i = 0; i < n_demands; i++)
-    if (demands[i].spec->service || !cleared_soon)
-      pack_demand(&plan, &demands[i], tasks_wanted(&demands[i]));
+      situation->have_cpus > 0 && backlog / situation->have_cpus < TMX_BACKLOG_CLEAR_S;
+  for (size_t i = 0; i < situation->n_demands; i++) {
+    const struct tmx_demand *demand = &situation->demands[i];
+    if (demand->spec->service || !cleared_soon) pack_demand(&plan, demand, tasks_wanted(demand));
+  }
   free(plan.bins);
   return plan.n_rentals;
 }
--- a/src/planner/scale_out_plan.h
+++ b/src/planner/scale_out_plan.h
@@ -41,17 +41,25 @@
   uint32_t count;
 };
 
+/** What a decision to scale out depends on; the arrays belong to the caller. */
+struct tmx_scale_out_situation {
+  const struct tmx_demand *demands;
+  size_t n_demands;
+  const struct tmx_offer *offers;
+  size_t n_offers;
+  const struct tmx_coming *coming;
+  size_t n_coming;
+  double have_cpus; /**< CPUs of the machines that are up */
+};
+
 /**
  * Packs the demands into the room that is coming, and what is left into machines of the offers with
  * the lowest price for a task's room.
  *
- * @param have_cpus CPUs of the machines that are up
  * @param out filled with at most `max` entries, one for each offer of which machines are wanted
  * @return the number of entries
  */
-size_t tmx_plan_scale_out(const struct tmx_demand *demands, size_t n_demands,
-                          const struct tmx_offer *offers, size_t n_offers,
-                          const struct tmx_coming *coming, size_t n_coming, double have_cpus,
+size_t tmx_plan_scale_out(const struct tmx_scale_out_situation *situation,
                           struct tmx_scale_out *out, size_t max);
 
 #endif
--- a/src/replica/apply_log.h
+++ b/src/replica/apply_log.h
@@ -10,7 +10,7 @@
  * Applies the record of a job.
  * @param key_version version of the job's own key, if the record comes from there; otherwise 0.
  */
-void tmx_replica_apply_job_record(struct tmx_replica *replica, const cbor_item_t *record,
+void tmx_replica_apply_job_record(struct tmx_replica *replica, const cbor_item_t *item,
                                   uint64_t key_version);
 /** Applies the value of a batch or of a page. */
 void tmx_replica_apply_log_value(struct tmx_replica *replica, const cbor_item_t *value);
--- a/src/replica/log_codec.c
+++ b/src/replica/log_codec.c
@@ -56,7 +56,8 @@
     case TMX_TASK_PLACED:
       break;
   }
-  return task->stop_mode ? (char)('0' + task->stop_mode) : TMX_TASK_RUN_PLACED;
+  if (task->stop_mode) return (char)('0' + task->stop_mode);
+  return TMX_TASK_RUN_PLACED;
 }
 
 /* How many tasks from `from` on share its state and attempt. Placed tasks stand alone, since each
