--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -46,7 +46,7 @@
 
 static void note_orders(const struct worker *x, int by, uint64_t token) {
   for (size_t i = 0; i < x->workers.n_commands_received; i++)
-    history_order(x->workers.id, by, token, x->workers.commands_received[i].verb,
+    history_order(x->workers.id, by, token, x->workers.commands_received[i].operation,
                   x->workers.commands_received[i].task, x->workers.commands_received[i].attempt);
 }
 
@@ -69,10 +69,10 @@
     return;
   }
   x->due = now + setup.report_s * (0.75 + 0.5 * gsl_rng_uniform(cluster_rng));
-  if (x->workers.answer_token < had_token) return; /* dropped */
+  if (x->workers.response_token < had_token) return; /* dropped */
   x->renewed = x->sent;
   unsigned had = x->workers.executed_starts;
-  note_orders(x, x->at, x->workers.answer_token);
+  note_orders(x, x->at, x->workers.response_token);
   fake_worker_execute_commands(&x->workers);
   note_changes(x);
   if (x->workers.executed_starts != had) x->due = now + 0.5;
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -69,7 +69,7 @@
 
 static void report_to_owner_of(struct fake_worker *machine) {
   fake_worker_send_heartbeat(machine, first_controller);
-  if (second_controller && machine->status != 200)
+  if (second_controller && machine->report_status != 200)
     fake_worker_send_heartbeat(machine, second_controller);
 }
 
@@ -86,7 +86,7 @@
 void register_worker_at(struct tmx_controller *controller) {
   for (int i = 0; i < 10 && !worker_is_registered_at(controller); i++) {
     fake_worker_send_heartbeat(&worker, controller);
-    assert_int_equal(worker.status, 200);
+    assert_int_equal(worker.report_status, 200);
     run_loop_for(0.1);
   }
   assert_true(run_loop_until(worker_is_registered_at, controller));
@@ -95,7 +95,7 @@
 void register_worker_at_owner(void) {
   for (int i = 0; i < 10 && !worker_is_registered_at(first_controller); i++) {
     report_to_owner();
-    assert_int_equal(worker.status, 200);
+    assert_int_equal(worker.report_status, 200);
     run_loop_for(0.1);
   }
   assert_true(run_loop_until(worker_is_registered_at, first_controller));
@@ -133,8 +133,8 @@
 }
 
 void wait_for_unanswered_command(unsigned before) {
-  for (int i = 0; i < 200 && worker.commands == before; i++) run_loop_for(0.02);
-  assert_true(worker.commands > before);
+  for (int i = 0; i < 200 && worker.command_requests == before; i++) run_loop_for(0.02);
+  assert_true(worker.command_requests > before);
   run_loop_for(0.1);
 }
 
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -1,30 +1,32 @@
-/* The scripted cloud. */
-#include "fake_internal.h"
+#include "fake_cloud.h"
 
 #include <http_parser.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/log.h"
+#include "fake_loop.h"
+#include "net/cbor.h"
+#include "net/http.h"
 #include "tmx/wire.h"
 
 struct fake_cloud fake_cloud;
 
-enum { LIST_PAGE = 500, LIST_FROM = 100000 };
+enum { LIST_PAGE = 500, LIST_FROM = 100000 /* the number before that of the first machine */ };
 
-static void list_machines(struct fake_cloud *c, const struct tmx_http_request *request,
+static void list_machines(struct fake_cloud *cloud, const struct tmx_http_request *request,
                           struct tmx_buffer *buffer) {
   const char *from = strstr(request->path, "from=n-");
-  size_t at = from && !c->same_page ? strtoul(from + 7, NULL, 10) - LIST_FROM : 0;
-  size_t left = c->listed > at ? c->listed - at : 0, n = left < LIST_PAGE ? left : LIST_PAGE;
+  size_t first = from && !cloud->repeat_first_page ? strtoul(from + 7, NULL, 10) - LIST_FROM : 0;
+  size_t left = cloud->listed_machines > first ? cloud->listed_machines - first : 0;
+  size_t count = left < LIST_PAGE ? left : LIST_PAGE;
   char id[TMX_ID_MAX];
-  c->pages++;
+  cloud->pages_served++;
   tmx_cbor_put_map(buffer, 2);
   tmx_cbor_put_text(buffer, W_MACHINES);
-  tmx_cbor_put_list(buffer, n);
-  for (size_t i = 1; i <= n; i++) {
-    snprintf(id, sizeof id, "n-%zu", LIST_FROM + at + i);
+  tmx_cbor_put_list(buffer, count);
+  for (size_t i = 1; i <= count; i++) {
+    snprintf(id, sizeof id, "n-%zu", LIST_FROM + first + i);
     tmx_cbor_put_map(buffer, 6);
     tmx_cbor_put_text_field(buffer, W_ID, id);
     tmx_cbor_put_text_field(buffer, W_TYPE, "big");
@@ -33,47 +35,64 @@
     tmx_cbor_put_text_field(buffer, W_STATE, WV_BOOTING);
     tmx_cbor_put_number_field(buffer, W_AGE, 1);
   }
-  tmx_cbor_put_bool_field(buffer, W_MORE, left > n);
+  tmx_cbor_put_bool_field(buffer, W_MORE, left > count);
 }
 
-void fake_cloud_request(void *arg, struct tmx_http_request *request) {
-  struct fake_cloud *c = arg;
+static void list_types(struct tmx_buffer *buffer) {
+  tmx_cbor_put_map(buffer, 1);
+  tmx_cbor_put_text(buffer, W_TYPES);
+  tmx_cbor_put_list(buffer, 1);
+  tmx_cbor_put_map(buffer, 10);
+  tmx_cbor_put_text_field(buffer, W_NAME, "big");
+  tmx_cbor_put_number_field(buffer, W_CPUS, 16);
+  tmx_cbor_put_number_field(buffer, W_GPUS, 0);
+  tmx_cbor_put_number_field(buffer, W_MEM, 64);
+  tmx_cbor_put_number_field(buffer, W_CACHE_GB, 50);
+  tmx_cbor_put_number_field(buffer, W_FETCH, 1);
+  tmx_cbor_put_number_field(buffer, W_PRICE, 1);
+  tmx_cbor_put_number_field(buffer, W_SPOT_PRICE, 0.4);
+  tmx_cbor_put_number_field(buffer, W_BOOT_S, 30);
+  tmx_cbor_put_text(buffer, W_ZONES);
+  tmx_cbor_put_list(buffer, 1);
+  tmx_cbor_put_text(buffer, "a");
+}
+
+static void delete_machines(struct fake_cloud *cloud, struct tmx_http_request *request) {
+  if (cloud->refuse_delete) {
+    tmx_http_reply(request, 503, NULL, 0);
+    return;
+  }
+  cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
+  const cbor_item_t *list = tmx_cbor_get(map, W_MACHINES);
+  for (size_t i = 0; i < tmx_cbor_list_length(list) && cloud->deletions < FAKE_CLOUD_DELETED_MAX;
+       i++)
+    tmx_cbor_as_text(tmx_cbor_list_at(list, i), cloud->deleted[cloud->deletions++], TMX_ID_MAX);
+  tmx_cbor_free(map);
+  tmx_http_reply(request, 200, NULL, 0);
+}
+
+static void on_request(void *argument, struct tmx_http_request *request) {
+  struct fake_cloud *cloud = argument;
   struct tmx_buffer buffer = {0};
   if (!strcmp(request->path, WP_TYPES)) {
-    tmx_cbor_put_map(&buffer, 1);
-    tmx_cbor_put_text(&buffer, W_TYPES);
-    tmx_cbor_put_list(&buffer, 1);
-    tmx_cbor_put_map(&buffer, 10);
-    tmx_cbor_put_text_field(&buffer, W_NAME, "big");
-    tmx_cbor_put_number_field(&buffer, W_CPUS, 16);
-    tmx_cbor_put_number_field(&buffer, W_GPUS, 0);
-    tmx_cbor_put_number_field(&buffer, W_MEM, 64);
-    tmx_cbor_put_number_field(&buffer, W_CACHE_GB, 50);
-    tmx_cbor_put_number_field(&buffer, W_FETCH, 1);
-    tmx_cbor_put_number_field(&buffer, W_PRICE, 1);
-    tmx_cbor_put_number_field(&buffer, W_SPOT_PRICE, 0.4);
-    tmx_cbor_put_number_field(&buffer, W_BOOT_S, 30);
-    tmx_cbor_put_text(&buffer, W_ZONES);
-    tmx_cbor_put_list(&buffer, 1);
-    tmx_cbor_put_text(&buffer, "a");
+    list_types(&buffer);
     tmx_http_reply(request, 200, &buffer, 0);
   } else if (!strcmp(request->path, WP_DELETE)) {
-    if (c->refuse_delete) {
-      tmx_http_reply(request, 503, NULL, 0);
-    } else {
-      cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
-      const cbor_item_t *list = tmx_cbor_get(map, W_MACHINES);
-      for (size_t i = 0; i < tmx_cbor_list_length(list) && c->deletes < 32; i++)
-        tmx_cbor_as_text(tmx_cbor_list_at(list, i), c->deleted[c->deletes++], TMX_ID_MAX);
-      tmx_cbor_free(map);
-      tmx_http_reply(request, 200, NULL, 0);
-    }
+    delete_machines(cloud, request);
   } else if (request->method == HTTP_POST) {
-    c->rentals++;
+    cloud->rentals++;
     tmx_http_reply(request, 503, NULL, 0);
   } else {
-    list_machines(c, request, &buffer);
+    list_machines(cloud, request, &buffer);
     tmx_http_reply(request, 200, &buffer, 0);
   }
   tmx_buffer_free(&buffer);
 }
+
+void fake_cloud_open(void) {
+  memset(&fake_cloud, 0, sizeof fake_cloud);
+  fake_cloud.server =
+      tmx_http_server_new(test_loop, "127.0.0.1:0", 100, 60, on_request, &fake_cloud);
+}
+
+void fake_cloud_close(void) { tmx_http_server_free(fake_cloud.server); }
--- /dev/null
+++ b/tests/fake_users.c
@@ -0,0 +1,105 @@
+#include "fake_users.h"
+
+#include <stdio.h>
+
+#include "fake_controllers.h"
+#include "fake_loop.h"
+#include "net/cbor.h"
+#include "net/http.h"
+#include "test.h"
+#include "tmx/wire.h"
+
+enum { USER_WAITS_S = 5 };
+
+static bool is_answered(void *argument) {
+  const struct fake_answer *answer = argument;
+  return answer->done;
+}
+
+static void on_answer(void *argument, int status, const uint8_t *body, size_t length) {
+  struct fake_answer *answer = argument;
+  cbor_item_t *map = tmx_cbor_parse(body, length);
+  answer->done = true;
+  answer->status = status;
+  tmx_cbor_get_text(map, W_STATE, answer->state, sizeof answer->state);
+  tmx_cbor_free(map);
+}
+
+struct fake_answer send_request(struct tmx_controller *controller, const char *method,
+                                const char *path, const struct tmx_buffer *body) {
+  struct fake_answer answer = {0};
+  struct tmx_http_client *client = client_of(controller);
+  assert_true(tmx_http_client_call(client, method, path, body, USER_WAITS_S, on_answer, &answer));
+  run_loop_until(is_answered, &answer);
+  struct fake_answer received = answer; /* to free the client may call on_answer once more */
+  tmx_http_client_free(client);
+  return received;
+}
+
+void encode_submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
+                       double cpus, const char *team) {
+  encode_submission_awaiting(buffer, id, kind, tasks, cpus, team, NULL);
+}
+
+void encode_submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
+                                uint32_t tasks, double cpus, const char *team,
+                                const struct tmx_buffer *awaits) {
+  struct fake_job job = {
+      .id = id, .kind = kind, .team = team, .tasks = tasks, .cpus = cpus, .awaits = awaits};
+  encode_submission_of(buffer, &job);
+}
+
+void encode_submission_of(struct tmx_buffer *buffer, const struct fake_job *job) {
+  tmx_cbor_put_map(buffer, 17 + (job->awaits != NULL) + (job->types != NULL));
+  if (job->types) {
+    tmx_cbor_put_text(buffer, W_TYPES);
+    tmx_buffer_append(buffer, job->types->data, job->types->length);
+  }
+  if (job->awaits) {
+    tmx_cbor_put_text(buffer, W_AWAITS);
+    tmx_buffer_append(buffer, job->awaits->data, job->awaits->length);
+  }
+  tmx_cbor_put_text_field(buffer, W_ID, job->id);
+  tmx_cbor_put_text_field(buffer, W_CLASS, job->class ? job->class : "c");
+  tmx_cbor_put_text_field(buffer, W_TEAM, job->team);
+  tmx_cbor_put_text_field(buffer, W_KIND, job->kind ? job->kind : WV_ARRAY);
+  tmx_cbor_put_text_field(buffer, W_PRIORITY, job->priority ? job->priority : "normal");
+  tmx_cbor_put_u64_field(buffer, W_TASKS, job->tasks);
+  tmx_cbor_put_number_field(buffer, W_CPUS, job->cpus);
+  tmx_cbor_put_number_field(buffer, W_GPUS, 0);
+  tmx_cbor_put_number_field(buffer, W_MEM, 1);
+  tmx_cbor_put_bool_field(buffer, W_ONE_ZONE, false);
+  tmx_cbor_put_bool_field(buffer, W_SPREAD, false);
+  tmx_cbor_put_bool_field(buffer, W_SPOT, false);
+  tmx_cbor_put_text_field(buffer, W_IMAGE, "img");
+  tmx_cbor_put_number_field(buffer, W_IMAGE_GB, 0.1);
+  tmx_cbor_put_number_field(buffer, W_ESTIMATE, job->estimate_s > 0 ? job->estimate_s : 10);
+  tmx_cbor_put_number_field(buffer, W_CHECKPOINT, 0);
+  tmx_cbor_put_number_field(buffer, W_SAVE, 0);
+}
+
+int submit_job(struct tmx_controller *controller, const struct fake_job *job) {
+  struct tmx_buffer buffer = {0};
+  encode_submission_of(&buffer, job);
+  struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &buffer);
+  tmx_buffer_free(&buffer);
+  return answer.status;
+}
+
+int submit_simple_job(struct tmx_controller *controller, const char *id, const char *kind,
+                      uint32_t tasks, double cpus, const char *team) {
+  struct fake_job job = {.id = id, .kind = kind, .team = team, .tasks = tasks, .cpus = cpus};
+  return submit_job(controller, &job);
+}
+
+struct fake_answer poll_job(struct tmx_controller *controller, const char *id) {
+  char path[128];
+  snprintf(path, sizeof path, WP_JOBS "/%s", id);
+  return send_request(controller, "GET", path, NULL);
+}
+
+struct fake_answer cancel_job(struct tmx_controller *controller, const char *id) {
+  char path[128];
+  snprintf(path, sizeof path, WP_JOBS "/%s" WP_CANCEL, id);
+  return send_request(controller, "POST", path, NULL);
+}
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -1,17 +1,21 @@
-/* Scripted workers. */
-#include "fake_internal.h"
+#include "fake_worker.h"
 
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
 
-#include "base/log.h"
+#include "fake_controllers.h"
+#include "fake_loop.h"
+#include "net/cbor.h"
+#include "net/http.h"
+#include "test.h"
 #include "tmx/wire.h"
 
+enum { WORKER_WAITS_S = 5 };
+
 void fake_worker_encode_report(const struct fake_worker *worker, struct tmx_buffer *buffer) {
   tmx_cbor_put_map(buffer, 9);
   tmx_cbor_put_text_field(buffer, W_MACHINE, worker->id);
-  tmx_cbor_put_text_field(buffer, W_ADDR, worker->addr);
+  tmx_cbor_put_text_field(buffer, W_ADDR, worker->address);
   tmx_cbor_put_text_field(buffer, W_TYPE, "big");
   tmx_cbor_put_text_field(buffer, W_ZONE, "a");
   tmx_cbor_put_bool_field(buffer, W_SPOT, false);
@@ -21,68 +25,72 @@
   tmx_cbor_put_text(buffer, W_TASKS);
   tmx_cbor_put_list(buffer, worker->n_tasks);
   for (size_t i = 0; i < worker->n_tasks; i++) {
-    bool over = !strcmp(worker->tasks[i].state, WV_EXITED);
-    tmx_cbor_put_map(buffer, over ? 4 : 3);
+    bool ended = !strcmp(worker->tasks[i].state, WV_EXITED);
+    tmx_cbor_put_map(buffer, ended ? 4 : 3);
     tmx_cbor_put_text_field(buffer, W_TASK, worker->tasks[i].task);
     tmx_cbor_put_u64_field(buffer, W_ATTEMPT, worker->tasks[i].attempt);
     tmx_cbor_put_text_field(buffer, W_STATE, worker->tasks[i].state);
-    if (over) tmx_cbor_put_text_field(buffer, W_WHY, worker->tasks[i].why);
+    if (ended) tmx_cbor_put_text_field(buffer, W_WHY, worker->tasks[i].why);
   }
 }
 
 void fake_worker_set_task(struct fake_worker *worker, const char *task, uint32_t attempt,
-                          const char *st, const char *why) {
+                          const char *state, const char *why) {
   size_t i;
   for (i = 0; i < worker->n_tasks; i++)
     if (!strcmp(worker->tasks[i].task, task) && worker->tasks[i].attempt == attempt) break;
-  if (!st) {
+  if (!state) {
     if (i < worker->n_tasks) worker->tasks[i] = worker->tasks[--worker->n_tasks];
     return;
   }
-  assert_in_range(i, 0, FAKE_LOADS - 1);
+  assert_in_range(i, 0, FAKE_WORKER_TASKS_MAX - 1);
   if (i == worker->n_tasks) worker->n_tasks++;
   snprintf(worker->tasks[i].task, sizeof worker->tasks[i].task, "%s", task);
-  snprintf(worker->tasks[i].state, sizeof worker->tasks[i].state, "%s", st);
+  snprintf(worker->tasks[i].state, sizeof worker->tasks[i].state, "%s", state);
   snprintf(worker->tasks[i].why, sizeof worker->tasks[i].why, "%s", why ? why : "");
   worker->tasks[i].attempt = attempt;
 }
 
-static void take_orders(struct fake_worker *worker, const cbor_item_t *map) {
+static void take_commands(struct fake_worker *worker, const cbor_item_t *map) {
   const cbor_item_t *list = tmx_cbor_get(map, W_COMMANDS);
   worker->n_commands_received = 0;
-  for (size_t i = 0; i < tmx_cbor_list_length(list) && worker->n_commands_received < 64; i++) {
-    struct fake_command *o = &worker->commands_received[worker->n_commands_received++];
-    uint64_t a = 0;
-    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_OP, o->verb, sizeof o->verb);
-    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_TASK, o->task, sizeof o->task);
-    tmx_cbor_get_u64(tmx_cbor_list_at(list, i), W_ATTEMPT, &a);
-    o->attempt = (uint32_t)a;
+  for (size_t i = 0;
+       i < tmx_cbor_list_length(list) && worker->n_commands_received < FAKE_WORKER_COMMANDS_MAX;
+       i++) {
+    struct fake_command *command = &worker->commands_received[worker->n_commands_received++];
+    uint64_t attempt = 0;
+    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_OP, command->operation,
+                      sizeof command->operation);
+    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_TASK, command->task, sizeof command->task);
+    tmx_cbor_get_u64(tmx_cbor_list_at(list, i), W_ATTEMPT, &attempt);
+    command->attempt = (uint32_t)attempt;
   }
 }
 
 void fake_worker_execute_commands(struct fake_worker *worker) {
   for (size_t i = 0; i < worker->n_commands_received; i++) {
-    const struct fake_command *o = &worker->commands_received[i];
-    bool held = false;
-    for (size_t k = 0; k < worker->n_tasks; k++)
-      held |= !strcmp(worker->tasks[k].task, o->task) && worker->tasks[k].attempt == o->attempt;
-    if (!strcmp(o->verb, WV_START) && !held) {
-      fake_worker_set_task(worker, o->task, o->attempt, WV_RUNNING, NULL);
+    const struct fake_command *command = &worker->commands_received[i];
+    bool known = false;
+    for (size_t j = 0; j < worker->n_tasks; j++)
+      known |= !strcmp(worker->tasks[j].task, command->task) &&
+               worker->tasks[j].attempt == command->attempt;
+    if (!strcmp(command->operation, WV_START) && !known) {
+      fake_worker_set_task(worker, command->task, command->attempt, WV_RUNNING, NULL);
       worker->executed_starts++;
-    } else if (!strcmp(o->verb, WV_STOP) && held) {
-      fake_worker_set_task(worker, o->task, o->attempt, WV_EXITED, WV_STOPPED);
-    } else if (!strcmp(o->verb, WV_FORGET)) {
-      fake_worker_set_task(worker, o->task, o->attempt, NULL, NULL);
+    } else if (!strcmp(command->operation, WV_STOP) && known) {
+      fake_worker_set_task(worker, command->task, command->attempt, WV_EXITED, WV_STOPPED);
+    } else if (!strcmp(command->operation, WV_FORGET)) {
+      fake_worker_set_task(worker, command->task, command->attempt, NULL, NULL);
     }
   }
   worker->n_commands_received = 0;
 }
 
-static void on_worker(void *arg, struct tmx_http_request *request) {
-  struct fake_worker *worker = arg;
+static void on_request(void *argument, struct tmx_http_request *request) {
+  struct fake_worker *worker = argument;
   struct tmx_buffer buffer = {0};
-  if (worker->silent || (worker->mute && !strcmp(request->path, WP_COMMANDS))) {
-    if (!strcmp(request->path, WP_COMMANDS)) worker->commands++;
+  if (worker->unresponsive || (worker->fails_commands && !strcmp(request->path, WP_COMMANDS))) {
+    if (!strcmp(request->path, WP_COMMANDS)) worker->command_requests++;
     tmx_http_reply(request, 500, NULL, 0);
     return;
   }
@@ -92,12 +100,12 @@
     uint64_t token = 0, session = 0;
     tmx_cbor_get_u64(map, W_TOKEN, &token);
     tmx_cbor_get_u64(map, W_SESSION, &session);
-    worker->commands++;
+    worker->command_requests++;
     if (token < worker->token || session != worker->session) {
       status = 409;
     } else {
       worker->token = token;
-      take_orders(worker, map);
+      take_commands(worker, map);
       fake_worker_execute_commands(worker);
       if (worker->on_command) worker->on_command(worker, token);
     }
@@ -113,23 +121,24 @@
   memset(worker, 0, sizeof *worker);
   snprintf(worker->id, sizeof worker->id, "%s", id);
   worker->session = 1;
-  worker->server = tmx_http_server_new(test_loop, "127.0.0.1:0", 16, 60, on_worker, worker);
+  worker->server = tmx_http_server_new(test_loop, "127.0.0.1:0", 16, 60, on_request, worker);
   assert_non_null(worker->server);
-  snprintf(worker->addr, sizeof worker->addr, "127.0.0.1:%d", tmx_http_server_port(worker->server));
+  snprintf(worker->address, sizeof worker->address, "127.0.0.1:%d",
+           tmx_http_server_port(worker->server));
 }
 
 void fake_worker_take_response(struct fake_worker *worker, int status, const uint8_t *body,
-                               size_t len) {
-  cbor_item_t *map = tmx_cbor_parse(body, len);
-  worker->status = status;
+                               size_t length) {
+  cbor_item_t *map = tmx_cbor_parse(body, length);
+  worker->report_status = status;
   worker->redirected_to[0] = 0;
-  worker->answer_token = 0;
+  worker->response_token = 0;
   worker->n_commands_received = 0;
   if (status == 200) {
-    tmx_cbor_get_u64(map, W_TOKEN, &worker->answer_token);
-    if (worker->answer_token >= worker->token) {
-      worker->token = worker->answer_token;
-      take_orders(worker, map);
+    tmx_cbor_get_u64(map, W_TOKEN, &worker->response_token);
+    if (worker->response_token >= worker->token) {
+      worker->token = worker->response_token;
+      take_commands(worker, map);
     }
   } else if (map) {
     tmx_cbor_get_text(map, W_REPORT_TO, worker->redirected_to, sizeof worker->redirected_to);
@@ -137,28 +146,40 @@
   tmx_cbor_free(map);
 }
 
-static void on_reported(void *arg, int status, const uint8_t *body, size_t len) {
-  struct fake_waiting *x = arg;
-  x->done = true;
-  fake_worker_take_response(x->w, status, body, len);
+/* A heartbeat whose answer the test waits for. */
+struct heartbeat {
+  struct fake_worker *worker;
+  bool answered;
+};
+
+static void on_response(void *argument, int status, const uint8_t *body, size_t length) {
+  struct heartbeat *heartbeat = argument;
+  heartbeat->answered = true;
+  fake_worker_take_response(heartbeat->worker, status, body, length);
+}
+
+static bool is_answered(void *argument) {
+  const struct heartbeat *heartbeat = argument;
+  return heartbeat->answered;
 }
 
 void fake_worker_send_heartbeat(struct fake_worker *worker, struct tmx_controller *controller) {
-  struct fake_waiting x = {.w = worker};
+  struct heartbeat heartbeat = {.worker = worker};
   struct tmx_buffer buffer = {0};
-  struct tmx_http_client *k = client_of(controller);
+  struct tmx_http_client *client = client_of(controller);
   worker->sequence++;
   fake_worker_encode_report(worker, &buffer);
-  assert_true(tmx_http_client_call(k, "POST", WP_REPORT, &buffer, 5, on_reported, &x));
+  assert_true(tmx_http_client_call(client, "POST", WP_REPORT, &buffer, WORKER_WAITS_S, on_response,
+                                   &heartbeat));
   tmx_buffer_free(&buffer);
-  assert_true(run_loop_until(fake_is_done, &x));
-  tmx_http_client_free(k);
+  assert_true(run_loop_until(is_answered, &heartbeat));
+  tmx_http_client_free(client);
 }
 
-bool fake_worker_was_commanded(const struct fake_worker *worker, const char *op, const char *task,
-                               uint32_t attempt) {
+bool fake_worker_was_commanded(const struct fake_worker *worker, const char *operation,
+                               const char *task, uint32_t attempt) {
   for (size_t i = 0; i < worker->n_commands_received; i++)
-    if (!strcmp(worker->commands_received[i].verb, op) &&
+    if (!strcmp(worker->commands_received[i].operation, operation) &&
         !strcmp(worker->commands_received[i].task, task) &&
         worker->commands_received[i].attempt == attempt)
       return true;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -22,8 +22,8 @@
                         *other = first_is_owner ? second_controller : first_controller;
   struct fake_endpoint *door = &fake_store.endpoints[first_is_owner ? 0 : 1];
   double lease = first_controller->settings.lease_s, cancel = first_controller->settings.cancel_s;
-  worker.mute = true; /* stops sent by command do not arrive */
-  door->slow_s = slow_s;
+  worker.fails_commands = true; /* stops sent by command do not arrive */
+  door->read_delay_s = slow_s;
   door->refuse = !slow_s;
   door->freeze_watch = slow_s > 0;
   run_loop_for(0.3);
@@ -39,7 +39,7 @@
     for (int i = 0; i < 2; i++) {
       double sent = tmx_clock_steady();
       fake_worker_send_heartbeat(&worker, asked[i]);
-      if (worker.status != 200 || worker.answer_token < worker.token) continue;
+      if (worker.report_status != 200 || worker.response_token < worker.token) continue;
       answered++;
       assert_false(fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1));
       if (fake_worker_was_commanded(&worker, WV_STOP, "wk-000001/0", 1))
@@ -76,7 +76,7 @@
 static void no_lease_is_kept_for_a_delayed_start(void **st) {
   (void)st;
   register_worker(&worker);
-  worker.mute = true;
+  worker.fails_commands = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_for_placed(1);
   wait_for_unanswered_command(0);
@@ -88,7 +88,7 @@
   run_loop_for(0.3);
   tmx_clock_advance(9);
   run_loop_for(0.5);
-  worker.silent = true;
+  worker.unresponsive = true;
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   stop_controller(first_is_owner ? first_controller : second_controller);
   if (first_is_owner)
@@ -100,13 +100,13 @@
   fake_worker_send_heartbeat(&worker, keeper);
   tmx_clock_advance(TMX_STORE_LOST_S);
   fake_worker_send_heartbeat(&worker, keeper);
-  assert_int_equal(worker.status, 200); /* a lease from now on ends in time */
+  assert_int_equal(worker.report_status, 200); /* a lease from now on ends in time */
   assert_true(tmx_clock_steady() + keeper->settings.lease_s <
               confirmed + keeper->settings.cancel_s);
   tmx_clock_advance(7);
   assert_true(tmx_authority_may_act(&keeper->authority));
   fake_worker_send_heartbeat(&worker, keeper);
-  assert_int_not_equal(worker.status, 200);
+  assert_int_not_equal(worker.report_status, 200);
 }
 
 /* Without the state nothing starts, though leases are renewed: somebody may have cancelled the job.
@@ -124,7 +124,7 @@
   worker.n_tasks = 0;
   for (int i = 0; i < 3; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
-    assert_int_equal(worker.status, 200);
+    assert_int_equal(worker.report_status, 200);
     fake_worker_execute_commands(&worker);
     run_loop_for(0.1);
   }
@@ -152,15 +152,16 @@
     wait_for_starts(late + 1);
     char key[64];
     snprintf(key, sizeof key, TMX_KEY_JOB "%s", ids[late]);
-    strcpy(late ? endpoint->late_key : endpoint->lose_key, key);
+    strcpy(late ? endpoint->late_transaction_key : endpoint->lost_response_key, key);
     if (late)
-      endpoint->late_next_txn = true;
+      endpoint->next_transaction_is_late = true;
     else
-      endpoint->lose_next_txn = true;
+      endpoint->lose_next_response = true;
     snprintf(task, sizeof task, "%s/0", ids[late]);
     fake_worker_set_task(&worker, task, 1, WV_EXITED, WV_DONE);
     fake_worker_send_heartbeat(&worker, first_controller);
-    for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_txn); i++)
+    for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_response);
+         i++)
       run_loop_for(0.005);
     /* the cancellation's own key may have been the one that was held: it is repeated then */
     struct fake_answer c = cancel_job(first_controller, ids[late]);
@@ -201,7 +202,7 @@
                                   first_controller->settings.node_name);
     struct tmx_controller *owner = first_is_owner ? first_controller : second_controller,
                           *successor = first_is_owner ? second_controller : first_controller;
-    worker.mute = true;
+    worker.fails_commands = true;
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(submit_simple_job(successor, id, "batch", 2, 2, "t"), 201);
     wait_for_placed(2);
@@ -214,7 +215,7 @@
     for (int k = 0; k < 20 && r.status == 503; k++) r = cancel_job(successor, id);
     assert_string_equal(r.state, WV_CANCELLED);
     unsigned begun = worker.executed_starts;
-    worker.mute = false;
+    worker.fails_commands = false;
     for (int k = 0; k < 400 && fake_count_placed(); k++) {
       run_loop_for(0.05);
       fake_worker_send_heartbeat(&worker, successor);
@@ -239,11 +240,11 @@
   fake_store.endpoints[0].refuse = true;
   run_loop_for(0.2);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.status, 200); /* fresh enough: running work goes on */
+  assert_int_equal(worker.report_status, 200); /* fresh enough: running work goes on */
   tmx_clock_advance(first_controller->settings.cancel_s - first_controller->settings.lease_s -
                     TMX_FRESH_MARGIN_S + 0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.status, 503);
+  assert_int_equal(worker.report_status, 503);
   struct fake_answer r = send_request(first_controller, "GET", WP_READY, NULL);
   assert_int_equal(r.status, 503);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -152,7 +152,7 @@
   encode_json(&v, "{\"mark\":0,\"gen\":0}");
   fake_put("t/fold", &v);
   tmx_buffer_free(&v);
-  fake_store.endpoints[0].page_max = 1;
+  fake_store.endpoints[0].page_entries_max = 1;
   begin();
   record_call(&r, "the keys are read", "GET /kv?prefix=t/&page", NULL);
   record_call(&r, "the next page", "GET /kv?prefix=t/&from", NULL);
--- a/tests/test_compaction.c
+++ b/tests/test_compaction.c
@@ -81,7 +81,7 @@
   struct tmx_http_client *c[MANY];
   char addr[32], id[32];
   first_controller->settings.value_kb = 4;
-  fake_store.value_max = 4096;
+  fake_store.value_json_bytes_max = 4096;
   tmx_compaction_set_threshold(first_controller->compaction, 3);
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(first_controller->server));
   for (int i = 0; i < MANY; i++) {
@@ -104,7 +104,7 @@
   }
   for (int i = 0; i < 400 && !fake_get(TMX_KEY_COMPACTION); i++) run_loop_for(0.02);
   assert_non_null(fake_get(TMX_KEY_COMPACTION));
-  assert_int_equal(fake_store.too_large, 0);
+  assert_int_equal(fake_store.oversized_transactions, 0);
 }
 
 static bool is_loaded(void *arg) { return ((struct tmx_controller *)arg)->replica.loaded; }
@@ -124,8 +124,8 @@
   tmx_compaction_set_threshold(first_controller->compaction, 1000);
   run_loop_for(3); /* what the first fold leaves is dropped */
   struct fake_endpoint *endpoint = &fake_store.endpoints[1];
-  endpoint->page_max = 1;
-  strcpy(endpoint->hold_from, TMX_KEY_COMPACTION);
+  endpoint->page_entries_max = 1;
+  strcpy(endpoint->hold_reads_from, TMX_KEY_COMPACTION);
   second_controller = start_controller(1, 2);
   for (int i = 0; i < 400 && !endpoint->held_read; i++) run_loop_for(0.02);
   const struct tmx_http_request *held = endpoint->held_read;
@@ -137,7 +137,7 @@
   assert_true(first_controller->replica.compaction_point > mark);
   tmx_compaction_set_threshold(first_controller->compaction, 1000);
   run_loop_for(1);
-  endpoint->page_max = 0;
+  endpoint->page_entries_max = 0;
   assert_ptr_equal(endpoint->held_read, held); /* it was not given up in the meantime */
   fake_release_held_read(endpoint);
   assert_true(run_loop_until(is_loaded, second_controller));
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -147,10 +147,10 @@
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
   wait_for_starts(1);
-  strcpy(fake_store.endpoints[0].lose_key, TMX_KEY_JOB "wk-000001");
-  fake_store.endpoints[0].lose_next_txn = true;
+  strcpy(fake_store.endpoints[0].lost_response_key, TMX_KEY_JOB "wk-000001");
+  fake_store.endpoints[0].lose_next_response = true;
   complete_task("wk-000001/0", 1);
-  for (int i = 0; i < 200 && fake_store.endpoints[0].lose_next_txn; i++) run_loop_for(0.005);
+  for (int i = 0; i < 200 && fake_store.endpoints[0].lose_next_response; i++) run_loop_for(0.005);
   struct fake_answer c = cancel_job(first_controller, "wk-000001");
   for (int i = 0; i < 20 && c.status != 200; i++) c = cancel_job(first_controller, "wk-000001");
   assert_string_equal(c.state, WV_DONE);
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -4,6 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
+#include "replica/placement_caps.h"
 #include "tmx/wire.h"
 
 /* A submission that allows so many types, "big" among them. */
@@ -222,8 +223,8 @@
   register_worker(&worker);
   first_controller->settings.value_kb = 1;
   first_controller->settings.txn_ops = 8;
-  fake_store.value_max = 1024;
-  fake_store.txn_max = 8;
+  fake_store.value_json_bytes_max = 1024;
+  fake_store.transaction_operations_max = 8;
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
     char id[TMX_ID_MAX], key[TMX_KEY_MAX];
     struct tmx_job_spec s = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
@@ -254,7 +255,7 @@
   restart_first_controller();
   j = tmx_job_find(&first_controller->replica, "wk-000009");
   assert_int_equal(j->dependencies.n_unfinished, SOME);
-  assert_int_equal(fake_store.too_large, 0);
+  assert_int_equal(fake_store.oversized_transactions, 0);
 }
 
 /* The limits fall without notice while work is under way. Everything keeps within the smaller ones
@@ -270,8 +271,8 @@
     assert_accepted(id, before);
     if (i % 3 != 2) strcpy(before, id);
     if (i == 5) {
-      fake_store.value_max = 1024;
-      fake_store.txn_max = 4;
+      fake_store.value_json_bytes_max = 1024;
+      fake_store.transaction_operations_max = 4;
     }
   }
   for (int i = 0; i < 400 && tmx_job_find(&first_controller->replica, id)->outcome != TMX_JOB_DONE;
@@ -283,7 +284,7 @@
     snprintf(id, sizeof id, "wk-%06d", i);
     wait_for_job_state(id, WV_DONE);
   }
-  assert_int_equal(fake_store.too_large, 0);
+  assert_int_equal(fake_store.oversized_transactions, 0);
 }
 
 enum { TYPED_JOBS = 4 };
@@ -317,7 +318,7 @@
   tmx_http_client_free(client);
   assert_null(fake_get(TMX_KEY_JOB "wk-000001")); /* it has no key of its own to be read from */
   first_controller->settings.value_kb = 1;
-  fake_store.value_max = 1024;
+  fake_store.value_json_bytes_max = 1024;
   uint64_t folded = first_controller->replica.compaction_point;
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 100 && first_controller->replica.compaction_point == folded; i++)
@@ -332,7 +333,7 @@
     snprintf(type, sizeof type, "a type with a rather long %02d", i);
     assert_true(tmx_type_allowed(&job->spec, type));
   }
-  assert_int_equal(fake_store.too_large, 0);
+  assert_int_equal(fake_store.oversized_transactions, 0);
 }
 
 int main(void) {
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -12,11 +12,11 @@
 static void late_commands_of_the_former_owner_are_fenced(void **st) {
   (void)st;
   register_worker_at(first_controller);
-  worker.mute = true;
+  worker.fails_commands = true;
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_is_placed, NULL));
-  for (int i = 0; i < 100 && !worker.commands; i++) run_loop_for(0.02);
-  assert_true(worker.commands > 0);
+  for (int i = 0; i < 100 && !worker.command_requests; i++) run_loop_for(0.02);
+  assert_true(worker.command_requests > 0);
   stop_controller(first_controller);
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
@@ -83,7 +83,7 @@
   worker.sequence = 1;
   worker.n_tasks = 0;
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_not_equal(worker.status, 200);
+  assert_int_not_equal(worker.report_status, 200);
   worker.session = s;
   worker.sequence = q;
   assert_int_equal(fake_count_placed(), 1);
@@ -95,7 +95,7 @@
   register_worker_at(first_controller);
   worker.token += 1ull << 40;
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.status, 421);
+  assert_int_equal(worker.report_status, 421);
 }
 
 /* Two controllers on copies of different age: what they place together stays in the limit. */
@@ -143,19 +143,19 @@
     second_controller = NULL;
   run_loop_for(0.3);
   fake_worker_send_heartbeat(&worker, inside);
-  assert_int_equal(worker.status, 421); /* the owner may be back in a moment */
+  assert_int_equal(worker.report_status, 421); /* the owner may be back in a moment */
   tmx_clock_advance(TMX_STORE_LOST_S);
   fake_worker_set_task(&worker, "wk-000002/0", 1, WV_RUNNING,
                        NULL); /* it has not heard of the cancellation */
   uint64_t token = worker.token;
   fake_worker_send_heartbeat(&worker, inside);
-  assert_int_equal(worker.status, 200);
-  assert_int_equal(worker.answer_token, token);
+  assert_int_equal(worker.report_status, 200);
+  assert_int_equal(worker.response_token, token);
   assert_int_equal(worker.n_commands_received, 1);
   assert_true(fake_worker_was_commanded(&worker, WV_STOP, "wk-000002/0", 1));
   tmx_clock_advance(inside->settings.cancel_s - inside->settings.lease_s - TMX_FRESH_MARGIN_S);
   fake_worker_send_heartbeat(&worker, inside);
-  assert_int_equal(worker.status, 503);
+  assert_int_equal(worker.report_status, 503);
 }
 
 int main(void) {
--- a/tests/test_late_messages.c
+++ b/tests/test_late_messages.c
@@ -11,7 +11,7 @@
 static void a_late_command_of_a_later_session_proves_no_end(void **st) {
   (void)st;
   register_worker(&worker);
-  worker.mute = true;
+  worker.fails_commands = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_for_placed(1);
   wait_for_unanswered_command(0);
@@ -22,7 +22,7 @@
       &worker, first_controller); /* a later session: the first command can no longer run */
   worker.token = old;             /* the answer is lost */
   wait_for_placed(0);
-  unsigned before = worker.commands;
+  unsigned before = worker.command_requests;
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
   wait_for_placed(1);
   wait_for_unanswered_command(before); /* for this session, by a token that it would still accept */
@@ -61,12 +61,12 @@
     run_loop_for(0.05);
   }
   assert_int_equal(worker.executed_starts, 2); /* it runs, as the same attempt */
-  worker.silent = true;
+  worker.unresponsive = true;
   restart_first_controller();
   fake_worker_send_heartbeat(&copy, first_controller);
   assert_stays_placed(1, 0.8);
   assert_false(fake_log_contains("e wk-000001/0 1 e"));
-  worker.silent = false;
+  worker.unresponsive = false;
   for (int i = 0; i < 4; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
     fake_worker_execute_commands(&worker);
@@ -91,15 +91,15 @@
   uint64_t seq = worker.sequence;
   for (int i = 0; i < 300 && worker.sequence < seq + 3; i++) run_loop_for(0.02);
   assert_true(worker.sequence >= seq + 3);
-  worker.mute = true;
+  worker.fails_commands = true;
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   run_loop_for(0.2);
   fake_worker_send_heartbeat(&sent, first_controller);
-  assert_int_equal(sent.status, 200);
+  assert_int_equal(sent.report_status, 200);
   assert_true(fake_worker_was_commanded(&sent, WV_STOP, "wk-000001/0", 1));
   sent.session--; /* not so one of an earlier session */
   fake_worker_send_heartbeat(&sent, first_controller);
-  assert_int_equal(sent.status, 421);
+  assert_int_equal(sent.report_status, 421);
 }
 
 /* A batch that got no answer is carried out after newer ones of the same controller: what it rested
@@ -108,16 +108,16 @@
   (void)st;
   register_worker(&worker);
   struct fake_endpoint *endpoint = &fake_store.endpoints[0];
-  strcpy(endpoint->late_key, TMX_KEY_BATCH);
-  endpoint->late_next_txn = true;
+  strcpy(endpoint->late_transaction_key, TMX_KEY_BATCH);
+  endpoint->next_transaction_is_late = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_for_starts(2);
   assert_non_null(endpoint->late_transaction);
   assert_int_equal(fake_execute_late_transaction(endpoint), 409);
   assert_stays_placed(2, 0.3);
   /* ... and so is a cancellation of a job that ended in the meantime */
-  strcpy(endpoint->late_key, TMX_KEY_JOB "wk-000001");
-  endpoint->late_next_txn = true;
+  strcpy(endpoint->late_transaction_key, TMX_KEY_JOB "wk-000001");
+  endpoint->next_transaction_is_late = true;
   assert_int_equal(cancel_job(first_controller, "wk-000001").status, 503);
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&worker, "wk-000001/1", 1, WV_EXITED, WV_DONE);
@@ -155,12 +155,12 @@
 static void a_controller_registers_anew_after_lease_expiry(void **st) {
   (void)st;
   uint64_t run = tmx_store_incarnation(first_controller->store);
-  fake_store.lapsed = fake_store.leases;
+  fake_store.leases_expired_up_to = fake_store.leases_granted;
   fake_drop(TMX_KEY_MEMBER "hand-0");
   run_loop_for(0.3);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   assert_true(tmx_store_incarnation(first_controller->store) > run);
-  assert_int_equal(fake_store.lapsed_puts, 1);
+  assert_int_equal(fake_store.expired_lease_refusals, 1);
 }
 
 /* A probe's answer may overtake the answer to a report that carries a start: it is no proof that
@@ -168,10 +168,10 @@
 static void a_probe_that_overtakes_an_answer_changes_nothing(void **st) {
   (void)st;
   register_worker_at(first_controller);
-  worker.mute = true;
+  worker.fails_commands = true;
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_is_placed, NULL));
-  for (int i = 0; i < 100 && !worker.commands; i++) run_loop_for(0.02);
+  for (int i = 0; i < 100 && !worker.command_requests; i++) run_loop_for(0.02);
   run_loop_for(0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(
@@ -190,15 +190,16 @@
  * as soon as the log shows it; the user does not wait for the answer. */
 static void a_lost_commit_response_accepts_once(void **st) {
   (void)st;
-  fake_store.endpoints[0].lose_next_txn = true;
-  strcpy(fake_store.endpoints[0].lose_key, TMX_KEY_JOB);
+  fake_store.endpoints[0].lose_next_response = true;
+  strcpy(fake_store.endpoints[0].lost_response_key, TMX_KEY_JOB);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 503);
   assert_non_null(fake_get(TMX_KEY_JOB "wk-000001"));
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 200);
-  fake_store.endpoints[0].lose_next_txn = true;
+  fake_store.endpoints[0].lose_next_response = true;
   assert_int_equal(cancel_job(first_controller, "wk-000001").status, 503);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  fake_store.endpoints[0].lose_next_txn = fake_store.endpoints[0].hold = true;
+  fake_store.endpoints[0].lose_next_response = fake_store.endpoints[0].withhold_lost_response =
+      true;
   double t = tmx_clock_steady();
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 200);
   assert_true(tmx_clock_steady() - t < TMX_STORE_TIMEOUT_S / 2);
@@ -211,8 +212,8 @@
 static void a_lost_batch_response_places_once(void **st) {
   (void)st;
   register_worker_at(first_controller);
-  fake_store.endpoints[0].lose_next_txn = true;
-  strcpy(fake_store.endpoints[0].lose_key, TMX_KEY_BATCH);
+  fake_store.endpoints[0].lose_next_response = true;
+  strcpy(fake_store.endpoints[0].lost_response_key, TMX_KEY_BATCH);
   submit_simple_job(first_controller, "wk-000001", "batch", 3, 2, "t");
   for (int i = 0; i < 200 && worker.executed_starts < 3; i++) run_loop_for(0.02);
   assert_int_equal(worker.executed_starts, 3);
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -84,14 +84,14 @@
       for (size_t l = 0; l < worker.n_tasks; l++) assert_int_equal(worker.tasks[l].attempt, 1);
       complete_all_tasks();
       fake_worker_send_heartbeat(&worker, first_controller);
-      if (worker.status != 200) fake_worker_send_heartbeat(&worker, second_controller);
+      if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
       fake_worker_execute_commands(&worker);
     }
     if (i == 5) fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = false;
   }
   for (int i = 0; i < 100 && done < 9; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
-    if (worker.status != 200) fake_worker_send_heartbeat(&worker, second_controller);
+    if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
     fake_worker_execute_commands(&worker);
     complete_all_tasks();
     run_loop_for(0.05);
@@ -119,7 +119,7 @@
   for (int i = 0; i < 40 && worker.executed_starts + other_workers[0].executed_starts < 4; i++)
     run_loop_for(0.05);
   struct fake_worker *both[] = {&worker, &other_workers[0]};
-  for (int i = 0; i < 2; i++) both[i]->mute = both[i]->silent = true;
+  for (int i = 0; i < 2; i++) both[i]->fails_commands = both[i]->unresponsive = true;
   fake_cloud.refuse_delete = true;
   restart_first_controller();
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
@@ -127,7 +127,7 @@
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
   assert_stays_placed(4, 1.0);
   assert_int_equal(other_workers[1].executed_starts, 0);
-  for (int i = 0; i < 2; i++) both[i]->mute = both[i]->silent = false;
+  for (int i = 0; i < 2; i++) both[i]->fails_commands = both[i]->unresponsive = false;
   for (int i = 0; i < 60 && !other_workers[1].executed_starts; i++) {
     for (int k = 0; k < 2; k++) {
       fake_worker_send_heartbeat(both[k], first_controller);
@@ -159,20 +159,20 @@
     tmx_clock_advance(TMX_DEMAND_GAP_S - 1);
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(all[k], first_controller);
-      if (all[k]->status != 200) fake_worker_send_heartbeat(all[k], second_controller);
+      if (all[k]->report_status != 200) fake_worker_send_heartbeat(all[k], second_controller);
     }
     run_loop_for(1);
   }
   let_lead(next);
   bool drained = false;
   for (int k = 0; k < 3; k++) assert_false(tmx_machine_find(&next->replica, all[k]->id)->draining);
-  assert_int_equal(fake_cloud.deletes, 0);
+  assert_int_equal(fake_cloud.deletions, 0);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   double since = tmx_clock_steady();
   while (tmx_clock_steady() - since < TMX_LEADER_SETTLE_S + TMX_DRAIN_SPACING_S + 2) {
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(all[k], first_controller);
-      if (all[k]->status != 200) fake_worker_send_heartbeat(all[k], second_controller);
+      if (all[k]->report_status != 200) fake_worker_send_heartbeat(all[k], second_controller);
       struct tmx_machine *machine = tmx_machine_find(&next->replica, all[k]->id);
       drained |= !machine || machine->draining;
     }
@@ -190,7 +190,7 @@
 static void tokens_stay_valid_when_the_same_view_is_read_again(void **st) {
   (void)st;
   register_worker(&worker);
-  worker.mute = true;
+  worker.fails_commands = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_for_placed(1);
   wait_for_unanswered_command(0);
@@ -200,10 +200,11 @@
   assert_true(
       fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1)); /* still on its way */
   uint64_t before = worker.token, term = first_controller->replica.view.term;
-  fake_store.endpoints[0].gone_watch = true;
+  fake_store.endpoints[0].expire_next_watch = true;
   fake_free_watches();
   for (int i = 0;
-       i < 200 && (fake_store.endpoints[0].gone_watch || first_controller->replica.loaded); i++)
+       i < 200 && (fake_store.endpoints[0].expire_next_watch || first_controller->replica.loaded);
+       i++)
     run_loop_for(0.005);
   assert_true(run_loop_until(is_loaded, first_controller));
   assert_int_equal(first_controller->replica.view.term, term);
@@ -241,7 +242,7 @@
       snprintf(task, sizeof task, "%s/0", ids[i]);
       fake_worker_set_task(&worker, task, 1, WV_EXITED, WV_DONE);
       fake_worker_send_heartbeat(&worker, first_controller);
-      if (worker.status != 200) fake_worker_send_heartbeat(&worker, second_controller);
+      if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
       const char *x[] = {ids[i], WV_DONE};
       for (int k = 0; k < 200 && strcmp(poll_job(one, ids[i]).state, x[1]); k++) run_loop_for(0.01);
       assert_string_equal(poll_job(one, ids[i]).state, WV_DONE);
@@ -265,7 +266,7 @@
     if (i >= 2) assert_in_range(worker.executed_starts, 0, begun); /* nothing starts after it */
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(&worker, first_controller);
-      if (worker.status != 200) fake_worker_send_heartbeat(&worker, second_controller);
+      if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
       fake_worker_execute_commands(&worker);
       run_loop_for(0.05);
     }
@@ -300,13 +301,13 @@
     assert_in_range(fake_count_placed(), 0, 4);
     if (i % 2) complete_all_tasks();
     fake_worker_send_heartbeat(&worker, first_controller);
-    if (worker.status != 200) fake_worker_send_heartbeat(&worker, second_controller);
+    if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
     fake_worker_execute_commands(&worker);
   }
   for (int i = 0; i < 400 && fake_count_placed(); i++) {
     complete_all_tasks();
     fake_worker_send_heartbeat(&worker, first_controller);
-    if (worker.status != 200) fake_worker_send_heartbeat(&worker, second_controller);
+    if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
     fake_worker_execute_commands(&worker);
     run_loop_for(0.1);
   }
@@ -326,8 +327,8 @@
   struct fake_worker *x = &other_workers[0];
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", "service", 2, 2, "t"), 201);
   for (int i = 0; i < 2; i++) {
-    fake_store.endpoints[i].lose_next_txn = true;
-    strcpy(fake_store.endpoints[i].lose_key, TMX_KEY_BATCH);
+    fake_store.endpoints[i].lose_next_response = true;
+    strcpy(fake_store.endpoints[i].lost_response_key, TMX_KEY_BATCH);
   }
   register_worker(x);
   bool first_is_owner = tmx_store_is_leader(first_controller->store);
--- a/tests/test_machine_failure.c
+++ b/tests/test_machine_failure.c
@@ -26,8 +26,8 @@
   }
   assert_false(machine->usable);
   assert_true(tmx_machine_find(&first_controller->replica, other_workers[0].id)->usable);
-  assert_int_equal(fake_cloud.deletes, 0);
-  for (int k = 0; k < 8 && !fake_cloud.deletes; k++) {
+  assert_int_equal(fake_cloud.deletions, 0);
+  for (int k = 0; k < 8 && !fake_cloud.deletions; k++) {
     tmx_clock_advance(step);
     for (int i = 1; i < 3; i++) fake_worker_send_heartbeat(all[i], first_controller);
     run_loop_for(0.4);
@@ -38,7 +38,7 @@
     tmx_clock_advance(step);
     run_loop_for(0.3);
   }
-  assert_int_equal(fake_cloud.deletes, 1);
+  assert_int_equal(fake_cloud.deletions, 1);
 }
 
 /* A job bound to a zone and to one place loses its machine: it begins again, as the next attempt,
@@ -57,7 +57,7 @@
   tmx_buffer_free(&body);
   wait_for_starts(2);
   register_worker(&other_workers[0]);
-  worker.silent = true;
+  worker.unresponsive = true;
   fake_cloud.refuse_delete = true;
   tmx_clock_advance(12);
   run_loop_for(2);
@@ -79,7 +79,7 @@
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
   fake_cloud.refuse_delete = true;
-  worker.silent = true;
+  worker.unresponsive = true;
   tmx_clock_advance(12);
   run_loop_for(3.5);
   tmx_clock_advance(12);
@@ -100,7 +100,7 @@
   register_worker_at(first_controller);
   uint64_t seq = worker.sequence, token = worker.token;
   fake_cloud.refuse_delete = false;
-  worker.silent = true;
+  worker.unresponsive = true;
   tmx_clock_advance(12);
   for (int i = 0; i < 800 && !fake_log_contains("x n-000001"); i++) run_loop_for(0.02);
   assert_true(fake_log_contains("x n-000001"));
@@ -126,7 +126,7 @@
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
-  worker.mute = worker.silent = true;
+  worker.fails_commands = worker.unresponsive = true;
   fake_cloud.refuse_delete = true;
   uint64_t token = worker.token;
   for (int i = 0; i < 14; i++) { /* reports keep coming, their answers are lost */
@@ -163,7 +163,7 @@
     usleep((useconds_t)((TMX_PROBE_TIMEOUT_S + 0.1) * 1e6));
   }
   run_loop_for(0.4);
-  assert_int_equal(fake_cloud.deletes, 0);
+  assert_int_equal(fake_cloud.deletions, 0);
   assert_false(fake_log_contains("x n-000001"));
 }
 
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -103,7 +103,7 @@
   run_loop_for(1);
   assert_int_equal(HASH_COUNT(first_controller->replica.machines), MACHINES);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.status, 200);
+  assert_int_equal(worker.report_status, 200);
   tmx_buffer_free(&body);
 }
 
@@ -112,11 +112,11 @@
 /* A listing of many pages is read to its end, also when it grows between them. */
 static void listing_of_many_pages(void **st) {
   (void)st;
-  fake_cloud.listed = 6100;
+  fake_cloud.listed_machines = 6100;
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
-  for (int i = 0; i < 100 && fake_cloud.pages < 5; i++) run_loop_for(0.1);
-  fake_cloud.listed = 6900;
+  for (int i = 0; i < 100 && fake_cloud.pages_served < 5; i++) run_loop_for(0.1);
+  fake_cloud.listed_machines = 6900;
   for (int i = 0; i < 400 && listed() < 6900; i++) run_loop_for(0.1);
   assert_int_equal(listed(), 6900);
 }
@@ -124,13 +124,13 @@
 /* A listing that says it goes on and brings the same names is given up, and read anew later. */
 static void listing_that_does_not_go_on(void **st) {
   (void)st;
-  fake_cloud.listed = 2000;
-  fake_cloud.same_page = true;
+  fake_cloud.listed_machines = 2000;
+  fake_cloud.repeat_first_page = true;
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
-  fake_cloud.pages = 0;
+  fake_cloud.pages_served = 0;
   run_loop_for(10);
-  assert_in_range(fake_cloud.pages, 2, 14); /* two a pass, a pass each 2 s */
+  assert_in_range(fake_cloud.pages_served, 2, 14); /* two a pass, a pass each 2 s */
   assert_int_equal(listed(), 500);
 }
 
--- a/tests/test_task_lifecycle.c
+++ b/tests/test_task_lifecycle.c
@@ -47,19 +47,19 @@
 static void an_unanswered_command_raises_the_token(void **st) {
   (void)st;
   register_worker_at(first_controller);
-  uint64_t before = worker.answer_token;
-  worker.mute = true;
+  uint64_t before = worker.response_token;
+  worker.fails_commands = true;
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_is_placed, NULL));
-  for (int i = 0; i < 100 && !worker.commands; i++) run_loop_for(0.02);
-  assert_true(worker.commands > 0);
+  for (int i = 0; i < 100 && !worker.command_requests; i++) run_loop_for(0.02);
+  assert_true(worker.command_requests > 0);
   run_loop_for(0.1);
   /* (the scripted worker's 500 leaves the command unresolved) */
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   uint64_t seen = worker.token;
   fake_worker_send_heartbeat(
       &worker, first_controller); /* a report from before the higher token, without the attempt */
-  assert_true(worker.answer_token > before);
+  assert_true(worker.response_token > before);
   run_loop_for(0.5);
   assert_int_equal(fake_count_placed(), 1);
   assert_true(worker.token > seen);
@@ -73,16 +73,16 @@
   (void)st;
   register_worker_at(first_controller);
   uint64_t token = worker.token;
-  worker.mute = true;
+  worker.fails_commands = true;
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_is_placed, NULL));
   stop_controller(first_controller);
-  worker.mute = false;
+  worker.fails_commands = false;
   worker.executed_starts = 0;
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   fake_worker_send_heartbeat(&worker, first_controller);
-  if (worker.status == 200) fake_worker_execute_commands(&worker);
+  if (worker.report_status == 200) fake_worker_execute_commands(&worker);
   assert_true(run_loop_until(any_task_was_started, NULL));
   assert_true(worker.token > token);
   assert_int_equal(fake_count_placed(), 1);
@@ -108,10 +108,10 @@
       fake_worker_was_commanded(&worker, WV_STOP, "wk-000001/1", 1)); /* the running one goes on */
   fake_worker_execute_commands(&worker);
   assert_int_equal(worker.executed_starts, 2);
-  worker.mute = true;
+  worker.fails_commands = true;
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   restart_first_controller();
-  worker.mute = false;
+  worker.fails_commands = false;
   fake_worker_send_heartbeat(&worker, first_controller);
   fake_worker_execute_commands(&worker);
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_CANCELLED);
--- a/tests/test_wire_format.c
+++ b/tests/test_wire_format.c
@@ -23,7 +23,7 @@
   fake_start();
   fake_worker_open(&worker, "n-000001");
   relay_open(&commands, tmx_http_server_port(worker.server));
-  snprintf(worker.addr, sizeof worker.addr, "%s", commands.address);
+  snprintf(worker.address, sizeof worker.address, "%s", commands.address);
   first_controller = NULL;
   return 0;
 }
@@ -267,7 +267,7 @@
   send_report(&r, "the first report");
   send_report(&r, "... which shows the token");
   run_loop_for(0.5);
-  worker.mute = true;
+  worker.fails_commands = true;
   submit_literally();
   run_loop_for(0.5);
   send_report(&r, "the command to start got no answer");
