--- a/tests/cluster/check.c
+++ b/tests/cluster/check.c
@@ -19,8 +19,8 @@
 };
 struct task {
   char id[NAME_BYTES];
-  char on[NAME_BYTES];     /* the machine that it is on; empty: none */
-  char placed[NAME_BYTES]; /* where the log has its latest attempt */
+  char machine[NAME_BYTES]; /* the machine that it is on; empty: none */
+  char placed[NAME_BYTES];  /* where the log has its latest attempt */
   unsigned attempt;
   bool done;
   UT_hash_handle hh;
@@ -40,9 +40,9 @@
   const char *line;
 };
 
-static void found(struct check *c, unsigned *count, const char *rule) {
+static void found(struct check *check, unsigned *count, const char *rule) {
   ++*count;
-  fprintf(c->out, "%s: %s", rule, c->line);
+  fprintf(check->out, "%s: %s", rule, check->line);
 }
 
 /* The record of that name, made when it is new. */
@@ -56,67 +56,69 @@
     HASH_ADD_STR(table, id, record);                        \
   } while (0)
 
-static struct job *job_of(struct check *c, const char *id) {
+static struct job *job_of(struct check *check, const char *id) {
   struct job *job;
-  RECORD(c->jobs, id, job);
+  RECORD(check->jobs, id, job);
   return job;
 }
-static struct task *task_of(struct check *c, const char *id) {
+static struct task *task_of(struct check *check, const char *id) {
   struct task *task;
-  RECORD(c->tasks, id, task);
+  RECORD(check->tasks, id, task);
   return task;
 }
 
-static void on_answer(struct check *c, const char *ask, const char *id, unsigned tasks, int status,
-                      const char *state, bool final) {
-  struct job *job = job_of(c, id);
-  struct history_findings *f = &c->findings;
+static void on_answer(struct check *check, const char *ask, const char *id, unsigned tasks,
+                      int status, const char *state, bool final) {
+  struct job *job = job_of(check, id);
+  struct history_findings *findings = &check->findings;
   if (tasks) job->tasks = tasks;
   if (!strcmp(ask, "cancel")) job->asked_to_cancel = true;
-  if (status == 404 && job->accepted) found(c, &f->went_back, "an accepted job is unknown");
+  if (status == 404 && job->accepted)
+    found(check, &findings->went_back, "an accepted job is unknown");
   if (status != 200 && status != 201) return;
   job->accepted = true;
   job->known_at_the_end |= final;
   bool is_final = !strcmp(state, WV_DONE) || !strcmp(state, WV_CANCELLED);
   if (job->final_state[0] && strcmp(job->final_state, state))
-    found(c, &f->went_back, "a final state changed");
+    found(check, &findings->went_back, "a final state changed");
   if (!is_final || job->final_state[0]) return;
   snprintf(job->final_state, sizeof job->final_state, "%s", state);
   if (!strcmp(state, WV_CANCELLED) && !job->asked_to_cancel)
-    found(c, &f->not_done, "cancelled, and nobody asked");
+    found(check, &findings->not_done, "cancelled, and nobody asked");
   if (!strcmp(state, WV_DONE) && job->tasks_done < job->tasks)
-    found(c, &f->not_done, "called done before its tasks were");
+    found(check, &findings->not_done, "called done before its tasks were");
 }
 
-static void on_order(struct check *c, const char *machine_id, int node, uint64_t token) {
+static void on_order(struct check *check, const char *machine_id, int node, uint64_t token) {
   struct machine *machine;
-  RECORD(c->machines, machine_id, machine);
+  RECORD(check->machines, machine_id, machine);
   uint64_t term = token >> TMX_TOKEN_SEQUENCE_BITS;
   bool other = term == machine->term && node != machine->node;
-  if (term < machine->term || other) found(c, &c->findings.two_owners, "orders of two owners");
+  if (term < machine->term || other)
+    found(check, &check->findings.two_owners, "orders of two owners");
   machine->term = term;
   machine->node = node;
 }
 
-static void on_begin(struct check *c, const char *id, unsigned attempt, const char *machine) {
-  struct task *task = task_of(c, id);
-  if (task->on[0]) found(c, &c->findings.overlaps, "began while on a machine");
+static void on_begin(struct check *check, const char *id, unsigned attempt, const char *machine) {
+  struct task *task = task_of(check, id);
+  if (task->machine[0]) found(check, &check->findings.overlaps, "began while on a machine");
   if (strcmp(task->placed, machine) || task->attempt != attempt)
-    found(c, &c->findings.unplanned, "started without a placement in the log");
-  snprintf(task->on, sizeof task->on, "%s", machine);
+    found(check, &check->findings.unplanned, "started without a placement in the log");
+  snprintf(task->machine, sizeof task->machine, "%s", machine);
 }
 
-static void on_end(struct check *c, const char *id, const char *how) {
-  struct task *task = task_of(c, id);
+static void on_end(struct check *check, const char *id, const char *how) {
+  struct task *task = task_of(check, id);
   char name[NAME_BYTES];
-  task->on[0] = 0;
+  task->machine[0] = 0;
   if (strcmp(how, WV_DONE) || task->done) return;
   task->done = true;
   snprintf(name, sizeof name, "%.*s", (int)strcspn(id, "/"), id);
-  job_of(c, name)->tasks_done++;
+  job_of(check, name)->tasks_done++;
 }
 
-static void judge_event(struct check *c, json_t *event) {
+static void judge_event(struct check *check, json_t *event) {
   const char *what = "", *ask = "", *job = "", *state = "", *machine = "", *task = "", *how = "";
   int tasks = 0, status = 0, node = 0, attempt = 0, final = 0;
   json_int_t token = 0;
@@ -125,63 +127,63 @@
   json_unpack(event, "{s?i s?i s?i s?i s?b s?I}", "tasks", &tasks, "status", &status, "node", &node,
               "attempt", &attempt, "final", &final, "token", &token);
   if (!strcmp(what, "answer")) {
-    on_answer(c, ask, job, (unsigned)tasks, status, state, final);
+    on_answer(check, ask, job, (unsigned)tasks, status, state, final);
   } else if (!strcmp(what, "order")) {
-    on_order(c, machine, node, (uint64_t)token);
+    on_order(check, machine, node, (uint64_t)token);
   } else if (!strcmp(what, "placed")) {
-    struct task *t = task_of(c, task);
-    snprintf(t->placed, sizeof t->placed, "%s", machine);
-    t->attempt = (unsigned)attempt;
+    struct task *placed = task_of(check, task);
+    snprintf(placed->placed, sizeof placed->placed, "%s", machine);
+    placed->attempt = (unsigned)attempt;
   } else if (!strcmp(what, "begin")) {
-    on_begin(c, task, (unsigned)attempt, machine);
+    on_begin(check, task, (unsigned)attempt, machine);
   } else if (!strcmp(what, "end")) {
-    on_end(c, task, how);
+    on_end(check, task, how);
   } else {
-    c->findings.unreadable++;
+    check->findings.unreadable++;
   }
 }
 
-static void judge_end(struct check *c) {
+static void judge_end(struct check *check) {
   struct job *job, *next;
-  HASH_ITER(hh, c->jobs, job, next) {
-    c->line = job->id;
+  HASH_ITER(hh, check->jobs, job, next) {
+    check->line = job->id;
     if (job->accepted && !job->known_at_the_end) {
-      found(c, &c->findings.lost, "not known at the end");
-      fputc('\n', c->out);
+      found(check, &check->findings.lost, "not known at the end");
+      fputc('\n', check->out);
     }
-    HASH_DEL(c->jobs, job);
+    HASH_DEL(check->jobs, job);
     free(job);
   }
 }
 
-struct history_findings history_check(FILE *in, FILE *out) {
-  struct check c = {.out = out};
+struct history_findings history_check(FILE *input, FILE *out) {
+  struct check check = {.out = out};
   char line[LINE_MAX_BYTES];
-  c.line = line;
-  while (fgets(line, sizeof line, in)) {
+  check.line = line;
+  while (fgets(line, sizeof line, input)) {
     json_t *event = json_loads(line, 0, NULL);
-    c.findings.lines++;
+    check.findings.lines++;
     if (event)
-      judge_event(&c, event);
+      judge_event(&check, event);
     else
-      c.findings.unreadable++;
+      check.findings.unreadable++;
     json_decref(event);
   }
-  judge_end(&c);
+  judge_end(&check);
   struct task *task, *next_task;
-  HASH_ITER(hh, c.tasks, task, next_task) {
-    HASH_DEL(c.tasks, task);
+  HASH_ITER(hh, check.tasks, task, next_task) {
+    HASH_DEL(check.tasks, task);
     free(task);
   }
   struct machine *machine, *next_machine;
-  HASH_ITER(hh, c.machines, machine, next_machine) {
-    HASH_DEL(c.machines, machine);
+  HASH_ITER(hh, check.machines, machine, next_machine) {
+    HASH_DEL(check.machines, machine);
     free(machine);
   }
-  return c.findings;
+  return check.findings;
 }
 
-unsigned history_broken(const struct history_findings *f) {
-  return f->unreadable + f->lost + f->overlaps + f->two_owners + f->unplanned + f->went_back +
-         f->not_done;
+unsigned history_broken(const struct history_findings *findings) {
+  return findings->unreadable + findings->lost + findings->overlaps + findings->two_owners +
+         findings->unplanned + findings->went_back + findings->not_done;
 }
--- a/tests/cluster/check_history.c
+++ b/tests/cluster/check_history.c
@@ -4,17 +4,17 @@
 #include "cluster/history.h"
 
 int main(int argc, char **argv) {
-  FILE *in = argc == 2 ? fopen(argv[1], "r") : NULL;
-  if (!in) {
+  FILE *input = argc == 2 ? fopen(argv[1], "r") : NULL;
+  if (!input) {
     fprintf(stderr, "usage: check_history FILE\n");
     return 2;
   }
-  struct history_findings f = history_check(in, stdout);
-  fclose(in);
+  struct history_findings findings = history_check(input, stdout);
+  fclose(input);
   printf(
       "%u lines: unreadable %u, lost %u, overlaps %u, two owners %u, unplanned %u, went back "
       "%u, not done %u\n",
-      f.lines, f.unreadable, f.lost, f.overlaps, f.two_owners, f.unplanned, f.went_back,
-      f.not_done);
-  return !f.lines || history_broken(&f) ? 1 : 0;
+      findings.lines, findings.unreadable, findings.lost, findings.overlaps, findings.two_owners,
+      findings.unplanned, findings.went_back, findings.not_done);
+  return !findings.lines || history_broken(&findings) ? 1 : 0;
 }
--- a/tests/cluster/history.h
+++ b/tests/cluster/history.h
@@ -33,6 +33,6 @@
   unsigned went_back;  /* an answer older than one given before */
   unsigned not_done;   /* called done before all tasks were, or cancelled without being asked */
 };
-struct history_findings history_check(FILE *in, FILE *out);
-unsigned history_broken(const struct history_findings *f);
+struct history_findings history_check(FILE *input, FILE *out);
+unsigned history_broken(const struct history_findings *findings);
 #endif
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -17,14 +17,14 @@
 
 struct chunk {
   double due;
-  size_t n, sent;
+  size_t length, sent;
   struct chunk *next;
   char bytes[];
 };
 struct pair;
 struct side { /* what one end sends to the other */
   struct pair *pair;
-  int from, to;
+  int from_fd, to_fd;
   ev_io readable;
   struct chunk *chunks;
 };
@@ -43,11 +43,11 @@
   struct pair *pairs;
 };
 
-static int loopback_socket(struct sockaddr_in *at, int port) {
-  memset(at, 0, sizeof *at);
-  at->sin_family = AF_INET;
-  at->sin_port = htons((uint16_t)port);
-  at->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+static int loopback_socket(struct sockaddr_in *address, int port) {
+  memset(address, 0, sizeof *address);
+  address->sin_family = AF_INET;
+  address->sin_port = htons((uint16_t)port);
+  address->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
@@ -56,7 +56,7 @@
   for (int i = 0; i < 2; i++) {
     struct chunk *chunk, *next;
     ev_io_stop(link->loop, &pair->sides[i].readable);
-    close(pair->sides[i].from);
+    close(pair->sides[i].from_fd);
     LL_FOREACH_SAFE(pair->sides[i].chunks, chunk, next) free(chunk);
   }
   DL_DELETE(link->pairs, pair);
@@ -67,30 +67,31 @@
 static bool send_due(struct side *side, double now) {
   struct chunk *chunk;
   while ((chunk = side->chunks) && chunk->due <= now) {
-    ssize_t n = send(side->to, chunk->bytes + chunk->sent, chunk->n - chunk->sent, MSG_NOSIGNAL);
-    if (n < 0) return errno == EAGAIN || errno == ENOTCONN;
-    chunk->sent += (size_t)n;
-    if (chunk->sent < chunk->n) return true;
+    ssize_t sent =
+        send(side->to_fd, chunk->bytes + chunk->sent, chunk->length - chunk->sent, MSG_NOSIGNAL);
+    if (sent < 0) return errno == EAGAIN || errno == ENOTCONN;
+    chunk->sent += (size_t)sent;
+    if (chunk->sent < chunk->length) return true;
     LL_DELETE(side->chunks, chunk);
     free(chunk);
   }
   return true;
 }
 
-static void on_readable(struct ev_loop *loop, ev_io *io, int events) {
-  struct side *side = io->data;
+static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
+  struct side *side = watcher->data;
   struct link *link = side->pair->link;
   (void)loop;
   (void)events;
   struct chunk *chunk = malloc(sizeof *chunk + CHUNK_BYTES);
   if (!chunk) abort();
-  ssize_t n = recv(side->from, chunk->bytes, CHUNK_BYTES, 0);
-  if (n <= 0) {
+  ssize_t received = recv(side->from_fd, chunk->bytes, CHUNK_BYTES, 0);
+  if (received <= 0) {
     free(chunk);
-    if (n == 0 || (errno != EAGAIN && errno != ENOTCONN)) close_pair(side->pair);
+    if (received == 0 || (errno != EAGAIN && errno != ENOTCONN)) close_pair(side->pair);
     return;
   }
-  chunk->n = (size_t)n;
+  chunk->length = (size_t)received;
   chunk->sent = 0;
   chunk->due = tmx_clock_steady() + link->delay_s;
   LL_APPEND(side->chunks, chunk);
@@ -109,17 +110,17 @@
   }
 }
 
-static void on_acceptable(struct ev_loop *loop, ev_io *io, int events) {
-  struct link *link = io->data;
-  struct sockaddr_in at;
+static void on_acceptable(struct ev_loop *loop, ev_io *watcher, int events) {
+  struct link *link = watcher->data;
+  struct sockaddr_in address;
   (void)events;
   int fd = accept4(link->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) return;
-  int to = loopback_socket(&at, link->target);
+  int target_fd = loopback_socket(&address, link->target);
   if (link->mode == LINK_REFUSED ||
-      (connect(to, (struct sockaddr *)&at, sizeof at) && errno != EINPROGRESS)) {
+      (connect(target_fd, (struct sockaddr *)&address, sizeof address) && errno != EINPROGRESS)) {
     close(fd);
-    close(to);
+    close(target_fd);
     return;
   }
   struct pair *pair = calloc(1, sizeof *pair);
@@ -127,8 +128,8 @@
   pair->link = link;
   for (int i = 0; i < 2; i++) {
     struct side *side = &pair->sides[i];
-    *side = (struct side){.pair = pair, .from = i ? to : fd, .to = i ? fd : to};
-    ev_io_init(&side->readable, on_readable, side->from, EV_READ);
+    *side = (struct side){.pair = pair, .from_fd = i ? target_fd : fd, .to_fd = i ? fd : target_fd};
+    ev_io_init(&side->readable, on_readable, side->from_fd, EV_READ);
     side->readable.data = side;
     ev_io_start(loop, &side->readable);
   }
@@ -137,16 +138,16 @@
 
 struct link *link_new(struct ev_loop *loop, int target_port) {
   struct link *link = calloc(1, sizeof *link);
-  struct sockaddr_in at;
-  socklen_t n = sizeof at;
+  struct sockaddr_in address;
+  socklen_t size = sizeof address;
   if (!link) abort();
   link->loop = loop;
   link->target = target_port;
-  link->fd = loopback_socket(&at, 0);
-  if (bind(link->fd, (struct sockaddr *)&at, sizeof at) || listen(link->fd, BACKLOG) ||
-      getsockname(link->fd, (struct sockaddr *)&at, &n))
+  link->fd = loopback_socket(&address, 0);
+  if (bind(link->fd, (struct sockaddr *)&address, sizeof address) || listen(link->fd, BACKLOG) ||
+      getsockname(link->fd, (struct sockaddr *)&address, &size))
     abort();
-  link->port = ntohs(at.sin_port);
+  link->port = ntohs(address.sin_port);
   ev_io_init(&link->acceptable, on_acceptable, link->fd, EV_READ);
   link->acceptable.data = link;
   ev_io_start(loop, &link->acceptable);
--- a/tests/cluster/load.c
+++ b/tests/cluster/load.c
@@ -60,10 +60,10 @@
                                     {'r', "v", "refresh", WV_ARRAY, "normal", 4, 4, 10, 0.125, 0},
                                     {'s', "v", "live", WV_SERVICE, "prod", 2, 1, 0, 0, 5},
                                     {0}};
-  for (struct job_kind *k = kinds; k->letter; k++) {
-    if (k->run_s <= 0) continue;
-    double share = k->per_s, work = k->tasks * k->cpus * k->run_s;
-    k->per_s = surge * share * machines * MACHINE_CPUS / work;
+  for (struct job_kind *kind = kinds; kind->letter; kind++) {
+    if (kind->run_s <= 0) continue;
+    double share = kind->per_s, work = kind->tasks * kind->cpus * kind->run_s;
+    kind->per_s = surge * share * machines * MACHINE_CPUS / work;
   }
   return kinds;
 }
@@ -80,12 +80,12 @@
 
 /* ------------------------------------------------------------ history of commits */
 
-static void on_op(void *arg, const struct tmx_operation *op) {
+static void on_op(void *arg, const struct tmx_operation *operation) {
   char task[TMX_LINE_MAX];
   (void)arg;
-  if (op->kind != TMX_OPERATION_PLACE) return;
-  snprintf(task, sizeof task, "%s/%u", op->job, op->task);
-  history_placed(task, op->attempt, op->machine);
+  if (operation->kind != TMX_OPERATION_PLACE) return;
+  snprintf(task, sizeof task, "%s/%u", operation->job, operation->task);
+  history_placed(task, operation->attempt, operation->machine);
 }
 
 static void on_written(const char *key, const uint8_t *value, size_t len) {
@@ -111,31 +111,31 @@
   }
 }
 
-static void on_step(struct ev_loop *l, ev_timer *t, int events) {
+static void on_step(struct ev_loop *loop, ev_timer *timer, int events) {
   static double last;
-  (void)l;
-  (void)t;
+  (void)loop;
+  (void)timer;
   (void)events;
-  double now = tmx_clock_steady(), dt = last ? now - last : 0;
+  double now = tmx_clock_steady(), elapsed_s = last ? now - last : 0;
   last = now;
   begin_troubles(now);
   nodes_tick();
   fake_enforce_leases();
-  workers_step(now, dt);
-  if (submitting && now - begun_at > quiet_s) users_submit(dt);
+  workers_step(now, elapsed_s);
+  if (submitting && now - begun_at > quiet_s) users_submit(elapsed_s);
   users_step(now);
 }
 
-static void go_on(double s) { /* longer than one pump */
-  double until = tmx_clock_steady() + s;
+static void go_on(double duration_s) { /* longer than one pump */
+  double until = tmx_clock_steady() + duration_s;
   while (tmx_clock_steady() < until)
     run_loop_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
 }
 
 static void show(const char *when, double over) {
   unsigned reads = 0;
-  struct users_figures u = users_take_figures();
-  struct workers_figures w = workers_take_figures();
+  struct users_figures users = users_take_figures();
+  struct workers_figures workers = workers_take_figures();
   printf("%-22s", when);
   for (int k = 0; k < nodes; k++) {
     double mb = 0, peak = 0, cpu = node[k].pid ? node_used(k, &mb, &peak) : 0;
@@ -143,12 +143,12 @@
     node[k].cpu = cpu;
     reads += fake_store.endpoints[k].reads;
   }
-  printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", u.accepted, u.refused,
-         u.answered, u.asked, w.finished);
+  printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", users.accepted,
+         users.refused, users.answered, users.asked, workers.finished);
   printf(
       "  | slowest report %.2f s, accepted submission %.2f s; state: %.1f commits, %.1f reads a "
       "second\n",
-      w.slowest_report, u.slowest_submission, (fake_store.commits - state_commits) / over,
+      workers.slowest_report, users.slowest_submission, (fake_store.commits - state_commits) / over,
       (reads - state_reads) / over);
   state_commits = fake_store.commits;
   state_reads = reads;
@@ -208,15 +208,15 @@
        "peers, users, workers)",
        "TEXT"},
       POPT_AUTOHELP POPT_TABLEEND};
-  poptContext pc = poptGetContext("load", argc, argv, options, 0);
-  int rc;
-  while ((rc = poptGetNextOpt(pc)) == 'd' && n_troubles < TROUBLES_MAX)
+  poptContext options_context = poptGetContext("load", argc, argv, options, 0);
+  int result;
+  while ((result = poptGetNextOpt(options_context)) == 'd' && n_troubles < TROUBLES_MAX)
     troubles[n_troubles++] = trouble;
-  if (rc != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
-    fprintf(stderr, "load: %s\n", rc < -1 ? poptStrerror(rc) : "out of range");
+  if (result != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
+    fprintf(stderr, "load: %s\n", result < -1 ? poptStrerror(result) : "out of range");
     exit(2);
   }
-  poptFreeContext(pc);
+  poptFreeContext(options_context);
 }
 
 static void raise_file_limit(void) {
@@ -244,9 +244,9 @@
                                        .lease_s = 42,
                                        .run_s = users_run_s,
                                        .on_begin = users_task_began});
-  ev_timer t;
-  ev_timer_init(&t, on_step, 0, step_s);
-  ev_timer_start(test_loop, &t);
+  ev_timer timer;
+  ev_timer_init(&timer, on_step, 0, step_s);
+  ev_timer_start(test_loop, &timer);
   submitting = true;
   if (surge > 0)
     run_surge();
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -19,7 +19,7 @@
     0.3; /* of a delayed link: longer than a round, shorter than a lease */
 
 struct trouble {
-  double until; /* 0: there is none */
+  double ends_at; /* 0: there is none */
 };
 struct node node[FAKE_NODES];
 static int n_nodes;
@@ -66,30 +66,30 @@
                            "state", address(link_port(links[k][TO_STATE])), "cloud",
                            settings->cloud, "cluster", cluster_json(settings));
   int fd = mkstemp(strcpy(settings_path[k], "/tmp/tmx-cluster-XXXXXX"));
-  FILE *f = fd >= 0 ? fdopen(fd, "w") : NULL;
-  if (!f || json_dumpf(root, f, 0)) abort();
-  fclose(f);
+  FILE *file = fd >= 0 ? fdopen(fd, "w") : NULL;
+  if (!file || json_dumpf(root, file, 0)) abort();
+  fclose(file);
   json_decref(root);
 }
 
 static int port_of(const char *addr) { return atoi(strchr(addr, ':') + 1); }
 
-void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *settings),
-                int connections) {
+void nodes_open(int count, const char *operator_config,
+                void (*adjust)(struct tmx_settings *settings), int connections) {
   static struct tmx_settings settings[FAKE_NODES];
   char addr[32];
-  n_nodes = n;
+  n_nodes = count;
   operator_path = operator_config;
-  for (int k = 0; k < n; k++) {
-    fake_settings(&settings[k], k, n);
+  for (int k = 0; k < count; k++) {
+    fake_settings(&settings[k], k, count);
     adjust(&settings[k]);
     node[k].port = fake_listen_port(k);
   }
-  for (int k = 0; k < n; k++) {
+  for (int k = 0; k < count; k++) {
     links[k][TO_STATE] = link_new(test_loop, port_of(settings[k].state));
     links[k][TO_USERS] = link_new(test_loop, node[k].port);
     links[k][TO_WORKERS] = link_new(test_loop, node[k].port);
-    for (int i = 0; i < n; i++)
+    for (int i = 0; i < count; i++)
       if (i != k)
         links[k][DESTINATIONS + i] = link_new(test_loop, port_of(settings[i].peer_listen));
     write_settings(k, &settings[k]);
@@ -162,22 +162,22 @@
       end(k);
     return true;
   }
-  int to = 0;
-  while (to < DESTINATIONS && strcmp(where, destinations[to])) to++;
+  int destination = 0;
+  while (destination < DESTINATIONS && strcmp(where, destinations[destination])) destination++;
   bool refuse = !strcmp(verb, "refuse"), cut = !strcmp(verb, "cut"), slow = !strcmp(verb, "delay");
-  if (to == DESTINATIONS || !(refuse || cut || slow)) return false;
-  set_links(k, to, refuse ? LINK_REFUSED : cut ? LINK_CUT : LINK_OPEN, slow ? delay_s : 0);
-  troubles[k][to].until = now + for_s;
+  if (destination == DESTINATIONS || !(refuse || cut || slow)) return false;
+  set_links(k, destination, refuse ? LINK_REFUSED : cut ? LINK_CUT : LINK_OPEN, slow ? delay_s : 0);
+  troubles[k][destination].ends_at = now + for_s;
   return true;
 }
 
 void nodes_tick(void) {
   double now = tmx_clock_steady();
   for (int k = 0; k < n_nodes; k++) {
-    for (int to = 0; to < DESTINATIONS; to++) {
-      if (!troubles[k][to].until || now < troubles[k][to].until) continue;
-      troubles[k][to].until = 0;
-      set_links(k, to, LINK_OPEN, 0);
+    for (int destination = 0; destination < DESTINATIONS; destination++) {
+      if (!troubles[k][destination].ends_at || now < troubles[k][destination].ends_at) continue;
+      troubles[k][destination].ends_at = 0;
+      set_links(k, destination, LINK_OPEN, 0);
     }
     if (!node[k].back_at || now < node[k].back_at) continue;
     if (!node[k].pid) {
@@ -194,17 +194,17 @@
   char path[64], line[512];
   unsigned long user = 0, sys = 0;
   snprintf(path, sizeof path, "/proc/%d/stat", node[k].pid);
-  FILE *f = fopen(path, "r");
-  if (f && fgets(line, sizeof line, f))
+  FILE *file = fopen(path, "r");
+  if (file && fgets(line, sizeof line, file))
     sscanf(strrchr(line, ')') + 2, "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu", &user,
            &sys);
-  if (f) fclose(f);
+  if (file) fclose(file);
   snprintf(path, sizeof path, "/proc/%d/status", node[k].pid);
-  f = fopen(path, "r");
-  while (f && fgets(line, sizeof line, f)) {
+  file = fopen(path, "r");
+  while (file && fgets(line, sizeof line, file)) {
     if (!strncmp(line, "VmRSS:", 6)) *mb = atof(line + 6) / 1024;
     if (!strncmp(line, "VmHWM:", 6)) *peak = atof(line + 6) / 1024;
   }
-  if (f) fclose(f);
+  if (file) fclose(file);
   return (double)(user + sys) / (double)sysconf(_SC_CLK_TCK);
 }
--- a/tests/cluster/nodes.h
+++ b/tests/cluster/nodes.h
@@ -17,8 +17,8 @@
 extern struct node node[FAKE_NODES];
 
 /* operator_config: TOML; NULL: none. adjust: changes the settings of every controller. */
-void nodes_open(int n, const char *operator_config, void (*adjust)(struct tmx_settings *settings),
-                int connections);
+void nodes_open(int count, const char *operator_config,
+                void (*adjust)(struct tmx_settings *settings), int connections);
 void node_begin(int k);
 void nodes_close(void); /* ends the processes */
 /* "kill 1 5": controller 1 ends and is back 5 s later; "pause 1 5"; "refuse state 1 5": the links
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -54,9 +54,10 @@
 
 /* ------------------------------------------------------------ starts */
 
-static void look_at_gap(struct kind_state *s, double now) {
-  if (s->waiting_since)
-    s->longest_gap = fmax(s->longest_gap, now - fmax(s->waiting_since, s->last_start));
+static void look_at_gap(struct kind_state *state, double now) {
+  if (state->waiting_since)
+    state->longest_gap =
+        fmax(state->longest_gap, now - fmax(state->waiting_since, state->last_start));
 }
 
 void users_task_began(const char *task) {
@@ -103,15 +104,15 @@
 }
 
 static void send_submission(struct job *job) {
-  const struct job_kind *k = job->kind;
+  const struct job_kind *kind = job->kind;
   struct fake_job body = {.id = job->id,
-                          .kind = k->kind,
-                          .class = k->class_name,
-                          .team = k->team,
-                          .priority = k->priority,
-                          .tasks = k->tasks,
-                          .cpus = k->cpus,
-                          .estimate_s = k->run_s};
+                          .kind = kind->kind,
+                          .class = kind->class_name,
+                          .team = kind->team,
+                          .priority = kind->priority,
+                          .tasks = kind->tasks,
+                          .cpus = kind->cpus,
+                          .estimate_s = kind->run_s};
   struct tmx_buffer buffer = {0};
   encode_submission_of(&buffer, &body);
   job->asked_at = tmx_clock_steady();
@@ -160,11 +161,11 @@
   send_submission(job);
 }
 
-void users_submit(double dt) {
+void users_submit(double elapsed_s) {
   for (const struct job_kind *kind = kinds; kind->letter; kind++) {
-    struct kind_state *s = &states[kind - kinds];
-    for (int i = 0; i < 5 && s->submitted < kind->at_start; i++) make_job(kind);
-    for (s->due += dt * kind->per_s; s->due >= 1; s->due--) make_job(kind);
+    struct kind_state *state = &states[kind - kinds];
+    for (int i = 0; i < 5 && state->submitted < kind->at_start; i++) make_job(kind);
+    for (state->due += elapsed_s * kind->per_s; state->due >= 1; state->due--) make_job(kind);
   }
 }
 
@@ -182,12 +183,12 @@
       send_submission(job);
   }
   for (const struct job_kind *kind = kinds; kind->letter; kind++) {
-    struct kind_state *s = &states[kind - kinds];
-    look_at_gap(s, now);
+    struct kind_state *state = &states[kind - kinds];
+    look_at_gap(state, now);
     if (!waits[kind - kinds])
-      s->waiting_since = 0;
-    else if (!s->waiting_since)
-      s->waiting_since = now;
+      state->waiting_since = 0;
+    else if (!state->waiting_since)
+      state->waiting_since = now;
   }
 }
 
@@ -211,9 +212,9 @@
 /* ------------------------------------------------------------ table */
 
 static void print_kind(const struct job_kind *kind, double now) {
-  const struct kind_state *s = &states[kind - kinds];
+  const struct kind_state *state = &states[kind - kinds];
   double *waits = calloc(n_jobs + 1, sizeof *waits), oldest = 0;
-  size_t n = 0;
+  size_t n_began = 0;
   unsigned accepted = 0, gave_up = 0;
   if (!waits) abort();
   for (size_t i = 0; i < n_jobs; i++) {
@@ -221,15 +222,15 @@
     if (job->kind != kind) continue;
     accepted += job->accepted;
     gave_up += job->gave_up;
-    if (job->began_at) waits[n++] = job->began_at - job->first_at;
+    if (job->began_at) waits[n_began++] = job->began_at - job->first_at;
     if (job->accepted && !job->began_at) oldest = fmax(oldest, now - job->first_at);
   }
-  gsl_sort(waits, 1, n);
+  gsl_sort(waits, 1, n_began);
   printf("%-8s %-8s %9u %8u %8u %7u %6zu %7.1f %7.1f %7.1f %7.1f %7.1f\n", kind->team,
-         kind->class_name, s->submitted, accepted, s->refusals, gave_up, n,
-         n ? gsl_stats_quantile_from_sorted_data(waits, 1, n, 0.5) : 0,
-         n ? gsl_stats_quantile_from_sorted_data(waits, 1, n, 0.99) : 0, n ? waits[n - 1] : 0,
-         oldest, s->longest_gap);
+         kind->class_name, state->submitted, accepted, state->refusals, gave_up, n_began,
+         n_began ? gsl_stats_quantile_from_sorted_data(waits, 1, n_began, 0.5) : 0,
+         n_began ? gsl_stats_quantile_from_sorted_data(waits, 1, n_began, 0.99) : 0,
+         n_began ? waits[n_began - 1] : 0, oldest, state->longest_gap);
   free(waits);
 }
 
--- a/tests/cluster/users.h
+++ b/tests/cluster/users.h
@@ -17,8 +17,8 @@
 };
 /* kinds: an array that ends with letter 0. */
 void users_open(const struct job_kind *kinds, int nodes);
-void users_submit(double dt); /* new jobs for a time of dt */
-void users_step(double now);  /* tries again, and asks */
+void users_submit(double elapsed_s); /* new jobs for a time of dt */
+void users_step(double now);         /* tries again, and asks */
 double users_run_s(const char *task);
 void users_task_began(const char *task);
 struct users_figures users_take_figures(void);
--- a/tests/cluster/workers.h
+++ b/tests/cluster/workers.h
@@ -16,6 +16,6 @@
   double slowest_report; /* s, since the figures were last taken */
 };
 void workers_open(const struct workers_setup *setup);
-void workers_step(double now, double dt);
+void workers_step(double now, double elapsed_s);
 struct workers_figures workers_take_figures(void);
 #endif
--- a/tests/planned_cluster.c
+++ b/tests/planned_cluster.c
@@ -11,13 +11,13 @@
   assert_non_null(cluster);
   cluster->n_machines = machines;
   cluster->n_jobs = jobs;
-  cluster->in = (struct tmx_round_input){.n_zones = zones,
-                                         .leading = true,
-                                         .max_operations = 400,
-                                         .max_visits = 400000,
-                                         .n_teams = 1,
-                                         .now_steady = 100,
-                                         .now_wall = 100};
+  cluster->input = (struct tmx_round_input){.n_zones = zones,
+                                            .leading = true,
+                                            .max_operations = 400,
+                                            .max_visits = 400000,
+                                            .n_teams = 1,
+                                            .now_steady = 100,
+                                            .now_wall = 100};
   for (size_t i = 0; i < machines; i++) {
     struct tmx_plan_machine *machine = &cluster->machines[i];
     machine->slot = (int)i;
@@ -57,18 +57,18 @@
   return spec;
 }
 
-void add_running_task(struct planned_cluster *cluster, size_t m, size_t k, uint32_t task,
-                      double since, bool stopping) {
-  struct tmx_plan_machine *x = &cluster->machines[m];
-  x->tasks[x->n_tasks++] = (struct tmx_plan_task){(int)k, task, 1, since, stopping};
+void add_running_task(struct planned_cluster *cluster, size_t machine_index, size_t k,
+                      uint32_t task, double since, bool stopping) {
+  struct tmx_plan_machine *machine = &cluster->machines[machine_index];
+  machine->tasks[machine->n_tasks++] = (struct tmx_plan_task){(int)k, task, 1, since, stopping};
 }
 
 /* Feeds the paper to a planner and plans a round; the paper stays as it is. */
 struct tmx_planner *planner_of(const struct planned_cluster *cluster) {
   struct tmx_planner *planner = tmx_planner_new();
-  struct tmx_planner_delta f = {0};
+  struct tmx_planner_delta delta = {0};
   for (size_t i = 0; i < cluster->n_jobs; i++) {
-    struct tmx_plan_job *job = tmx_planner_delta_job(&f);
+    struct tmx_plan_job *job = tmx_planner_delta_job(&delta);
     *job = cluster->jobs[i];
     job->spec = malloc(sizeof *job->spec);
     *job->spec = *cluster->jobs[i].spec;
@@ -77,18 +77,18 @@
     memcpy(job->waiting, cluster->jobs[i].waiting, job->n_waiting * sizeof *job->waiting);
   }
   for (size_t i = 0; i < cluster->n_machines; i++) {
-    struct tmx_plan_machine *machine = tmx_planner_delta_machine(&f);
+    struct tmx_plan_machine *machine = tmx_planner_delta_machine(&delta);
     *machine = cluster->machines[i];
     machine->tasks = calloc(machine->n_tasks + 1, sizeof *machine->tasks);
     memcpy(machine->tasks, cluster->machines[i].tasks, machine->n_tasks * sizeof *machine->tasks);
   }
-  tmx_planner_apply(planner, &f);
+  tmx_planner_apply(planner, &delta);
   return planner;
 }
 
 void run_round(const struct planned_cluster *cluster, struct tmx_round_output *output) {
   struct tmx_planner *planner = planner_of(cluster);
-  tmx_planner_run_round(planner, &cluster->in, output);
+  tmx_planner_run_round(planner, &cluster->input, output);
   tmx_planner_free(planner);
 }
 
--- a/tests/planned_cluster.h
+++ b/tests/planned_cluster.h
@@ -5,7 +5,7 @@
 #include "planner/planner.h"
 
 struct planned_cluster {
-  struct tmx_round_input in; /* a leader's round at 100 s, of one team without a limit */
+  struct tmx_round_input input; /* a leader's round at 100 s, of one team without a limit */
   struct tmx_plan_machine machines[64];
   size_t n_machines;
   struct tmx_plan_job jobs[16];
--- a/tests/recording.h
+++ b/tests/recording.h
@@ -19,16 +19,18 @@
   int retry_from, retry_to; /* range of a random Retry-After, which is masked; 0: it is recorded */
 };
 
-void record_line(struct recording *r, const char *format, ...)
+void record_line(struct recording *recording, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-void record_bytes(struct recording *r, const char *mark, const uint8_t *p, size_t n);
+void record_bytes(struct recording *recording, const char *mark, const uint8_t *bytes,
+                  size_t length);
 /* One CBOR item, two lines. */
-void record_cbor(struct recording *r, const char *mark, const uint8_t *p, size_t n);
+void record_cbor(struct recording *recording, const char *mark, const uint8_t *bytes,
+                 size_t length);
 /* A request or an answer: its head line by line, and its body. */
-void record_http(struct recording *r, const char *mark, const uint8_t *p, size_t n);
+void record_http(struct recording *recording, const char *mark, const uint8_t *bytes, size_t size);
 /* Compares it with the file and empties it. What was recorded goes to a file of the same name in
  * the build directory if it differs. */
-void recording_check(struct recording *r, const char *file);
+void recording_check(struct recording *recording, const char *file);
 /* A JSON text as CBOR: integers as such, numbers with a point as doubles, keys in their order. */
-void encode_json(struct tmx_buffer *b, const char *json);
+void encode_json(struct tmx_buffer *buffer, const char *text);
 #endif
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -20,142 +20,144 @@
 };
 
 static int connect_to(const char *address) {
-  struct sockaddr_in at;
+  struct sockaddr_in socket_address;
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   assert_true(fd >= 0);
-  assert_true(tmx_parse_address(address, &at));
-  assert_int_equal(connect(fd, (struct sockaddr *)&at, sizeof at), 0);
+  assert_true(tmx_parse_address(address, &socket_address));
+  assert_int_equal(connect(fd, (struct sockaddr *)&socket_address, sizeof socket_address), 0);
   return fd;
 }
 
-static void send_all(int fd, const uint8_t *p, size_t n) {
-  for (size_t sent = 0; sent < n;) {
-    ssize_t k = send(fd, p + sent, n - sent, MSG_NOSIGNAL);
-    if (k <= 0) return; /* the other side has gone */
-    sent += (size_t)k;
+static void send_all(int fd, const uint8_t *bytes, size_t length) {
+  for (size_t sent = 0; sent < length;) {
+    ssize_t written = send(fd, bytes + sent, length - sent, MSG_NOSIGNAL);
+    if (written <= 0) return; /* the other side has gone */
+    sent += (size_t)written;
   }
 }
 
 /* ------------------------------------------------------------ relay */
 
-static void link_close(struct relay_link *l) {
-  ev_io_stop(test_loop, &l->from_near);
-  ev_io_stop(test_loop, &l->from_far);
-  close(l->near);
-  close(l->far);
-  DL_DELETE(l->relay->links, l);
-  free(l);
+static void link_close(struct relay_link *link) {
+  ev_io_stop(test_loop, &link->from_near);
+  ev_io_stop(test_loop, &link->from_far);
+  close(link->near);
+  close(link->far);
+  DL_DELETE(link->relay->links, link);
+  free(link);
 }
 
 /* Requests are not pipelined: one that comes after an answer has begun is the next. */
-static struct exchange *exchange_at(struct relay_link *l) {
-  if (l->now && !l->now->answer.length) return l->now;
-  struct exchange *x = calloc(1, sizeof *x);
-  assert_non_null(x);
-  if (l->relay->last)
-    l->relay->last->next = x;
+static struct exchange *exchange_at(struct relay_link *link) {
+  if (link->now && !link->now->answer.length) return link->now;
+  struct exchange *exchange = calloc(1, sizeof *exchange);
+  assert_non_null(exchange);
+  if (link->relay->last)
+    link->relay->last->next = exchange;
   else
-    l->relay->first = x;
-  l->relay->last = x;
-  return l->now = x;
+    link->relay->first = exchange;
+  link->relay->last = exchange;
+  return link->now = exchange;
 }
 
-static ssize_t receive(int fd, uint8_t *in, size_t cap) {
-  ssize_t k;
-  do k = recv(fd, in, cap, MSG_DONTWAIT);
-  while (k < 0 && errno == EINTR);
-  return k < 0 && errno == EAGAIN ? -1 : k < 0 ? 0 : k;
+static ssize_t receive(int fd, uint8_t *buffer, size_t cap) {
+  ssize_t length;
+  do length = recv(fd, buffer, cap, MSG_DONTWAIT);
+  while (length < 0 && errno == EINTR);
+  return length < 0 && errno == EAGAIN ? -1 : length < 0 ? 0 : length;
 }
 
-static void on_near(struct ev_loop *ev, ev_io *w, int events) {
-  (void)ev;
+static void on_near(struct ev_loop *loop, ev_io *watcher, int events) {
+  (void)loop;
   (void)events;
-  static uint8_t in[65536];
-  struct relay_link *l = w->data;
-  ssize_t k = receive(l->near, in, sizeof in);
-  if (k < 0) return;
-  if (!k) {
-    link_close(l);
+  static uint8_t received[65536];
+  struct relay_link *link = watcher->data;
+  ssize_t length = receive(link->near, received, sizeof received);
+  if (length < 0) return;
+  if (!length) {
+    link_close(link);
     return;
   }
-  tmx_buffer_append(&exchange_at(l)->request, in, (size_t)k);
-  send_all(l->far, in, (size_t)k);
+  tmx_buffer_append(&exchange_at(link)->request, received, (size_t)length);
+  send_all(link->far, received, (size_t)length);
 }
 
-static void on_far(struct ev_loop *ev, ev_io *w, int events) {
-  (void)ev;
+static void on_far(struct ev_loop *loop, ev_io *watcher, int events) {
+  (void)loop;
   (void)events;
-  static uint8_t in[65536];
-  struct relay_link *l = w->data;
-  ssize_t k = receive(l->far, in, sizeof in);
-  if (k < 0) return;
-  if (!k) {
-    link_close(l);
+  static uint8_t received[65536];
+  struct relay_link *link = watcher->data;
+  ssize_t length = receive(link->far, received, sizeof received);
+  if (length < 0) return;
+  if (!length) {
+    link_close(link);
     return;
   }
-  if (l->now) tmx_buffer_append(&l->now->answer, in, (size_t)k);
-  send_all(l->near, in, (size_t)k);
+  if (link->now) tmx_buffer_append(&link->now->answer, received, (size_t)length);
+  send_all(link->near, received, (size_t)length);
 }
 
-static void on_accept(struct ev_loop *ev, ev_io *w, int events) {
+static void on_accept(struct ev_loop *loop, ev_io *watcher, int events) {
   (void)events;
-  struct relay *r = w->data;
+  struct relay *relay = watcher->data;
   char target[32];
-  int fd = accept4(r->fd, NULL, NULL, SOCK_CLOEXEC);
+  int fd = accept4(relay->fd, NULL, NULL, SOCK_CLOEXEC);
   if (fd < 0) return;
-  struct relay_link *l = calloc(1, sizeof *l);
-  assert_non_null(l);
-  snprintf(target, sizeof target, "127.0.0.1:%d", r->target);
-  l->relay = r;
-  l->near = fd;
-  l->far = connect_to(target);
-  ev_io_init(&l->from_near, on_near, l->near, EV_READ);
-  ev_io_init(&l->from_far, on_far, l->far, EV_READ);
-  l->from_near.data = l->from_far.data = l;
-  ev_io_start(ev, &l->from_near);
-  ev_io_start(ev, &l->from_far);
-  DL_APPEND(r->links, l);
-}
-
-void relay_open(struct relay *r, int target_port) {
-  struct sockaddr_in at = {.sin_family = AF_INET};
-  socklen_t n = sizeof at;
-  memset(r, 0, sizeof *r);
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  r->target = target_port;
-  r->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  assert_int_equal(bind(r->fd, (struct sockaddr *)&at, sizeof at), 0);
-  assert_int_equal(listen(r->fd, 64), 0);
-  assert_int_equal(getsockname(r->fd, (struct sockaddr *)&at, &n), 0);
-  snprintf(r->address, sizeof r->address, "127.0.0.1:%d", ntohs(at.sin_port));
-  ev_io_init(&r->accept, on_accept, r->fd, EV_READ);
-  r->accept.data = r;
-  ev_io_start(test_loop, &r->accept);
-}
-
-void exchange_free(struct exchange *x) {
-  tmx_buffer_free(&x->request);
-  tmx_buffer_free(&x->answer);
-}
-
-void relay_close(struct relay *r) {
-  if (!r->address[0]) return;
-  while (r->links) link_close(r->links);
-  ev_io_stop(test_loop, &r->accept);
-  close(r->fd);
-  for (struct exchange *x = r->first, *next; x; x = next) {
-    next = x->next;
-    exchange_free(x);
-    free(x);
+  struct relay_link *link = calloc(1, sizeof *link);
+  assert_non_null(link);
+  snprintf(target, sizeof target, "127.0.0.1:%d", relay->target);
+  link->relay = relay;
+  link->near = fd;
+  link->far = connect_to(target);
+  ev_io_init(&link->from_near, on_near, link->near, EV_READ);
+  ev_io_init(&link->from_far, on_far, link->far, EV_READ);
+  link->from_near.data = link->from_far.data = link;
+  ev_io_start(loop, &link->from_near);
+  ev_io_start(loop, &link->from_far);
+  DL_APPEND(relay->links, link);
+}
+
+void relay_open(struct relay *relay, int target_port) {
+  struct sockaddr_in address = {.sin_family = AF_INET};
+  socklen_t size = sizeof address;
+  memset(relay, 0, sizeof *relay);
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  relay->target = target_port;
+  relay->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+  assert_int_equal(bind(relay->fd, (struct sockaddr *)&address, sizeof address), 0);
+  assert_int_equal(listen(relay->fd, 64), 0);
+  assert_int_equal(getsockname(relay->fd, (struct sockaddr *)&address, &size), 0);
+  snprintf(relay->address, sizeof relay->address, "127.0.0.1:%d", ntohs(address.sin_port));
+  ev_io_init(&relay->accept, on_accept, relay->fd, EV_READ);
+  relay->accept.data = relay;
+  ev_io_start(test_loop, &relay->accept);
+}
+
+void exchange_free(struct exchange *exchange) {
+  tmx_buffer_free(&exchange->request);
+  tmx_buffer_free(&exchange->answer);
+}
+
+void relay_close(struct relay *relay) {
+  if (!relay->address[0]) return;
+  while (relay->links) link_close(relay->links);
+  ev_io_stop(test_loop, &relay->accept);
+  close(relay->fd);
+  for (struct exchange *exchange = relay->first, *next; exchange; exchange = next) {
+    next = exchange->next;
+    exchange_free(exchange);
+    free(exchange);
   }
-  memset(r, 0, sizeof *r);
+  memset(relay, 0, sizeof *relay);
 }
 
-bool http_complete(const struct tmx_buffer *m) {
-  const char *body = m->length ? memmem(m->data, m->length, "\r\n\r\n", 4) : NULL;
-  const char *length = m->length ? memmem(m->data, m->length, "Content-Length: ", 16) : NULL;
+bool http_complete(const struct tmx_buffer *message) {
+  const char *body = message->length ? memmem(message->data, message->length, "\r\n\r\n", 4) : NULL;
+  const char *length =
+      message->length ? memmem(message->data, message->length, "Content-Length: ", 16) : NULL;
   if (!body || !length) return false;
-  return m->length == (size_t)(body + 4 - (const char *)m->data) + strtoul(length + 16, NULL, 10);
+  return message->length ==
+         (size_t)(body + 4 - (const char *)message->data) + strtoul(length + 16, NULL, 10);
 }
 
 struct wanted {
@@ -165,24 +167,28 @@
 };
 
 static bool is_found(void *arg) {
-  struct wanted *w = arg;
-  for (const struct exchange *x = w->after ? w->after->next : w->relay->first; x; x = x->next) {
-    const struct tmx_buffer *q = &x->request;
-    if (!http_complete(q) || !http_complete(&x->answer)) continue;
-    if (q->length < strlen(w->start) || memcmp(q->data, w->start, strlen(w->start))) continue;
-    if (w->part && !memmem(q->data, q->length, w->part, strlen(w->part))) continue;
-    w->found = x;
+  struct wanted *wanted = arg;
+  for (const struct exchange *exchange = wanted->after ? wanted->after->next : wanted->relay->first;
+       exchange; exchange = exchange->next) {
+    const struct tmx_buffer *request = &exchange->request;
+    if (!http_complete(request) || !http_complete(&exchange->answer)) continue;
+    if (request->length < strlen(wanted->start) ||
+        memcmp(request->data, wanted->start, strlen(wanted->start)))
+      continue;
+    if (wanted->part && !memmem(request->data, request->length, wanted->part, strlen(wanted->part)))
+      continue;
+    wanted->found = exchange;
     return true;
   }
   return false;
 }
 
-const struct exchange *relay_wait(struct relay *r, const struct exchange *after, const char *start,
-                                  const char *part) {
-  struct wanted w = {.relay = r, .after = after, .start = start, .part = part};
-  if (!run_loop_until(is_found, &w))
+const struct exchange *relay_wait(struct relay *relay, const struct exchange *after,
+                                  const char *start, const char *part) {
+  struct wanted wanted = {.relay = relay, .after = after, .start = start, .part = part};
+  if (!run_loop_until(is_found, &wanted))
     fail_msg("no request %s with %s", start, part ? part : "anything");
-  return w.found;
+  return wanted.found;
 }
 
 /* ------------------------------------------------------------ raw client */
@@ -194,44 +200,44 @@
   bool closed;
 };
 
-static void on_raw(struct ev_loop *ev, ev_io *w, int events) {
-  (void)ev;
+static void on_raw(struct ev_loop *loop, ev_io *watcher, int events) {
+  (void)loop;
   (void)events;
-  static uint8_t in[65536];
-  struct raw *c = w->data;
-  ssize_t k = receive(c->fd, in, sizeof in);
-  if (k < 0) return;
-  if (k)
-    tmx_buffer_append(c->answer, in, (size_t)k);
+  static uint8_t received[65536];
+  struct raw *connection = watcher->data;
+  ssize_t length = receive(connection->fd, received, sizeof received);
+  if (length < 0) return;
+  if (length)
+    tmx_buffer_append(connection->answer, received, (size_t)length);
   else
-    c->closed = true;
+    connection->closed = true;
 }
 
 static bool raw_done(void *arg) {
-  struct raw *c = arg;
-  return c->closed || http_complete(c->answer);
-}
-
-void raw_call(const char *address, const void *request, size_t n, struct tmx_buffer *answer) {
-  struct raw c = {.fd = connect_to(address), .answer = answer};
-  ev_io_init(&c.readable, on_raw, c.fd, EV_READ);
-  c.readable.data = &c;
-  ev_io_start(test_loop, &c.readable);
-  send_all(c.fd, request, n);
-  assert_true(run_loop_until(raw_done, &c));
-  ev_io_stop(test_loop, &c.readable);
-  close(c.fd);
+  struct raw *connection = arg;
+  return connection->closed || http_complete(connection->answer);
+}
+
+void raw_call(const char *address, const void *request, size_t length, struct tmx_buffer *answer) {
+  struct raw connection = {.fd = connect_to(address), .answer = answer};
+  ev_io_init(&connection.readable, on_raw, connection.fd, EV_READ);
+  connection.readable.data = &connection;
+  ev_io_start(test_loop, &connection.readable);
+  send_all(connection.fd, request, length);
+  assert_true(run_loop_until(raw_done, &connection));
+  ev_io_stop(test_loop, &connection.readable);
+  close(connection.fd);
   assert_true(http_complete(answer));
 }
 
 void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
                  struct exchange *out) {
   char head[512];
-  int n =
+  int head_length =
       snprintf(head, sizeof head, "%s HTTP/1.1\r\nHost: tallymux\r\nContent-Length: %zu\r\n\r\n",
                line, body ? body->length : 0);
   memset(out, 0, sizeof *out);
-  tmx_buffer_append(&out->request, head, (size_t)n);
+  tmx_buffer_append(&out->request, head, (size_t)head_length);
   if (body && body->length) tmx_buffer_append(&out->request, body->data, body->length);
   raw_call(address, out->request.data, out->request.length, &out->answer);
 }
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -16,17 +16,17 @@
   struct relay_link *links;
 };
 
-void relay_open(struct relay *r, int target_port);
-void relay_close(struct relay *r);
+void relay_open(struct relay *relay, int target_port);
+void relay_close(struct relay *relay);
 /* The first answered exchange from `after` on (NULL: of all) whose request begins with `start` and
  * holds the text `part` (NULL: anything) within; waits for it, and fails the test if none comes. */
-const struct exchange *relay_wait(struct relay *r, const struct exchange *after, const char *start,
-                                  const char *part);
+const struct exchange *relay_wait(struct relay *relay, const struct exchange *after,
+                                  const char *start, const char *part);
 /* Sends a request on a connection of its own and waits for the whole answer. */
-void raw_call(const char *address, const void *request, size_t n, struct tmx_buffer *answer);
+void raw_call(const char *address, const void *request, size_t length, struct tmx_buffer *answer);
 /* ... one with this request line and a body of CBOR, which may be NULL; both are returned. */
 void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
                  struct exchange *out);
-void exchange_free(struct exchange *x);
+void exchange_free(struct exchange *exchange);
 bool http_complete(const struct tmx_buffer *message);
 #endif
--- a/tests/test.h
+++ b/tests/test.h
@@ -15,7 +15,8 @@
  * of them by name, LOG_LEVEL sets how much the controllers log: errors, if it is not set. */
 #define RUN_TESTS(tests) run_selected_tests(#tests, tests, sizeof(tests) / sizeof *(tests))
 
-static inline int run_selected_tests(const char *group, const struct CMUnitTest *tests, size_t count) {
+static inline int run_selected_tests(const char *group, const struct CMUnitTest *tests,
+                                     size_t count) {
   setenv("LOG_LEVEL", "error", 0);
   tmx_log_init("test");
   if (getenv("TMX_TEST")) cmocka_set_test_filter(getenv("TMX_TEST"));
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -34,7 +34,7 @@
   if (slow_s) run_loop_for(slow_s + 0.3); /* the read that began just before is answered only now */
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   unsigned begun = worker.executed_starts, answered = 0;
-  for (double t = 0; t < cancel + 5; t += 0.5) {
+  for (double start = 0; start < cancel + 5; start += 0.5) {
     struct tmx_controller *asked[] = {owner, other};
     for (int i = 0; i < 2; i++) {
       double sent = tmx_clock_steady();
@@ -54,27 +54,27 @@
   assert_int_equal(worker.executed_starts, begun);
 }
 
-static void no_lease_outlasts_a_cancellation_in_a_store_outage(void **st) {
-  (void)st;
+static void no_lease_outlasts_a_cancellation_in_a_store_outage(void **state) {
+  (void)state;
   play_gap(0);
 }
 
-static void no_lease_outlasts_a_cancellation_with_slow_reads(void **st) {
-  (void)st;
+static void no_lease_outlasts_a_cancellation_with_slow_reads(void **state) {
+  (void)state;
   play_gap(1.9); /* just before they are given up */
 }
 
 /* ... and the leader does not reach the other controllers either. */
-static int setup_unreachable_peers(void **st) {
+static int setup_unreachable_peers(void **state) {
   fake_peers_unreachable = true;
-  return setup_two_settled_controllers(st);
+  return setup_two_settled_controllers(state);
 }
 
 /* The owner's start is held up on its way, the job is cancelled through another controller, which
  * knows it, and then the state is out and the owner gone. Who keeps the lease for the owner raises
  * no token: the start may still be executed, and must not outlast the cancellation. */
-static void no_lease_is_kept_for_a_delayed_start(void **st) {
-  (void)st;
+static void no_lease_is_kept_for_a_delayed_start(void **state) {
+  (void)state;
   register_worker(&worker);
   worker.fails_commands = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
@@ -111,8 +111,8 @@
 
 /* Without the state nothing starts, though leases are renewed: somebody may have cancelled the job.
  */
-static void nothing_starts_on_a_stale_replica(void **st) {
-  (void)st;
+static void nothing_starts_on_a_stale_replica(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
   wait_for_starts(1);
@@ -141,8 +141,8 @@
 /* A cancellation, a question and a repeated submission meet the last task's end, whose transaction
  * is carried out without an answer, or late, or not at all. The first of the two that the log has
  * stands. */
-static void a_cancellation_at_the_last_completion_gets_one_answer(void **st) {
-  (void)st;
+static void a_cancellation_at_the_last_completion_gets_one_answer(void **state) {
+  (void)state;
   static const char *ids[] = {"wk-000001", "wk-000002"};
   char task[48];
   register_worker(&worker);
@@ -164,11 +164,12 @@
          i++)
       run_loop_for(0.005);
     /* the cancellation's own key may have been the one that was held: it is repeated then */
-    struct fake_answer c = cancel_job(first_controller, ids[late]);
-    for (int i = 0; i < 20 && c.status != 200; i++) c = cancel_job(first_controller, ids[late]);
-    assert_int_equal(c.status, 200);
+    struct fake_answer answer = cancel_job(first_controller, ids[late]);
+    for (int i = 0; i < 20 && answer.status != 200; i++)
+      answer = cancel_job(first_controller, ids[late]);
+    assert_int_equal(answer.status, 200);
     char first_answer[16];
-    strcpy(first_answer, c.state);
+    strcpy(first_answer, answer.state);
     if (!late) assert_string_equal(first_answer, WV_DONE);
     if (late) assert_int_equal(fake_execute_late_transaction(endpoint), 409);
     for (int i = 0; i < 5; i++) {
@@ -192,8 +193,8 @@
  * the placement and the start, and the other controller confirms the cancellation before, while or
  * after it takes the machine. Nothing of the job starts after the confirmation, and its place is
  * free again. */
-static void a_cancellation_holds_while_owners_change(void **st) {
-  (void)st;
+static void a_cancellation_holds_while_owners_change(void **state) {
+  (void)state;
   static const double after[] = {0, 0.5, 1.5, 3};
   char id[32];
   register_worker(&worker);
@@ -211,9 +212,9 @@
     stop_controller(owner);
     *(first_is_owner ? &first_controller : &second_controller) = NULL;
     run_loop_for(after[i]);
-    struct fake_answer r = cancel_job(successor, id);
-    for (int k = 0; k < 20 && r.status == 503; k++) r = cancel_job(successor, id);
-    assert_string_equal(r.state, WV_CANCELLED);
+    struct fake_answer answer = cancel_job(successor, id);
+    for (int k = 0; k < 20 && answer.status == 503; k++) answer = cancel_job(successor, id);
+    assert_string_equal(answer.state, WV_CANCELLED);
     unsigned begun = worker.executed_starts;
     worker.fails_commands = false;
     for (int k = 0; k < 400 && fake_count_placed(); k++) {
@@ -234,8 +235,8 @@
 
 /* A controller that the state service refuses renews leases only as long as a cancellation
  * elsewhere allows, and sends workers away at once when it knows that others are served. */
-static void a_cancellation_holds_while_the_store_is_cut_off(void **st) {
-  (void)st;
+static void a_cancellation_holds_while_the_store_is_cut_off(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   fake_store.endpoints[0].refuse = true;
   run_loop_for(0.2);
@@ -245,14 +246,14 @@
                     TMX_FRESH_MARGIN_S + 0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_int_equal(worker.report_status, 503);
-  struct fake_answer r = send_request(first_controller, "GET", WP_READY, NULL);
-  assert_int_equal(r.status, 503);
+  struct fake_answer answer = send_request(first_controller, "GET", WP_READY, NULL);
+  assert_int_equal(answer.status, 503);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
 }
 
 /* Cancelled: stopped, and nothing of it starts again. */
-static void tasks_of_a_cancelled_job_are_stopped(void **st) {
-  (void)st;
+static void tasks_of_a_cancelled_job_are_stopped(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "service", 2, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -17,15 +17,15 @@
 static struct relay store, rental; /* between the controller and the scripted peers */
 static struct tmx_http_server *rental_server;
 
-static void through_relays(struct tmx_settings *s) {
-  snprintf(s->state, sizeof s->state, "%s", store.address);
-  if (rental.address[0]) snprintf(s->cloud, sizeof s->cloud, "%s", rental.address);
-  s->operators.idle_return_s = 1;
-  s->teams[0].cpus_max = 1000;
+static void through_relays(struct tmx_settings *settings) {
+  snprintf(settings->state, sizeof settings->state, "%s", store.address);
+  if (rental.address[0]) snprintf(settings->cloud, sizeof settings->cloud, "%s", rental.address);
+  settings->operators.idle_return_s = 1;
+  settings->teams[0].cpus_max = 1000;
 }
 
-static int setup(void **st) {
-  (void)st;
+static int setup(void **state) {
+  (void)state;
   fake_start();
   fake_worker_open(&workers[0], "n-000001");
   fake_worker_open(&workers[1], "n-000002");
@@ -34,8 +34,8 @@
   first_controller = NULL;
   return 0;
 }
-static int teardown(void **st) {
-  (void)st;
+static int teardown(void **state) {
+  (void)state;
   if (first_controller) stop_controller(first_controller);
   relay_close(&store);
   relay_close(&rental);
@@ -51,10 +51,11 @@
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 
-static void record_exchange(struct recording *r, const char *title, const struct exchange *x) {
-  record_line(r, "== %s", title);
-  record_http(r, "> ", x->request.data, x->request.length);
-  record_http(r, "< ", x->answer.data, x->answer.length);
+static void record_exchange(struct recording *recording, const char *title,
+                            const struct exchange *exchange) {
+  record_line(recording, "== %s", title);
+  record_http(recording, "> ", exchange->request.data, exchange->request.length);
+  record_http(recording, "< ", exchange->answer.data, exchange->answer.length);
 }
 
 /* ------------------------------------------------------------ cloud */
@@ -79,99 +80,100 @@
 };
 
 static void on_rental(void *arg, struct tmx_http_request *request) {
-  struct tmx_buffer b = {0};
+  struct tmx_buffer buffer = {0};
   (void)arg;
   for (size_t i = 0; i < sizeof rental_answers / sizeof *rental_answers; i++) {
     if (strncmp(request->path, rental_answers[i].start, strlen(rental_answers[i].start))) continue;
-    encode_json(&b, rental_answers[i].json);
+    encode_json(&buffer, rental_answers[i].json);
     break;
   }
-  tmx_http_reply(request, b.length ? 200 : 404, &b, 0);
-  tmx_buffer_free(&b);
+  tmx_http_reply(request, buffer.length ? 200 : 404, &buffer, 0);
+  tmx_buffer_free(&buffer);
 }
 
 static void catalog_was_read(void) {
-  const struct tmx_machine_type *t = first_controller->catalog.types;
+  const struct tmx_machine_type *type = first_controller->catalog.types;
   assert_int_equal(first_controller->catalog.n_types, 1);
-  assert_string_equal(t->name, "big");
-  assert_true(t->cpus == 16 && t->gpus == 2 && t->mem_gb == 64);
-  assert_true(t->cache_gb == 200 && t->fetch_gb_per_s == 0.5);
-  assert_true(t->price == 12 && t->spot_price == 4.5 && t->boot_s == 45);
-  assert_true(t->zones[0]);
+  assert_string_equal(type->name, "big");
+  assert_true(type->cpus == 16 && type->gpus == 2 && type->mem_gb == 64);
+  assert_true(type->cache_gb == 200 && type->fetch_gb_per_s == 0.5);
+  assert_true(type->price == 12 && type->spot_price == 4.5 && type->boot_s == 45);
+  assert_true(type->zones[0]);
 }
 
-static void calls_to_the_cloud(void **st) {
-  (void)st;
-  struct recording r = {0};
+static void calls_to_the_cloud(void **state) {
+  (void)state;
+  struct recording recording = {0};
   rental_server = tmx_http_server_new(test_loop, "127.0.0.1:0", 100, 60, on_rental, NULL);
   relay_open(&rental, tmx_http_server_port(rental_server));
   begin();
-  record_exchange(&r, "machine types", relay_wait(&rental, NULL, "GET /catalog", NULL));
+  record_exchange(&recording, "machine types", relay_wait(&rental, NULL, "GET /catalog", NULL));
   catalog_was_read();
-  record_exchange(&r, "machines", relay_wait(&rental, NULL, "GET /machines?page", NULL));
-  record_exchange(&r, "the next page", relay_wait(&rental, NULL, "GET /machines?from", NULL));
-  record_exchange(&r, "a failed machine is deleted",
+  record_exchange(&recording, "machines", relay_wait(&rental, NULL, "GET /machines?page", NULL));
+  record_exchange(&recording, "the next page",
+                  relay_wait(&rental, NULL, "GET /machines?from", NULL));
+  record_exchange(&recording, "a failed machine is deleted",
                   relay_wait(&rental, NULL, "POST /machines/delete", NULL));
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", WV_ARRAY, 40, 8, "t"), 201);
-  record_exchange(&r, "machines are rented",
+  record_exchange(&recording, "machines are rented",
                   relay_wait(&rental, NULL, "POST /machines HTTP", NULL));
-  recording_check(&r, "cloud-calls.txt");
+  recording_check(&recording, "cloud-calls.txt");
 }
 
 /* ------------------------------------------------------------ state service */
 
-static void record_call(struct recording *r, const char *title, const char *start,
+static void record_call(struct recording *recording, const char *title, const char *start,
                         const char *part) {
-  record_exchange(r, title, relay_wait(&store, NULL, start, part));
+  record_exchange(recording, title, relay_wait(&store, NULL, start, part));
 }
 /* Only the request: its answer depends on what else happens meanwhile. */
-static void record_commit(struct recording *r, const char *title, const char *part) {
-  const struct exchange *x = relay_wait(&store, NULL, "POST /commit", part);
-  record_line(r, "== %s", title);
-  record_http(r, "> ", x->request.data, x->request.length);
+static void record_commit(struct recording *recording, const char *title, const char *part) {
+  const struct exchange *exchange = relay_wait(&store, NULL, "POST /commit", part);
+  record_line(recording, "== %s", title);
+  record_http(recording, "> ", exchange->request.data, exchange->request.length);
 }
 
 static bool drop_was_told(void *found) {
-  for (const struct exchange *x = store.first; x; x = x->next) {
-    const struct tmx_buffer *b = &x->answer;
-    if (!http_complete(b) || !memmem(b->data, b->length, "drop", 4)) continue;
-    *(const struct exchange **)found = x;
+  for (const struct exchange *exchange = store.first; exchange; exchange = exchange->next) {
+    const struct tmx_buffer *buffer = &exchange->answer;
+    if (!http_complete(buffer) || !memmem(buffer->data, buffer->length, "drop", 4)) continue;
+    *(const struct exchange **)found = exchange;
     return true;
   }
   return false;
 }
 
-static void calls_at_the_start(void **st) {
-  (void)st;
-  struct recording r = {0};
-  const struct exchange *x;
-  struct tmx_buffer v = {0};
-  encode_json(&v, "{\"by\":\"hand-9\"}");
-  fake_put("t/head", &v);
-  v.length = 0;
-  encode_json(&v, "{\"mark\":0,\"gen\":0}");
-  fake_put("t/fold", &v);
-  tmx_buffer_free(&v);
+static void calls_at_the_start(void **state) {
+  (void)state;
+  struct recording recording = {0};
+  const struct exchange *exchange;
+  struct tmx_buffer value = {0};
+  encode_json(&value, "{\"by\":\"hand-9\"}");
+  fake_put("t/head", &value);
+  value.length = 0;
+  encode_json(&value, "{\"mark\":0,\"gen\":0}");
+  fake_put("t/fold", &value);
+  tmx_buffer_free(&value);
   fake_store.endpoints[0].page_entries_max = 1;
   begin();
-  record_call(&r, "the keys are read", "GET /kv?prefix=t/&page", NULL);
-  record_call(&r, "the next page", "GET /kv?prefix=t/&from", NULL);
-  record_call(&r, "a lease", "POST /holds HTTP", NULL);
-  record_call(&r, "the controller's own key", "POST /commit", "t/node/hand-0");
-  record_call(&r, "the leader's key", "POST /commit", "t/leader");
-  record_call(&r, "the view", "POST /commit", "t/view");
-  record_call(&r, "changes are followed", "GET /follow", NULL);
-  record_call(&r, "the revision is confirmed", "GET /kv?prefix=t/head", NULL);
-  record_call(&r, "the lease is renewed", "POST /holds/", NULL);
+  record_call(&recording, "the keys are read", "GET /kv?prefix=t/&page", NULL);
+  record_call(&recording, "the next page", "GET /kv?prefix=t/&from", NULL);
+  record_call(&recording, "a lease", "POST /holds HTTP", NULL);
+  record_call(&recording, "the controller's own key", "POST /commit", "t/node/hand-0");
+  record_call(&recording, "the leader's key", "POST /commit", "t/leader");
+  record_call(&recording, "the view", "POST /commit", "t/view");
+  record_call(&recording, "changes are followed", "GET /follow", NULL);
+  record_call(&recording, "the revision is confirmed", "GET /kv?prefix=t/head", NULL);
+  record_call(&recording, "the lease is renewed", "POST /holds/", NULL);
   fake_drop("t/fold");
-  assert_true(run_loop_until(drop_was_told, &x));
-  record_exchange(&r, "a key is dropped", x);
-  recording_check(&r, "store-calls-at-the-start.txt");
+  assert_true(run_loop_until(drop_was_told, &exchange));
+  record_exchange(&recording, "a key is dropped", exchange);
+  recording_check(&recording, "store-calls-at-the-start.txt");
 }
 
 static bool job_done(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&first_controller->replica, arg);
-  return j && j->outcome == TMX_JOB_DONE;
+  const struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
+  return job && job->outcome == TMX_JOB_DONE;
 }
 
 static void report(int i) {
@@ -179,7 +181,7 @@
   run_loop_for(0.2);
 }
 
-static bool started(void *n) { return workers[0].executed_starts == *(unsigned *)n; }
+static bool started(void *worker) { return workers[0].executed_starts == *(unsigned *)worker; }
 
 static void end_task(const char *task) {
   fake_worker_set_task(&workers[0], task, 1, WV_EXITED, WV_DONE);
@@ -187,53 +189,53 @@
 }
 
 /* One job with three tasks, which ends, and one that awaits it and is cancelled. */
-static void commits_of_jobs(struct recording *r) {
+static void commits_of_jobs(struct recording *recording) {
   unsigned three = 3;
   for (int i = 0; i < 3; i++) report(0);
-  record_commit(r, "a machine is registered", "m n-000001");
+  record_commit(recording, "a machine is registered", "m n-000001");
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", WV_ARRAY, 3, 1, "t"), 201);
-  record_commit(r, "a submission", "t/job/wk-000001");
+  record_commit(recording, "a submission", "t/job/wk-000001");
   assert_true(run_loop_until(started, &three));
-  record_commit(r, "placements", "p wk-000001/0");
+  record_commit(recording, "placements", "p wk-000001/0");
   end_task("wk-000001/0");
-  record_commit(r, "an end", "e wk-000001/0");
+  record_commit(recording, "an end", "e wk-000001/0");
   struct tmx_buffer list = {0}, body = {0};
   encode_json(&list, "[\"wk-000001\"]");
   encode_submission_awaiting(&body, "wk-000002", WV_ARRAY, 1, 1, "t", &list);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
-  record_commit(r, "a submission that awaits another", "t/job/wk-000002");
+  record_commit(recording, "a submission that awaits another", "t/job/wk-000002");
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
   assert_string_equal(cancel_job(first_controller, "wk-000002").state, WV_CANCELLED);
-  const struct exchange *x = relay_wait(&store, NULL, "POST /commit", "t/job/wk-000002");
-  x = relay_wait(&store, x, "POST /commit", "t/job/wk-000002");
-  record_line(r, "== a cancellation");
-  record_http(r, "> ", x->request.data, x->request.length);
+  const struct exchange *exchange = relay_wait(&store, NULL, "POST /commit", "t/job/wk-000002");
+  exchange = relay_wait(&store, exchange, "POST /commit", "t/job/wk-000002");
+  record_line(recording, "== a cancellation");
+  record_http(recording, "> ", exchange->request.data, exchange->request.length);
   fake_worker_set_task(&workers[0], "wk-000001/1", 1, WV_EXITED, WV_DONE);
   end_task("wk-000001/2");
   assert_true(run_loop_until(job_done, "wk-000001"));
-  record_commit(r, "the last ends, in one line, and the job's final state", "E wk-000001");
+  record_commit(recording, "the last ends, in one line, and the job's final state", "E wk-000001");
 }
 
 static bool all_placed(void *arg) {
-  const struct tmx_job *j = tmx_job_find(&first_controller->replica, arg);
-  return j && j->n_placed == j->spec.tasks;
+  const struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
+  return job && job->n_placed == job->spec.tasks;
 }
 
-static void commits_of_a_fold(struct recording *r) {
+static void commits_of_a_fold(struct recording *recording) {
   assert_int_equal(submit_simple_job(first_controller, "wk-000003", WV_ARRAY, 2, 1, "t"), 201);
   assert_true(run_loop_until(all_placed, "wk-000003"));
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
-  record_commit(r, "pages", "t/page/");
-  record_commit(r, "the mark of the fold", "gen");
+  record_commit(recording, "pages", "t/page/");
+  record_commit(recording, "the mark of the fold", "gen");
   uint64_t mark = first_controller->replica.compaction_point;
   report(1); /* something new, so that it folds again */
   report(1);
   report(1);
   for (int i = 0; i < 600 && first_controller->replica.compaction_point == mark; i++)
     run_loop_for(0.02);
-  record_commit(r, "pages of the fold before are dropped", "drop");
+  record_commit(recording, "pages of the fold before are dropped", "drop");
   tmx_compaction_set_threshold(first_controller->compaction, 1000);
 }
 
@@ -242,24 +244,24 @@
   return fake_log_contains("x n-000002");
 }
 
-static void commits_of_returned_machines(struct recording *r) {
+static void commits_of_returned_machines(struct recording *recording) {
   for (int i = 0; i < 40 && !returned(NULL); i++) {
     report(0);
     report(1);
   }
   assert_true(run_loop_until(returned, NULL));
-  record_commit(r, "an idle machine is to be returned", "d n-000002 1");
-  record_commit(r, "it is gone", "x n-000002");
+  record_commit(recording, "an idle machine is to be returned", "d n-000002 1");
+  record_commit(recording, "it is gone", "x n-000002");
 }
 
-static void commits(void **st) {
-  (void)st;
-  struct recording r = {0};
+static void commits(void **state) {
+  (void)state;
+  struct recording recording = {0};
   begin();
-  commits_of_jobs(&r);
-  commits_of_a_fold(&r);
-  commits_of_returned_machines(&r);
-  recording_check(&r, "store-commits.txt");
+  commits_of_jobs(&recording);
+  commits_of_a_fold(&recording);
+  commits_of_returned_machines(&recording);
+  recording_check(&recording, "store-commits.txt");
 }
 
 /* Ids of awaited jobs, and then machine types, that find no room in a record. */
@@ -286,25 +288,25 @@
   tmx_buffer_free(&body);
 }
 
-static void commits_of_long_lists(void **st) {
-  (void)st;
-  struct recording r = {0};
+static void commits_of_long_lists(void **state) {
+  (void)state;
+  struct recording recording = {0};
   begin();
   first_controller->settings.value_kb = 1.2;
   submit_with_long_lists();
-  record_commit(&r, "ids that found no room in the record follow in lines", "w wk-000001");
+  record_commit(&recording, "ids that found no room in the record follow in lines", "w wk-000001");
   first_controller->settings.value_kb =
       0.5; /* lowered meanwhile: its page has no room for all types */
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
-  const struct exchange *x = relay_wait(&store, NULL, "POST /commit", "y wk-000001");
-  record_line(&r, "== pages with types and ids in lines");
-  record_http(&r, "> ", x->request.data, x->request.length);
+  const struct exchange *exchange = relay_wait(&store, NULL, "POST /commit", "y wk-000001");
+  record_line(&recording, "== pages with types and ids in lines");
+  record_http(&recording, "> ", exchange->request.data, exchange->request.length);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  x = relay_wait(&store, x, "POST /commit", "t/job/wk-000001");
-  record_line(&r, "== its final state is cut down");
-  record_http(&r, "> ", x->request.data, x->request.length);
-  recording_check(&r, "store-long-lists.txt");
+  exchange = relay_wait(&store, exchange, "POST /commit", "t/job/wk-000001");
+  record_line(&recording, "== its final state is cut down");
+  record_http(&recording, "> ", exchange->request.data, exchange->request.length);
+  recording_check(&recording, "store-long-lists.txt");
 }
 
 int main(void) {
--- a/tests/test_compaction.c
+++ b/tests/test_compaction.c
@@ -20,8 +20,8 @@
 
 /* Folding loses nothing: a controller that starts from the pages alone knows attempts, results
  * and what runs where, and starts nothing a second time. */
-static void compaction_keeps_jobs_and_placements(void **st) {
-  (void)st;
+static void compaction_keeps_jobs_and_placements(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "batch", 3, 2, "t");
   for (int i = 0; i < 200 && worker.executed_starts < 3; i++) run_loop_for(0.02);
@@ -53,9 +53,9 @@
   assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
   /* log keys are written over from here on: another start still finds the whole story */
-  struct tmx_log_key *key, *kt;
+  struct tmx_log_key *key, *next_key;
   bool reused = false;
-  HASH_ITER(hh, first_controller->replica.batch_keys, key, kt)
+  HASH_ITER(hh, first_controller->replica.batch_keys, key, next_key)
   reused |= key->version > first_controller->replica.compaction_point &&
             strstr(key->key, "/000000") != NULL;
   assert_true(reused);
@@ -74,11 +74,11 @@
 /* Many submissions at once go into values as large as the state service takes. It counts them as
  * JSON, in which numbers are several times as long: a batch that it refuses for its size would come
  * again and again, and hold the whole log up. Pages of a fold hold the same. */
-static void many_submissions_fit_small_values(void **st) {
-  (void)st;
+static void many_submissions_fit_small_values(void **state) {
+  (void)state;
   enum { MANY = 150 };
   static int status[MANY];
-  struct tmx_http_client *c[MANY];
+  struct tmx_http_client *clients[MANY];
   char addr[32], id[32];
   first_controller->settings.value_kb = 4;
   fake_store.value_json_bytes_max = 4096;
@@ -88,9 +88,10 @@
     struct tmx_buffer buffer = {0};
     snprintf(id, sizeof id, "wk-%06d", i);
     encode_submission(&buffer, id, "batch", 3, 1.0 / 3, "t");
-    c[i] = tmx_http_client_new(test_loop, addr, 1);
+    clients[i] = tmx_http_client_new(test_loop, addr, 1);
     status[i] = -2;
-    assert_true(tmx_http_client_call(c[i], "POST", WP_JOBS, &buffer, 5, store_status, &status[i]));
+    assert_true(
+        tmx_http_client_call(clients[i], "POST", WP_JOBS, &buffer, 5, store_status, &status[i]));
     tmx_buffer_free(&buffer);
   }
   for (int i = 0, busy = 1; i < 400 && busy; i++) {
@@ -100,7 +101,7 @@
   }
   for (int i = 0; i < MANY; i++) {
     assert_int_equal(status[i], 201);
-    tmx_http_client_free(c[i]);
+    tmx_http_client_free(clients[i]);
   }
   for (int i = 0; i < 400 && !fake_get(TMX_KEY_COMPACTION); i++) run_loop_for(0.02);
   assert_non_null(fake_get(TMX_KEY_COMPACTION));
@@ -112,8 +113,8 @@
 /* A fold ends while a controller that starts reads the keys: it has the mark before, and the pages
  * of that one are dropped, and keys of batches written over, before it comes to them. What was in
  * them is known all the same. */
-static void keys_are_read_again_when_the_compaction_point_moves(void **st) {
-  (void)st;
+static void keys_are_read_again_when_the_compaction_point_moves(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
   wait_for_starts(1);
--- a/tests/test_depend.c
+++ b/tests/test_depend.c
@@ -16,8 +16,8 @@
 static struct tmx_replica rep;
 static uint64_t revision;
 
-static int setup(void **st) {
-  (void)st;
+static int setup(void **state) {
+  (void)state;
   memset(&set, 0, sizeof set);
   strcpy(set.zones[0], "a");
   set.n_zones = 1;
@@ -29,8 +29,8 @@
   return 0;
 }
 
-static int teardown(void **st) {
-  (void)st;
+static int teardown(void **state) {
+  (void)state;
   tmx_replica_clear(&rep);
   return 0;
 }
@@ -43,13 +43,14 @@
   tmx_buffer_free(buffer);
 }
 
-static struct tmx_job_spec spec(void) {
-  struct tmx_job_spec s = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1, .estimate_s = 10};
-  s.priority = TMX_PRIORITY_IDLE;
-  strcpy(s.class, "c");
-  strcpy(s.team, "t");
-  strcpy(s.image, "i");
-  return s;
+static struct tmx_job_spec plain_spec(void) {
+  struct tmx_job_spec spec = {
+      .tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1, .estimate_s = 10};
+  spec.priority = TMX_PRIORITY_IDLE;
+  strcpy(spec.class, "c");
+  strcpy(spec.team, "t");
+  strcpy(spec.image, "i");
+  return spec;
 }
 
 static const char *job_key(const char *id) {
@@ -72,8 +73,8 @@
   apply(job_key(id), &buffer);
 }
 static void put(const char *id, const char *names) {
-  struct tmx_job_spec s = spec();
-  put_spec(id, &s, 100, names);
+  struct tmx_job_spec spec = plain_spec();
+  put_spec(id, &spec, 100, names);
 }
 
 static struct tmx_job *job(const char *id) {
@@ -82,9 +83,9 @@
   return job;
 }
 
-static void end(const char *id, int fin, double at) {
+static void end(const char *id, int fin, double ended_at) {
   struct tmx_buffer buffer = {0};
-  tmx_job_encode_final(&buffer, job(id), fin, at, 2000);
+  tmx_job_encode_final(&buffer, job(id), fin, ended_at, 2000);
   apply(job_key(id), &buffer);
 }
 
@@ -109,8 +110,8 @@
 }
 
 /* too_early: no line that places a blocked job passes the check, whoever planned it. */
-static void blocked_until_all_are_done(void **st) {
-  (void)st;
+static void blocked_until_all_are_done(void **state) {
+  (void)state;
   put("wk-a", "");
   put("wk-b", "");
   put("wk-c", "wk-a wk-b");
@@ -127,8 +128,8 @@
 }
 
 /* orphaned: one cancellation ends all that needs the job, directly or not, at its own revision. */
-static void cancellation_reaches_the_end_of_the_chain(void **st) {
-  (void)st;
+static void cancellation_reaches_the_end_of_the_chain(void **state) {
+  (void)state;
   put("wk-a", "");
   put("wk-b", "wk-a");
   put("wk-c", "wk-b");
@@ -147,8 +148,8 @@
   assert_int_equal(job("wk-e")->outcome, TMX_JOB_CANCELLED);
 }
 
-static void names_a_cancelled_job(void **st) {
-  (void)st;
+static void names_a_cancelled_job(void **state) {
+  (void)state;
   put("wk-a", "");
   put("wk-b", "");
   end("wk-a", TMX_JOB_CANCELLED, 0);
@@ -159,8 +160,8 @@
 }
 
 /* A cancellation at the last end: the job's key lets one of the two win, and all follow it. */
-static void done_wins_for_the_jobs_after_it(void **st) {
-  (void)st;
+static void done_wins_for_the_jobs_after_it(void **state) {
+  (void)state;
   put("wk-a", "");
   put("wk-b", "wk-a");
   end("wk-a", TMX_JOB_DONE, 150);
@@ -168,25 +169,25 @@
   assert_false(tmx_job_is_blocked(job("wk-b")));
 }
 
-static void load_all(struct tmx_store_entry *items, size_t n) {
+static void load_all(struct tmx_store_entry *items, size_t count) {
   tmx_replica_clear(&rep);
   rep.load_revision = 100;
-  tmx_replica_load(&rep, items, n);
+  tmx_replica_load(&rep, items, count);
   tmx_replica_advance_to(&rep, 100);
   assert_true(rep.loaded);
 }
 
 static cbor_item_t *encoded(const char *id, const char *names, int fin, double ended) {
   struct tmx_job_ids awaits = {.ids = calloc(1, TMX_ID_MAX), .count = names[0] != 0};
-  struct tmx_job_spec s = spec();
+  struct tmx_job_spec spec = plain_spec();
   struct tmx_buffer buffer = {0};
-  struct tmx_job j = {.spec = s, .submitted_at = 100};
-  snprintf(j.id, sizeof j.id, "%s", id);
+  struct tmx_job job = {.spec = spec, .submitted_at = 100};
+  snprintf(job.id, sizeof job.id, "%s", id);
   snprintf(awaits.ids[0], TMX_ID_MAX, "%s", names);
   if (fin)
-    tmx_job_encode_final(&buffer, &j, fin, ended, 2000);
+    tmx_job_encode_final(&buffer, &job, fin, ended, 2000);
   else
-    tmx_job_encode_open(&buffer, id, &s, 100, &awaits, 2000);
+    tmx_job_encode_open(&buffer, id, &spec, 100, &awaits, 2000);
   cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
   tmx_job_ids_free(&awaits);
   tmx_buffer_free(&buffer);
@@ -195,8 +196,8 @@
 
 /* A controller that starts reads keys in another order than they were written. Release and
  * cancellation are the same as on those that saw it happen, the time of the release too. */
-static void derived_again_after_a_load(void **st) {
-  (void)st;
+static void derived_again_after_a_load(void **state) {
+  (void)state;
   struct tmx_store_entry items[] = {
       {TMX_KEY_JOB "wk-a", 9, encoded("wk-a", "", TMX_JOB_DONE, 180)},
       {TMX_KEY_JOB "wk-b", 2, encoded("wk-b", "wk-a", 0, 0)},
@@ -204,21 +205,21 @@
       {TMX_KEY_JOB "wk-d", 3, encoded("wk-d", "wk-e", 0, 0)},
       {TMX_KEY_JOB "wk-e", 8, encoded("wk-e", "", TMX_JOB_CANCELLED, 0)},
   };
-  size_t n = sizeof items / sizeof items[0];
-  load_all(items, n);
+  size_t count = sizeof items / sizeof items[0];
+  load_all(items, count);
   assert_false(tmx_job_is_blocked(job("wk-b")));
   assert_true(job("wk-b")->released_at == 180);
   assert_int_equal(job("wk-c")->outcome, TMX_JOB_CANCELLED);
   assert_int_equal(job("wk-d")->outcome, TMX_JOB_CANCELLED);
   assert_int_equal(rep.n_unstored_outcomes, 2);
-  for (size_t i = 0; i < n; i++) tmx_cbor_free((cbor_item_t *)items[i].value);
+  for (size_t i = 0; i < count; i++) tmx_cbor_free((cbor_item_t *)items[i].value);
 }
 
 /* Ids without room in the record come in lines: until all are there the job is blocked, and lines
  * that are applied again change nothing. */
-static void names_in_lines(void **st) {
-  (void)st;
-  struct tmx_job_spec s = spec();
+static void names_in_lines(void **state) {
+  (void)state;
+  struct tmx_job_spec spec = plain_spec();
   struct tmx_job_ids awaits = {.ids = calloc(400, TMX_ID_MAX), .count = 400};
   struct tmx_buffer buffer = {0};
   char line[TMX_LINE_MAX];
@@ -226,16 +227,16 @@
     snprintf(awaits.ids[i], TMX_ID_MAX, "wk-%06u", i);
     put(awaits.ids[i], "");
   }
-  uint32_t at = tmx_job_encode_open(&buffer, "wk-last", &s, 100, &awaits, 900);
+  uint32_t written = tmx_job_encode_open(&buffer, "wk-last", &spec, 100, &awaits, 900);
   assert_true(tmx_json_length(&buffer) <= 900);
-  assert_in_range(at, 50, 399);
+  assert_in_range(written, 50, 399);
   apply(job_key("wk-last"), &buffer);
-  uint32_t second = at;
+  uint32_t second = written;
   tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &second);
-  while (at < awaits.count) {
+  while (written < awaits.count) {
     assert_true(tmx_job_is_blocked(job("wk-last")));
     assert_null(job("wk-last")->dependencies.needs);
-    tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &at);
+    tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &written);
     assert_true(strlen(line) < TMX_LINE_MAX);
     put_lines(line);
     put_lines(line);
@@ -251,22 +252,22 @@
 
 /* The last job's priority and deadline count for all before it, less the runs in between, and no
  * more once it is gone. */
-static void urgency_of_the_last_job(void **st) {
-  (void)st;
-  struct tmx_job_spec s = spec();
+static void urgency_of_the_last_job(void **state) {
+  (void)state;
+  struct tmx_job_spec spec = plain_spec();
   put("wk-a", "");
   put("wk-b", "wk-a");
-  s.priority = TMX_PRIORITY_HIGH;
-  s.deadline_s = 90;
-  put_spec("wk-c", &s, 100, "wk-b");
+  spec.priority = TMX_PRIORITY_HIGH;
+  spec.deadline_s = 90;
+  put_spec("wk-c", &spec, 100, "wk-b");
   assert_int_equal(job("wk-b")->urgency.priority, TMX_PRIORITY_HIGH);
   assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIORITY_HIGH);
   assert_true(job("wk-c")->urgency.due_at == 190);
   assert_true(job("wk-b")->urgency.due_at == 180);
   assert_true(job("wk-a")->urgency.due_at == 170);
-  s.priority = TMX_PRIORITY_NORMAL;
-  s.deadline_s = 120;
-  put_spec("wk-d", &s, 100, "wk-b");
+  spec.priority = TMX_PRIORITY_NORMAL;
+  spec.deadline_s = 120;
+  put_spec("wk-d", &spec, 100, "wk-b");
   end("wk-c", TMX_JOB_CANCELLED, 0);
   assert_int_equal(job("wk-b")->urgency.priority, TMX_PRIORITY_NORMAL);
   assert_int_equal(job("wk-a")->urgency.priority, TMX_PRIORITY_NORMAL);
@@ -277,8 +278,8 @@
 }
 
 /* Long chains and wide fans cost what they contain, and nothing recurses. */
-static void long_chains_and_wide_fans(void **st) {
-  (void)st;
+static void long_chains_and_wide_fans(void **state) {
+  (void)state;
   enum { CHAIN = 20000, FAN = 5000 };
   char id[TMX_ID_MAX], before[TMX_ID_MAX] = "";
   for (int i = 0; i < CHAIN; i++) {
@@ -297,18 +298,18 @@
 
 /* The version in production reads records of 19 entries: those of jobs that await nothing and are
  * awaited by none must have just these. */
-static void form_without_dependencies(void **st) {
-  (void)st;
-  struct tmx_job_spec s = spec();
+static void form_without_dependencies(void **state) {
+  (void)state;
+  struct tmx_job_spec spec = plain_spec();
   struct tmx_job_ids none = {0};
   struct tmx_buffer before = {0}, now = {0};
-  tmx_job_encode(&before, "wk-a", &s, 100, TMX_JOB_OPEN);
-  tmx_job_encode_open(&now, "wk-a", &s, 100, &none, 2000);
+  tmx_job_encode(&before, "wk-a", &spec, 100, TMX_JOB_OPEN);
+  tmx_job_encode_open(&now, "wk-a", &spec, 100, &none, 2000);
   assert_int_equal(now.length, before.length);
   assert_memory_equal(now.data, before.data, now.length);
   put("wk-a", "");
   before.length = now.length = 0;
-  tmx_job_encode(&before, "wk-a", &s, 100, TMX_JOB_DONE);
+  tmx_job_encode(&before, "wk-a", &spec, 100, TMX_JOB_DONE);
   tmx_job_encode_final(&now, job("wk-a"), TMX_JOB_DONE, 0, 2000);
   assert_int_equal(now.length, before.length);
   assert_memory_equal(now.data, before.data, now.length);
@@ -318,27 +319,27 @@
 }
 
 /* A job that was accepted under a larger limit must still come to its final state. */
-static void final_state_fits_the_smallest_value(void **st) {
-  (void)st;
-  struct tmx_job j = {.spec = spec(), .submitted_at = 1.7e9 + 0.123456};
+static void final_state_fits_the_smallest_value(void **state) {
+  (void)state;
+  struct tmx_job job = {.spec = plain_spec(), .submitted_at = 1.7e9 + 0.123456};
   struct tmx_buffer buffer = {0};
   set.value_kb = 1;
-  memset(j.id, 'x', sizeof j.id - 1);
-  memset(j.spec.class, 'c', TMX_NAME_MAX - 1);
-  memset(j.spec.team, 't', TMX_NAME_MAX - 1);
-  memset(j.spec.image, 'i', TMX_NAME_MAX - 1);
-  memset(j.spec.zone, 'z', TMX_NAME_MAX - 1);
-  j.spec.n_types = TMX_TYPES_MAX;
-  for (size_t i = 0; i < TMX_TYPES_MAX; i++) memset(j.spec.types[i], 'y', TMX_ID_MAX - 1);
-  j.spec.cpus = j.spec.mem_gb = j.spec.image_gb = 1.0 / 3;
-  tmx_job_encode_final(&buffer, &j, TMX_JOB_DONE, 1.7e9 + 0.654321, tmx_value_room(&set));
+  memset(job.id, 'x', sizeof job.id - 1);
+  memset(job.spec.class, 'c', TMX_NAME_MAX - 1);
+  memset(job.spec.team, 't', TMX_NAME_MAX - 1);
+  memset(job.spec.image, 'i', TMX_NAME_MAX - 1);
+  memset(job.spec.zone, 'z', TMX_NAME_MAX - 1);
+  job.spec.n_types = TMX_TYPES_MAX;
+  for (size_t i = 0; i < TMX_TYPES_MAX; i++) memset(job.spec.types[i], 'y', TMX_ID_MAX - 1);
+  job.spec.cpus = job.spec.mem_gb = job.spec.image_gb = 1.0 / 3;
+  tmx_job_encode_final(&buffer, &job, TMX_JOB_DONE, 1.7e9 + 0.654321, tmx_value_room(&set));
   assert_true(tmx_json_length(&buffer) <= tmx_value_room(&set));
   struct tmx_job_record record;
   cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
   assert_true(tmx_job_decode(value, &record));
   assert_int_equal(record.outcome, TMX_JOB_DONE);
-  assert_string_equal(record.spec.team, j.spec.team);
-  assert_true(record.spec.cpus == j.spec.cpus);
+  assert_string_equal(record.spec.team, job.spec.team);
+  assert_true(record.spec.cpus == job.spec.cpus);
   tmx_cbor_free(value);
   tmx_buffer_free(&buffer);
 }
@@ -349,8 +350,8 @@
   tmx_operation_print(line, sizeof line, operation);
   snprintf(all + strlen(all), 512 - strlen(all), "%s;", line);
 }
-static void lines_of_several_operations(void **st) {
-  (void)st;
+static void lines_of_several_operations(void **state) {
+  (void)state;
   char all[512] = "";
   tmx_log_line_each_operation("P wk-1 2 0:n-1 7:n-2", count_op, all);
   tmx_log_line_each_operation("E wk-1 2 d 0 3", count_op, all);
@@ -366,8 +367,8 @@
   struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 7, .attempt = 2}, other;
   strcpy(operation.job, "wk-1");
   strcpy(operation.machine, "n-2");
-  int n = tmx_operation_group_head_print(all, sizeof all, &operation);
-  tmx_operation_group_item_print(all + n, sizeof all - (size_t)n, &operation);
+  int length = tmx_operation_group_head_print(all, sizeof all, &operation);
+  tmx_operation_group_item_print(all + length, sizeof all - (size_t)length, &operation);
   assert_string_equal(all, "P wk-1 2 7:n-2");
   other = operation;
   other.attempt = 3;
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -13,25 +13,25 @@
   struct tmx_buffer list = {0}, body = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
-  size_t n = tmx_log_line_split(copy, name, 8);
-  tmx_cbor_put_list(&list, n);
-  for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, name[i]);
+  size_t count = tmx_log_line_split(copy, name, 8);
+  tmx_cbor_put_list(&list, count);
+  for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
   encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
-  struct fake_answer r = send_request(controller, "POST", WP_JOBS, &body);
+  struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
-  return r;
+  return answer;
 }
 
 static void assert_accepted(const char *id, const char *names) {
-  struct fake_answer r = submit_with_dependencies(first_controller, id, names);
-  assert_int_equal(r.status, 201);
-  assert_string_equal(r.state, WV_PENDING);
+  struct fake_answer answer = submit_with_dependencies(first_controller, id, names);
+  assert_int_equal(answer.status, 201);
+  assert_string_equal(answer.state, WV_PENDING);
 }
 
-static void assert_stays_pending(const char *id, double s) {
+static void assert_stays_pending(const char *id, double duration_s) {
   unsigned begun = worker.executed_starts;
-  for (double t = 0; t < s; t += 0.2) {
+  for (double start = 0; start < duration_s; start += 0.2) {
     run_loop_for(0.2);
     report_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
@@ -40,8 +40,8 @@
 }
 
 /* too_early: no task of a job begins before all that it awaits are done in the log. */
-static void no_task_starts_before_its_dependencies_are_done(void **st) {
-  (void)st;
+static void no_task_starts_before_its_dependencies_are_done(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "");
@@ -61,8 +61,8 @@
 }
 
 /* A job waits for its own team's limit only once it is released. */
-static void blocked_jobs_use_no_quota(void **st) {
-  (void)st;
+static void blocked_jobs_use_no_quota(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   wait_for_starts(1);
@@ -77,8 +77,8 @@
 }
 
 /* orphaned: at whichever controller a job is cancelled, all that needs it is cancelled with it. */
-static void a_cancellation_reaches_all_dependents(void **st) {
-  (void)st;
+static void a_cancellation_reaches_all_dependents(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
@@ -99,8 +99,8 @@
 }
 
 /* The leader ends after the last end is in the log and before the next job is placed. */
-static void a_released_job_runs_when_the_leader_ends(void **st) {
-  (void)st;
+static void a_released_job_runs_when_the_leader_ends(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
@@ -124,8 +124,8 @@
 
 /* The cancellation is confirmed, and the state is out from then on: the jobs after it are cancelled
  * for every controller that knows of it, and for one that starts later. */
-static void a_cancellation_at_an_outage_reaches_dependents(void **st) {
-  (void)st;
+static void a_cancellation_at_an_outage_reaches_dependents(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
@@ -141,8 +141,8 @@
 }
 
 /* The answer to a cancellation and the last end meet: whoever wins, the job after it follows. */
-static void a_cancellation_at_the_end_of_a_dependency_gets_one_answer(void **st) {
-  (void)st;
+static void a_cancellation_at_the_end_of_a_dependency_gets_one_answer(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
@@ -151,9 +151,10 @@
   fake_store.endpoints[0].lose_next_response = true;
   complete_task("wk-000001/0", 1);
   for (int i = 0; i < 200 && fake_store.endpoints[0].lose_next_response; i++) run_loop_for(0.005);
-  struct fake_answer c = cancel_job(first_controller, "wk-000001");
-  for (int i = 0; i < 20 && c.status != 200; i++) c = cancel_job(first_controller, "wk-000001");
-  assert_string_equal(c.state, WV_DONE);
+  struct fake_answer answer = cancel_job(first_controller, "wk-000001");
+  for (int i = 0; i < 20 && answer.status != 200; i++)
+    answer = cancel_job(first_controller, "wk-000001");
+  assert_string_equal(answer.state, WV_DONE);
   wait_for_starts(2);
   complete_task("wk-000002/0", 1);
   wait_for_job_state("wk-000002", WV_DONE);
@@ -161,8 +162,8 @@
 
 /* A late copy of a report names an end of the awaited task's earlier attempt: it releases nothing.
  */
-static void a_late_report_releases_no_job(void **st) {
-  (void)st;
+static void a_late_report_releases_no_job(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -8,11 +8,11 @@
 #include "tmx/wire.h"
 
 /* A submission that allows so many types, "big" among them. */
-static void encode_submission_with_types(struct tmx_buffer *buffer, const char *id, int n) {
+static void encode_submission_with_types(struct tmx_buffer *buffer, const char *id, int count) {
   struct tmx_buffer types = {0};
   char type[TMX_ID_MAX];
-  tmx_cbor_put_list(&types, (size_t)n);
-  for (int i = 0; i < n; i++) {
+  tmx_cbor_put_list(&types, (size_t)count);
+  for (int i = 0; i < count; i++) {
     snprintf(type, sizeof type, i ? "a type with a rather long %02d" : "big", i);
     tmx_cbor_put_text(&types, type);
   }
@@ -27,25 +27,25 @@
   struct tmx_buffer list = {0}, body = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
-  size_t n = tmx_log_line_split(copy, name, 8);
-  tmx_cbor_put_list(&list, n);
-  for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, name[i]);
+  size_t count = tmx_log_line_split(copy, name, 8);
+  tmx_cbor_put_list(&list, count);
+  for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
   encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
-  struct fake_answer r = send_request(controller, "POST", WP_JOBS, &body);
+  struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
-  return r;
+  return answer;
 }
 
 static void assert_accepted(const char *id, const char *names) {
-  struct fake_answer r = submit_with_dependencies(first_controller, id, names);
-  assert_int_equal(r.status, 201);
-  assert_string_equal(r.state, WV_PENDING);
+  struct fake_answer answer = submit_with_dependencies(first_controller, id, names);
+  assert_int_equal(answer.status, 201);
+  assert_string_equal(answer.state, WV_PENDING);
 }
 
-static void assert_stays_pending(const char *id, double s) {
+static void assert_stays_pending(const char *id, double duration_s) {
   unsigned begun = worker.executed_starts;
-  for (double t = 0; t < s; t += 0.2) {
+  for (double start = 0; start < duration_s; start += 0.2) {
     run_loop_for(0.2);
     report_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
@@ -60,16 +60,16 @@
 }
 
 /* What follows from a cancellation gets a final state of its own; a fold in between keeps it. */
-static void derived_outcomes_survive_compaction_and_restarts(void **st) {
-  (void)st;
+static void derived_outcomes_survive_compaction_and_restarts(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
   wait_for_starts(1);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   assert_true(run_loop_until(all_outcomes_are_stored, first_controller));
-  const struct fake_entry *e = fake_get(TMX_KEY_JOB "wk-000002");
-  assert_non_null(e);
+  const struct fake_entry *entry = fake_get(TMX_KEY_JOB "wk-000002");
+  assert_non_null(entry);
   restart_first_controller();
   assert_true(tmx_job_find(&first_controller->replica, "wk-000002")->outcome_stored);
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
@@ -77,8 +77,8 @@
 
 /* While puts are short nobody writes that final state. A fold meanwhile keeps the job and the names
  * that it was derived from, as the batch that told of them is written over. */
-static void a_derived_outcome_survives_compaction_before_it_is_stored(void **st) {
-  (void)st;
+static void a_derived_outcome_survives_compaction_before_it_is_stored(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
@@ -97,8 +97,8 @@
 
 /* A chain that is half done is folded, and the controller restarted: what is done counts, what is
  * not done blocks, and nothing starts twice. */
-static void chains_survive_compaction_half_done(void **st) {
-  (void)st;
+static void chains_survive_compaction_half_done(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
@@ -124,17 +124,17 @@
   wait_for_starts(4);
 }
 
-static void end_watch_freeze(struct ev_loop *l, ev_timer *t, int ev) {
-  (void)l;
-  (void)t;
-  (void)ev;
+static void end_watch_freeze(struct ev_loop *loop, ev_timer *timer, int events) {
+  (void)loop;
+  (void)timer;
+  (void)events;
   fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
 }
 
 /* The commit is seen while the request waits for a read of the state: the names are judged then. */
-static void a_dependency_is_known_when_named_at_once(void **st) {
-  (void)st;
+static void a_dependency_is_known_when_named_at_once(void **state) {
+  (void)state;
   ev_timer thaw;
   register_worker(&worker);
   fake_store.endpoints[0].freeze_watch = true;
@@ -146,8 +146,8 @@
 }
 
 /* Accepted a moment ago at another controller, whose commit has not been seen here. */
-static void a_dependency_is_found_before_it_is_replicated(void **st) {
-  (void)st;
+static void a_dependency_is_found_before_it_is_replicated(void **state) {
+  (void)state;
   register_worker(&worker);
   fake_store.endpoints[0].freeze_watch = true;
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
@@ -172,8 +172,8 @@
   return status;
 }
 
-static void malformed_dependency_lists_get_400(void **st) {
-  (void)st;
+static void malformed_dependency_lists_get_400(void **state) {
+  (void)state;
   register_worker(&worker);
   struct tmx_buffer list = {0};
   assert_accepted("wk-000001", "");
@@ -204,11 +204,11 @@
   tmx_buffer_free(&list);
 }
 
-static struct tmx_buffer encode_many_ids(int n) {
+static struct tmx_buffer encode_many_ids(int count) {
   struct tmx_buffer list = {0};
   char id[TMX_ID_MAX];
-  tmx_cbor_put_list(&list, (size_t)n);
-  for (int i = 0; i < n; i++) {
+  tmx_cbor_put_list(&list, (size_t)count);
+  for (int i = 0; i < count; i++) {
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
     tmx_cbor_put_text(&list, id);
   }
@@ -217,8 +217,8 @@
 
 /* More names than a value holds are split over the keys of one transaction; more than a
  * transaction holds are refused. Neither is ever half there, and a fold splits them as well. */
-static void dependencies_may_span_several_values(void **st) {
-  (void)st;
+static void dependencies_may_span_several_values(void **state) {
+  (void)state;
   enum { SOME = 650, FAR_TOO_MANY = 1300 };
   register_worker(&worker);
   first_controller->settings.value_kb = 1;
@@ -227,12 +227,12 @@
   fake_store.transaction_operations_max = 8;
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
     char id[TMX_ID_MAX], key[TMX_KEY_MAX];
-    struct tmx_job_spec s = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
+    struct tmx_job_spec spec = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
     struct tmx_buffer job = {0};
-    strcpy(s.team, "t");
+    strcpy(spec.team, "t");
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
     snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
-    tmx_job_encode(&job, id, &s, 5, TMX_JOB_OPEN);
+    tmx_job_encode(&job, id, &spec, 5, TMX_JOB_OPEN);
     fake_put(key, &job);
     tmx_buffer_free(&job);
   }
@@ -246,22 +246,22 @@
   assert_int_equal(submit_with_list(&list), 201);
   first_controller->settings.write_rps = 1000;
   tmx_buffer_free(&list);
-  const struct tmx_job *j = tmx_job_find(&first_controller->replica, "wk-000009");
-  assert_int_equal(j->dependencies.n_unfinished, SOME);
+  const struct tmx_job *pending = tmx_job_find(&first_controller->replica, "wk-000009");
+  assert_int_equal(pending->dependencies.n_unfinished, SOME);
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 3000 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
   assert_true(first_controller->replica.compaction_point > 0);
   tmx_compaction_set_threshold(first_controller->compaction, 100000);
   restart_first_controller();
-  j = tmx_job_find(&first_controller->replica, "wk-000009");
-  assert_int_equal(j->dependencies.n_unfinished, SOME);
+  pending = tmx_job_find(&first_controller->replica, "wk-000009");
+  assert_int_equal(pending->dependencies.n_unfinished, SOME);
   assert_int_equal(fake_store.oversized_transactions, 0);
 }
 
 /* The limits fall without notice while work is under way. Everything keeps within the smaller ones
  * from the start, so nothing is refused, and all comes to its end. */
-static void lowered_limits_hold_up_nothing(void **st) {
-  (void)st;
+static void lowered_limits_hold_up_nothing(void **state) {
+  (void)state;
   first_controller->settings.value_kb = 1;
   first_controller->settings.txn_ops = 4;
   register_worker(&worker);
@@ -300,8 +300,8 @@
 
 /* A job whose record names more types than the lowered limit leaves room for does not hold up a
  * fold, and keeps all of its types. */
-static void a_record_above_a_lowered_limit_is_compacted(void **st) {
-  (void)st;
+static void a_record_above_a_lowered_limit_is_compacted(void **state) {
+  (void)state;
   char type[TMX_ID_MAX];
   unsigned answered = 0;
   register_worker(&worker);
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -5,8 +5,8 @@
 
 /* Who is left out: not everybody because connections are refused, not the others because this one
  * hears nobody, and nobody because the zones came apart. */
-static void peers_are_suspected_by_evidence(void **st) {
-  (void)st;
+static void peers_are_suspected_by_evidence(void **state) {
+  (void)state;
   struct tmx_peer_census all = {.others = 4,
                                 .heard = 3,
                                 .same_zone = 2,
@@ -36,8 +36,8 @@
 
 /* A zone that falls silent is asked one machine after the other: the first ones are lost while most
  * have not been asked, and none of them may be taken for dead. */
-static void a_zone_partition_is_told_from_dead_machines(void **st) {
-  (void)st;
+static void a_zone_partition_is_told_from_dead_machines(void **state) {
+  (void)state;
   struct tmx_zone_liveness first = {.machines = 800, .lost = 1};
   struct tmx_zone_liveness some = {.machines = 800, .lost = 60, .alive = 12};
   struct tmx_zone_liveness dead = {.machines = 800, .lost = 90, .alive = 300};
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -9,8 +9,8 @@
 
 /* A start of the earlier owner may still be under way: its heir believes no absence before the
  * worker has seen the heir's token. */
-static void late_commands_of_the_former_owner_are_fenced(void **st) {
-  (void)st;
+static void late_commands_of_the_former_owner_are_fenced(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   worker.fails_commands = true;
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
@@ -31,8 +31,8 @@
 }
 
 /* Two that both take themselves for the leader: every batch was planned on all before it. */
-static void a_deposed_leader_places_nothing(void **st) {
-  (void)st;
+static void a_deposed_leader_places_nothing(void **state) {
+  (void)state;
   struct tmx_buffer value = {0};
   char id[32];
   register_worker_at_owner();
@@ -66,8 +66,8 @@
 }
 
 /* A worker whose lease lapsed has forgotten its tasks; the attempt is started there again. */
-static void a_worker_that_lost_its_lease_starts_a_new_session(void **st) {
-  (void)st;
+static void a_worker_that_lost_its_lease_starts_a_new_session(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
@@ -78,20 +78,20 @@
   for (int i = 0; i < 100 && worker.executed_starts < 2; i++) run_loop_for(0.02);
   assert_int_equal(worker.executed_starts, 2);
   /* a late copy of a report of the earlier session says nothing */
-  uint64_t s = worker.session, q = worker.sequence;
+  uint64_t session = worker.session, sequence = worker.sequence;
   worker.session = 1;
   worker.sequence = 1;
   worker.n_tasks = 0;
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_int_not_equal(worker.report_status, 200);
-  worker.session = s;
-  worker.sequence = q;
+  worker.session = session;
+  worker.sequence = sequence;
   assert_int_equal(fake_count_placed(), 1);
 }
 
 /* The token of another, newer owner: this controller must not hold the worker. */
-static void a_higher_token_is_not_answered_with_200(void **st) {
-  (void)st;
+static void a_higher_token_is_not_answered_with_200(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   worker.token += 1ull << 40;
   fake_worker_send_heartbeat(&worker, first_controller);
@@ -99,8 +99,8 @@
 }
 
 /* Two controllers on copies of different age: what they place together stays in the limit. */
-static void a_quota_holds_over_two_controllers(void **st) {
-  (void)st;
+static void a_quota_holds_over_two_controllers(void **state) {
+  (void)state;
   register_worker_at_owner();
   fake_store.endpoints[1].freeze_watch = true; /* b lags from here on */
   char id[32];
@@ -122,8 +122,8 @@
 /* A zone is cut off from everything: its workers' owner is outside, and no view can be written. The
  * controller inside keeps their leases as long as a cancellation elsewhere allows, starts nothing,
  * and stops what it knows to be cancelled. */
-static void a_lease_is_renewed_for_an_unreachable_owner(void **st) {
-  (void)st;
+static void a_lease_is_renewed_for_an_unreachable_owner(void **state) {
+  (void)state;
   register_worker_at_owner();
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
--- a/tests/test_history.c
+++ b/tests/test_history.c
@@ -32,32 +32,32 @@
 static struct history_findings check(const char *text) {
   char copy[4096];
   snprintf(copy, sizeof copy, "%s", text);
-  FILE *in = fmemopen(copy, strlen(copy), "r"), *out = fopen("/dev/null", "w");
-  assert_non_null(in);
+  FILE *input = fmemopen(copy, strlen(copy), "r"), *out = fopen("/dev/null", "w");
+  assert_non_null(input);
   assert_non_null(out);
-  struct history_findings f = history_check(in, out);
-  fclose(in);
+  struct history_findings findings = history_check(input, out);
+  fclose(input);
   fclose(out);
-  return f;
+  return findings;
 }
 
-static void a_history_in_order_breaks_nothing(void **st) {
-  (void)st;
-  struct history_findings f =
+static void a_history_in_order_breaks_nothing(void **state) {
+  (void)state;
+  struct history_findings findings =
       check(ACCEPTED PLACED("n-1", "1") ORDER("0", TERM_1) BEGIN("n-1", "1")
                 POLLED("200", "running", "false") END("done") ORDER("1", TERM_2)
                     ORDER("1", TERM_2_RAISED) POLLED("200", "done", "false")
                         POLLED("503", "", "false") POLLED("200", "done", "true"));
-  assert_int_equal(f.lines, 11);
-  assert_int_equal(history_broken(&f), 0);
+  assert_int_equal(findings.lines, 11);
+  assert_int_equal(history_broken(&findings), 0);
   /* a task that ended without a result is begun once more, as the log says */
-  f = check(ACCEPTED PLACED("n-1", "1") BEGIN("n-1", "1") END("lease") PLACED("n-2", "2")
-                BEGIN("n-2", "2") POLLED("200", "running", "true"));
-  assert_int_equal(history_broken(&f), 0);
+  findings = check(ACCEPTED PLACED("n-1", "1") BEGIN("n-1", "1") END("lease") PLACED("n-2", "2")
+                       BEGIN("n-2", "2") POLLED("200", "running", "true"));
+  assert_int_equal(history_broken(&findings), 0);
 }
 
-static void each_rule_is_found_broken(void **st) {
-  (void)st;
+static void each_rule_is_found_broken(void **state) {
+  (void)state;
   static const struct {
     size_t rule;
     const char *text;
@@ -81,9 +81,9 @@
       {offsetof(struct history_findings, not_done), ACCEPTED POLLED("200", "withdrawn", "true")},
   };
   for (size_t i = 0; i < sizeof broken / sizeof *broken; i++) {
-    struct history_findings f = check(broken[i].text);
-    assert_int_equal(*(unsigned *)((char *)&f + broken[i].rule), 1);
-    assert_int_equal(history_broken(&f), 1);
+    struct history_findings findings = check(broken[i].text);
+    assert_int_equal(*(unsigned *)((char *)&findings + broken[i].rule), 1);
+    assert_int_equal(history_broken(&findings), 1);
   }
 }
 
--- a/tests/test_late_messages.c
+++ b/tests/test_late_messages.c
@@ -8,8 +8,8 @@
 
 /* A command that got no answer is fenced by a token or by the end of the session that it was for.
  * The next one may be for a later session: the end of the earlier one says nothing of it. */
-static void a_late_command_of_a_later_session_proves_no_end(void **st) {
-  (void)st;
+static void a_late_command_of_a_later_session_proves_no_end(void **state) {
+  (void)state;
   register_worker(&worker);
   worker.fails_commands = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
@@ -40,8 +40,8 @@
 /* An attempt failed, and its end was not committed; the lease lapsed, and it was started once more
  * in the next session. To a controller that has just come a copy of the earlier session's report
  * looks new: the end that it names is not this one's. */
-static void a_late_report_of_an_earlier_session_proves_no_end(void **st) {
-  (void)st;
+static void a_late_report_of_an_earlier_session_proves_no_end(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_for_starts(1);
@@ -82,8 +82,8 @@
 /* A probe's answer overtakes a report on its way. The worker still waits for the answer to it: it
  * is not sent elsewhere, its lease is renewed, and what is cancelled is stopped; nothing is started
  * by it. */
-static void a_probe_that_overtakes_a_report_proves_no_end(void **st) {
-  (void)st;
+static void a_probe_that_overtakes_a_report_proves_no_end(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
   wait_for_starts(1);
@@ -104,8 +104,8 @@
 
 /* A batch that got no answer is carried out after newer ones of the same controller: what it rested
  * on is no longer there. */
-static void a_batch_committed_late_is_placed_once(void **st) {
-  (void)st;
+static void a_batch_committed_late_is_placed_once(void **state) {
+  (void)state;
   register_worker(&worker);
   struct fake_endpoint *endpoint = &fake_store.endpoints[0];
   strcpy(endpoint->late_transaction_key, TMX_KEY_BATCH);
@@ -129,8 +129,8 @@
 
 /* The put of a controller's own key got no answer, and is carried out after the one that counts.
  * Its run is then another in the key than here: it registers anew instead of waiting for ever. */
-static void a_late_registration_is_repeated(void **st) {
-  (void)st;
+static void a_late_registration_is_repeated(void **state) {
+  (void)state;
   register_worker(&worker);
   uint64_t run = tmx_store_incarnation(first_controller->store);
   struct tmx_buffer value = {0};
@@ -152,8 +152,8 @@
 
 /* Refused alone for longer than its lease, it comes back and learns from the first put that the
  * lease is over: it does not try again with it until a renewal says so. */
-static void a_controller_registers_anew_after_lease_expiry(void **st) {
-  (void)st;
+static void a_controller_registers_anew_after_lease_expiry(void **state) {
+  (void)state;
   uint64_t run = tmx_store_incarnation(first_controller->store);
   fake_store.leases_expired_up_to = fake_store.leases_granted;
   fake_drop(TMX_KEY_MEMBER "hand-0");
@@ -165,8 +165,8 @@
 
 /* A probe's answer may overtake the answer to a report that carries a start: it is no proof that
  * the start will not run. Only the next report is. */
-static void a_probe_that_overtakes_an_answer_changes_nothing(void **st) {
-  (void)st;
+static void a_probe_that_overtakes_an_answer_changes_nothing(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   worker.fails_commands = true;
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
@@ -188,8 +188,8 @@
 
 /* The answer to a commit is lost: nobody is told anything that is not known. A submission is known
  * as soon as the log shows it; the user does not wait for the answer. */
-static void a_lost_commit_response_accepts_once(void **st) {
-  (void)st;
+static void a_lost_commit_response_accepts_once(void **state) {
+  (void)state;
   fake_store.endpoints[0].lose_next_response = true;
   strcpy(fake_store.endpoints[0].lost_response_key, TMX_KEY_JOB);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 503);
@@ -200,17 +200,17 @@
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   fake_store.endpoints[0].lose_next_response = fake_store.endpoints[0].withhold_lost_response =
       true;
-  double t = tmx_clock_steady();
+  double start = tmx_clock_steady();
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 200);
-  assert_true(tmx_clock_steady() - t < TMX_STORE_TIMEOUT_S / 2);
+  assert_true(tmx_clock_steady() - start < TMX_STORE_TIMEOUT_S / 2);
   run_loop_for(TMX_STORE_TIMEOUT_S +
                0.2); /* the commit's own answer is given up on, and changes nothing */
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 200);
 }
 
 /* A lost answer to a batch: what it placed is found in the log, once. */
-static void a_lost_batch_response_places_once(void **st) {
-  (void)st;
+static void a_lost_batch_response_places_once(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   fake_store.endpoints[0].lose_next_response = true;
   strcpy(fake_store.endpoints[0].lost_response_key, TMX_KEY_BATCH);
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -9,8 +9,8 @@
 
 /* Two tasks that end far apart, over restarts, with a fold in between, and all controllers away for
  * longer than a lease: never done too early, done in the end, no attempt twice. */
-static void completions_far_apart_survive_leader_changes(void **st) {
-  (void)st;
+static void completions_far_apart_survive_leader_changes(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_for_starts(2);
@@ -65,8 +65,8 @@
 
 /* The leader changes ten times while jobs come, end and are cancelled: the limit of the team holds
  * at every moment, no attempt is begun twice, and everything is served in the end. */
-static void work_goes_on_through_ten_leader_changes(void **st) {
-  (void)st;
+static void work_goes_on_through_ten_leader_changes(void **state) {
+  (void)state;
   register_worker(&worker);
   char id[32];
   unsigned done = 0;
@@ -81,7 +81,8 @@
     for (int k = 0; k < 6; k++) {
       run_loop_for(0.05);
       assert_in_range(fake_count_placed(), 0, 4);
-      for (size_t l = 0; l < worker.n_tasks; l++) assert_int_equal(worker.tasks[l].attempt, 1);
+      for (size_t leader = 0; leader < worker.n_tasks; leader++)
+        assert_int_equal(worker.tasks[leader].attempt, 1);
       complete_all_tasks();
       fake_worker_send_heartbeat(&worker, first_controller);
       if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
@@ -109,8 +110,8 @@
 /* A team is at its limit when the leader ends, its machine cannot be asked, and the jobs are
  * cancelled then: nobody knows that the tasks are gone, so nothing else of the team starts until
  * somebody does. */
-static void a_quota_holds_with_an_unreachable_machine(void **st) {
-  (void)st;
+static void a_quota_holds_with_an_unreachable_machine(void **state) {
+  (void)state;
   register_worker(&worker);
   register_worker(&other_workers[0]);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 4, 2, "t"),
@@ -145,8 +146,8 @@
 
 /* Who comes to lead knows the peak of what was in use, since every controller keeps it: what is not
  * needed is returned at once, and not only after the next minute. */
-static void a_new_leader_knows_the_peak_demand(void **st) {
-  (void)st;
+static void a_new_leader_knows_the_peak_demand(void **state) {
+  (void)state;
   register_worker(&worker);
   for (int i = 0; i < 2; i++) register_worker(&other_workers[i]);
   struct tmx_controller *old = tmx_store_is_leader(first_controller->store) ? first_controller
@@ -187,8 +188,8 @@
 /* The watch fell behind while an answer with a start is on its way, and the copy is read anew under
  * the same view: that answer has the token which the worker has seen, so its lack of the task
  * proves nothing before a higher one was shown. */
-static void tokens_stay_valid_when_the_same_view_is_read_again(void **st) {
-  (void)st;
+static void tokens_stay_valid_when_the_same_view_is_read_again(void **state) {
+  (void)state;
   register_worker(&worker);
   worker.fails_commands = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
@@ -219,18 +220,18 @@
 /* Users ask at all controllers, repeat the submission and cancel, at once after a job was accepted,
  * ended or confirmed as cancelled, while the other controller hears of it late: what one has said
  * no other takes back. */
-static void no_controller_gives_an_older_answer(void **st) {
-  (void)st;
+static void no_controller_gives_an_older_answer(void **state) {
+  (void)state;
   register_worker(&worker);
   static const char *ids[] = {"wk-000001", "wk-000002", "wk-000003", "wk-000004"};
-  struct tmx_controller *at[] = {first_controller, second_controller};
+  struct tmx_controller *asked[] = {first_controller, second_controller};
   for (int i = 0; i < 4; i++) {
-    struct tmx_controller *one = at[i % 2], *other = at[1 - i % 2];
+    struct tmx_controller *one = asked[i % 2], *other = asked[1 - i % 2];
     struct fake_endpoint *lags = &fake_store.endpoints[1 - i % 2];
     lags->freeze_watch = true;
     assert_int_equal(submit_simple_job(one, ids[i], "batch", 1, 2, "t"), 201);
-    struct fake_answer r = poll_job(other, ids[i]);
-    assert_int_equal(r.status, 503); /* never a 404 */
+    struct fake_answer answer = poll_job(other, ids[i]);
+    assert_int_equal(answer.status, 503); /* never a 404 */
     assert_int_not_equal(submit_simple_job(other, ids[i], "batch", 1, 2, "t"), 201);
     lags->freeze_watch = false;
     fake_free_watches();
@@ -243,8 +244,9 @@
       fake_worker_set_task(&worker, task, 1, WV_EXITED, WV_DONE);
       fake_worker_send_heartbeat(&worker, first_controller);
       if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
-      const char *x[] = {ids[i], WV_DONE};
-      for (int k = 0; k < 200 && strcmp(poll_job(one, ids[i]).state, x[1]); k++) run_loop_for(0.01);
+      const char *states[] = {ids[i], WV_DONE};
+      for (int k = 0; k < 200 && strcmp(poll_job(one, ids[i]).state, states[1]); k++)
+        run_loop_for(0.01);
       assert_string_equal(poll_job(one, ids[i]).state, WV_DONE);
       lags->freeze_watch = true;
     } else {
@@ -254,8 +256,8 @@
     }
     const char *end = i < 2 ? WV_DONE : WV_CANCELLED;
     for (int k = 0; k < 3; k++) {
-      r = k == 0 ? poll_job(other, ids[i]) : cancel_job(other, ids[i]);
-      assert_true(r.status == 503 || !strcmp(r.state, end));
+      answer = k == 0 ? poll_job(other, ids[i]) : cancel_job(other, ids[i]);
+      assert_true(answer.status == 503 || !strcmp(answer.state, end));
       assert_string_equal(poll_job(one, ids[i]).state, end);
       assert_string_equal(cancel_job(one, ids[i]).state, end);
     }
@@ -276,25 +278,25 @@
 /* One-task jobs come four a second, a quarter of them are cancelled, some at their end, and the
  * leader changes on the way: each ends as its user was told, the limit holds, and nothing is left.
  */
-static void one_task_jobs_run_once_or_stay_cancelled(void **st) {
-  (void)st;
+static void one_task_jobs_run_once_or_stay_cancelled(void **state) {
+  (void)state;
   enum { N = 80 };
   register_worker(&worker);
   char id[32], told[N][16] = {{0}};
   for (int i = 0; i < N; i++) {
-    struct tmx_controller *at = i % 3 ? first_controller : second_controller;
+    struct tmx_controller *asked = i % 3 ? first_controller : second_controller;
     snprintf(id, sizeof id, "wk-%06d", i);
-    int status = submit_simple_job(at, id, "batch", 1, 2, "t");
+    int status = submit_simple_job(asked, id, "batch", 1, 2, "t");
     for (int k = 0; k < 20 && status == 503; k++)
-      status = submit_simple_job(at, id, "batch", 1, 2, "t");
+      status = submit_simple_job(asked, id, "batch", 1, 2, "t");
     assert_true(status == 201 || status == 200);
     if (i % 10 == 5) complete_all_tasks();
     if (i % 4 == 0) {
-      struct fake_answer r = cancel_job(i % 8 ? first_controller : second_controller, id);
-      for (int k = 0; k < 20 && r.status != 200; k++)
-        r = cancel_job(i % 8 ? first_controller : second_controller, id);
-      assert_int_equal(r.status, 200);
-      strcpy(told[i], r.state);
+      struct fake_answer answer = cancel_job(i % 8 ? first_controller : second_controller, id);
+      for (int k = 0; k < 20 && answer.status != 200; k++)
+        answer = cancel_job(i % 8 ? first_controller : second_controller, id);
+      assert_int_equal(answer.status, 200);
+      strcpy(told[i], answer.state);
     }
     if (i % 20 == 10) let_lead(i % 40 == 10 ? second_controller : first_controller);
     run_loop_for(0.25);
@@ -322,42 +324,42 @@
 
 /* A new machine is up within a second and gets work at once, while the answers of the writes are
  * lost, and the leader ends: the machine is registered once, what was placed is started once. */
-static void a_fast_machine_runs_once_when_the_leader_ends(void **st) {
-  (void)st;
-  struct fake_worker *x = &other_workers[0];
+static void a_fast_machine_runs_once_when_the_leader_ends(void **state) {
+  (void)state;
+  struct fake_worker *new_worker = &other_workers[0];
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", "service", 2, 2, "t"), 201);
   for (int i = 0; i < 2; i++) {
     fake_store.endpoints[i].lose_next_response = true;
     strcpy(fake_store.endpoints[i].lost_response_key, TMX_KEY_BATCH);
   }
-  register_worker(x);
+  register_worker(new_worker);
   bool first_is_owner = tmx_store_is_leader(first_controller->store);
   fake_drop(first_is_owner ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
   fake_drop(TMX_KEY_LEADER);
   stop_controller(first_is_owner ? first_controller : second_controller);
   *(first_is_owner ? &first_controller : &second_controller) = NULL;
   struct tmx_controller *successor = first_is_owner ? second_controller : first_controller;
-  for (int i = 0; i < 200 && x->executed_starts < 1; i++) {
+  for (int i = 0; i < 200 && new_worker->executed_starts < 1; i++) {
     run_loop_for(0.05);
-    fake_worker_send_heartbeat(x, successor);
-    fake_worker_execute_commands(x);
+    fake_worker_send_heartbeat(new_worker, successor);
+    fake_worker_execute_commands(new_worker);
   }
   for (int i = 0; i < 20; i++) {
     run_loop_for(0.1);
-    fake_worker_send_heartbeat(x, successor);
-    fake_worker_execute_commands(x);
+    fake_worker_send_heartbeat(new_worker, successor);
+    fake_worker_execute_commands(new_worker);
   }
-  assert_int_equal(x->executed_starts, 2);
-  assert_int_equal(x->n_tasks, 2);
-  for (size_t i = 0; i < 2; i++) assert_int_equal(x->tasks[i].attempt, 1);
+  assert_int_equal(new_worker->executed_starts, 2);
+  assert_int_equal(new_worker->n_tasks, 2);
+  for (size_t i = 0; i < 2; i++) assert_int_equal(new_worker->tasks[i].attempt, 1);
   assert_int_equal(fake_count_placed(), 2);
 }
 
 /* A leader that has just come takes machines back that the one before was about to return, when
  * work waits: it does not know the peak yet, and returns nothing, but must not keep room empty
  * either. */
-static void a_new_leader_returns_machines(void **st) {
-  (void)st;
+static void a_new_leader_returns_machines(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
--- a/tests/test_machine_failure.c
+++ b/tests/test_machine_failure.c
@@ -11,8 +11,8 @@
 /* A machine that answers and cannot report renews no lease: it gets nothing new, and is replaced
  * once its lease must be over. When most machines are so, it is this controller that is not
  * reached. */
-static void a_machine_that_cannot_report_is_replaced(void **st) {
-  (void)st;
+static void a_machine_that_cannot_report_is_replaced(void **state) {
+  (void)state;
   struct fake_worker *all[] = {&worker, &other_workers[0], &other_workers[1]};
   for (int i = 0; i < 3; i++) register_worker(all[i]);
   struct tmx_machine *machine = tmx_machine_find(&first_controller->replica, worker.id);
@@ -43,8 +43,8 @@
 
 /* A job bound to a zone and to one place loses its machine: it begins again, as the next attempt,
  * on another one there, and not before the loss is proven. */
-static void a_job_of_one_zone_moves_within_its_zone(void **st) {
-  (void)st;
+static void a_job_of_one_zone_moves_within_its_zone(void **state) {
+  (void)state;
   register_worker(&worker);
   struct tmx_buffer body = {0};
   tmx_cbor_put_map(&body, 18);
@@ -73,8 +73,8 @@
 }
 
 /* Silence proves nothing: a machine's tasks are placed anew only once its deletion is answered. */
-static void a_silent_machine_is_replaced(void **st) {
-  (void)st;
+static void a_silent_machine_is_replaced(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
@@ -95,8 +95,8 @@
 
 /* A late copy of a report of a machine that was returned meanwhile brings nothing back, also at a
  * controller that has just started: only a worker that shows our token is registered. */
-static void a_late_report_does_not_bring_a_removed_machine_back(void **st) {
-  (void)st;
+static void a_late_report_does_not_bring_a_removed_machine_back(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   uint64_t seq = worker.sequence, token = worker.token;
   fake_cloud.refuse_delete = false;
@@ -121,8 +121,8 @@
 
 /* A machine whose reports arrive while commands and answers do not reach it gets no new work, and
  * is replaced; its task moves only with the proof that it is gone. */
-static void a_machine_that_is_heard_and_not_reached_is_replaced(void **st) {
-  (void)st;
+static void a_machine_that_is_heard_and_not_reached_is_replaced(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
@@ -155,8 +155,8 @@
 
 /* A controller that stands still again and again finds timeouts where answers lie in its buffers:
  * it must not take that for a silent machine. */
-static void a_late_loop_suspects_no_machine(void **st) {
-  (void)st;
+static void a_late_loop_suspects_no_machine(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   for (int i = 0; i < 10; i++) {
     ev_run(test_loop, EVRUN_NOWAIT);
@@ -169,8 +169,8 @@
 
 /* A member that was cut off still tells of the machines that it owned before, none of which it
  * could reach. When a view names it again, what it says by the old one must not give them up. */
-static void suspicions_of_an_older_view_are_ignored(void **st) {
-  (void)st;
+static void suspicions_of_an_older_view_are_ignored(void **state) {
+  (void)state;
   register_worker_at_owner();
   run_loop_for(1); /* they hear each other */
   const char *owner = tmx_machine_owner(&first_controller->replica, worker.id);
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -12,13 +12,13 @@
 #include "tmx/wire.h"
 #include "tmx/constants.h"
 
-static void round_trip(void **st) {
-  (void)st;
+static void round_trip(void **state) {
+  (void)state;
   struct tmx_buffer buffer = {0};
-  char s[16];
-  uint64_t u;
-  double d;
-  bool y;
+  char text[16];
+  uint64_t integer;
+  double number;
+  bool truth;
   tmx_cbor_put_map(&buffer, 4);
   tmx_cbor_put_text_field(&buffer, "a", "text");
   tmx_cbor_put_u64_field(&buffer, "b", UINT64_MAX);
@@ -26,12 +26,12 @@
   tmx_cbor_put_bool_field(&buffer, "d", true);
   cbor_item_t *map = tmx_cbor_parse(buffer.data, buffer.length);
   assert_non_null(map);
-  assert_true(tmx_cbor_get_text(map, "a", s, sizeof s) && !strcmp(s, "text"));
-  assert_true(tmx_cbor_get_u64(map, "b", &u) && u == UINT64_MAX);
-  assert_true(tmx_cbor_get_number(map, "c", &d) && d == 4.5);
-  assert_true(tmx_cbor_get_bool(map, "d", &y) && y);
-  assert_false(tmx_cbor_get_text(map, "a", s, 4)); /* does not fit */
-  assert_false(tmx_cbor_get_u64(map, "a", &u));
+  assert_true(tmx_cbor_get_text(map, "a", text, sizeof text) && !strcmp(text, "text"));
+  assert_true(tmx_cbor_get_u64(map, "b", &integer) && integer == UINT64_MAX);
+  assert_true(tmx_cbor_get_number(map, "c", &number) && number == 4.5);
+  assert_true(tmx_cbor_get_bool(map, "d", &truth) && truth);
+  assert_false(tmx_cbor_get_text(map, "a", text, 4)); /* does not fit */
+  assert_false(tmx_cbor_get_u64(map, "a", &integer));
   assert_null(tmx_cbor_get(map, "e"));
   tmx_cbor_free(map);
   for (size_t i = 0; i < buffer.length; i++)
@@ -41,8 +41,8 @@
   tmx_buffer_free(&buffer);
 }
 
-static void hostile_bodies(void **st) {
-  (void)st;
+static void hostile_bodies(void **state) {
+  (void)state;
   /* a list that claims 2^60 members, a text that claims 2^40 bytes, an endless list, a tag */
   static const uint8_t list[] = {0x9b, 0x10, 0, 0, 0, 0, 0, 0, 0, 0x01};
   static const uint8_t map[] = {0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01};
@@ -61,9 +61,9 @@
   memset(deep, 0x81, sizeof deep);
   deep[sizeof deep - 1] = 0x01;
   assert_null(tmx_cbor_parse(deep, sizeof deep));
-  cbor_item_t *ok = tmx_cbor_parse(deep + sizeof deep - 8, 8);
-  assert_non_null(ok);
-  tmx_cbor_free(ok);
+  cbor_item_t *shallow = tmx_cbor_parse(deep + sizeof deep - 8, 8);
+  assert_non_null(shallow);
+  tmx_cbor_free(shallow);
 }
 
 static void encode_submission(struct tmx_buffer *buffer,
@@ -91,19 +91,19 @@
   tmx_cbor_put_number_field(buffer, W_SAVE, spec->checkpoint_save_s);
 }
 
-static void fuzzed_bodies(void **st) {
-  (void)st;
-  gsl_rng *g = gsl_rng_alloc(gsl_rng_mt19937);
-  gsl_rng_set(g, 7);
-  struct tmx_job_spec s = {.tasks = 3, .cpus = 1, .mem_gb = 2, .deadline_s = 9}, back;
+static void fuzzed_bodies(void **state) {
+  (void)state;
+  gsl_rng *random = gsl_rng_alloc(gsl_rng_mt19937);
+  gsl_rng_set(random, 7);
+  struct tmx_job_spec spec = {.tasks = 3, .cpus = 1, .mem_gb = 2, .deadline_s = 9}, back;
   char id[TMX_ID_MAX];
   struct tmx_buffer buffer = {0};
-  strcpy(s.class, "c");
-  strcpy(s.team, "t");
-  strcpy(s.image, "i");
-  strcpy(s.types[0], "g8");
-  s.n_types = 1;
-  encode_submission(&buffer, &s);
+  strcpy(spec.class, "c");
+  strcpy(spec.team, "t");
+  strcpy(spec.image, "i");
+  strcpy(spec.types[0], "g8");
+  spec.n_types = 1;
+  encode_submission(&buffer, &spec);
   cbor_item_t *map = tmx_cbor_parse(buffer.data, buffer.length);
   assert_non_null(map);
   assert_true(tmx_job_spec_parse(map, &back, id, sizeof id));
@@ -114,8 +114,8 @@
   for (int i = 0; i < 20000; i++) {
     uint8_t copy[1024];
     memcpy(copy, buffer.data, buffer.length);
-    for (unsigned k = 0; k <= gsl_rng_uniform_int(g, 4); k++)
-      copy[gsl_rng_uniform_int(g, buffer.length)] = (uint8_t)gsl_rng_uniform_int(g, 256);
+    for (unsigned k = 0; k <= gsl_rng_uniform_int(random, 4); k++)
+      copy[gsl_rng_uniform_int(random, buffer.length)] = (uint8_t)gsl_rng_uniform_int(random, 256);
     map = tmx_cbor_parse(copy, buffer.length);
     if (map && tmx_job_spec_parse(map, &back, id, sizeof id)) {
       parsed++;
@@ -126,7 +126,7 @@
   }
   assert_true(parsed > 0);
   tmx_buffer_free(&buffer);
-  gsl_rng_free(g);
+  gsl_rng_free(random);
 }
 
 static const char good[] =
@@ -157,28 +157,29 @@
       {"{\"txn_ops\":3}", "state.next.txn_ops", 0, 0, 0},
   };
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++) {
-    struct tmx_settings s;
+    struct tmx_settings settings;
     char err[256], text[2048];
-    const char *at = strstr(good, "\"txn_ops\"");
-    assert_non_null(at);
-    snprintf(text, sizeof text, "%.*s\"next\":%s,%s", (int)(at - good), good, cases[i].next, at);
-    assert_int_equal(tmx_settings_parse(&s, text, err, sizeof err), !cases[i].wrong);
+    const char *insert_at = strstr(good, "\"txn_ops\"");
+    assert_non_null(insert_at);
+    snprintf(text, sizeof text, "%.*s\"next\":%s,%s", (int)(insert_at - good), good, cases[i].next,
+             insert_at);
+    assert_int_equal(tmx_settings_parse(&settings, text, err, sizeof err), !cases[i].wrong);
     if (cases[i].wrong) {
       assert_non_null(strstr(err, cases[i].wrong));
       continue;
     }
-    assert_true(s.write_rps == cases[i].write_rps && s.value_kb == cases[i].value_kb);
-    assert_int_equal(s.txn_ops, cases[i].txn_ops);
+    assert_true(settings.write_rps == cases[i].write_rps && settings.value_kb == cases[i].value_kb);
+    assert_int_equal(settings.txn_ops, cases[i].txn_ops);
   }
 }
 
-static void settings(void **st) {
-  (void)st;
-  struct tmx_settings s;
+static void settings(void **state) {
+  (void)state;
+  struct tmx_settings settings;
   char err[256], text[2048];
-  assert_true(tmx_settings_parse(&s, good, err, sizeof err));
-  assert_string_equal(s.node_name, "hand-0");
-  assert_int_equal(s.txn_ops, 32);
+  assert_true(tmx_settings_parse(&settings, good, err, sizeof err));
+  assert_string_equal(settings.node_name, "hand-0");
+  assert_int_equal(settings.txn_ops, 32);
   static const char *fields[] = {"host_name", "peer_listen", "zones", "lease_s",
                                  "txn_ops",   "sockets",     "state"};
   for (size_t i = 0; i < sizeof fields / sizeof *fields; i++) {
@@ -188,7 +189,7 @@
     char *at = strstr(text, quoted);
     assert_non_null(at);
     at[1] = 'X'; /* the field is missing now */
-    assert_false(tmx_settings_parse(&s, text, err, sizeof err));
+    assert_false(tmx_settings_parse(&settings, text, err, sizeof err));
     assert_non_null(strstr(err, fields[i]));
     assert_null(strchr(err, '\n'));
   }
@@ -202,38 +203,41 @@
     assert_true(lease && rest);
     snprintf(text, sizeof text, "%.*s%s\"cancel_s\":%s%s", (int)(lease - good), good, tight[i],
              cancel[i], rest + 4);
-    assert_int_equal(tmx_settings_parse(&s, text, err, sizeof err), i != 0);
-    if (i) assert_true(tmx_fresh_bound(&s) + s.lease_s * (1 + TMX_CLOCK_DRIFT) < s.cancel_s);
+    assert_int_equal(tmx_settings_parse(&settings, text, err, sizeof err), i != 0);
+    if (i)
+      assert_true(tmx_fresh_bound(&settings) + settings.lease_s * (1 + TMX_CLOCK_DRIFT) <
+                  settings.cancel_s);
   }
   /* more than a table holds is refused, not cut short */
   char many[4096];
   const char *at = strstr(good, "\"cluster\"");
   assert_non_null(at);
   at = strchr(at, '{') + 1;
-  int n = snprintf(many, sizeof many, "%.*s\"objectives\":[{}", (int)(at - good), good);
-  for (int i = 0; i < TMX_OBJECTIVES_MAX; i++) n += snprintf(many + n, sizeof many - n, ",{}");
-  snprintf(many + n, sizeof many - n, "],%s", at);
-  assert_false(tmx_settings_parse(&s, many, err, sizeof err));
+  int length = snprintf(many, sizeof many, "%.*s\"objectives\":[{}", (int)(at - good), good);
+  for (int i = 0; i < TMX_OBJECTIVES_MAX; i++)
+    length += snprintf(many + length, sizeof many - length, ",{}");
+  snprintf(many + length, sizeof many - length, "],%s", at);
+  assert_false(tmx_settings_parse(&settings, many, err, sizeof err));
   assert_non_null(strstr(err, "objectives"));
-  assert_false(tmx_settings_parse(&s, "[1]", err, sizeof err));
-  assert_false(tmx_settings_parse(&s, "{", err, sizeof err));
+  assert_false(tmx_settings_parse(&settings, "[1]", err, sizeof err));
+  assert_false(tmx_settings_parse(&settings, "{", err, sizeof err));
 }
 
 static bool operator_file(const char *text, char *err, size_t cap) {
-  struct tmx_operator_settings o;
+  struct tmx_operator_settings operators;
   char path[] = "/tmp/tmx-op-XXXXXX";
   int fd = mkstemp(path);
-  FILE *f = fdopen(fd, "w");
-  fputs(text, f);
-  fclose(f);
-  tmx_operator_defaults(&o);
-  bool ok = tmx_operator_load(&o, path, err, cap);
+  FILE *file = fdopen(fd, "w");
+  fputs(text, file);
+  fclose(file);
+  tmx_operator_defaults(&operators);
+  bool loaded = tmx_operator_load(&operators, path, err, cap);
   remove(path);
-  return ok;
+  return loaded;
 }
 
-static void operator_settings(void **st) {
-  (void)st;
+static void operator_settings(void **state) {
+  (void)state;
   char err[512];
   assert_true(operator_file("idle_return_s = 90\nheadroom = 0.2\n", err, sizeof err));
   assert_false(operator_file("idle_retrn_s = 90\n", err, sizeof err));
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -13,15 +13,15 @@
 static struct tmx_controller *first_controller, *second_controller;
 static struct fake_worker worker;
 
-static int setup(void **st) {
-  (void)st;
+static int setup(void **state) {
+  (void)state;
   fake_start();
   fake_worker_open(&worker, "n-000001");
   first_controller = second_controller = NULL;
   return 0;
 }
-static int teardown(void **st) {
-  (void)st;
+static int teardown(void **state) {
+  (void)state;
   if (first_controller) stop_controller(first_controller);
   if (second_controller) stop_controller(second_controller);
   tmx_http_server_free(worker.server);
@@ -30,15 +30,15 @@
 }
 
 /* Lines of the log as another controller would have written them, many in one batch. */
-static void put_lines(const char *form, size_t from, size_t n) {
+static void put_lines(const char *form, size_t from, size_t count) {
   static unsigned batches;
   enum { A_BATCH = 1000 };
   char key[64], line[TMX_LINE_MAX];
-  for (size_t at = 0; at < n; at += A_BATCH) {
-    size_t part = n - at < A_BATCH ? n - at : A_BATCH;
+  for (size_t sent = 0; sent < count; sent += A_BATCH) {
+    size_t part = count - sent < A_BATCH ? count - sent : A_BATCH;
     struct tmx_buffer list = {0}, value = {0};
     for (size_t i = 0; i < part; i++) {
-      snprintf(line, sizeof line, form, from + at + i);
+      snprintf(line, sizeof line, form, from + sent + i);
       tmx_cbor_put_text(&list, line);
     }
     tmx_log_value_encode(&value, NULL, 0, &list, part);
@@ -51,8 +51,8 @@
 
 /* A heartbeat's record holds 2,048 machines in doubt. Where an owner has more, further records
  * follow, and the leader hears of all of them. */
-static void doubts_beyond_one_record(void **st) {
-  (void)st;
+static void doubts_beyond_one_record(void **state) {
+  (void)state;
   enum { MACHINES = 5000 };
   first_controller = start_controller(0, 2);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
@@ -74,8 +74,8 @@
 
 /* Machines came and went by the thousand: a late report of one that is long gone does not bring it
  * back. */
-static void gone_thousands_of_machines_ago(void **st) {
-  (void)st;
+static void gone_thousands_of_machines_ago(void **state) {
+  (void)state;
   enum { GONE = 20000 };
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
@@ -93,8 +93,8 @@
 }
 
 /* More machines report than were ever allowed for at once. */
-static void more_workers_than_before(void **st) {
-  (void)st;
+static void more_workers_than_before(void **state) {
+  (void)state;
   enum { MACHINES = 9000 };
   struct tmx_buffer body = {0};
   first_controller = start_controller(0, 1);
@@ -110,8 +110,8 @@
 static size_t listed(void) { return HASH_COUNT(first_controller->cloud->instances); }
 
 /* A listing of many pages is read to its end, also when it grows between them. */
-static void listing_of_many_pages(void **st) {
-  (void)st;
+static void listing_of_many_pages(void **state) {
+  (void)state;
   fake_cloud.listed_machines = 6100;
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
@@ -122,8 +122,8 @@
 }
 
 /* A listing that says it goes on and brings the same names is given up, and read anew later. */
-static void listing_that_does_not_go_on(void **st) {
-  (void)st;
+static void listing_that_does_not_go_on(void **state) {
+  (void)state;
   fake_cloud.listed_machines = 2000;
   fake_cloud.repeat_first_page = true;
   first_controller = start_controller(0, 1);
--- a/tests/test_scale_out_plan.c
+++ b/tests/test_scale_out_plan.c
@@ -8,48 +8,48 @@
 #include "planner/scale_out_plan.h"
 #include "tmx/constants.h"
 
-static void scale_out_follows_waiting_demand(void **st) {
-  (void)st;
+static void scale_out_follows_waiting_demand(void **state) {
+  (void)state;
   struct tmx_machine_type small = {
       .name = "small", .cpus = 4, .mem_gb = 16, .price = 0.2, .boot_s = 30};
   struct tmx_machine_type big = {
       .name = "big", .cpus = 16, .mem_gb = 64, .price = 1.0, .boot_s = 30};
-  struct tmx_job_spec s = {.service = true, .tasks = 1, .cpus = 2, .mem_gb = 4};
-  struct tmx_demand d = {&s, 1, -1, 0};
+  struct tmx_job_spec spec = {.service = true, .tasks = 1, .cpus = 2, .mem_gb = 4};
+  struct tmx_demand demand = {&spec, 1, -1, 0};
   struct tmx_offer offers[2] = {{&small, 0, false, 0.2}, {&big, 0, false, 1.0}};
-  struct tmx_scale_out h[4];
-  assert_int_equal(tmx_plan_scale_out(&d, 1, offers, 2, NULL, 0, 10, h, 4), 1);
-  assert_int_equal(h[0].offer, 0);
-  assert_int_equal(h[0].count, 1);
+  struct tmx_scale_out choices[4];
+  assert_int_equal(tmx_plan_scale_out(&demand, 1, offers, 2, NULL, 0, 10, choices, 4), 1);
+  assert_int_equal(choices[0].offer, 0);
+  assert_int_equal(choices[0].count, 1);
   /* what is on its way is counted */
-  struct tmx_coming c = {&small, 0, false, 4, 0, 16};
-  assert_int_equal(tmx_plan_scale_out(&d, 1, offers, 2, &c, 1, 10, h, 4), 0);
+  struct tmx_coming coming = {&small, 0, false, 4, 0, 16};
+  assert_int_equal(tmx_plan_scale_out(&demand, 1, offers, 2, &coming, 1, 10, choices, 4), 0);
   /* a service never gets a spot machine */
   struct tmx_offer spot = {&small, 0, true, 0.05};
-  assert_int_equal(tmx_plan_scale_out(&d, 1, &spot, 1, NULL, 0, 10, h, 4), 0);
+  assert_int_equal(tmx_plan_scale_out(&demand, 1, &spot, 1, NULL, 0, 10, choices, 4), 0);
   /* a large demand does not wait until the cheapest offer is exhausted */
-  d.tasks = 2000;
-  assert_int_equal(tmx_plan_scale_out(&d, 1, offers, 2, NULL, 0, 10, h, 4), 2);
-  assert_int_equal(h[0].count, TMX_SCALE_OUT_OFFER_MAX);
-  assert_int_equal(h[1].count, TMX_SCALE_OUT_OFFER_MAX);
+  demand.tasks = 2000;
+  assert_int_equal(tmx_plan_scale_out(&demand, 1, offers, 2, NULL, 0, 10, choices, 4), 2);
+  assert_int_equal(choices[0].count, TMX_SCALE_OUT_OFFER_MAX);
+  assert_int_equal(choices[1].count, TMX_SCALE_OUT_OFFER_MAX);
 }
 
 /* Arrays leave ordinary machines to others; a task that could not be run once more before its job's
  * next aim does not go where machines are taken back. */
-static void spot_machines_take_what_can_be_lost(void **st) {
-  (void)st;
+static void spot_machines_take_what_can_be_lost(void **state) {
+  (void)state;
   for (int k = 0; k < 3; k++) {
-    struct planned_cluster *p = make_cluster(2, 1, 1);
-    p->machines[1].spot = true;
-    add_job(p, 0, k == 2, 1, 2)->spot_allowed = k < 2;
-    p->jobs[0].next_target_s = 250;
-    p->jobs[0].run_s = k ? 150 : 40;
+    struct planned_cluster *cluster = make_cluster(2, 1, 1);
+    cluster->machines[1].spot = true;
+    add_job(cluster, 0, k == 2, 1, 2)->spot_allowed = k < 2;
+    cluster->jobs[0].next_target_s = 250;
+    cluster->jobs[0].run_s = k ? 150 : 40;
     struct tmx_round_output output;
-    run_round(p, &output);
+    run_round(cluster, &output);
     assert_int_equal(output.n_operations, 1);
-    assert_string_equal(output.operations[0].machine, p->machines[!k].id);
+    assert_string_equal(output.operations[0].machine, cluster->machines[!k].id);
     free(output.operations);
-    free_cluster(p);
+    free_cluster(cluster);
   }
 }
 
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -12,8 +12,8 @@
 static struct tmx_settings set;
 static struct tmx_replica rep;
 
-static int setup(void **st) {
-  (void)st;
+static int setup(void **state) {
+  (void)state;
   memset(&set, 0, sizeof set);
   strcpy(set.zones[0], "a");
   set.n_zones = 1;
@@ -41,8 +41,8 @@
   return off | (rep.loaded && fabs(booked - rep.booked_cpus) > 1e-6) |
          (rep.loaded && fabs(asked - rep.waiting_cpus) > 1e-6);
 }
-static int teardown(void **st) {
-  (void)st;
+static int teardown(void **state) {
+  (void)state;
   int off = sums_are_off();
   tmx_replica_clear(&rep);
   if (off) return -1;
@@ -57,12 +57,12 @@
   tmx_buffer_free(buffer);
 }
 static void put_job(uint64_t version, int fin) {
-  struct tmx_job_spec s = {.tasks = 3, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
+  struct tmx_job_spec spec = {.tasks = 3, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
   struct tmx_buffer buffer = {0};
-  strcpy(s.class, "c");
-  strcpy(s.team, "t");
-  strcpy(s.image, "i");
-  tmx_job_encode(&buffer, "wk-1", &s, 5, fin);
+  strcpy(spec.class, "c");
+  strcpy(spec.team, "t");
+  strcpy(spec.image, "i");
+  tmx_job_encode(&buffer, "wk-1", &spec, 5, fin);
   put(TMX_KEY_JOB "wk-1", version, &buffer);
 }
 static void put_machine(uint64_t version) {
@@ -73,20 +73,20 @@
   tmx_cbor_put_text(&buffer, "m n-1 127.0.0.1:1 big a 0 0");
   put(TMX_KEY_BATCH "h/m", version, &buffer);
 }
-static void put_batch(const char *seq, uint64_t version, const char *op) {
+static void put_batch(const char *seq, uint64_t version, const char *line) {
   struct tmx_buffer buffer = {0};
   char key[64];
   tmx_cbor_put_map(&buffer, 1);
   tmx_cbor_put_text(&buffer, "ops");
   tmx_cbor_put_list(&buffer, 1);
-  tmx_cbor_put_text(&buffer, op);
+  tmx_cbor_put_text(&buffer, line);
   snprintf(key, sizeof key, TMX_KEY_BATCH "h/%s", seq);
   put(key, version, &buffer);
 }
 static struct tmx_task *task(uint32_t i) { return &tmx_job_find(&rep, "wk-1")->tasks[i]; }
 
-static void log_of_one_task(void **st) {
-  (void)st;
+static void log_of_one_task(void **state) {
+  (void)state;
   rep.loaded = true;
   put_job(1, 0);
   put_machine(2);
@@ -108,8 +108,8 @@
   assert_true(rep.team_usage[0].cpus == 0);
 }
 
-static void dropped_machine_loses_its_tasks(void **st) {
-  (void)st;
+static void dropped_machine_loses_its_tasks(void **state) {
+  (void)state;
   rep.loaded = true;
   put_job(1, 0);
   put_machine(2);
@@ -123,8 +123,8 @@
   assert_null(tmx_machine_find(&rep, "n-1"));
 }
 
-static void cancelled_work_counts_until_it_is_gone(void **st) {
-  (void)st;
+static void cancelled_work_counts_until_it_is_gone(void **state) {
+  (void)state;
   rep.loaded = true;
   put_job(1, 0);
   put_machine(2);
@@ -137,8 +137,8 @@
 }
 
 /* Pages of a load are read at different revisions, and the events in between come again. */
-static void load_at_mixed_revisions(void **st) {
-  (void)st;
+static void load_at_mixed_revisions(void **state) {
+  (void)state;
   rep.load_revision = 9;
   put_job(1, 0);
   put_batch("9", 8, "p wk-1/0 2 n-1"); /* of a later page: read early */
@@ -153,8 +153,8 @@
   assert_true(rep.team_usage[0].cpus == 2);
 }
 
-static void load_settles_lost_machines(void **st) {
-  (void)st;
+static void load_settles_lost_machines(void **state) {
+  (void)state;
   rep.load_revision = 9;
   put_job(1, 0);
   put_batch("1", 3, "p wk-1/0 1 n-1"); /* its machine's key is gone */
@@ -176,8 +176,8 @@
 
 /* Log keys are written over after a fold, in any order: what is left of the old batches is no
  * longer the whole story, and must not bring a machine back whose end was written over. */
-static void batches_before_the_mark_do_not_count(void **st) {
-  (void)st;
+static void batches_before_the_mark_do_not_count(void **state) {
+  (void)state;
   rep.load_revision = 30;
   put_fold(20, 12);
   put_job(1, 0);
@@ -193,15 +193,15 @@
 }
 
 /* Runs of tasks in a page, and a job that has no key of its own. */
-static void pages(void **st) {
-  (void)st;
-  struct tmx_job_spec s = {.tasks = 9, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
+static void pages(void **state) {
+  (void)state;
+  struct tmx_job_spec spec = {.tasks = 9, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
   struct tmx_buffer jobs = {0}, lines = {0}, value = {0};
-  strcpy(s.class, "c");
-  strcpy(s.team, "t");
-  strcpy(s.image, "i");
+  strcpy(spec.class, "c");
+  strcpy(spec.team, "t");
+  strcpy(spec.image, "i");
   rep.load_revision = 9;
-  tmx_job_encode(&jobs, "wk-1", &s, 5, 0);
+  tmx_job_encode(&jobs, "wk-1", &spec, 5, 0);
   tmx_cbor_put_text(&lines, "m n-1 127.0.0.1:1 big a 1 1");
   tmx_cbor_put_text(&lines, "t wk-1/0 4 2 d -");
   tmx_cbor_put_text(&lines, "t wk-1/4 2 3 w -");
@@ -231,8 +231,8 @@
 /* A fold that was given up leaves pages behind. A job that was placed in them and ended before the
  * mark of the next fold is in no page of that one, and its end's batch counts no more: the place
  * would stay booked, and its team nearer to its limit, for as long as this copy lives. */
-static void pages_of_a_fold_given_up(void **st) {
-  (void)st;
+static void pages_of_a_fold_given_up(void **state) {
+  (void)state;
   struct tmx_buffer jobs = {0}, lines = {0}, value = {0};
   rep.load_revision = 30;
   put_fold(20, 12);
@@ -256,16 +256,16 @@
 
 /* Estimates that are mostly too low are corrected by the class's own runs; one far-off task hardly
  * counts, and other classes are not touched. */
-static void run_times_are_learned(void **st) {
-  (void)st;
-  struct tmx_job_spec s = {.estimate_s = 50}, other = {.estimate_s = 50};
-  strcpy(s.class, "c");
+static void run_times_are_learned(void **state) {
+  (void)state;
+  struct tmx_job_spec spec = {.estimate_s = 50}, other = {.estimate_s = 50};
+  strcpy(spec.class, "c");
   strcpy(other.class, "d");
-  assert_true(tmx_run_estimate_expected(&rep, &s) == 50);
-  for (int i = 0; i < 100; i++) tmx_run_estimate_observe(&rep, &s, i % 2 ? 90 : 110);
-  tmx_run_estimate_observe(&rep, &s, 1e6);
-  assert_true(tmx_run_estimate_expected(&rep, &s) > 90 &&
-              tmx_run_estimate_expected(&rep, &s) < 110);
+  assert_true(tmx_run_estimate_expected(&rep, &spec) == 50);
+  for (int i = 0; i < 100; i++) tmx_run_estimate_observe(&rep, &spec, i % 2 ? 90 : 110);
+  tmx_run_estimate_observe(&rep, &spec, 1e6);
+  assert_true(tmx_run_estimate_expected(&rep, &spec) > 90 &&
+              tmx_run_estimate_expected(&rep, &spec) < 110);
   assert_true(tmx_run_estimate_expected(&rep, &other) == 50);
   for (int i = 0; i < 100; i++) { /* memory is bounded */
     snprintf(other.class, sizeof other.class, "x%d", i);
@@ -284,105 +284,109 @@
 
 /* A batch that lost the race for head is checked line by line on what won, each line after those
  * before it: limits, room and attempts hold whatever came in between. */
-static void checked_again_after_a_lost_race(void **st) {
-  (void)st;
-  struct tmx_operation_check c;
+static void checked_again_after_a_lost_race(void **state) {
+  (void)state;
+  struct tmx_operation_check check;
   rep.loaded = true;
   put_job(1, 0);
   put_machine(2);
   tmx_machine_find(&rep, "n-1")->size_cpus = 4;
   tmx_machine_find(&rep, "n-1")->size_mem_gb = 16;
   set.teams[0].cpus_max = 100;
-  struct tmx_operation p0 = op(TMX_OPERATION_PLACE, 0, 1, "n-1", 0),
-                       p1 = op(TMX_OPERATION_PLACE, 1, 1, "n-1", 0),
-                       p2 = op(TMX_OPERATION_PLACE, 2, 1, "n-1", 0),
-                       e0 = op(TMX_OPERATION_END, 0, 1, "", 'l');
-  tmx_operation_check_begin(&c, &rep);
-  assert_true(tmx_operation_check_apply(&c, &p0));
-  assert_true(tmx_operation_check_apply(&c, &p1));
-  assert_false(tmx_operation_check_apply(&c, &p2)); /* the machine is full with those two */
-  put_batch("1", 3, "p wk-1/0 1 n-1");              /* another came first with the same task */
-  tmx_operation_check_begin(&c, &rep);
-  assert_false(tmx_operation_check_apply(&c, &p0));
-  assert_true(tmx_operation_check_apply(&c, &p1));
-  assert_false(tmx_operation_check_apply(&c, &p2));
-  tmx_operation_check_begin(&c, &rep);
-  assert_true(tmx_operation_check_apply(&c, &e0)); /* an end in the same batch makes room */
-  assert_true(tmx_operation_check_apply(&c, &p1));
-  assert_true(tmx_operation_check_apply(&c, &p2));
+  struct tmx_operation place_first = op(TMX_OPERATION_PLACE, 0, 1, "n-1", 0),
+                       place_second = op(TMX_OPERATION_PLACE, 1, 1, "n-1", 0),
+                       place_third = op(TMX_OPERATION_PLACE, 2, 1, "n-1", 0),
+                       end_of_first = op(TMX_OPERATION_END, 0, 1, "", 'l');
+  tmx_operation_check_begin(&check, &rep);
+  assert_true(tmx_operation_check_apply(&check, &place_first));
+  assert_true(tmx_operation_check_apply(&check, &place_second));
   assert_false(
-      tmx_operation_check_apply(&c, &p0)); /* but that task's next attempt is not this one */
+      tmx_operation_check_apply(&check, &place_third)); /* the machine is full with those two */
+  put_batch("1", 3, "p wk-1/0 1 n-1");                  /* another came first with the same task */
+  tmx_operation_check_begin(&check, &rep);
+  assert_false(tmx_operation_check_apply(&check, &place_first));
+  assert_true(tmx_operation_check_apply(&check, &place_second));
+  assert_false(tmx_operation_check_apply(&check, &place_third));
+  tmx_operation_check_begin(&check, &rep);
+  assert_true(
+      tmx_operation_check_apply(&check, &end_of_first)); /* an end in the same batch makes room */
+  assert_true(tmx_operation_check_apply(&check, &place_second));
+  assert_true(tmx_operation_check_apply(&check, &place_third));
+  assert_false(tmx_operation_check_apply(
+      &check, &place_first)); /* but that task's next attempt is not this one */
   set.teams[0].cpus_max = 4;
-  tmx_operation_check_begin(&c, &rep);
-  assert_true(tmx_operation_check_apply(&c, &p1));
+  tmx_operation_check_begin(&check, &rep);
+  assert_true(tmx_operation_check_apply(&check, &place_second));
   tmx_machine_find(&rep, "n-1")->size_cpus = 64;
-  assert_false(tmx_operation_check_apply(&c, &p2)); /* its team's limit */
+  assert_false(tmx_operation_check_apply(&check, &place_third)); /* its team's limit */
   put_batch("2", 4, "d n-1 1");
-  tmx_operation_check_begin(&c, &rep);
-  assert_false(tmx_operation_check_apply(&c, &p1)); /* the machine is to be returned */
+  tmx_operation_check_begin(&check, &rep);
+  assert_false(
+      tmx_operation_check_apply(&check, &place_second)); /* the machine is to be returned */
   put_batch("3", 5, "d n-1 0");
   put_job(6, TMX_JOB_CANCELLED);
-  tmx_operation_check_begin(&c, &rep);
-  assert_false(tmx_operation_check_apply(&c, &p1));
+  tmx_operation_check_begin(&check, &rep);
+  assert_false(tmx_operation_check_apply(&check, &place_second));
 }
 
-static void put_view(uint64_t version, size_t n, const char *taken_by) {
-  struct tmx_owner_override e;
-  struct tmx_view view = {.term = version, .n_members = n};
+static void put_view(uint64_t version, size_t count, const char *taken_by) {
+  struct tmx_owner_override override;
+  struct tmx_view view = {.term = version, .n_members = count};
   struct tmx_buffer buffer = {0};
-  for (size_t i = 0; i < n; i++) {
+  for (size_t i = 0; i < count; i++) {
     snprintf(view.members[i].name, TMX_NAME_MAX, "hand-%zu", i);
     view.members[i].incarnation = i + 1;
   }
   if (taken_by) {
-    strcpy(e.machine, "n-7");
-    strcpy(e.node, taken_by);
-    view.overrides = &e;
+    strcpy(override.machine, "n-7");
+    strcpy(override.node, taken_by);
+    view.overrides = &override;
     view.n_overrides = 1;
   }
   tmx_view_encode(&buffer, &view);
   put(TMX_KEY_VIEW, version, &buffer);
 }
 
-static void ownership(void **st) {
-  (void)st;
+static void ownership(void **state) {
+  (void)state;
   char before[64][8], id[16];
-  int moved = 0, of[3] = {0};
+  int moved = 0, owned[3] = {0};
   assert_null(tmx_machine_owner(&rep, "n-1"));
   put_view(1, 3, NULL);
   for (int i = 0; i < 64; i++) {
     snprintf(id, sizeof id, "n-%06d", i);
     snprintf(before[i], sizeof before[i], "%s", tmx_machine_owner(&rep, id));
-    of[before[i][5] - '0']++;
+    owned[before[i][5] - '0']++;
   }
-  for (int i = 0; i < 3; i++) assert_true(of[i] > 8); /* about a third each */
-  put_view(2, 2, NULL);                               /* hand-2 left: only its machines move */
+  for (int i = 0; i < 3; i++) assert_true(owned[i] > 8); /* about a third each */
+  put_view(2, 2, NULL);                                  /* hand-2 left: only its machines move */
   for (int i = 0; i < 64; i++) {
     snprintf(id, sizeof id, "n-%06d", i);
     bool same = !strcmp(before[i], tmx_machine_owner(&rep, id));
     assert_true(same || !strcmp(before[i], "hand-2"));
     moved += !same;
   }
-  assert_int_equal(moved, of[2]);
+  assert_int_equal(moved, owned[2]);
   put_view(3, 2, "hand-0");
   assert_string_equal(tmx_machine_owner(&rep, "n-7"), "hand-0");
   put_view(4, 2, "hand-2"); /* an exception for one that left does not count */
   assert_string_not_equal(tmx_machine_owner(&rep, "n-7"), "hand-2");
 }
 
-static void op_lines(void **st) {
-  (void)st;
-  struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 99999, .attempt = 7}, p;
-  char s[128];
+static void op_lines(void **state) {
+  (void)state;
+  struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 99999, .attempt = 7},
+                       parsed;
+  char line[128];
   strcpy(operation.job, "wk-000412");
   strcpy(operation.machine, "n-000231");
-  tmx_operation_print(s, sizeof s, &operation);
-  assert_true(tmx_operation_parse(s, &p));
-  assert_string_equal(p.machine, "n-000231");
-  assert_int_equal(p.task, 99999);
-  assert_false(tmx_operation_parse("p wk-1 1 n-1", &p));
-  assert_false(tmx_operation_parse("x wk-1/0 1 n-1", &p));
-  assert_false(tmx_operation_parse("p wk-1/0", &p));
+  tmx_operation_print(line, sizeof line, &operation);
+  assert_true(tmx_operation_parse(line, &parsed));
+  assert_string_equal(parsed.machine, "n-000231");
+  assert_int_equal(parsed.task, 99999);
+  assert_false(tmx_operation_parse("p wk-1 1 n-1", &parsed));
+  assert_false(tmx_operation_parse("x wk-1/0 1 n-1", &parsed));
+  assert_false(tmx_operation_parse("p wk-1/0", &parsed));
 }
 
 int main(void) {
--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -15,8 +15,8 @@
 static struct tmx_settings settings;
 static struct tmx_replica replica;
 
-static int setup(void **st) {
-  (void)st;
+static int setup(void **state) {
+  (void)state;
   memset(&settings, 0, sizeof settings);
   strcpy(settings.zones[0], "a");
   strcpy(settings.zones[1], "b");
@@ -28,8 +28,8 @@
   tmx_replica_init(&replica, &settings);
   return 0;
 }
-static int teardown(void **st) {
-  (void)st;
+static int teardown(void **state) {
+  (void)state;
   tmx_replica_clear(&replica);
   return 0;
 }
@@ -40,36 +40,37 @@
 #define ENDED 1500000060.5
 
 static struct tmx_job_spec plain_job(void) {
-  struct tmx_job_spec s = {.tasks = 3, .cpus = 1, .mem_gb = 2, .estimate_s = 10, .deadline_s = -1};
-  strcpy(s.class, "train");
-  strcpy(s.team, "vision");
-  strcpy(s.image, "img-07");
-  return s;
+  struct tmx_job_spec spec = {
+      .tasks = 3, .cpus = 1, .mem_gb = 2, .estimate_s = 10, .deadline_s = -1};
+  strcpy(spec.class, "train");
+  strcpy(spec.team, "vision");
+  strcpy(spec.image, "img-07");
+  return spec;
 }
 
 static struct tmx_job_spec full_job(void) {
-  struct tmx_job_spec s = {.service = true,
-                           .same_zone = true,
-                           .spread = true,
-                           .spot_allowed = true,
-                           .priority = TMX_PRIORITY_PROD,
-                           .tasks = 100000,
-                           .cpus = 0.5,
-                           .gpus = 8,
-                           .mem_gb = 65536,
-                           .image_gb = 6.25,
-                           .estimate_s = 86400,
-                           .checkpoint_s = 30,
-                           .checkpoint_save_s = 4.5,
-                           .deadline_s = 900};
-  strcpy(s.class, "serve");
-  strcpy(s.team, "vision");
-  strcpy(s.image, "img-08");
-  strcpy(s.zone, "b");
-  strcpy(s.types[0], "g8");
-  strcpy(s.types[1], "big");
-  s.n_types = 2;
-  return s;
+  struct tmx_job_spec spec = {.service = true,
+                              .same_zone = true,
+                              .spread = true,
+                              .spot_allowed = true,
+                              .priority = TMX_PRIORITY_PROD,
+                              .tasks = 100000,
+                              .cpus = 0.5,
+                              .gpus = 8,
+                              .mem_gb = 65536,
+                              .image_gb = 6.25,
+                              .estimate_s = 86400,
+                              .checkpoint_s = 30,
+                              .checkpoint_save_s = 4.5,
+                              .deadline_s = 900};
+  strcpy(spec.class, "serve");
+  strcpy(spec.team, "vision");
+  strcpy(spec.image, "img-08");
+  strcpy(spec.zone, "b");
+  strcpy(spec.types[0], "g8");
+  strcpy(spec.types[1], "big");
+  spec.n_types = 2;
+  return spec;
 }
 
 static void assert_same_spec(const struct tmx_job_spec *a, const struct tmx_job_spec *b) {
@@ -105,11 +106,12 @@
 }
 
 /* Records what was encoded and decodes it; the awaited ids go to `awaits`. */
-static struct tmx_job_record read_record(struct recording *r, const struct tmx_buffer *b,
-                                         char *awaits, size_t cap) {
+static struct tmx_job_record read_record(struct recording *recording,
+                                         const struct tmx_buffer *buffer, char *awaits,
+                                         size_t cap) {
   struct tmx_job_record out;
-  cbor_item_t *value = tmx_cbor_parse(b->data, b->length);
-  record_cbor(r, "", b->data, b->length);
+  cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
+  record_cbor(recording, "", buffer->data, buffer->length);
   assert_non_null(value);
   assert_true(tmx_job_decode(value, &out));
   awaits[0] = 0;
@@ -119,267 +121,270 @@
   return out;
 }
 
-static void record_open(struct recording *r, const char *title, const char *id,
-                        const struct tmx_job_spec *s) {
-  struct tmx_buffer b = {0};
+static void record_open(struct recording *recording, const char *title, const char *id,
+                        const struct tmx_job_spec *spec) {
+  struct tmx_buffer buffer = {0};
   char awaits[8];
-  record_line(r, "== %s", title);
-  tmx_job_encode(&b, id, s, SUBMITTED, TMX_JOB_OPEN);
-  struct tmx_job_record back = read_record(r, &b, awaits, sizeof awaits);
+  record_line(recording, "== %s", title);
+  tmx_job_encode(&buffer, id, spec, SUBMITTED, TMX_JOB_OPEN);
+  struct tmx_job_record back = read_record(recording, &buffer, awaits, sizeof awaits);
   assert_string_equal(back.id, id);
-  assert_same_spec(&back.spec, s);
+  assert_same_spec(&back.spec, spec);
   assert_true(back.submitted_at == SUBMITTED);
   assert_int_equal(back.outcome, TMX_JOB_OPEN);
   assert_int_equal(back.n_awaits, 0);
-  tmx_buffer_free(&b);
+  tmx_buffer_free(&buffer);
 }
 
-static void open_jobs(void **st) {
-  (void)st;
-  struct recording r = {0};
+static void open_jobs(void **state) {
+  (void)state;
+  struct recording recording = {0};
   struct tmx_job_spec plain = plain_job(), full = full_job();
-  record_open(&r, "an open job", "wk-000001", &plain);
-  record_open(&r, "an open job with every field in use", "wk-000002", &full);
+  record_open(&recording, "an open job", "wk-000001", &plain);
+  record_open(&recording, "an open job with every field in use", "wk-000002", &full);
   static const char *const priorities[] = {"idle", "normal", "high", "prod"};
   for (int i = 0; i < 4; i++) {
     plain.priority = i;
-    record_open(&r, priorities[i], "wk-000003", &plain);
+    record_open(&recording, priorities[i], "wk-000003", &plain);
   }
   static const char *const flags[] = {"a service", "all tasks in one zone", "spread over zones",
                                       "spot machines allowed"};
   for (int i = 0; i < 4; i++) { /* one flag each: which bit it is */
     plain = plain_job();
     *(bool *[]){&plain.service, &plain.same_zone, &plain.spread, &plain.spot_allowed}[i] = true;
-    record_open(&r, flags[i], "wk-000004", &plain);
+    record_open(&recording, flags[i], "wk-000004", &plain);
   }
-  recording_check(&r, "storage-open-jobs.txt");
+  recording_check(&recording, "storage-open-jobs.txt");
 }
 
-static void make_awaits(struct tmx_job_ids *a, uint32_t n) {
-  a->count = n;
-  a->ids = calloc(n, sizeof *a->ids);
-  assert_non_null(a->ids);
-  for (uint32_t i = 0; i < n; i++) snprintf(a->ids[i], TMX_ID_MAX, "wk-%06u", i + 10);
+static void make_awaits(struct tmx_job_ids *ids, uint32_t count) {
+  ids->count = count;
+  ids->ids = calloc(count, sizeof *ids->ids);
+  assert_non_null(ids->ids);
+  for (uint32_t i = 0; i < count; i++) snprintf(ids->ids[i], TMX_ID_MAX, "wk-%06u", i + 10);
 }
 
-static void record_awaiting(struct recording *r, const char *title, uint32_t n, size_t room) {
-  struct tmx_job_spec s = plain_job();
-  struct tmx_job_ids a;
-  struct tmx_buffer b = {0};
+static void record_awaiting(struct recording *recording, const char *title, uint32_t count,
+                            size_t room) {
+  struct tmx_job_spec spec = plain_job();
+  struct tmx_job_ids ids;
+  struct tmx_buffer buffer = {0};
   char text[1024], line[64];
-  make_awaits(&a, n);
-  record_line(r, "== %s", title);
-  uint32_t at = tmx_job_encode_open(&b, "wk-000005", &s, SUBMITTED, &a, room);
-  struct tmx_job_record back = read_record(r, &b, text, sizeof text);
-  assert_same_spec(&back.spec, &s);
-  assert_int_equal(back.n_awaits, n);
+  make_awaits(&ids, count);
+  record_line(recording, "== %s", title);
+  uint32_t written = tmx_job_encode_open(&buffer, "wk-000005", &spec, SUBMITTED, &ids, room);
+  struct tmx_job_record back = read_record(recording, &buffer, text, sizeof text);
+  assert_same_spec(&back.spec, &spec);
+  assert_int_equal(back.n_awaits, count);
   assert_true(back.ended_at == 0);
-  while (at < n) {
-    tmx_dependency_line_print(line, sizeof line, "wk-000005", &a, &at);
-    record_line(r, "%s", line);
+  while (written < count) {
+    tmx_dependency_line_print(line, sizeof line, "wk-000005", &ids, &written);
+    record_line(recording, "%s", line);
   }
-  tmx_job_ids_free(&a);
-  tmx_buffer_free(&b);
+  tmx_job_ids_free(&ids);
+  tmx_buffer_free(&buffer);
 }
 
-static void jobs_that_await_others(void **st) {
-  (void)st;
-  struct recording r = {0};
-  record_awaiting(&r, "a job that awaits others", 3, 1000);
-  record_awaiting(&r, "... with room for some of them, the rest in lines", 20, 160);
-  recording_check(&r, "storage-awaiting-jobs.txt");
+static void jobs_that_await_others(void **state) {
+  (void)state;
+  struct recording recording = {0};
+  record_awaiting(&recording, "a job that awaits others", 3, 1000);
+  record_awaiting(&recording, "... with room for some of them, the rest in lines", 20, 160);
+  recording_check(&recording, "storage-awaiting-jobs.txt");
 }
 
-static void jobs_with_many_types(void **st) {
-  (void)st;
-  struct recording r = {0};
-  struct tmx_job_spec s = plain_job();
+static void jobs_with_many_types(void **state) {
+  (void)state;
+  struct recording recording = {0};
+  struct tmx_job_spec spec = plain_job();
   struct tmx_job_ids none = {0}, one;
-  struct tmx_buffer b = {0};
+  struct tmx_buffer buffer = {0};
   char text[64], line[64];
-  for (; s.n_types < 12; s.n_types++)
-    snprintf(s.types[s.n_types], TMX_ID_MAX, "type %zu", s.n_types);
+  for (; spec.n_types < 12; spec.n_types++)
+    snprintf(spec.types[spec.n_types], TMX_ID_MAX, "type %zu", spec.n_types);
   make_awaits(&one, 1);
-  record_line(&r, "types in 200 bytes: %zu, beside awaited jobs: %zu, in none: %zu",
-              tmx_job_types_within("wk-000006", &s, SUBMITTED, &none, 200),
-              tmx_job_types_within("wk-000006", &s, SUBMITTED, &one, 200),
-              tmx_job_types_within("wk-000006", &s, SUBMITTED, &none, 1));
-  struct tmx_job_spec part = s;
-  part.n_types = tmx_job_types_within("wk-000006", &s, SUBMITTED, &none, 200);
-  tmx_job_encode_open(&b, "wk-000006", &part, SUBMITTED, &none, 200);
-  struct tmx_job_record back = read_record(&r, &b, text, sizeof text);
+  record_line(&recording, "types in 200 bytes: %zu, beside awaited jobs: %zu, in none: %zu",
+              tmx_job_types_within("wk-000006", &spec, SUBMITTED, &none, 200),
+              tmx_job_types_within("wk-000006", &spec, SUBMITTED, &one, 200),
+              tmx_job_types_within("wk-000006", &spec, SUBMITTED, &none, 1));
+  struct tmx_job_spec part = spec;
+  part.n_types = tmx_job_types_within("wk-000006", &spec, SUBMITTED, &none, 200);
+  tmx_job_encode_open(&buffer, "wk-000006", &part, SUBMITTED, &none, 200);
+  struct tmx_job_record back = read_record(&recording, &buffer, text, sizeof text);
   assert_same_spec(&back.spec, &part);
-  for (size_t i = part.n_types; i < s.n_types; i++) {
-    tmx_type_print(line, sizeof line, "wk-000006", s.types[i]);
-    record_line(&r, "%s", line);
+  for (size_t i = part.n_types; i < spec.n_types; i++) {
+    tmx_type_print(line, sizeof line, "wk-000006", spec.types[i]);
+    record_line(&recording, "%s", line);
   }
   tmx_job_ids_free(&one);
-  tmx_buffer_free(&b);
-  recording_check(&r, "storage-many-types.txt");
+  tmx_buffer_free(&buffer);
+  recording_check(&recording, "storage-many-types.txt");
 }
 
-static void record_final(struct recording *r, const char *title, int fin, double ended,
+static void record_final(struct recording *recording, const char *title, int fin, double ended,
                          size_t room) {
-  struct tmx_job j = {.spec = full_job(), .submitted_at = SUBMITTED};
-  struct tmx_buffer b = {0};
+  struct tmx_job job = {.spec = full_job(), .submitted_at = SUBMITTED};
+  struct tmx_buffer buffer = {0};
   char awaits[8];
-  strcpy(j.id, "wk-000007");
-  record_line(r, "== %s", title);
-  tmx_job_encode_final(&b, &j, fin, ended, room);
-  struct tmx_job_record back = read_record(r, &b, awaits, sizeof awaits);
-  assert_string_equal(back.id, j.id);
+  strcpy(job.id, "wk-000007");
+  record_line(recording, "== %s", title);
+  tmx_job_encode_final(&buffer, &job, fin, ended, room);
+  struct tmx_job_record back = read_record(recording, &buffer, awaits, sizeof awaits);
+  assert_string_equal(back.id, job.id);
   assert_int_equal(back.outcome, fin);
   assert_true(back.ended_at == ended);
   assert_string_equal(awaits, "");
   if (room < 100) {
-    j.spec.n_types = 0;
-    j.spec.class[0] = j.spec.image[0] = j.spec.zone[0] = 0;
+    job.spec.n_types = 0;
+    job.spec.class[0] = job.spec.image[0] = job.spec.zone[0] = 0;
   }
-  assert_same_spec(&back.spec, &j.spec);
-  tmx_buffer_free(&b);
+  assert_same_spec(&back.spec, &job.spec);
+  tmx_buffer_free(&buffer);
 }
 
-static void final_jobs(void **st) {
-  (void)st;
-  struct recording r = {0};
-  record_final(&r, "a job that is done", TMX_JOB_DONE, 0, 1000);
-  record_final(&r, "... with the time of its end", TMX_JOB_DONE, ENDED, 1000);
-  record_final(&r, "a cancelled job", TMX_JOB_CANCELLED, 0, 1000);
-  record_final(&r, "a job that is done, cut down", TMX_JOB_DONE, 0, 99);
-  record_final(&r, "... with the time of its end", TMX_JOB_DONE, ENDED, 99);
-  record_final(&r, "a cancelled job, cut down", TMX_JOB_CANCELLED, 0, 99);
-  recording_check(&r, "storage-final-jobs.txt");
+static void final_jobs(void **state) {
+  (void)state;
+  struct recording recording = {0};
+  record_final(&recording, "a job that is done", TMX_JOB_DONE, 0, 1000);
+  record_final(&recording, "... with the time of its end", TMX_JOB_DONE, ENDED, 1000);
+  record_final(&recording, "a cancelled job", TMX_JOB_CANCELLED, 0, 1000);
+  record_final(&recording, "a job that is done, cut down", TMX_JOB_DONE, 0, 99);
+  record_final(&recording, "... with the time of its end", TMX_JOB_DONE, ENDED, 99);
+  record_final(&recording, "a cancelled job, cut down", TMX_JOB_CANCELLED, 0, 99);
+  recording_check(&recording, "storage-final-jobs.txt");
 }
 
 /* ------------------------------------------------------------ lines */
 
-static struct tmx_operation operation(char letter, uint32_t task, char how) {
-  struct tmx_operation o = {.kind = letter, .task = task, .attempt = 2, .reason = how};
-  strcpy(o.job, "wk-000008");
-  if (letter == 'p') snprintf(o.machine, sizeof o.machine, "n-%06u", task + 1);
-  return o;
+static struct tmx_operation make_operation(char letter, uint32_t task, char how) {
+  struct tmx_operation operation = {.kind = letter, .task = task, .attempt = 2, .reason = how};
+  strcpy(operation.job, "wk-000008");
+  if (letter == 'p') snprintf(operation.machine, sizeof operation.machine, "n-%06u", task + 1);
+  return operation;
 }
 
-static void assert_same_op(const struct tmx_operation *a, const struct tmx_operation *b) {
-  assert_int_equal(a->kind, b->kind);
-  assert_string_equal(a->job, b->job);
-  assert_int_equal(a->task, b->task);
-  assert_int_equal(a->attempt, b->attempt);
-  assert_string_equal(a->machine, b->machine);
-  assert_int_equal(a->reason, b->reason);
+static void assert_same_op(const struct tmx_operation *expected,
+                           const struct tmx_operation *actual) {
+  assert_int_equal(expected->kind, actual->kind);
+  assert_string_equal(expected->job, actual->job);
+  assert_int_equal(expected->task, actual->task);
+  assert_int_equal(expected->attempt, actual->attempt);
+  assert_string_equal(expected->machine, actual->machine);
+  assert_int_equal(expected->reason, actual->reason);
 }
 
-static void record_operation(struct recording *r, char letter, char how) {
-  struct tmx_operation o = operation(letter, 12, how), back;
+static void record_operation(struct recording *recording, char letter, char how) {
+  struct tmx_operation operation = make_operation(letter, 12, how), back;
   char line[TMX_LINE_MAX];
-  int length = tmx_operation_print(line, sizeof line, &o);
+  int length = tmx_operation_print(line, sizeof line, &operation);
   assert_int_equal(length, strlen(line));
-  record_line(r, "%s", line);
+  record_line(recording, "%s", line);
   assert_true(tmx_operation_parse(line, &back));
-  assert_same_op(&back, &o);
+  assert_same_op(&back, &operation);
 }
 
 struct expected_group {
   const struct tmx_operation *ops;
   size_t n;
 };
-static void next_of_group(void *arg, const struct tmx_operation *o) {
-  struct expected_group *g = arg;
-  assert_same_op(o, &g->ops[g->n++]);
+static void next_of_group(void *arg, const struct tmx_operation *operation) {
+  struct expected_group *group = arg;
+  assert_same_op(operation, &group->ops[group->n++]);
 }
 
-static void record_group(struct recording *r, char letter, char how) {
+static void record_group(struct recording *recording, char letter, char how) {
   struct tmx_operation ops[3];
   char line[TMX_LINE_MAX];
   size_t used = 0;
   for (uint32_t i = 0; i < 3; i++) {
-    ops[i] = operation(letter, i * 7, how);
+    ops[i] = make_operation(letter, i * 7, how);
     assert_true(tmx_operation_same_group(&ops[0], &ops[i]));
     if (!i) used += (size_t)tmx_operation_group_head_print(line, sizeof line, &ops[0]);
     used += (size_t)tmx_operation_group_item_print(line + used, sizeof line - used, &ops[i]);
   }
-  record_line(r, "%s", line);
-  struct expected_group g = {.ops = ops};
-  tmx_log_line_each_operation(line, next_of_group, &g);
-  assert_int_equal(g.n, 3);
+  record_line(recording, "%s", line);
+  struct expected_group group = {.ops = ops};
+  tmx_log_line_each_operation(line, next_of_group, &group);
+  assert_int_equal(group.n, 3);
 }
 
 /* Literal letters: these constants are part of the format. */
-static void lines_of_operations(void **st) {
-  (void)st;
-  struct recording r = {0};
-  record_operation(&r, 'p', 0);
-  record_operation(&r, 's', '1');
-  record_operation(&r, 's', '2');
-  for (const char *how = "dserl"; *how; how++) record_operation(&r, 'e', *how);
-  record_group(&r, 'p', 0);
-  for (const char *how = "dserl"; *how; how++) record_group(&r, 'e', *how);
-  record_line(&r, "ends: %c %c %c %c %c", TMX_END_DONE, TMX_END_STOPPED, TMX_END_ERROR,
+static void lines_of_operations(void **state) {
+  (void)state;
+  struct recording recording = {0};
+  record_operation(&recording, 'p', 0);
+  record_operation(&recording, 's', '1');
+  record_operation(&recording, 's', '2');
+  for (const char *how = "dserl"; *how; how++) record_operation(&recording, 'e', *how);
+  record_group(&recording, 'p', 0);
+  for (const char *how = "dserl"; *how; how++) record_group(&recording, 'e', *how);
+  record_line(&recording, "ends: %c %c %c %c %c", TMX_END_DONE, TMX_END_STOPPED, TMX_END_ERROR,
               TMX_END_REFUSED, TMX_END_LOST);
-  record_line(&r, "lines: %c %c %c %c %c %c %c %c %c %c %c", TMX_OPERATION_PLACE,
+  record_line(&recording, "lines: %c %c %c %c %c %c %c %c %c %c %c", TMX_OPERATION_PLACE,
               TMX_OPERATION_STOP, TMX_OPERATION_END, TMX_OPERATION_GROUP_PLACE,
               TMX_OPERATION_GROUP_END, TMX_LINE_MACHINE, TMX_LINE_MACHINE_DRAINING,
               TMX_LINE_MACHINE_REMOVED, TMX_LINE_TASK_RUN, TMX_LINE_TYPE, TMX_LINE_DEPENDENCIES);
-  recording_check(&r, "storage-operations.txt");
+  recording_check(&recording, "storage-operations.txt");
 }
 
 /* ------------------------------------------------------------ values */
 
-static void apply(const char *key, uint64_t version, const struct tmx_buffer *b) {
-  cbor_item_t *value = tmx_cbor_parse(b->data, b->length);
+static void apply(const char *key, uint64_t version, const struct tmx_buffer *buffer) {
+  cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
   assert_non_null(value);
   tmx_replica_apply(&replica, key, version, value);
   tmx_cbor_free(value);
 }
 
-static void encode_lines(struct tmx_buffer *value, const char *const *lines, size_t n,
+static void encode_lines(struct tmx_buffer *value, const char *const *lines, size_t count,
                          const struct tmx_buffer *jobs, size_t n_jobs) {
   struct tmx_buffer list = {0};
-  for (size_t i = 0; i < n; i++) tmx_cbor_put_text(&list, lines[i]);
-  tmx_log_value_encode(value, jobs, n_jobs, &list, n);
+  for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, lines[i]);
+  tmx_log_value_encode(value, jobs, n_jobs, &list, count);
   tmx_buffer_free(&list);
 }
 
 /* What pages would hold of the replica as it stands. */
-static void record_replica(struct recording *r) {
+static void record_replica(struct recording *recording) {
   char line[TMX_LINE_MAX];
-  struct tmx_machine *m, *mt;
-  struct tmx_job *j, *jt;
-  HASH_ITER(hh, replica.machines, m, mt) {
-    tmx_machine_print(line, sizeof line, &replica, m);
-    record_line(r, "%s", line);
+  struct tmx_machine *machine, *next_machine;
+  struct tmx_job *job, *next_job;
+  HASH_ITER(hh, replica.machines, machine, next_machine) {
+    tmx_machine_print(line, sizeof line, &replica, machine);
+    record_line(recording, "%s", line);
   }
-  HASH_ITER(hh, replica.jobs, j, jt) {
-    record_line(r, "%s state %d types %zu done %u placed %u", j->id, j->outcome, j->spec.n_types,
-                j->n_done, j->n_placed);
-    for (uint32_t at = 0; j->dependencies.named.count && at < j->dependencies.named.count;) {
-      tmx_dependency_line_print(line, sizeof line, j->id, &j->dependencies.named, &at);
-      record_line(r, "%s", line);
+  HASH_ITER(hh, replica.jobs, job, next_job) {
+    record_line(recording, "%s state %d types %zu done %u placed %u", job->id, job->outcome,
+                job->spec.n_types, job->n_done, job->n_placed);
+    for (uint32_t index = 0;
+         job->dependencies.named.count && index < job->dependencies.named.count;) {
+      tmx_dependency_line_print(line, sizeof line, job->id, &job->dependencies.named, &index);
+      record_line(recording, "%s", line);
     }
-    for (uint32_t at = 0; j->tasks && at < j->spec.tasks;) {
+    for (uint32_t index = 0; job->tasks && index < job->spec.tasks;) {
       int length;
-      at += tmx_task_run_print(line, sizeof line, j, at, &length);
-      if (length) record_line(r, "%s", line);
+      index += tmx_task_run_print(line, sizeof line, job, index, &length);
+      if (length) record_line(recording, "%s", line);
     }
   }
 }
 
 static size_t encode_two_jobs(struct tmx_buffer *jobs) {
-  struct tmx_job_spec s = plain_job();
-  struct tmx_job_ids a;
-  s.tasks = 10;
-  strcpy(s.types[s.n_types++], "g8");
-  tmx_job_encode(jobs, "wk-000008", &s, SUBMITTED, TMX_JOB_OPEN);
-  make_awaits(&a, 1);
-  strcpy(a.ids[0], "wk-000008");
-  s.tasks = 1;
-  tmx_job_encode_open(jobs, "wk-000009", &s, SUBMITTED, &a, 0); /* the id follows in a line */
-  tmx_job_ids_free(&a);
+  struct tmx_job_spec spec = plain_job();
+  struct tmx_job_ids ids;
+  spec.tasks = 10;
+  strcpy(spec.types[spec.n_types++], "g8");
+  tmx_job_encode(jobs, "wk-000008", &spec, SUBMITTED, TMX_JOB_OPEN);
+  make_awaits(&ids, 1);
+  strcpy(ids.ids[0], "wk-000008");
+  spec.tasks = 1;
+  tmx_job_encode_open(jobs, "wk-000009", &spec, SUBMITTED, &ids, 0); /* the id follows in a line */
+  tmx_job_ids_free(&ids);
   return 2;
 }
 
-static void batches_and_pages(void **st) {
-  (void)st;
+static void batches_and_pages(void **state) {
+  (void)state;
   static const char *const batch[] = {"w wk-000009 0 000008",
                                       "y wk-000008 big machine",
                                       "m n-000001 10.1.0.1:9000 g8 a 0 0",
@@ -396,17 +401,17 @@
   static const char *const page[] = {"m n-000004 10.1.0.4:9000 g8 a 0 0", "t wk-000008/5 2 3 d -",
                                      "t wk-000008/7 1 2 w -", "t wk-000008/8 1 4 p n-000004",
                                      "t wk-000008/9 1 5 2 n-000004"};
-  struct recording r = {0};
+  struct recording recording = {0};
   struct tmx_buffer jobs = {0}, value = {0};
   size_t n_jobs = encode_two_jobs(&jobs);
   encode_lines(&value, batch, sizeof batch / sizeof *batch, &jobs, n_jobs);
-  record_line(&r, "== a batch");
-  record_cbor(&r, "", value.data, value.length);
+  record_line(&recording, "== a batch");
+  record_cbor(&recording, "", value.data, value.length);
   apply("t/batch/hand-0/000000", 10, &value);
   value.length = 0;
   encode_lines(&value, page, sizeof page / sizeof *page, &jobs, 0);
-  record_line(&r, "== a page");
-  record_cbor(&r, "", value.data, value.length);
+  record_line(&recording, "== a page");
+  record_cbor(&recording, "", value.data, value.length);
   struct tmx_buffer mark = {0};
   encode_json(&mark, "{\"mark\":9,\"gen\":10}");
   apply("t/fold", 12, &mark);
@@ -415,69 +420,70 @@
   tmx_buffer_free(&mark);
   value.length = 0;
   encode_lines(&value, NULL, 0, &jobs, n_jobs);
-  record_line(&r, "== a batch of jobs alone");
-  record_cbor(&r, "", value.data, value.length);
+  record_line(&recording, "== a batch of jobs alone");
+  record_cbor(&recording, "", value.data, value.length);
   tmx_replica_advance_to(&replica, 12);
-  record_line(&r, "== both, read back");
-  record_replica(&r);
+  record_line(&recording, "== both, read back");
+  record_replica(&recording);
   assert_true(tmx_machine_was_removed(&replica, "n-000003"));
   tmx_buffer_free(&jobs);
   tmx_buffer_free(&value);
-  recording_check(&r, "storage-values.txt");
+  recording_check(&recording, "storage-values.txt");
 }
 
-static void record_view(struct recording *r, const char *title, const struct tmx_view *v) {
-  struct tmx_buffer b = {0}, again = {0};
-  record_line(r, "== %s", title);
-  tmx_view_encode(&b, v);
-  record_cbor(r, "", b.data, b.length);
-  apply("t/view", 20, &b);
+static void record_view(struct recording *recording, const char *title,
+                        const struct tmx_view *view) {
+  struct tmx_buffer buffer = {0}, again = {0};
+  record_line(recording, "== %s", title);
+  tmx_view_encode(&buffer, view);
+  record_cbor(recording, "", buffer.data, buffer.length);
+  apply("t/view", 20, &buffer);
   assert_int_equal(replica.view.version, 20);
   tmx_view_encode(&again, &replica.view);
-  assert_int_equal(again.length, b.length);
-  assert_memory_equal(again.data, b.data, b.length);
-  tmx_buffer_free(&b);
+  assert_int_equal(again.length, buffer.length);
+  assert_memory_equal(again.data, buffer.data, buffer.length);
+  tmx_buffer_free(&buffer);
   tmx_buffer_free(&again);
 }
 
-static void views(void **st) {
-  (void)st;
-  struct recording r = {0};
-  struct tmx_owner_override e[3] = {{.machine = "n-000001", .node = "hand-1"},
-                                    {.machine = "n-000002", .node = "hand-0"},
-                                    {.machine = "n-000003", .node = "hand-1"}};
-  struct tmx_view v = {.term = 7, .n_members = 2};
-  strcpy(v.members[0].name, "hand-0");
-  strcpy(v.members[1].name, "hand-1");
-  v.members[0].incarnation = 3;
-  v.members[1].incarnation = 70000;
-  record_view(&r, "a view", &v);
-  v.zones_partitioned = true;
-  record_view(&r, "... with each zone by itself", &v);
-  v.zones_partitioned = false;
-  v.overrides = e;
-  v.n_overrides = 2;
-  record_view(&r, "... with exceptions", &v);
-  v.n_overrides = 3; /* by node: the third one stands beside the first */
-  struct tmx_buffer b = {0};
-  tmx_view_encode(&b, &v);
-  record_line(&r, "== ... of which two are one node's");
-  record_cbor(&r, "", b.data, b.length);
-  apply("t/view", 21, &b);
+static void views(void **state) {
+  (void)state;
+  struct recording recording = {0};
+  struct tmx_owner_override overrides[3] = {{.machine = "n-000001", .node = "hand-1"},
+                                            {.machine = "n-000002", .node = "hand-0"},
+                                            {.machine = "n-000003", .node = "hand-1"}};
+  struct tmx_view view = {.term = 7, .n_members = 2};
+  strcpy(view.members[0].name, "hand-0");
+  strcpy(view.members[1].name, "hand-1");
+  view.members[0].incarnation = 3;
+  view.members[1].incarnation = 70000;
+  record_view(&recording, "a view", &view);
+  view.zones_partitioned = true;
+  record_view(&recording, "... with each zone by itself", &view);
+  view.zones_partitioned = false;
+  view.overrides = overrides;
+  view.n_overrides = 2;
+  record_view(&recording, "... with exceptions", &view);
+  view.n_overrides = 3; /* by node: the third one stands beside the first */
+  struct tmx_buffer buffer = {0};
+  tmx_view_encode(&buffer, &view);
+  record_line(&recording, "== ... of which two are one node's");
+  record_cbor(&recording, "", buffer.data, buffer.length);
+  apply("t/view", 21, &buffer);
   assert_string_equal(tmx_machine_owner(&replica, "n-000003"), "hand-1");
   assert_string_equal(tmx_machine_owner(&replica, "n-000002"), "hand-0");
-  record_line(&r, "== owners without exceptions, by hash");
-  v.n_overrides = 0;
-  b.length = 0;
-  tmx_view_encode(&b, &v);
-  apply("t/view", 22, &b);
+  record_line(&recording, "== owners without exceptions, by hash");
+  view.n_overrides = 0;
+  buffer.length = 0;
+  tmx_view_encode(&buffer, &view);
+  apply("t/view", 22, &buffer);
   for (int i = 0; i < 16; i++) {
     char id[TMX_ID_MAX];
     snprintf(id, sizeof id, "n-%06d", i);
-    record_line(&r, "%s %s", id, tmx_machine_owner(&replica, id));
+    record_line(&recording, "%s %s", id, tmx_machine_owner(&replica, id));
   }
-  tmx_buffer_free(&b);
-  recording_check(&r, "storage-views.txt");
+  tmx_buffer_free(&buffer);
+  recording_check(&recording, "storage-views.txt");
 }
 
 int main(void) {
--- a/tests/test_task_lifecycle.c
+++ b/tests/test_task_lifecycle.c
@@ -4,8 +4,8 @@
 #include "tmx/wire.h"
 
 /* A whole life: logged first, started directly, done once committed, forgotten after that. */
-static void a_task_is_logged_started_completed_and_forgotten(void **st) {
-  (void)st;
+static void a_task_is_logged_started_completed_and_forgotten(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_true(run_loop_until(any_task_was_started, NULL));
@@ -26,8 +26,8 @@
 }
 
 /* After the result is committed the attempt is never started again, whatever a report lacks. */
-static void a_forgotten_attempt_is_not_started_again(void **st) {
-  (void)st;
+static void a_forgotten_attempt_is_not_started_again(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
@@ -44,8 +44,8 @@
 
 /* A command without an answer may run minutes later: a higher token goes out first, and until
  * the worker has seen it a missing attempt is not taken to be gone. */
-static void an_unanswered_command_raises_the_token(void **st) {
-  (void)st;
+static void an_unanswered_command_raises_the_token(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   uint64_t before = worker.response_token;
   worker.fails_commands = true;
@@ -69,8 +69,8 @@
 }
 
 /* An heir has nothing but the log: it starts what is placed and absent, with a higher token. */
-static void a_restart_between_log_and_start_starts_once(void **st) {
-  (void)st;
+static void a_restart_between_log_and_start_starts_once(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   uint64_t token = worker.token;
   worker.fails_commands = true;
@@ -91,8 +91,8 @@
 
 /* Restarts at the later steps: with a result in the log that was not reaped, with a task running,
  * and with a cancellation whose tasks still run. */
-static void a_restart_at_later_steps_repeats_nothing(void **st) {
-  (void)st;
+static void a_restart_at_later_steps_repeats_nothing(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t");
   for (int i = 0; i < 200 && worker.executed_starts < 2; i++) run_loop_for(0.02);
@@ -122,8 +122,8 @@
 
 /* A job's last end needs a put more than others. With few puts to spend it waits for them, and does
  * not hold up what comes after it. */
-static void last_completions_are_stored_with_few_writes(void **st) {
-  (void)st;
+static void last_completions_are_stored_with_few_writes(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 3, 2, "t"), 201);
