--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -11,26 +11,26 @@
 #include "tmx/wire.h"
 
 /* A controller whose copy lags gives no older answer, and no 404 for an accepted job. */
-static void a_lagging_controller_gives_no_older_answer(void **st) {
-  (void)st;
+static void a_lagging_controller_gives_no_older_answer(void **state) {
+  (void)state;
   fake_store.endpoints[1].freeze_watch = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
-  struct fake_answer p = poll_job(second_controller, "wk-000001");
-  assert_int_equal(p.status, 503);
+  struct fake_answer answer = poll_job(second_controller, "wk-000001");
+  assert_int_equal(answer.status, 503);
   fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
   assert_int_equal(poll_job(second_controller, "wk-000001").status, 200);
   fake_store.endpoints[1].freeze_watch = true;
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  p = poll_job(second_controller, "wk-000001");
-  assert_true(p.status == 503 || !strcmp(p.state, WV_CANCELLED));
+  answer = poll_job(second_controller, "wk-000001");
+  assert_true(answer.status == 503 || !strcmp(answer.state, WV_CANCELLED));
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_CANCELLED);
   assert_int_equal(poll_job(first_controller, "wk-999999").status, 404);
 }
 
 /* The same submission at two controllers at once, one of them behind: the job is taken once. */
-static void a_job_id_is_accepted_once_by_two_controllers(void **st) {
-  (void)st;
+static void a_job_id_is_accepted_once_by_two_controllers(void **state) {
+  (void)state;
   fake_store.endpoints[1].freeze_watch = true; /* b does not see what a accepts */
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
   assert_int_not_equal(submit_simple_job(second_controller, "wk-000001", "batch", 1, 2, "t"), 201);
@@ -41,15 +41,15 @@
 }
 
 /* A controller whose state is out of reach sends submissions and polls on at once. */
-static void requests_are_refused_at_once_without_the_store(void **st) {
-  (void)st;
+static void requests_are_refused_at_once_without_the_store(void **state) {
+  (void)state;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   fake_store.endpoints[0].refuse = true;
   run_loop_for(1.5);
-  double t = tmx_clock_steady();
+  double start = tmx_clock_steady();
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
   assert_int_equal(poll_job(first_controller, "wk-000001").status, 503);
-  assert_true(tmx_clock_steady() - t < 0.5);
+  assert_true(tmx_clock_steady() - start < 0.5);
   fake_store.endpoints[0].refuse = false;
   run_loop_for(1.0);
   assert_int_equal(poll_job(first_controller, "wk-000001").status, 200);
@@ -61,17 +61,17 @@
 };
 
 static void count_answer(void *arg, int status, const uint8_t *body, size_t len) {
-  struct count *n = arg;
+  struct count *count = arg;
   (void)body;
   (void)len;
-  n->answered += status == 200;
-  n->refused += status == 503;
+  count->answered += status == 200;
+  count->refused += status == 503;
 }
 
 /* When more polls come than can be answered, a job of which nobody was told for long goes before
  * one that was just answered for: none stays without an answer, however many ask for others. */
-static void polls_take_turns_under_overload(void **st) {
-  (void)st;
+static void polls_take_turns_under_overload(void **state) {
+  (void)state;
   struct count often = {0, 0}, late = {0, 0}, more = {0, 0};
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
@@ -102,8 +102,8 @@
   tmx_http_client_free(client);
 }
 
-static void submissions_are_validated(void **st) {
-  (void)st;
+static void submissions_are_validated(void **state) {
+  (void)state;
   struct tmx_buffer body = {0};
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 200);
@@ -156,8 +156,8 @@
   return status;
 }
 
-static void oversized_and_partial_requests_are_refused(void **st) {
-  (void)st;
+static void oversized_and_partial_requests_are_refused(void **state) {
+  (void)state;
   assert_int_equal(send_raw("this is not HTTP at all\r\n\r\n", 0), 400);
   assert_int_equal(send_raw("POST /v2/runs HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 2048),
                    413);
@@ -187,42 +187,42 @@
 
 /* Workers that went elsewhere leave connections open: when all are taken, the one that was unused
  * longest makes room for a newcomer, and none that was just used does. */
-static void idle_connections_are_closed_for_new_ones(void **st) {
-  (void)st;
+static void idle_connections_are_closed_for_new_ones(void **state) {
+  (void)state;
   struct tmx_http_server *server =
       tmx_http_server_new(test_loop, "127.0.0.1:0", 2, 60, answer_anything, NULL);
   char addr[32];
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(server));
-  struct tmx_http_client *c[3];
-  for (int i = 0; i < 3; i++) c[i] = tmx_http_client_new(test_loop, addr, 1);
-  assert_int_equal(request_once(c[0]), 200);
-  assert_int_equal(request_once(c[1]), 200);
-  assert_int_not_equal(request_once(c[2]), 200);
+  struct tmx_http_client *clients[3];
+  for (int i = 0; i < 3; i++) clients[i] = tmx_http_client_new(test_loop, addr, 1);
+  assert_int_equal(request_once(clients[0]), 200);
+  assert_int_equal(request_once(clients[1]), 200);
+  assert_int_not_equal(request_once(clients[2]), 200);
   run_loop_for(TMX_IDLE_LEAST_S + 0.1);
-  assert_int_equal(request_once(c[0]), 200); /* so the other one is the longest unused */
-  assert_int_equal(request_once(c[2]), 200);
-  assert_int_equal(request_once(c[0]), 200);
-  for (int i = 0; i < 3; i++) tmx_http_client_free(c[i]);
+  assert_int_equal(request_once(clients[0]), 200); /* so the other one is the longest unused */
+  assert_int_equal(request_once(clients[2]), 200);
+  assert_int_equal(request_once(clients[0]), 200);
+  for (int i = 0; i < 3; i++) tmx_http_client_free(clients[i]);
   tmx_http_server_free(server);
 }
 
 /* In the midst of trouble: nothing that lacks a field or cannot run is accepted, and what is known
  * is never refused for its body. */
-static void malformed_requests_get_400_in_an_outage(void **st) {
-  (void)st;
-  struct tmx_buffer ok = {0};
+static void malformed_requests_get_400_in_an_outage(void **state) {
+  (void)state;
+  struct tmx_buffer valid = {0};
   static const char *needed[] = {W_GPUS,  W_ONE_ZONE, W_SPREAD,   W_SPOT,  W_CPUS, W_MEM,
                                  W_IMAGE, W_TASKS,    W_ESTIMATE, W_CLASS, W_TEAM, W_PRIORITY};
-  encode_submission(&ok, "wk-000001", "batch", 1, 2, "t");
+  encode_submission(&valid, "wk-000001", "batch", 1, 2, "t");
   for (size_t i = 0; i < sizeof needed / sizeof *needed; i++) {
     struct tmx_buffer bad = {0};
     size_t len = strlen(needed[i]);
-    tmx_buffer_append(&bad, ok.data, ok.length);
-    uint8_t *at = memmem(bad.data + 1, bad.length - 1, needed[i], len);
-    while (at && at[-1] != 0x60 + len) /* the name itself, not a part of another */
-      at = memmem(at + 1, bad.length - (size_t)(at + 1 - bad.data), needed[i], len);
-    assert_non_null(at);
-    at[0] = 'X'; /* the field is missing now */
+    tmx_buffer_append(&bad, valid.data, valid.length);
+    uint8_t *field = memmem(bad.data + 1, bad.length - 1, needed[i], len);
+    while (field && field[-1] != 0x60 + len) /* the name itself, not a part of another */
+      field = memmem(field + 1, bad.length - (size_t)(field + 1 - bad.data), needed[i], len);
+    assert_non_null(field);
+    field[0] = 'X'; /* the field is missing now */
     assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &bad).status, 400);
     fake_store.endpoints[0].refuse = true;
     run_loop_for(0.4);
@@ -231,23 +231,23 @@
     run_loop_for(0.4);
     tmx_buffer_free(&bad);
   }
-  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &ok).status, 201);
-  tmx_buffer_free(&ok);
+  assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &valid).status, 201);
+  tmx_buffer_free(&valid);
   /* a body that is too large for a value, under a name that only another controller knows yet */
   struct tmx_buffer large = {0}, list = {0};
-  encode_submission(&ok, "wk-000001", "batch", 1, 2, "t");
+  encode_submission(&valid, "wk-000001", "batch", 1, 2, "t");
   tmx_cbor_put_map(&large, 18);
   tmx_cbor_put_text(&large, W_TYPES);
   tmx_cbor_put_list(&list, TMX_TYPES_MAX);
   for (int i = 0; i < TMX_TYPES_MAX; i++) tmx_cbor_put_text(&list, "big");
   tmx_buffer_append(&large, list.data, list.length);
-  tmx_buffer_append(&large, ok.data + 1, ok.length - 1);
+  tmx_buffer_append(&large, valid.data + 1, valid.length - 1);
   first_controller->settings.value_kb = 0.4;
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &large).status, 200);
   first_controller->settings.value_kb = 16;
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &large).status, 200);
-  tmx_buffer_free(&ok);
+  tmx_buffer_free(&valid);
   tmx_buffer_free(&large);
   tmx_buffer_free(&list);
 }
