--- a/tests/cluster/load.c
+++ b/tests/cluster/cluster_load.c
@@ -1,7 +1,7 @@
 /* A cluster on loopback without a bench, run by hand: real controllers, and scripted peers in this
  * process: a state service, a cloud, workers that run tasks, users that submit and ask. Prints what
- * each controller used and how each class fared. `load --help` lists the options; docs/results.md
- * and docs/admission.md have what was found with it. */
+ * each controller used and how each class fared. `cluster_load --help` lists the options;
+ * docs/results.md and docs/admission.md have what was found with it. */
 #include <gsl/gsl_rng.h>
 #include <popt.h>
 #include <stdio.h>
@@ -105,7 +105,7 @@
   for (size_t i = 0; i < n_troubles; i++) {
     char *rest;
     if (!troubles[i] || now - begun_at < strtod(troubles[i], &rest)) continue;
-    if (!nodes_trouble(rest)) fprintf(stderr, "load: unknown trouble: %s\n", rest);
+    if (!nodes_trouble(rest)) fprintf(stderr, "cluster_load: unknown failure: %s\n", rest);
     free(troubles[i]);
     troubles[i] = NULL;
   }
@@ -202,18 +202,19 @@
       {"surge", 0, POPT_ARG_DOUBLE, &surge, 0, "instead: this many times what can be served", "X"},
       {"seed", 0, POPT_ARG_INT, &seed, 0, "of the random numbers", "N"},
       {"operator-config", 'o', POPT_ARG_STRING, &operator_config, 0, "of the controllers", "FILE"},
-      {"history", 0, POPT_ARG_STRING, &history_path, 0, "what all did, for check_history", "FILE"},
+      {"history", 0, POPT_ARG_STRING, &history_path, 0, "what all did, for history_checker",
+       "FILE"},
       {"do", 0, POPT_ARG_STRING, &trouble, 'd',
        "seconds and trouble: '30 kill 0 5', '30 pause 1 10', '30 cut state 2 5' (refuse, delay; "
        "peers, users, workers)",
        "TEXT"},
       POPT_AUTOHELP POPT_TABLEEND};
-  poptContext options_context = poptGetContext("load", argc, argv, options, 0);
+  poptContext options_context = poptGetContext("cluster_load", argc, argv, options, 0);
   int result;
   while ((result = poptGetNextOpt(options_context)) == 'd' && n_troubles < TROUBLES_MAX)
     troubles[n_troubles++] = trouble;
   if (result != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
-    fprintf(stderr, "load: %s\n", result < -1 ? poptStrerror(result) : "out of range");
+    fprintf(stderr, "cluster_load: %s\n", result < -1 ? poptStrerror(result) : "out of range");
     exit(2);
   }
   poptFreeContext(options_context);
--- a/tests/cluster/check_history.c
+++ b/tests/cluster/history_checker.c
@@ -1,4 +1,5 @@
-/* check_history FILE: judges a history that the load program wrote; exit code 1 if a rule broke. */
+/* history_checker FILE: judges a history that the load program wrote; exit code 1 if a rule broke.
+ */
 #include <stdio.h>
 
 #include "cluster/history.h"
@@ -6,7 +7,7 @@
 int main(int argc, char **argv) {
   FILE *input = argc == 2 ? fopen(argv[1], "r") : NULL;
   if (!input) {
-    fprintf(stderr, "usage: check_history FILE\n");
+    fprintf(stderr, "usage: history_checker FILE\n");
     return 2;
   }
   struct history_findings findings = history_check(input, stdout);
--- a/tests/cluster/small_surge.sh
+++ b/tests/cluster/surge_with_failures.sh
@@ -1,10 +1,11 @@
 #!/bin/sh
-# small_surge.sh LOAD CHECK_HISTORY: a short surge at three controllers, and the verdict on its history.
+# surge_with_failures.sh CLUSTER_LOAD HISTORY_CHECKER: a short surge at three controllers with a kill, a
+# pause and links that fail, and the verdict on its history.
 set -eu
 folder=$(dirname "$0")
 history=$(mktemp)
 trap 'rm -f "$history"' EXIT
-"$1" --machines 6 --nodes 3 --seconds 20 --report 1 --surge 2 -o "$folder/surge.toml" \
+"$1" --machines 6 --nodes 3 --seconds 20 --report 1 --surge 2 -o "$folder/surge_operator.toml" \
   --history "$history" --do "8 kill 0 4" --do "10 pause 1 4" --do "12 delay peers 2 3" \
   --do "14 refuse state 2 2" --do "16 cut workers 0 2"
 "$2" "$history"
--- a/tests/test_depend.c
+++ b/tests/test_job_dependencies.c
@@ -1,5 +1,5 @@
 /* Dependencies between jobs, on the replica alone: what the log says of one job is derived for
- * those that await it, at once, after a load and after a fold. */
+ * those that await it, at once, after a load and after a compaction. */
 #include "test.h"
 
 #include <math.h>
@@ -12,33 +12,33 @@
 #include "replica/operation_check.h"
 #include "replica/replica.h"
 
-static struct tmx_settings set;
-static struct tmx_replica rep;
+static struct tmx_settings settings;
+static struct tmx_replica replica;
 static uint64_t revision;
 
 static int setup(void **state) {
   (void)state;
-  memset(&set, 0, sizeof set);
-  strcpy(set.zones[0], "a");
-  set.n_zones = 1;
-  strcpy(set.teams[0].name, "t");
-  set.n_teams = 1;
+  memset(&settings, 0, sizeof settings);
+  strcpy(settings.zones[0], "a");
+  settings.n_zones = 1;
+  strcpy(settings.teams[0].name, "t");
+  settings.n_teams = 1;
   revision = 0;
-  tmx_replica_init(&rep, &set);
-  rep.loaded = true;
+  tmx_replica_init(&replica, &settings);
+  replica.loaded = true;
   return 0;
 }
 
 static int teardown(void **state) {
   (void)state;
-  tmx_replica_clear(&rep);
+  tmx_replica_clear(&replica);
   return 0;
 }
 
 static void apply(const char *key, struct tmx_buffer *buffer) {
   cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
   assert_non_null(value);
-  tmx_replica_apply(&rep, key, ++revision, value);
+  tmx_replica_apply(&replica, key, ++revision, value);
   tmx_cbor_free(value);
   tmx_buffer_free(buffer);
 }
@@ -59,7 +59,7 @@
   return key;
 }
 
-/* A job that names the given ids, set apart by spaces. */
+/* A job that names the given ids, settings apart by spaces. */
 static void put_spec(const char *id, const struct tmx_job_spec *spec, double submitted,
                      const char *names) {
   struct tmx_job_ids awaits = {.ids = calloc(8, TMX_ID_MAX)};
@@ -78,7 +78,7 @@
 }
 
 static struct tmx_job *job(const char *id) {
-  struct tmx_job *job = tmx_job_find(&rep, id);
+  struct tmx_job *job = tmx_job_find(&replica, id);
   assert_non_null(job);
   return job;
 }
@@ -103,27 +103,27 @@
   snprintf(operation.job, sizeof operation.job, "%s", id);
   strcpy(operation.machine, "n-1");
   put_lines("m n-1 127.0.0.1:1 big a 0 0");
-  struct tmx_machine *machine = tmx_machine_find(&rep, "n-1");
+  struct tmx_machine *machine = tmx_machine_find(&replica, "n-1");
   machine->size_cpus = machine->size_mem_gb = 64;
-  tmx_operation_check_begin(&check, &rep);
+  tmx_operation_check_begin(&check, &replica);
   return tmx_operation_check_apply(&check, &operation);
 }
 
 /* too_early: no line that places a blocked job passes the check, whoever planned it. */
-static void blocked_until_all_are_done(void **state) {
+static void a_job_is_blocked_until_all_it_awaits_are_done(void **state) {
   (void)state;
   put("wk-a", "");
   put("wk-b", "");
   put("wk-c", "wk-a wk-b");
   assert_true(tmx_job_is_blocked(job("wk-c")));
-  assert_true(rep.waiting_cpus == 4); /* of a and b: c asks for nothing yet */
+  assert_true(replica.waiting_cpus == 4); /* of a and b: c asks for nothing yet */
   assert_false(placeable("wk-c"));
   end("wk-a", TMX_JOB_DONE, 150);
   assert_false(placeable("wk-c"));
   end("wk-b", TMX_JOB_DONE, 170);
   assert_false(tmx_job_is_blocked(job("wk-c")));
   assert_true(job("wk-c")->released_at == 170);
-  assert_true(rep.waiting_cpus == 2);
+  assert_true(replica.waiting_cpus == 2);
   assert_true(placeable("wk-c"));
 }
 
@@ -139,16 +139,16 @@
   for (const char **id = (const char *[]){"wk-b", "wk-c", "wk-e", NULL}; *id; id++)
     assert_int_equal(job(*id)->outcome, TMX_JOB_CANCELLED);
   assert_int_equal(job("wk-d")->outcome, TMX_JOB_OPEN);
-  assert_true(rep.waiting_cpus == 2);
-  assert_int_equal(rep.n_unstored_outcomes, 3);
+  assert_true(replica.waiting_cpus == 2);
+  assert_int_equal(replica.n_unstored_outcomes, 3);
   end("wk-b", TMX_JOB_CANCELLED, 0);
-  tmx_replica_prune_unstored(&rep);
-  assert_int_equal(rep.n_unstored_outcomes, 2);
+  tmx_replica_prune_unstored(&replica);
+  assert_int_equal(replica.n_unstored_outcomes, 2);
   end("wk-d", TMX_JOB_DONE, 160); /* comes too late for the others */
   assert_int_equal(job("wk-e")->outcome, TMX_JOB_CANCELLED);
 }
 
-static void names_a_cancelled_job(void **state) {
+static void a_job_that_awaits_a_cancelled_one_is_cancelled(void **state) {
   (void)state;
   put("wk-a", "");
   put("wk-b", "");
@@ -160,7 +160,7 @@
 }
 
 /* A cancellation at the last end: the job's key lets one of the two win, and all follow it. */
-static void done_wins_for_the_jobs_after_it(void **state) {
+static void a_done_job_releases_those_that_await_it(void **state) {
   (void)state;
   put("wk-a", "");
   put("wk-b", "wk-a");
@@ -170,11 +170,11 @@
 }
 
 static void load_all(struct tmx_store_entry *items, size_t count) {
-  tmx_replica_clear(&rep);
-  rep.load_revision = 100;
-  tmx_replica_load(&rep, items, count);
-  tmx_replica_advance_to(&rep, 100);
-  assert_true(rep.loaded);
+  tmx_replica_clear(&replica);
+  replica.load_revision = 100;
+  tmx_replica_load(&replica, items, count);
+  tmx_replica_advance_to(&replica, 100);
+  assert_true(replica.loaded);
 }
 
 static cbor_item_t *encoded(const char *id, const char *names, int fin, double ended) {
@@ -196,7 +196,7 @@
 
 /* A controller that starts reads keys in another order than they were written. Release and
  * cancellation are the same as on those that saw it happen, the time of the release too. */
-static void derived_again_after_a_load(void **state) {
+static void a_load_derives_the_same_states(void **state) {
   (void)state;
   struct tmx_store_entry items[] = {
       {TMX_KEY_JOB "wk-a", 9, encoded("wk-a", "", TMX_JOB_DONE, 180)},
@@ -211,13 +211,13 @@
   assert_true(job("wk-b")->released_at == 180);
   assert_int_equal(job("wk-c")->outcome, TMX_JOB_CANCELLED);
   assert_int_equal(job("wk-d")->outcome, TMX_JOB_CANCELLED);
-  assert_int_equal(rep.n_unstored_outcomes, 2);
+  assert_int_equal(replica.n_unstored_outcomes, 2);
   for (size_t i = 0; i < count; i++) tmx_cbor_free((cbor_item_t *)items[i].value);
 }
 
 /* Ids without room in the record come in lines: until all are there the job is blocked, and lines
  * that are applied again change nothing. */
-static void names_in_lines(void **state) {
+static void a_job_is_blocked_until_all_its_dependency_lines_are_read(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
   struct tmx_job_ids awaits = {.ids = calloc(400, TMX_ID_MAX), .count = 400};
@@ -252,7 +252,7 @@
 
 /* The last job's priority and deadline count for all before it, less the runs in between, and no
  * more once it is gone. */
-static void urgency_of_the_last_job(void **state) {
+static void jobs_inherit_the_urgency_of_those_that_await_them(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
   put("wk-a", "");
@@ -278,7 +278,7 @@
 }
 
 /* Long chains and wide fans cost what they contain, and nothing recurses. */
-static void long_chains_and_wide_fans(void **state) {
+static void a_cancellation_passes_long_chains_and_wide_fans(void **state) {
   (void)state;
   enum { CHAIN = 20000, FAN = 5000 };
   char id[TMX_ID_MAX], before[TMX_ID_MAX] = "";
@@ -292,13 +292,13 @@
     put(id, before);
   }
   end("wk-c0", TMX_JOB_CANCELLED, 0);
-  assert_int_equal(rep.n_unstored_outcomes, CHAIN - 1 + FAN);
+  assert_int_equal(replica.n_unstored_outcomes, CHAIN - 1 + FAN);
   assert_int_equal(job("wk-f4999")->outcome, TMX_JOB_CANCELLED);
 }
 
 /* The version in production reads records of 19 entries: those of jobs that await nothing and are
  * awaited by none must have just these. */
-static void form_without_dependencies(void **state) {
+static void records_without_dependencies_keep_the_production_form(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
   struct tmx_job_ids none = {0};
@@ -313,17 +313,17 @@
   tmx_job_encode_final(&now, job("wk-a"), TMX_JOB_DONE, 0, 2000);
   assert_int_equal(now.length, before.length);
   assert_memory_equal(now.data, before.data, now.length);
-  assert_false(rep.dependencies_in_use);
+  assert_false(replica.dependencies_in_use);
   tmx_buffer_free(&before);
   tmx_buffer_free(&now);
 }
 
 /* A job that was accepted under a larger limit must still come to its final state. */
-static void final_state_fits_the_smallest_value(void **state) {
+static void a_final_state_fits_the_smallest_value(void **state) {
   (void)state;
   struct tmx_job job = {.spec = plain_spec(), .submitted_at = 1.7e9 + 0.123456};
   struct tmx_buffer buffer = {0};
-  set.value_kb = 1;
+  settings.value_kb = 1;
   memset(job.id, 'x', sizeof job.id - 1);
   memset(job.spec.class, 'c', TMX_NAME_MAX - 1);
   memset(job.spec.team, 't', TMX_NAME_MAX - 1);
@@ -332,8 +332,8 @@
   job.spec.n_types = TMX_TYPES_MAX;
   for (size_t i = 0; i < TMX_TYPES_MAX; i++) memset(job.spec.types[i], 'y', TMX_ID_MAX - 1);
   job.spec.cpus = job.spec.mem_gb = job.spec.image_gb = 1.0 / 3;
-  tmx_job_encode_final(&buffer, &job, TMX_JOB_DONE, 1.7e9 + 0.654321, tmx_value_room(&set));
-  assert_true(tmx_json_length(&buffer) <= tmx_value_room(&set));
+  tmx_job_encode_final(&buffer, &job, TMX_JOB_DONE, 1.7e9 + 0.654321, tmx_value_room(&settings));
+  assert_true(tmx_json_length(&buffer) <= tmx_value_room(&settings));
   struct tmx_job_record record;
   cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
   assert_true(tmx_job_decode(value, &record));
@@ -345,24 +345,24 @@
 }
 
 /* Operations of one job that share a line mean what they mean each in a line of its own. */
-static void count_op(void *arg, const struct tmx_operation *operation) {
+static void append_operation(void *arg, const struct tmx_operation *operation) {
   char line[TMX_LINE_MAX], *all = arg;
   tmx_operation_print(line, sizeof line, operation);
   snprintf(all + strlen(all), 512 - strlen(all), "%s;", line);
 }
-static void lines_of_several_operations(void **state) {
+static void a_line_of_several_operations_means_each_of_them(void **state) {
   (void)state;
   char all[512] = "";
-  tmx_log_line_each_operation("P wk-1 2 0:n-1 7:n-2", count_op, all);
-  tmx_log_line_each_operation("E wk-1 2 d 0 3", count_op, all);
-  tmx_log_line_each_operation("e wk-1/4 1 l", count_op, all);
+  tmx_log_line_each_operation("P wk-1 2 0:n-1 7:n-2", append_operation, all);
+  tmx_log_line_each_operation("E wk-1 2 d 0 3", append_operation, all);
+  tmx_log_line_each_operation("e wk-1/4 1 l", append_operation, all);
   assert_string_equal(all, "p wk-1/0 2 n-1;p wk-1/7 2 n-2;e wk-1/0 2 d;e wk-1/3 2 d;e wk-1/4 1 l;");
-  all[0] = 0; /* what is malformed tells of nothing */
+  all[0] = 0; /* a malformed line holds no operation */
   static const char *const malformed[] = {
       "P wk-1 2",     "P wk-1 2 0",  "P wk-1 x 0:n-1", "PP wk-1 2 0:n-1",
       "E wk-1 2 d x", "P wk-1 2 0:", "E wk-1 2 d 1:n"};
   for (size_t i = 0; i < sizeof malformed / sizeof *malformed; i++)
-    tmx_log_line_each_operation(malformed[i], count_op, all);
+    tmx_log_line_each_operation(malformed[i], append_operation, all);
   assert_string_equal(all, "");
   struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 7, .attempt = 2}, other;
   strcpy(operation.job, "wk-1");
@@ -377,17 +377,24 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(blocked_until_all_are_done, setup, teardown),
+      cmocka_unit_test_setup_teardown(a_job_is_blocked_until_all_it_awaits_are_done, setup,
+                                      teardown),
       cmocka_unit_test_setup_teardown(cancellation_reaches_the_end_of_the_chain, setup, teardown),
-      cmocka_unit_test_setup_teardown(names_a_cancelled_job, setup, teardown),
-      cmocka_unit_test_setup_teardown(done_wins_for_the_jobs_after_it, setup, teardown),
-      cmocka_unit_test_setup_teardown(derived_again_after_a_load, setup, teardown),
-      cmocka_unit_test_setup_teardown(names_in_lines, setup, teardown),
-      cmocka_unit_test_setup_teardown(urgency_of_the_last_job, setup, teardown),
-      cmocka_unit_test_setup_teardown(long_chains_and_wide_fans, setup, teardown),
-      cmocka_unit_test_setup_teardown(lines_of_several_operations, setup, teardown),
-      cmocka_unit_test_setup_teardown(form_without_dependencies, setup, teardown),
-      cmocka_unit_test_setup_teardown(final_state_fits_the_smallest_value, setup, teardown),
+      cmocka_unit_test_setup_teardown(a_job_that_awaits_a_cancelled_one_is_cancelled, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(a_done_job_releases_those_that_await_it, setup, teardown),
+      cmocka_unit_test_setup_teardown(a_load_derives_the_same_states, setup, teardown),
+      cmocka_unit_test_setup_teardown(a_job_is_blocked_until_all_its_dependency_lines_are_read,
+                                      setup, teardown),
+      cmocka_unit_test_setup_teardown(jobs_inherit_the_urgency_of_those_that_await_them, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(a_cancellation_passes_long_chains_and_wide_fans, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(a_line_of_several_operations_means_each_of_them, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(records_without_dependencies_keep_the_production_form, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(a_final_state_fits_the_smallest_value, setup, teardown),
   };
   return RUN_TESTS(tests);
 }
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -81,8 +81,8 @@
     for (int k = 0; k < 6; k++) {
       run_loop_for(0.05);
       assert_in_range(fake_count_placed(), 0, 4);
-      for (size_t leader = 0; leader < worker.n_tasks; leader++)
-        assert_int_equal(worker.tasks[leader].attempt, 1);
+      for (size_t task = 0; task < worker.n_tasks; task++)
+        assert_int_equal(worker.tasks[task].attempt, 1);
       complete_all_tasks();
       fake_worker_send_heartbeat(&worker, first_controller);
       if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
