--- a/tests/cluster/cluster_load.c
+++ b/tests/cluster/cluster_load.c
@@ -1,7 +1,7 @@
-/* A cluster on loopback without a bench, run by hand: real controllers, and scripted peers in this
- * process: a state service, a cloud, workers that run tasks, users that submit and ask. Prints what
- * each controller used and how each class fared. `cluster_load --help` lists the options;
- * docs/results.md and docs/admission.md have what was found with it. */
+/* A cluster on loopback: controllers as real processes, and scripted peers in this process: a
+ * store, a cloud, workers that run tasks, users that submit and poll. Prints what each controller
+ * used and how each class fared. `cluster_load --help` lists the options; docs/results.md and
+ * docs/admission.md have what was found with it. */
 #include <gsl/gsl_rng.h>
 #include <popt.h>
 #include <stdio.h>
@@ -24,8 +24,8 @@
 gsl_rng *cluster_rng;
 static int machines = 2187, nodes = 5, seconds = 60, services = 280, arrays = 30, away, seed = 1;
 static double report_s = 10, run_s = 50, surge;
-static char *operator_config, *history_path, *troubles[TROUBLES_MAX];
-static size_t n_troubles;
+static char *operator_config, *history_path, *failures[TROUBLES_MAX];
+static size_t n_failures;
 static double begun_at;
 static bool submitting;
 static unsigned state_commits, state_reads;
@@ -101,13 +101,13 @@
 
 /* ------------------------------------------------------------ running */
 
-static void begin_troubles(double now) {
-  for (size_t i = 0; i < n_troubles; i++) {
+static void inject_due_failures(double now) {
+  for (size_t i = 0; i < n_failures; i++) {
     char *rest;
-    if (!troubles[i] || now - begun_at < strtod(troubles[i], &rest)) continue;
-    if (!nodes_trouble(rest)) fprintf(stderr, "cluster_load: unknown failure: %s\n", rest);
-    free(troubles[i]);
-    troubles[i] = NULL;
+    if (!failures[i] || now - begun_at < strtod(failures[i], &rest)) continue;
+    if (!nodes_inject_failure(rest)) fprintf(stderr, "cluster_load: unknown failure: %s\n", rest);
+    free(failures[i]);
+    failures[i] = NULL;
   }
 }
 
@@ -118,15 +118,15 @@
   (void)events;
   double now = tmx_clock_steady(), elapsed_s = last ? now - last : 0;
   last = now;
-  begin_troubles(now);
-  nodes_tick();
+  inject_due_failures(now);
+  nodes_end_failures();
   fake_enforce_leases();
   workers_step(now, elapsed_s);
   if (submitting && now - begun_at > quiet_s) users_submit(elapsed_s);
   users_step(now);
 }
 
-static void go_on(double duration_s) { /* longer than one pump */
+static void run_for(double duration_s) { /* longer than one pump */
   double until = tmx_clock_steady() + duration_s;
   while (tmx_clock_steady() < until)
     run_loop_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
@@ -138,13 +138,13 @@
   struct workers_figures workers = workers_take_figures();
   printf("%-22s", when);
   for (int k = 0; k < nodes; k++) {
-    double mb = 0, peak = 0, cpu = node[k].pid ? node_used(k, &mb, &peak) : 0;
-    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu) / over, mb, peak);
-    node[k].cpu = cpu;
+    double mb = 0, peak = 0, cpu = node[k].pid ? node_resources_used(k, &mb, &peak) : 0;
+    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu_s) / over, mb, peak);
+    node[k].cpu_s = cpu;
     reads += fake_store.endpoints[k].reads;
   }
   printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", users.accepted,
-         users.refused, users.answered, users.asked, workers.finished);
+         users.refused, users.polls_answered, users.polls, workers.finished);
   printf(
       "  | slowest report %.2f s, accepted submission %.2f s; state: %.1f commits, %.1f reads a "
       "second\n",
@@ -156,40 +156,40 @@
 }
 
 static void run_steady(void) {
-  go_on(5);
+  run_for(5);
   show("registering", 5);
-  go_on(20);
+  run_for(20);
   show("submissions begin", 20);
   for (int i = 0; i < 2; i++) {
-    go_on(seconds);
+    run_for(seconds);
     show("steady", seconds);
   }
   if (!away) return;
   for (int k = 0; k < nodes; k++) {
     char text[32];
     snprintf(text, sizeof text, "kill %d %d", k, k < away ? seconds + 10 : 0);
-    if (k < away) nodes_trouble(text);
+    if (k < away) nodes_inject_failure(text);
   }
-  go_on(10);
+  run_for(10);
   show("others take over", 10);
-  go_on(seconds);
+  run_for(seconds);
   show("all back", seconds);
 }
 
 static void run_surge(void) {
-  go_on(seconds);
+  run_for(seconds);
   show("surge", seconds);
   users_print_table(seconds);
   submitting = false;
-  go_on(settle_s);
-  users_ask_all();
+  run_for(settle_s);
+  users_poll_all_finally();
   for (double until = tmx_clock_steady() + final_s;
-       tmx_clock_steady() < until && !users_all_told();)
+       tmx_clock_steady() < until && !users_all_answered();)
     run_loop_for(0.5);
 }
 
 static void read_options(int argc, const char **argv) {
-  char *trouble = NULL;
+  char *failure = NULL;
   const struct poptOption options[] = {
       {"machines", 'm', POPT_ARG_INT, &machines, 0, "how many report", "N"},
       {"nodes", 'n', POPT_ARG_INT, &nodes, 0, "controllers, 5 at most", "N"},
@@ -204,15 +204,15 @@
       {"operator-config", 'o', POPT_ARG_STRING, &operator_config, 0, "of the controllers", "FILE"},
       {"history", 0, POPT_ARG_STRING, &history_path, 0, "what all did, for history_checker",
        "FILE"},
-      {"do", 0, POPT_ARG_STRING, &trouble, 'd',
-       "seconds and trouble: '30 kill 0 5', '30 pause 1 10', '30 cut state 2 5' (refuse, delay; "
+      {"do", 0, POPT_ARG_STRING, &failure, 'd',
+       "seconds and failure: '30 kill 0 5', '30 pause 1 10', '30 cut state 2 5' (refuse, delay; "
        "peers, users, workers)",
        "TEXT"},
       POPT_AUTOHELP POPT_TABLEEND};
   poptContext options_context = poptGetContext("cluster_load", argc, argv, options, 0);
   int result;
-  while ((result = poptGetNextOpt(options_context)) == 'd' && n_troubles < TROUBLES_MAX)
-    troubles[n_troubles++] = trouble;
+  while ((result = poptGetNextOpt(options_context)) == 'd' && n_failures < TROUBLES_MAX)
+    failures[n_failures++] = failure;
   if (result != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
     fprintf(stderr, "cluster_load: %s\n", result < -1 ? poptStrerror(result) : "out of range");
     exit(2);
--- a/tests/cluster/history.h
+++ b/tests/cluster/history.h
@@ -1,38 +1,45 @@
-/* What the parties of a cluster did, one JSON object a line, with one clock: written by the load
- * program, judged by the checker. */
+/** A history of a cluster: what its parties did, one JSON object a line, with times of one clock.
+ *  cluster_load writes it, history_checker judges it. */
 #ifndef CLUSTER_HISTORY_H
 #define CLUSTER_HISTORY_H
 #include <stdbool.h>
 #include <stdint.h>
 #include <stdio.h>
 
-/* ------------------------------------------------------------ writing */
-
-void history_open(const char *path); /* NULL: nothing is written */
+/** Starts to write. @param path NULL: nothing is written */
+void history_open(const char *path);
+/** Ends the file. */
 void history_close(void);
-/* A user's answer. ask: "submit", "poll" or "cancel"; final: asked after all troubles. */
+
+/** A user got an answer.
+ *  @param ask "submit", "poll" or "cancel"
+ *  @param final it was asked after all failures had ended */
 void history_answer(const char *ask, const char *job, unsigned tasks, int status, const char *state,
                     bool final);
-void history_placed(const char *task, uint32_t attempt, const char *machine); /* committed */
-/* An order that a worker executed, by whom and with which token. */
-void history_order(const char *machine, int node, uint64_t token, const char *verb,
-                   const char *task, uint32_t attempt);
-/* A task began or ended on a machine; how: "done", or why else. */
+/** A placement was committed. */
+void history_placed(const char *task, uint32_t attempt, const char *machine);
+/** A worker received a command. @param node whose it was @param token its fencing token */
+void history_command(const char *machine, int node, uint64_t token, const char *operation,
+                     const char *task, uint32_t attempt);
+/** A task started on a machine. */
 void history_begin(const char *machine, const char *task, uint32_t attempt);
+/** A task ended on a machine. @param how "done", or why else */
 void history_end(const char *machine, const char *task, uint32_t attempt, const char *how);
 
-/* ------------------------------------------------------------ checking */
-
-/* The rules that a history breaks; each finding is printed to `out`. */
+/** How often each rule is violated. */
 struct history_findings {
   unsigned lines, unreadable;
-  unsigned lost;       /* accepted, and not known at the end */
-  unsigned overlaps;   /* a task began on a machine while it was on one */
-  unsigned two_owners; /* orders of two controllers with one term, or of an earlier term */
-  unsigned unplanned;  /* started, and no commit had placed it there */
-  unsigned went_back;  /* an answer older than one given before */
-  unsigned not_done;   /* called done before all tasks were, or cancelled without being asked */
+  unsigned lost;       /**< jobs accepted, and unknown at the end */
+  unsigned overlaps;   /**< a task started on a machine while it ran on one */
+  unsigned two_owners; /**< commands of two controllers with one term, or of an earlier term */
+  unsigned unplanned;  /**< a task started where no committed placement had it */
+  unsigned went_back;  /**< an answer older than one given before */
+  unsigned not_done;   /**< done before all tasks were, or cancelled without a request */
 };
-struct history_findings history_check(FILE *input, FILE *out);
-unsigned history_broken(const struct history_findings *findings);
+
+/** Judges a history. @param out each violation is printed there, with its line */
+struct history_findings history_check(FILE *in, FILE *out);
+/** The sum of all violations, unreadable lines included. */
+unsigned history_count_violations(const struct history_findings *findings);
+
 #endif
--- a/tests/cluster/history_check.c
+++ b/tests/cluster/history_check.c
@@ -1,4 +1,4 @@
-/* Judges a history line by line: what every party knew is kept in three tables. */
+/* Judges a history line by line: what each party did is kept in three tables. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,14 +12,14 @@
 
 struct job {
   char id[NAME_BYTES];
-  bool accepted, asked_to_cancel, known_at_the_end;
+  bool accepted, asked_to_cancel, known_finally;
   unsigned tasks, tasks_done;
   char final_state[16]; /* done or withdrawn, once told */
   UT_hash_handle hh;
 };
 struct task {
   char id[NAME_BYTES];
-  char machine[NAME_BYTES]; /* the machine that it is on; empty: none */
+  char machine[NAME_BYTES]; /* where it runs; empty: nowhere */
   char placed[NAME_BYTES];  /* where the log has its latest attempt */
   unsigned attempt;
   bool done;
@@ -28,7 +28,7 @@
 struct machine {
   char id[NAME_BYTES];
   uint64_t term;
-  int node; /* whose orders of this term it executed */
+  int owner; /* whose commands of this term it received */
   UT_hash_handle hh;
 };
 struct check {
@@ -40,7 +40,7 @@
   const char *line;
 };
 
-static void found(struct check *check, unsigned *count, const char *rule) {
+static void add_finding(struct check *check, unsigned *count, const char *rule) {
   ++*count;
   fprintf(check->out, "%s: %s", rule, check->line);
 }
@@ -74,37 +74,37 @@
   if (tasks) job->tasks = tasks;
   if (!strcmp(ask, "cancel")) job->asked_to_cancel = true;
   if (status == 404 && job->accepted)
-    found(check, &findings->went_back, "an accepted job is unknown");
+    add_finding(check, &findings->went_back, "an accepted job is unknown");
   if (status != 200 && status != 201) return;
   job->accepted = true;
-  job->known_at_the_end |= final;
+  job->known_finally |= final;
   bool is_final = !strcmp(state, WV_DONE) || !strcmp(state, WV_CANCELLED);
   if (job->final_state[0] && strcmp(job->final_state, state))
-    found(check, &findings->went_back, "a final state changed");
+    add_finding(check, &findings->went_back, "a final state changed");
   if (!is_final || job->final_state[0]) return;
   snprintf(job->final_state, sizeof job->final_state, "%s", state);
   if (!strcmp(state, WV_CANCELLED) && !job->asked_to_cancel)
-    found(check, &findings->not_done, "cancelled, and nobody asked");
+    add_finding(check, &findings->not_done, "cancelled, and nobody asked");
   if (!strcmp(state, WV_DONE) && job->tasks_done < job->tasks)
-    found(check, &findings->not_done, "called done before its tasks were");
+    add_finding(check, &findings->not_done, "called done before its tasks were");
 }
 
-static void on_order(struct check *check, const char *machine_id, int node, uint64_t token) {
+static void on_command(struct check *check, const char *machine_id, int node, uint64_t token) {
   struct machine *machine;
   RECORD(check->machines, machine_id, machine);
   uint64_t term = token >> TMX_TOKEN_SEQUENCE_BITS;
-  bool other = term == machine->term && node != machine->node;
+  bool other = term == machine->term && node != machine->owner;
   if (term < machine->term || other)
-    found(check, &check->findings.two_owners, "orders of two owners");
+    add_finding(check, &check->findings.two_owners, "commands of two owners");
   machine->term = term;
-  machine->node = node;
+  machine->owner = node;
 }
 
 static void on_begin(struct check *check, const char *id, unsigned attempt, const char *machine) {
   struct task *task = task_of(check, id);
-  if (task->machine[0]) found(check, &check->findings.overlaps, "began while on a machine");
+  if (task->machine[0]) add_finding(check, &check->findings.overlaps, "began while on a machine");
   if (strcmp(task->placed, machine) || task->attempt != attempt)
-    found(check, &check->findings.unplanned, "started without a placement in the log");
+    add_finding(check, &check->findings.unplanned, "started without a placement in the log");
   snprintf(task->machine, sizeof task->machine, "%s", machine);
 }
 
@@ -129,7 +129,7 @@
   if (!strcmp(what, "answer")) {
     on_answer(check, ask, job, (unsigned)tasks, status, state, final);
   } else if (!strcmp(what, "order")) {
-    on_order(check, machine, node, (uint64_t)token);
+    on_command(check, machine, node, (uint64_t)token);
   } else if (!strcmp(what, "placed")) {
     struct task *placed = task_of(check, task);
     snprintf(placed->placed, sizeof placed->placed, "%s", machine);
@@ -147,8 +147,8 @@
   struct job *job, *next;
   HASH_ITER(hh, check->jobs, job, next) {
     check->line = job->id;
-    if (job->accepted && !job->known_at_the_end) {
-      found(check, &check->findings.lost, "not known at the end");
+    if (job->accepted && !job->known_finally) {
+      add_finding(check, &check->findings.lost, "not known at the end");
       fputc('\n', check->out);
     }
     HASH_DEL(check->jobs, job);
@@ -183,7 +183,7 @@
   return check.findings;
 }
 
-unsigned history_broken(const struct history_findings *findings) {
+unsigned history_count_violations(const struct history_findings *findings) {
   return findings->unreadable + findings->lost + findings->overlaps + findings->two_owners +
          findings->unplanned + findings->went_back + findings->not_done;
 }
--- a/tests/cluster/history_checker.c
+++ b/tests/cluster/history_checker.c
@@ -1,4 +1,5 @@
-/* history_checker FILE: judges a history that the load program wrote; exit code 1 if a rule broke.
+/* history_checker FILE: judges a history that cluster_load wrote; exit code 1 if a rule is
+ * violated.
  */
 #include <stdio.h>
 
@@ -17,5 +18,5 @@
       "%u, not done %u\n",
       findings.lines, findings.unreadable, findings.lost, findings.overlaps, findings.two_owners,
       findings.unplanned, findings.went_back, findings.not_done);
-  return !findings.lines || history_broken(&findings) ? 1 : 0;
+  return !findings.lines || history_count_violations(&findings) ? 1 : 0;
 }
--- a/tests/cluster/history_write.c
+++ b/tests/cluster/history_write.c
@@ -34,10 +34,11 @@
                 machine));
 }
 
-void history_order(const char *machine, int node, uint64_t token, const char *verb,
-                   const char *task, uint32_t attempt) {
+void history_command(const char *machine, int node, uint64_t token, const char *operation,
+                     const char *task, uint32_t attempt) {
   add(json_pack("{ss ss si sI ss ss si}", "what", "order", "machine", machine, "node", node,
-                "token", (json_int_t)token, "verb", verb, "task", task, "attempt", (int)attempt));
+                "token", (json_int_t)token, "verb", operation, "task", task, "attempt",
+                (int)attempt));
 }
 
 void history_begin(const char *machine, const char *task, uint32_t attempt) {
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -35,7 +35,7 @@
 };
 struct link {
   struct ev_loop *loop;
-  int fd, port, target;
+  int fd, port, target_port;
   enum link_mode mode;
   double delay_s;
   ev_io acceptable;
@@ -116,7 +116,7 @@
   (void)events;
   int fd = accept4(link->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) return;
-  int target_fd = loopback_socket(&address, link->target);
+  int target_fd = loopback_socket(&address, link->target_port);
   if (link->mode == LINK_REFUSED ||
       (connect(target_fd, (struct sockaddr *)&address, sizeof address) && errno != EINPROGRESS)) {
     close(fd);
@@ -142,7 +142,7 @@
   socklen_t size = sizeof address;
   if (!link) abort();
   link->loop = loop;
-  link->target = target_port;
+  link->target_port = target_port;
   link->fd = loopback_socket(&address, 0);
   if (bind(link->fd, (struct sockaddr *)&address, sizeof address) || listen(link->fd, BACKLOG) ||
       getsockname(link->fd, (struct sockaddr *)&address, &size))
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -18,7 +18,7 @@
 static const double delay_s =
     0.3; /* of a delayed link: longer than a round, shorter than a lease */
 
-struct trouble {
+struct link_failure {
   double ends_at; /* 0: there is none */
 };
 struct node node[FAKE_NODES];
@@ -26,9 +26,9 @@
 static const char *operator_path;
 static char settings_path[FAKE_NODES][64];
 static struct link *links[FAKE_NODES][DESTINATIONS + FAKE_NODES];
-static struct trouble troubles[FAKE_NODES][DESTINATIONS];
+static struct link_failure failures[FAKE_NODES][DESTINATIONS];
 
-/* The links that lead away from a controller to peers stand behind those to other destinations. */
+/* The links of a controller to its peers follow those to the other destinations. */
 static struct link *peer_link(int from, int to) { return links[from][DESTINATIONS + to]; }
 
 static json_t *address(int port) { return json_sprintf("127.0.0.1:%d", port); }
@@ -53,19 +53,19 @@
                    settings->ram_mb, "sockets", settings->sockets, "clock_off_ms", 0.0);
 }
 
-static void write_settings(int k, const struct tmx_settings *settings) {
+static void write_settings(int index, const struct tmx_settings *settings) {
   json_t *peers = json_array();
   for (int i = 0; i < n_nodes; i++)
-    if (i != k)
+    if (i != index)
       json_array_append_new(
           peers, json_pack("{so ss so}", "host_name", json_sprintf("hand-%d", i), "location",
-                           settings->zone, "address", address(link_port(peer_link(k, i)))));
+                           settings->zone, "address", address(link_port(peer_link(index, i)))));
   json_t *root = json_pack("{ss ss so ss so s{so ss} so}", "host_name", settings->node_name,
-                           "location", settings->zone, "listen", address(node[k].port),
+                           "location", settings->zone, "listen", address(node[index].port),
                            "peer_listen", settings->peer_listen, "peers", peers, "services",
-                           "state", address(link_port(links[k][TO_STATE])), "cloud",
+                           "state", address(link_port(links[index][TO_STATE])), "cloud",
                            settings->cloud, "cluster", cluster_json(settings));
-  int fd = mkstemp(strcpy(settings_path[k], "/tmp/tmx-cluster-XXXXXX"));
+  int fd = mkstemp(strcpy(settings_path[index], "/tmp/tmx-cluster-XXXXXX"));
   FILE *file = fd >= 0 ? fdopen(fd, "w") : NULL;
   if (!file || json_dumpf(root, file, 0)) abort();
   fclose(file);
@@ -97,31 +97,31 @@
     node[k].users = tmx_http_client_new(test_loop, addr, 256);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_WORKERS]));
     node[k].reports = tmx_http_client_new(test_loop, addr, connections);
-    node_begin(k);
+    node_start(k);
   }
 }
 
-void node_begin(int k) {
+void node_start(int index) {
   fflush(NULL);
-  node[k].cpu = 0;
-  node[k].back_at = 0;
-  node[k].paused = false;
-  node[k].pid = fork();
-  if (node[k].pid) return;
+  node[index].cpu_s = 0;
+  node[index].resumes_at = 0;
+  node[index].paused = false;
+  node[index].pid = fork();
+  if (node[index].pid) return;
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (operator_path)
     execl(TMX_PROGRAM, TMX_PROGRAM, "--operator-config", operator_path, "--config",
-          settings_path[k], (char *)NULL);
+          settings_path[index], (char *)NULL);
   else
-    execl(TMX_PROGRAM, TMX_PROGRAM, "--config", settings_path[k], (char *)NULL);
+    execl(TMX_PROGRAM, TMX_PROGRAM, "--config", settings_path[index], (char *)NULL);
   _exit(127);
 }
 
-static void end(int k) {
-  if (!node[k].pid) return;
-  kill(node[k].pid, SIGKILL);
-  waitpid(node[k].pid, NULL, 0);
-  node[k].pid = 0;
+static void end(int index) {
+  if (!node[index].pid) return;
+  kill(node[index].pid, SIGKILL);
+  waitpid(node[index].pid, NULL, 0);
+  node[index].pid = 0;
 }
 
 void nodes_close(void) {
@@ -131,79 +131,86 @@
   }
 }
 
-static void set_links(int k, int destination, enum link_mode mode, double delay) {
+static void set_links(int index, int destination, enum link_mode mode, double delay) {
   if (destination != TO_PEERS) {
-    link_set(links[k][destination], mode, delay);
+    link_set(links[index][destination], mode, delay);
     return;
   }
   for (int i = 0; i < n_nodes; i++) {
-    if (i == k) continue;
-    link_set(peer_link(k, i), mode, delay);
-    link_set(peer_link(i, k), mode, delay);
+    if (i == index) continue;
+    link_set(peer_link(index, i), mode, delay);
+    link_set(peer_link(i, index), mode, delay);
   }
 }
 
-bool nodes_trouble(const char *text) {
-  char verb[16] = "", where[16] = "";
-  int k;
-  double for_s, now = tmx_clock_steady();
-  bool process = sscanf(text, "%15s %d %lf", verb, &k, &for_s) == 3;
-  if (!process && sscanf(text, "%15s %15s %d %lf", verb, where, &k, &for_s) != 4) return false;
-  if (k < 0 || k >= n_nodes) return false;
+bool nodes_inject_failure(const char *text) {
+  char kind[16] = "", destination_name[16] = "";
+  int index;
+  double duration_s, now = tmx_clock_steady();
+  bool process = sscanf(text, "%15s %d %lf", kind, &index, &duration_s) == 3;
+  if (!process &&
+      sscanf(text, "%15s %15s %d %lf", kind, destination_name, &index, &duration_s) != 4)
+    return false;
+  if (index < 0 || index >= n_nodes) return false;
   if (process) {
-    bool pause = !strcmp(verb, "pause");
-    if (!pause && strcmp(verb, "kill")) return false;
-    if (!node[k].pid) return true;
-    node[k].back_at = now + for_s;
-    node[k].paused = pause;
+    bool pause = !strcmp(kind, "pause");
+    if (!pause && strcmp(kind, "kill")) return false;
+    if (!node[index].pid) return true;
+    node[index].resumes_at = now + duration_s;
+    node[index].paused = pause;
     if (pause)
-      kill(node[k].pid, SIGSTOP);
+      kill(node[index].pid, SIGSTOP);
     else
-      end(k);
+      end(index);
     return true;
   }
   int destination = 0;
-  while (destination < DESTINATIONS && strcmp(where, destinations[destination])) destination++;
-  bool refuse = !strcmp(verb, "refuse"), cut = !strcmp(verb, "cut"), slow = !strcmp(verb, "delay");
+  while (destination < DESTINATIONS && strcmp(destination_name, destinations[destination]))
+    destination++;
+  bool refuse = !strcmp(kind, "refuse"), cut = !strcmp(kind, "cut"), slow = !strcmp(kind, "delay");
   if (destination == DESTINATIONS || !(refuse || cut || slow)) return false;
-  set_links(k, destination, refuse ? LINK_REFUSED : cut ? LINK_CUT : LINK_OPEN, slow ? delay_s : 0);
-  troubles[k][destination].ends_at = now + for_s;
+  set_links(index, destination,
+            refuse ? LINK_REFUSED
+            : cut  ? LINK_CUT
+                   : LINK_OPEN,
+            slow ? delay_s : 0);
+  failures[index][destination].ends_at = now + duration_s;
   return true;
 }
 
-void nodes_tick(void) {
+void nodes_end_failures(void) {
   double now = tmx_clock_steady();
   for (int k = 0; k < n_nodes; k++) {
     for (int destination = 0; destination < DESTINATIONS; destination++) {
-      if (!troubles[k][destination].ends_at || now < troubles[k][destination].ends_at) continue;
-      troubles[k][destination].ends_at = 0;
+      if (!failures[k][destination].ends_at || now < failures[k][destination].ends_at) continue;
+      failures[k][destination].ends_at = 0;
       set_links(k, destination, LINK_OPEN, 0);
     }
-    if (!node[k].back_at || now < node[k].back_at) continue;
+    if (!node[k].resumes_at || now < node[k].resumes_at) continue;
     if (!node[k].pid) {
-      node_begin(k);
+      node_start(k);
       continue;
     }
     kill(node[k].pid, SIGCONT);
-    node[k].back_at = 0;
+    node[k].resumes_at = 0;
     node[k].paused = false;
   }
 }
 
-double node_used(int k, double *mb, double *peak) {
+double node_resources_used(int index, double *memory_mb, double *peak_memory_mb) {
   char path[64], line[512];
   unsigned long user = 0, sys = 0;
-  snprintf(path, sizeof path, "/proc/%d/stat", node[k].pid);
+  snprintf(path, sizeof path, "/proc/%d/stat", node[index].pid);
   FILE *file = fopen(path, "r");
   if (file && fgets(line, sizeof line, file))
     sscanf(strrchr(line, ')') + 2, "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu", &user,
            &sys);
   if (file) fclose(file);
-  snprintf(path, sizeof path, "/proc/%d/status", node[k].pid);
+  snprintf(path, sizeof path, "/proc/%d/status", node[index].pid);
   file = fopen(path, "r");
   while (file && fgets(line, sizeof line, file)) {
-    if (!strncmp(line, "VmRSS:", 6)) *mb = atof(line + 6) / 1024;
-    if (!strncmp(line, "VmHWM:", 6)) *peak = atof(line + 6) / 1024;
+    if (!strncmp(line, "VmRSS:", 6)) *memory_mb = atof(line + 6) / 1024;
+    if (!strncmp(line, "VmHWM:", 6)) *peak_memory_mb = atof(line + 6) / 1024;
   }
   if (file) fclose(file);
   return (double)(user + sys) / (double)sysconf(_SC_CLK_TCK);
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -22,9 +22,9 @@
 struct job {
   char id[TMX_ID_MAX];
   const struct job_kind *kind;
-  double first_at, asked_at, next_at; /* first attempt; latest question; next one */
-  double began_at;                    /* its first task began; 0: not yet */
-  bool accepted, over, gave_up, busy, told_at_the_end;
+  double first_at, sent_at, next_request_at; /* first attempt; latest question; next one */
+  double began_at;                           /* its first task began; 0: not yet */
+  bool accepted, done, given_up, busy, answered_finally;
 };
 struct kind_state {
   unsigned submitted, refusals;
@@ -36,7 +36,7 @@
 static const struct job_kind *kinds;
 static struct kind_state states[KINDS_MAX];
 static struct job **jobs;
-static size_t n_jobs, cap_jobs;
+static size_t n_jobs, jobs_capacity;
 static int n_nodes;
 static bool final_round;
 static struct users_figures figures;
@@ -54,7 +54,7 @@
 
 /* ------------------------------------------------------------ starts */
 
-static void look_at_gap(struct kind_state *state, double now) {
+static void update_longest_gap(struct kind_state *state, double now) {
   if (state->waiting_since)
     state->longest_gap =
         fmax(state->longest_gap, now - fmax(state->waiting_since, state->last_start));
@@ -65,7 +65,7 @@
   if (number >= n_jobs) return;
   struct job *job = jobs[number];
   double now = tmx_clock_steady();
-  look_at_gap(state_of(job), now);
+  update_longest_gap(state_of(job), now);
   state_of(job)->last_start = now;
   if (!job->began_at) job->began_at = now;
 }
@@ -92,15 +92,15 @@
   job->busy = false;
   if (status == 200 || status == 201) {
     figures.accepted++;
-    figures.slowest_submission = fmax(figures.slowest_submission, now - job->asked_at);
+    figures.slowest_submission = fmax(figures.slowest_submission, now - job->sent_at);
     job->accepted = true;
-    job->next_at = now + poll_every_s * gsl_rng_uniform(cluster_rng);
+    job->next_request_at = now + poll_every_s * gsl_rng_uniform(cluster_rng);
     return;
   }
   figures.refused++;
   state_of(job)->refusals += status == 503;
-  job->next_at = now + 1 + 4 * gsl_rng_uniform(cluster_rng);
-  job->gave_up = now - job->first_at > submit_for_s;
+  job->next_request_at = now + 1 + 4 * gsl_rng_uniform(cluster_rng);
+  job->given_up = now - job->first_at > submit_for_s;
 }
 
 static void send_submission(struct job *job) {
@@ -115,10 +115,10 @@
                           .estimate_s = kind->run_s};
   struct tmx_buffer buffer = {0};
   encode_submission_of(&buffer, &body);
-  job->asked_at = tmx_clock_steady();
+  job->sent_at = tmx_clock_steady();
   job->busy = tmx_http_client_call(some_node(), "POST", WP_JOBS, &buffer, submit_timeout_s,
                                    on_submitted, job);
-  if (!job->busy) job->next_at = job->asked_at + 1;
+  if (!job->busy) job->next_request_at = job->sent_at + 1;
   tmx_buffer_free(&buffer);
 }
 
@@ -128,18 +128,18 @@
   read_state(body, len, state, sizeof state);
   history_answer("poll", job->id, job->kind->tasks, status, state, final_round);
   job->busy = false;
-  job->next_at = tmx_clock_steady() + (final_round ? 0.2 : poll_every_s);
-  figures.answered += status == 200;
-  job->over |= status == 200 && !strcmp(state, WV_DONE);
-  job->told_at_the_end |= final_round && status == 200;
+  job->next_request_at = tmx_clock_steady() + (final_round ? 0.2 : poll_every_s);
+  figures.polls_answered += status == 200;
+  job->done |= status == 200 && !strcmp(state, WV_DONE);
+  job->answered_finally |= final_round && status == 200;
 }
 
 static void poll_state(struct job *job) {
   char path[64];
   snprintf(path, sizeof path, WP_JOBS "/%s", job->id);
   job->busy = tmx_http_client_call(some_node(), "GET", path, NULL, poll_timeout_s, on_polled, job);
-  figures.asked += job->busy;
-  if (!job->busy) job->next_at = tmx_clock_steady() + 1;
+  figures.polls += job->busy;
+  if (!job->busy) job->next_request_at = tmx_clock_steady() + 1;
 }
 
 /* ------------------------------------------------------------ steps */
@@ -155,7 +155,7 @@
   snprintf(job->id, sizeof job->id, W_JOB_PREFIX "%c%06zu", kind->letter, n_jobs);
   job->kind = kind;
   job->first_at = tmx_clock_steady();
-  jobs = tmx_grow(jobs, &cap_jobs, n_jobs + 1, sizeof *jobs);
+  jobs = tmx_grow(jobs, &jobs_capacity, n_jobs + 1, sizeof *jobs);
   jobs[n_jobs++] = job;
   state_of(job)->submitted++;
   send_submission(job);
@@ -175,8 +175,8 @@
     struct job *job = jobs[i];
     waits[job->kind - kinds] |= job->accepted && !job->began_at;
     bool wanted =
-        final_round ? job->accepted && !job->told_at_the_end : !job->over && !job->gave_up;
-    if (!wanted || job->busy || now < job->next_at) continue;
+        final_round ? job->accepted && !job->answered_finally : !job->done && !job->given_up;
+    if (!wanted || job->busy || now < job->next_request_at) continue;
     if (job->accepted)
       poll_state(job);
     else
@@ -184,7 +184,7 @@
   }
   for (const struct job_kind *kind = kinds; kind->letter; kind++) {
     struct kind_state *state = &states[kind - kinds];
-    look_at_gap(state, now);
+    update_longest_gap(state, now);
     if (!waits[kind - kinds])
       state->waiting_since = 0;
     else if (!state->waiting_since)
@@ -192,14 +192,14 @@
   }
 }
 
-void users_ask_all(void) {
+void users_poll_all_finally(void) {
   final_round = true;
-  for (size_t i = 0; i < n_jobs; i++) jobs[i]->next_at = 0;
+  for (size_t i = 0; i < n_jobs; i++) jobs[i]->next_request_at = 0;
 }
 
-bool users_all_told(void) {
+bool users_all_answered(void) {
   for (size_t i = 0; i < n_jobs; i++)
-    if (jobs[i]->busy || (jobs[i]->accepted && !jobs[i]->told_at_the_end)) return false;
+    if (jobs[i]->busy || (jobs[i]->accepted && !jobs[i]->answered_finally)) return false;
   return true;
 }
 
@@ -221,7 +221,7 @@
     const struct job *job = jobs[i];
     if (job->kind != kind) continue;
     accepted += job->accepted;
-    gave_up += job->gave_up;
+    gave_up += job->given_up;
     if (job->began_at) waits[n_began++] = job->began_at - job->first_at;
     if (job->accepted && !job->began_at) oldest = fmax(oldest, now - job->first_at);
   }
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -16,17 +16,18 @@
   struct fake_worker agent;
   int node; /* the node that it reports to */
   bool busy;
-  double due, sent, renewed; /* next report, the latest one, the latest one that was answered */
-  struct fake_worker before; /* its tasks when they were last looked at */
+  double next_report_at, report_sent_at,
+      lease_renewed_at; /* next report, the latest one, the latest one that was answered */
+  struct fake_worker reported_before; /* its tasks when they were last looked at */
 };
 static struct workers_setup setup;
 static struct worker *workers;
 static struct workers_figures figures;
 extern gsl_rng *cluster_rng;
 
-/* Tells of tasks that came and went since the last look. */
-static void note_changes(struct worker *worker) {
-  struct fake_worker *before = &worker->before, *now = &worker->agent;
+/* Records the tasks that started and ended since the last call. */
+static void record_changes(struct worker *worker) {
+  struct fake_worker *before = &worker->reported_before, *now = &worker->agent;
   for (size_t i = 0; i < now->n_tasks; i++) {
     size_t k = 0;
     while (k < before->n_tasks && (strcmp(before->tasks[k].task, now->tasks[i].task) ||
@@ -41,49 +42,49 @@
       history_end(now->id, now->tasks[i].task, now->tasks[i].attempt, now->tasks[i].why);
     }
   }
-  worker->before = worker->agent;
+  worker->reported_before = worker->agent;
 }
 
-static void note_orders(const struct worker *worker, int node, uint64_t token) {
+static void record_commands(const struct worker *worker, int node, uint64_t token) {
   for (size_t i = 0; i < worker->agent.n_commands_received; i++)
-    history_order(worker->agent.id, node, token, worker->agent.commands_received[i].operation,
-                  worker->agent.commands_received[i].task,
-                  worker->agent.commands_received[i].attempt);
+    history_command(worker->agent.id, node, token, worker->agent.commands_received[i].operation,
+                    worker->agent.commands_received[i].task,
+                    worker->agent.commands_received[i].attempt);
 }
 
 static void on_report(void *arg, int status, const uint8_t *body, size_t len) {
   struct worker *worker = arg;
   double now = tmx_clock_steady();
   worker->busy = false;
-  figures.slowest_report = fmax(figures.slowest_report, now - worker->sent);
+  figures.slowest_report = fmax(figures.slowest_report, now - worker->report_sent_at);
   if (status != 200 && status != 421) {
     worker->node = (worker->node + 1) % setup.nodes;
-    worker->due = now + 1;
+    worker->next_report_at = now + 1;
     return;
   }
   uint64_t had_token = worker->agent.token;
   fake_worker_take_response(&worker->agent, status, body, len);
   if (status == 421) {
     int node_named = worker->agent.redirected_to[0] ? atoi(worker->agent.redirected_to + 5) : -1;
-    worker->due = now + (node_named < 0 || node_named == worker->node ? 1 : 0.2);
+    worker->next_report_at = now + (node_named < 0 || node_named == worker->node ? 1 : 0.2);
     worker->node = node_named < 0 ? (worker->node + 1) % setup.nodes : node_named;
     return;
   }
-  worker->due = now + setup.report_s * (0.75 + 0.5 * gsl_rng_uniform(cluster_rng));
+  worker->next_report_at = now + setup.report_s * (0.75 + 0.5 * gsl_rng_uniform(cluster_rng));
   if (worker->agent.response_token < had_token) return; /* dropped */
-  worker->renewed = worker->sent;
+  worker->lease_renewed_at = worker->report_sent_at;
   unsigned had = worker->agent.executed_starts;
-  note_orders(worker, worker->node, worker->agent.response_token);
+  record_commands(worker, worker->node, worker->agent.response_token);
   fake_worker_execute_commands(&worker->agent);
-  note_changes(worker);
-  if (worker->agent.executed_starts != had) worker->due = now + 0.5;
+  record_changes(worker);
+  if (worker->agent.executed_starts != had) worker->next_report_at = now + 0.5;
 }
 
-/* A direct command: the sender is told by the term of its token alone. */
+/* A direct command: its sender shows only in the term of its token, so it is not recorded. */
 static void on_command(struct fake_worker *agent, uint64_t token) {
   (void)token;
   struct worker *worker = (struct worker *)((char *)agent - offsetof(struct worker, agent));
-  note_changes(worker);
+  record_changes(worker);
 }
 
 static void run_tasks(struct worker *worker, double now, double elapsed_s) {
@@ -95,7 +96,7 @@
       continue;
     memcpy(task, worker->agent.tasks[i].task, sizeof task);
     fake_worker_set_task(&worker->agent, task, worker->agent.tasks[i].attempt, WV_EXITED, WV_DONE);
-    if (worker->due > now + 0.5) worker->due = now + 0.5;
+    if (worker->next_report_at > now + 0.5) worker->next_report_at = now + 0.5;
     figures.finished++;
   }
 }
@@ -105,9 +106,9 @@
     if (!strcmp(worker->agent.tasks[i].state, WV_RUNNING))
       history_end(worker->agent.id, worker->agent.tasks[i].task, worker->agent.tasks[i].attempt,
                   "lease");
-  worker->agent.n_tasks = worker->before.n_tasks = 0;
+  worker->agent.n_tasks = worker->reported_before.n_tasks = 0;
   worker->agent.session++;
-  worker->renewed = now;
+  worker->lease_renewed_at = now;
 }
 
 static void send_report(struct worker *worker, double now) {
@@ -116,8 +117,8 @@
   fake_worker_encode_report(&worker->agent, &buffer);
   worker->busy = tmx_http_client_call(node[worker->node].reports, "POST", WP_REPORT, &buffer, 4,
                                       on_report, worker);
-  worker->sent = now;
-  if (!worker->busy) worker->due = now + 1;
+  worker->report_sent_at = now;
+  if (!worker->busy) worker->next_report_at = now + 1;
   tmx_buffer_free(&buffer);
 }
 
@@ -125,9 +126,10 @@
   for (int i = 0; i < setup.machines; i++) {
     struct worker *worker = &workers[i];
     run_tasks(worker, now, elapsed_s);
-    note_changes(worker);
-    if (now - worker->renewed > setup.lease_s) end_session(worker, now);
-    if (!worker->busy && now >= worker->due && now - worker->sent >= 0.5) send_report(worker, now);
+    record_changes(worker);
+    if (now - worker->lease_renewed_at > setup.lease_s) end_session(worker, now);
+    if (!worker->busy && now >= worker->next_report_at && now - worker->report_sent_at >= 0.5)
+      send_report(worker, now);
   }
 }
 
@@ -142,8 +144,8 @@
     fake_worker_open(&workers[i].agent, id);
     workers[i].agent.on_command = on_command;
     workers[i].node = i % setup.nodes;
-    workers[i].renewed = now;
-    workers[i].due = now + setup.report_s * gsl_rng_uniform(cluster_rng);
+    workers[i].lease_renewed_at = now;
+    workers[i].next_report_at = now + setup.report_s * gsl_rng_uniform(cluster_rng);
   }
 }
 
--- a/tests/planned_cluster.c
+++ b/tests/planned_cluster.c
@@ -63,7 +63,7 @@
   machine->tasks[machine->n_tasks++] = (struct tmx_plan_task){(int)k, task, 1, since, stopping};
 }
 
-/* Feeds the paper to a planner and plans a round; the paper stays as it is. */
+/* Gives the cluster to a new planner and plans a round; the cluster stays as it is. */
 struct tmx_planner *planner_of(const struct planned_cluster *cluster) {
   struct tmx_planner *planner = tmx_planner_new();
   struct tmx_planner_delta delta = {0};
--- a/tests/planned_cluster.h
+++ b/tests/planned_cluster.h
@@ -1,4 +1,4 @@
-/* A cluster on paper for tests of the planner: machines and jobs as a delta would tell of them.
+/* A cluster for tests of the planner: machines and jobs in the form of a delta.
  * Each round is planned by a planner of its own, so the cluster stays as it is. */
 #ifndef TMX_PLANNED_CLUSTER_H
 #define TMX_PLANNED_CLUSTER_H
@@ -21,7 +21,7 @@
 /* A task of job `job` that runs on machine `machine`; its work since `since` would be lost. */
 void add_running_task(struct planned_cluster *cluster, size_t machine, size_t job, uint32_t task,
                       double since, bool stopping);
-/* A new planner that has been told of the whole cluster. */
+/* A new planner that was given the whole cluster as its first delta. */
 struct tmx_planner *planner_of(const struct planned_cluster *cluster);
 /* Plans one round; the caller frees output->operations. */
 void run_round(const struct planned_cluster *cluster, struct tmx_round_output *output);
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -31,7 +31,7 @@
 static void send_all(int fd, const uint8_t *bytes, size_t length) {
   for (size_t sent = 0; sent < length;) {
     ssize_t written = send(fd, bytes + sent, length - sent, MSG_NOSIGNAL);
-    if (written <= 0) return; /* the other side has gone */
+    if (written <= 0) return; /* the other side has closed */
     sent += (size_t)written;
   }
 }
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -24,7 +24,8 @@
                                   const char *start, const char *part);
 /* Sends a request on a connection of its own and waits for the whole answer. */
 void raw_call(const char *address, const void *request, size_t length, struct tmx_buffer *answer);
-/* ... one with this request line and a body of CBOR, which may be NULL; both are returned. */
+/* Sends a request with this request line and a body of CBOR, which may be NULL, and waits for the
+ * whole answer. Both are returned; the caller frees them by exchange_free. */
 void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
                  struct exchange *out);
 void exchange_free(struct exchange *exchange);
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -1,4 +1,4 @@
-/* Cancellations that meet other troubles: a confirmed cancellation holds, whatever fails. */
+/* Cancellations during other failures: a confirmed cancellation is final, whatever fails. */
 #include "controller_fixture.h"
 
 #include <stdio.h>
@@ -7,11 +7,11 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* The day "gap": the state refuses the leader alone, another controller confirms a cancellation,
- * then the state is down for all, for longer than cancel_s, and the worker keeps reporting to its
- * old owner. Whatever any of them answers, no lease outlasts the time of the cancellation, and
- * nothing of the job starts. slow_s: in place of the refusal the owner's reads are answered so
- * late, and its watch tells nothing. */
+/* The scenario "gap": the store refuses the leader alone, another controller confirms a
+ * cancellation, then the store is down for all, for longer than cancel_s, and the worker keeps
+ * reporting to its old owner. Whatever any of them answers, no lease outlasts the time of the
+ * cancellation, and nothing of the job starts. slow_s: in place of the refusal the owner's reads
+ * are answered so late, and its watch shows no change. */
 static void play_gap(double slow_s) {
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
@@ -64,15 +64,16 @@
   play_gap(1.9); /* just before they are given up */
 }
 
-/* ... and the leader does not reach the other controllers either. */
+/* The same, and the leader does not reach the other controllers either. */
 static int setup_unreachable_peers(void **state) {
   fake_peers_unreachable = true;
   return setup_two_settled_controllers(state);
 }
 
 /* The owner's start is held up on its way, the job is cancelled through another controller, which
- * knows it, and then the state is out and the owner gone. Who keeps the lease for the owner raises
- * no token: the start may still be executed, and must not outlast the cancellation. */
+ * knows it, and then the store is unreachable and the owner ends. A controller that renews the
+ * lease for the owner raises no token: the start may still be executed, and must not outlast the
+ * cancellation. */
 static void no_lease_is_kept_for_a_delayed_start(void **state) {
   (void)state;
   register_worker(&worker);
@@ -139,8 +140,8 @@
 }
 
 /* A cancellation, a question and a repeated submission meet the last task's end, whose transaction
- * is carried out without an answer, or late, or not at all. The first of the two that the log has
- * stands. */
+ * is carried out without an answer, or late, or not at all. The first of the two in the log is
+ * final. */
 static void a_cancellation_at_the_last_completion_gets_one_answer(void **state) {
   (void)state;
   static const char *ids[] = {"wk-000001", "wk-000002"};
@@ -189,7 +190,7 @@
   assert_int_equal(worker.executed_starts, 2);
 }
 
-/* A job is cancelled in the seconds in which its owner's work changes hands: the owner ends between
+/* A job is cancelled while another controller takes over from its owner: the owner ends between
  * the placement and the start, and the other controller confirms the cancellation before, while or
  * after it takes the machine. Nothing of the job starts after the confirmation, and its place is
  * free again. */
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -230,7 +230,7 @@
   record_commit(recording, "pages", "t/page/");
   record_commit(recording, "the mark of the fold", "gen");
   uint64_t mark = first_controller->replica.compaction_point;
-  report(1); /* something new, so that it folds again */
+  report(1); /* something new, so that the log is compacted again */
   report(1);
   report(1);
   for (int i = 0; i < 600 && first_controller->replica.compaction_point == mark; i++)
--- a/tests/test_compaction.c
+++ b/tests/test_compaction.c
@@ -18,7 +18,7 @@
   return true;
 }
 
-/* Folding loses nothing: a controller that starts from the pages alone knows attempts, results
+/* Compaction loses nothing: a controller that starts from the pages alone knows attempts, results
  * and what runs where, and starts nothing a second time. */
 static void compaction_keeps_jobs_and_placements(void **state) {
   (void)state;
@@ -52,7 +52,7 @@
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
-  /* log keys are written over from here on: another start still finds the whole story */
+  /* log keys are written over from here on: another start still finds a complete log */
   struct tmx_log_key *key, *next_key;
   bool reused = false;
   HASH_ITER(hh, first_controller->replica.batch_keys, key, next_key)
@@ -73,7 +73,7 @@
 
 /* Many submissions at once go into values as large as the state service takes. It counts them as
  * JSON, in which numbers are several times as long: a batch that it refuses for its size would come
- * again and again, and hold the whole log up. Pages of a fold hold the same. */
+ * again and again, and block the whole log. The pages of a compaction hold the same. */
 static void many_submissions_fit_small_values(void **state) {
   (void)state;
   enum { MANY = 150 };
@@ -110,9 +110,9 @@
 
 static bool is_loaded(void *arg) { return ((struct tmx_controller *)arg)->replica.loaded; }
 
-/* A fold ends while a controller that starts reads the keys: it has the mark before, and the pages
- * of that one are dropped, and keys of batches written over, before it comes to them. What was in
- * them is known all the same. */
+/* A compaction ends while a controller that starts reads the keys: it has the compaction point
+ * before, and the pages of that one are dropped, and keys of batches written over, before it comes
+ * to them. What was in them is known all the same. */
 static void keys_are_read_again_when_the_compaction_point_moves(void **state) {
   (void)state;
   register_worker(&worker);
@@ -123,7 +123,7 @@
   uint64_t mark = first_controller->replica.compaction_point;
   assert_true(mark > 0);
   tmx_compaction_set_threshold(first_controller->compaction, 1000);
-  run_loop_for(3); /* what the first fold leaves is dropped */
+  run_loop_for(3); /* what the first compaction replaces is dropped */
   struct fake_endpoint *endpoint = &fake_store.endpoints[1];
   endpoint->page_entries_max = 1;
   strcpy(endpoint->hold_reads_from, TMX_KEY_COMPACTION);
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -122,8 +122,8 @@
   assert_int_equal(worker.executed_starts, 2);
 }
 
-/* The cancellation is confirmed, and the state is out from then on: the jobs after it are cancelled
- * for every controller that knows of it, and for one that starts later. */
+/* The cancellation is confirmed, and the store is unreachable from then on: the jobs after it are
+ * cancelled for every controller that knows of it, and for one that starts later. */
 static void a_cancellation_at_an_outage_reaches_dependents(void **state) {
   (void)state;
   register_worker(&worker);
@@ -140,7 +140,8 @@
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
 }
 
-/* The answer to a cancellation and the last end meet: whoever wins, the job after it follows. */
+/* The answer to a cancellation and the last end meet: whichever is committed first decides for the
+ * job after it. */
 static void a_cancellation_at_the_end_of_a_dependency_gets_one_answer(void **state) {
   (void)state;
   register_worker(&worker);
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -59,7 +59,8 @@
   return !controller->replica.n_unstored_outcomes;
 }
 
-/* What follows from a cancellation gets a final state of its own; a fold in between keeps it. */
+/* What follows from a cancellation gets a final state of its own; a compaction in between keeps it.
+ */
 static void derived_outcomes_survive_compaction_and_restarts(void **state) {
   (void)state;
   register_worker(&worker);
@@ -75,8 +76,8 @@
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
 }
 
-/* While puts are short nobody writes that final state. A fold meanwhile keeps the job and the names
- * that it was derived from, as the batch that told of them is written over. */
+/* While puts are scarce nobody writes that final state. A compaction meanwhile keeps the job and
+ * the names that it was derived from, as the batch that held them is written over. */
 static void a_derived_outcome_survives_compaction_before_it_is_stored(void **state) {
   (void)state;
   register_worker(&worker);
@@ -95,8 +96,8 @@
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
 }
 
-/* A chain that is half done is folded, and the controller restarted: what is done counts, what is
- * not done blocks, and nothing starts twice. */
+/* The log of a chain that is half done is compacted, and the controller restarted: what is done
+ * counts, what is not done blocks, and nothing starts twice. */
 static void chains_survive_compaction_half_done(void **state) {
   (void)state;
   register_worker(&worker);
@@ -161,7 +162,7 @@
                    422);
   fake_store.endpoints[0].refuse = true;
   int status = submit_with_dependencies(first_controller, "wk-000004", "wk-000777").status;
-  assert_int_equal(status, 503); /* it cannot be told now */
+  assert_int_equal(status, 503); /* it cannot be decided now */
 }
 
 static int submit_with_list(const struct tmx_buffer *list) {
@@ -216,7 +217,8 @@
 }
 
 /* More names than a value holds are split over the keys of one transaction; more than a
- * transaction holds are refused. Neither is ever half there, and a fold splits them as well. */
+ * transaction holds are refused. Neither is ever half there, and a compaction splits them as well.
+ */
 static void dependencies_may_span_several_values(void **state) {
   (void)state;
   enum { SOME = 650, FAR_TOO_MANY = 1300 };
@@ -242,7 +244,7 @@
   tmx_buffer_free(&list);
   list = encode_many_ids(SOME);
   first_controller->settings.write_rps =
-      4; /* fewer puts at hand than it needs: it goes out whole all the same */
+      4; /* fewer puts available than it needs: it is sent whole all the same */
   assert_int_equal(submit_with_list(&list), 201);
   first_controller->settings.write_rps = 1000;
   tmx_buffer_free(&list);
@@ -298,8 +300,8 @@
 
 static bool all_accepted(void *arg) { return *(unsigned *)arg == TYPED_JOBS; }
 
-/* A job whose record names more types than the lowered limit leaves room for does not hold up a
- * fold, and keeps all of its types. */
+/* A job whose record names more types than the lowered limit leaves room for does not block a
+ * compaction, and keeps all of its types. */
 static void a_record_above_a_lowered_limit_is_compacted(void **state) {
   (void)state;
   char type[TMX_ID_MAX];
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -7,8 +7,8 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* A start of the earlier owner may still be under way: its heir believes no absence before the
- * worker has seen the heir's token. */
+/* A start of the earlier owner may still be under way: its successor takes no task to be absent
+ * before the worker has seen the successor's token. */
 static void late_commands_of_the_former_owner_are_fenced(void **state) {
   (void)state;
   register_worker_at(first_controller);
@@ -30,7 +30,7 @@
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
 
-/* Two that both take themselves for the leader: every batch was planned on all before it. */
+/* Two controllers that both act as the leader: every batch was planned on all before it. */
 static void a_deposed_leader_places_nothing(void **state) {
   (void)state;
   struct tmx_buffer value = {0};
@@ -89,7 +89,7 @@
   assert_int_equal(fake_count_placed(), 1);
 }
 
-/* The token of another, newer owner: this controller must not hold the worker. */
+/* The token of another, newer owner: this controller must not keep the worker. */
 static void a_higher_token_is_not_answered_with_200(void **state) {
   (void)state;
   register_worker_at(first_controller);
--- a/tests/test_history.c
+++ b/tests/test_history.c
@@ -49,11 +49,11 @@
                     ORDER("1", TERM_2_RAISED) POLLED("200", "done", "false")
                         POLLED("503", "", "false") POLLED("200", "done", "true"));
   assert_int_equal(findings.lines, 11);
-  assert_int_equal(history_broken(&findings), 0);
+  assert_int_equal(history_count_violations(&findings), 0);
   /* a task that ended without a result is begun once more, as the log says */
   findings = check(ACCEPTED PLACED("n-1", "1") BEGIN("n-1", "1") END("lease") PLACED("n-2", "2")
                        BEGIN("n-2", "2") POLLED("200", "running", "true"));
-  assert_int_equal(history_broken(&findings), 0);
+  assert_int_equal(history_count_violations(&findings), 0);
 }
 
 static void each_rule_is_found_broken(void **state) {
@@ -83,7 +83,7 @@
   for (size_t i = 0; i < sizeof broken / sizeof *broken; i++) {
     struct history_findings findings = check(broken[i].text);
     assert_int_equal(*(unsigned *)((char *)&findings + broken[i].rule), 1);
-    assert_int_equal(history_broken(&findings), 1);
+    assert_int_equal(history_count_violations(&findings), 1);
   }
 }
 
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -59,7 +59,7 @@
   return key;
 }
 
-/* A job that names the given ids, settings apart by spaces. */
+/* A job that awaits the given ids, separated by spaces. */
 static void put_spec(const char *id, const struct tmx_job_spec *spec, double submitted,
                      const char *names) {
   struct tmx_job_ids awaits = {.ids = calloc(8, TMX_ID_MAX)};
--- a/tests/test_late_messages.c
+++ b/tests/test_late_messages.c
@@ -115,7 +115,7 @@
   assert_non_null(endpoint->late_transaction);
   assert_int_equal(fake_execute_late_transaction(endpoint), 409);
   assert_stays_placed(2, 0.3);
-  /* ... and so is a cancellation of a job that ended in the meantime */
+  /* and so is a cancellation of a job that ended in the meantime */
   strcpy(endpoint->late_transaction_key, TMX_KEY_JOB "wk-000001");
   endpoint->next_transaction_is_late = true;
   assert_int_equal(cancel_job(first_controller, "wk-000001").status, 503);
@@ -186,7 +186,7 @@
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
 
-/* The answer to a commit is lost: nobody is told anything that is not known. A submission is known
+/* The answer to a commit is lost: no answer says what is not known. A submission is known
  * as soon as the log shows it; the user does not wait for the answer. */
 static void a_lost_commit_response_accepts_once(void **state) {
   (void)state;
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -7,8 +7,8 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* Two tasks that end far apart, over restarts, with a fold in between, and all controllers away for
- * longer than a lease: never done too early, done in the end, no attempt twice. */
+/* Two tasks that end far apart, over restarts, with a compaction in between, and all controllers
+ * away for longer than a lease: never done too early, done in the end, no attempt twice. */
 static void completions_far_apart_survive_leader_changes(void **state) {
   (void)state;
   register_worker(&worker);
@@ -63,8 +63,8 @@
   }
 }
 
-/* The leader changes ten times while jobs come, end and are cancelled: the limit of the team holds
- * at every moment, no attempt is begun twice, and everything is served in the end. */
+/* The leader changes ten times while jobs come, end and are cancelled: the team stays within its
+ * limit at every moment, no attempt is begun twice, and everything is served in the end. */
 static void work_goes_on_through_ten_leader_changes(void **state) {
   (void)state;
   register_worker(&worker);
@@ -276,7 +276,8 @@
 }
 
 /* One-task jobs come four a second, a quarter of them are cancelled, some at their end, and the
- * leader changes on the way: each ends as its user was told, the limit holds, and nothing is left.
+ * leader changes on the way: each ends as its user was answered, the limit is kept, and nothing is
+ * left.
  */
 static void one_task_jobs_run_once_or_stay_cancelled(void **state) {
   (void)state;
--- a/tests/test_machine_failure.c
+++ b/tests/test_machine_failure.c
@@ -153,7 +153,7 @@
   assert_true(fake_log_contains("x n-000001"));
 }
 
-/* A controller that stands still again and again finds timeouts where answers lie in its buffers:
+/* A controller that is stopped again and again finds timeouts where answers wait in its buffers:
  * it must not take that for a silent machine. */
 static void a_late_loop_suspects_no_machine(void **state) {
   (void)state;
@@ -167,7 +167,7 @@
   assert_false(fake_log_contains("x n-000001"));
 }
 
-/* A member that was cut off still tells of the machines that it owned before, none of which it
+/* A member that was cut off still reports the machines that it owned before, none of which it
  * could reach. When a view names it again, what it says by the old one must not give them up. */
 static void suspicions_of_an_older_view_are_ignored(void **state) {
   (void)state;
--- a/tests/test_planner_order.c
+++ b/tests/test_planner_order.c
@@ -118,7 +118,7 @@
   free_cluster(cluster);
 }
 
-/* A planner that is fed with changes plans as one that is told everything anew, round after round,
+/* A planner that is given deltas plans as one that is given everything anew, round after round,
  * and a round leaves its tables as they were. */
 static void deltas_give_the_same_plan_as_a_fresh_start(void **state) {
   (void)state;
--- a/tests/test_planner_placement.c
+++ b/tests/test_planner_placement.c
@@ -205,7 +205,7 @@
 }
 
 /* What the leader frees for a service on a machine of another's part is not filled by that other
- * with its own arrays: it holds the room on paper. */
+ * with its own arrays: the room counts as booked. */
 static void released_room_is_left_to_the_service(void **state) {
   (void)state;
   struct planned_cluster *cluster = make_cluster(1, 2, 1);
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -49,8 +49,8 @@
   }
 }
 
-/* A heartbeat's record holds 2,048 machines in doubt. Where an owner has more, further records
- * follow, and the leader hears of all of them. */
+/* A heartbeat's record has room for 2,048 suspected machines. Where an owner has more, further
+ * records follow, and the leader hears of all of them. */
 static void doubts_beyond_one_record(void **state) {
   (void)state;
   enum { MACHINES = 5000 };
@@ -121,7 +121,8 @@
   assert_int_equal(listed(), 6900);
 }
 
-/* A listing that says it goes on and brings the same names is given up, and read anew later. */
+/* A listing that announces more pages and repeats the same names is given up, and read anew later.
+ */
 static void listing_that_does_not_go_on(void **state) {
   (void)state;
   fake_cloud.listed_machines = 2000;
--- a/tests/test_task_lifecycle.c
+++ b/tests/test_task_lifecycle.c
@@ -68,7 +68,7 @@
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
 
-/* An heir has nothing but the log: it starts what is placed and absent, with a higher token. */
+/* A successor has nothing but the log: it starts what is placed and absent, with a higher token. */
 static void a_restart_between_log_and_start_starts_once(void **state) {
   (void)state;
   register_worker_at(first_controller);
@@ -104,8 +104,8 @@
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE); /* its reap never came */
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(fake_worker_was_commanded(&worker, WV_FORGET, "wk-000001/0", 1));
-  assert_false(
-      fake_worker_was_commanded(&worker, WV_STOP, "wk-000001/1", 1)); /* the running one goes on */
+  assert_false(fake_worker_was_commanded(&worker, WV_STOP, "wk-000001/1",
+                                         1)); /* the running one continues */
   fake_worker_execute_commands(&worker);
   assert_int_equal(worker.executed_starts, 2);
   worker.fails_commands = true;
@@ -121,7 +121,7 @@
 }
 
 /* A job's last end needs a put more than others. With few puts to spend it waits for them, and does
- * not hold up what comes after it. */
+ * not block what comes after it. */
 static void last_completions_are_stored_with_few_writes(void **state) {
   (void)state;
   register_worker_at(first_controller);
--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -40,7 +40,7 @@
   assert_int_equal(tmx_job_find(&second_controller->replica, "wk-000001")->spec.tasks, 2);
 }
 
-/* A controller whose state is out of reach sends submissions and polls on at once. */
+/* A controller that cannot reach the store refuses submissions and polls at once. */
 static void requests_are_refused_at_once_without_the_store(void **state) {
   (void)state;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
@@ -68,8 +68,8 @@
   count->refused += status == 503;
 }
 
-/* When more polls come than can be answered, a job of which nobody was told for long goes before
- * one that was just answered for: none stays without an answer, however many ask for others. */
+/* When more polls come than can be answered, a job that was not answered for long goes before
+ * one that was just answered: none stays without an answer, however many ask for others. */
 static void polls_take_turns_under_overload(void **state) {
   (void)state;
   struct count often = {0, 0}, late = {0, 0}, more = {0, 0};
@@ -206,7 +206,7 @@
   tmx_http_server_free(server);
 }
 
-/* In the midst of trouble: nothing that lacks a field or cannot run is accepted, and what is known
+/* During failures: nothing that lacks a field or cannot run is accepted, and what is known
  * is never refused for its body. */
 static void malformed_requests_get_400_in_an_outage(void **state) {
   (void)state;
