--- a/tests/relay.c
+++ b/tests/relay.c
@@ -1,8 +1,6 @@
-/* A relay and a raw client on the loop of the test. */
 #include "relay.h"
 
 #include <arpa/inet.h>
-#include <errno.h>
 #include <fcntl.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,6 +9,8 @@
 #include <unistd.h>
 #include <utlist.h>
 
+#include "raw_client.h"
+
 struct relay_link { /* one connection through the relay */
   struct relay *relay;
   int near, far; /* towards the program, towards the scripted peer */
@@ -19,25 +19,6 @@
   struct relay_link *prev, *next;
 };
 
-static int connect_to(const char *address) {
-  struct sockaddr_in socket_address;
-  int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  assert_true(fd >= 0);
-  assert_true(tmx_parse_address(address, &socket_address));
-  assert_int_equal(connect(fd, (struct sockaddr *)&socket_address, sizeof socket_address), 0);
-  return fd;
-}
-
-static void send_all(int fd, const uint8_t *bytes, size_t length) {
-  for (size_t sent = 0; sent < length;) {
-    ssize_t written = send(fd, bytes + sent, length - sent, MSG_NOSIGNAL);
-    if (written <= 0) return; /* the other side has closed */
-    sent += (size_t)written;
-  }
-}
-
-/* ------------------------------------------------------------ relay */
-
 static void link_close(struct relay_link *link) {
   ev_io_stop(test_loop, &link->from_near);
   ev_io_stop(test_loop, &link->from_far);
@@ -60,26 +41,19 @@
   return link->now = exchange;
 }
 
-static ssize_t receive(int fd, uint8_t *buffer, size_t cap) {
-  ssize_t length;
-  do length = recv(fd, buffer, cap, MSG_DONTWAIT);
-  while (length < 0 && errno == EINTR);
-  return length < 0 && errno == EAGAIN ? -1 : length < 0 ? 0 : length;
-}
-
 static void on_near(struct ev_loop *loop, ev_io *watcher, int events) {
   (void)loop;
   (void)events;
   static uint8_t received[65536];
   struct relay_link *link = watcher->data;
-  ssize_t length = receive(link->near, received, sizeof received);
+  ssize_t length = raw_receive(link->near, received, sizeof received);
   if (length < 0) return;
   if (!length) {
     link_close(link);
     return;
   }
   tmx_buffer_append(&exchange_at(link)->request, received, (size_t)length);
-  send_all(link->far, received, (size_t)length);
+  raw_send(link->far, received, (size_t)length);
 }
 
 static void on_far(struct ev_loop *loop, ev_io *watcher, int events) {
@@ -87,14 +61,14 @@
   (void)events;
   static uint8_t received[65536];
   struct relay_link *link = watcher->data;
-  ssize_t length = receive(link->far, received, sizeof received);
+  ssize_t length = raw_receive(link->far, received, sizeof received);
   if (length < 0) return;
   if (!length) {
     link_close(link);
     return;
   }
   if (link->now) tmx_buffer_append(&link->now->answer, received, (size_t)length);
-  send_all(link->near, received, (size_t)length);
+  raw_send(link->near, received, (size_t)length);
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *watcher, int events) {
@@ -108,7 +82,7 @@
   snprintf(target, sizeof target, "127.0.0.1:%d", relay->target);
   link->relay = relay;
   link->near = fd;
-  link->far = connect_to(target);
+  link->far = raw_connect(target);
   ev_io_init(&link->from_near, on_near, link->near, EV_READ);
   ev_io_init(&link->from_far, on_far, link->far, EV_READ);
   link->from_near.data = link->from_far.data = link;
@@ -133,11 +107,6 @@
   ev_io_start(test_loop, &relay->accept);
 }
 
-void exchange_free(struct exchange *exchange) {
-  tmx_buffer_free(&exchange->request);
-  tmx_buffer_free(&exchange->answer);
-}
-
 void relay_close(struct relay *relay) {
   if (!relay->address[0]) return;
   while (relay->links) link_close(relay->links);
@@ -151,15 +120,6 @@
   memset(relay, 0, sizeof *relay);
 }
 
-bool http_complete(const struct tmx_buffer *message) {
-  const char *body = message->length ? memmem(message->data, message->length, "\r\n\r\n", 4) : NULL;
-  const char *length =
-      message->length ? memmem(message->data, message->length, "Content-Length: ", 16) : NULL;
-  if (!body || !length) return false;
-  return message->length ==
-         (size_t)(body + 4 - (const char *)message->data) + strtoul(length + 16, NULL, 10);
-}
-
 struct wanted {
   const struct relay *relay;
   const struct exchange *after, *found;
@@ -190,54 +150,3 @@
     fail_msg("no request %s with %s", start, part ? part : "anything");
   return wanted.found;
 }
-
-/* ------------------------------------------------------------ raw client */
-
-struct raw {
-  int fd;
-  ev_io readable;
-  struct tmx_buffer *answer;
-  bool closed;
-};
-
-static void on_raw(struct ev_loop *loop, ev_io *watcher, int events) {
-  (void)loop;
-  (void)events;
-  static uint8_t received[65536];
-  struct raw *connection = watcher->data;
-  ssize_t length = receive(connection->fd, received, sizeof received);
-  if (length < 0) return;
-  if (length)
-    tmx_buffer_append(connection->answer, received, (size_t)length);
-  else
-    connection->closed = true;
-}
-
-static bool raw_done(void *arg) {
-  struct raw *connection = arg;
-  return connection->closed || http_complete(connection->answer);
-}
-
-void raw_call(const char *address, const void *request, size_t length, struct tmx_buffer *answer) {
-  struct raw connection = {.fd = connect_to(address), .answer = answer};
-  ev_io_init(&connection.readable, on_raw, connection.fd, EV_READ);
-  connection.readable.data = &connection;
-  ev_io_start(test_loop, &connection.readable);
-  send_all(connection.fd, request, length);
-  assert_true(run_loop_until(raw_done, &connection));
-  ev_io_stop(test_loop, &connection.readable);
-  close(connection.fd);
-  assert_true(http_complete(answer));
-}
-
-void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
-                 struct exchange *out) {
-  char head[512];
-  int head_length =
-      snprintf(head, sizeof head, "%s HTTP/1.1\r\nHost: tallymux\r\nContent-Length: %zu\r\n\r\n",
-               line, body ? body->length : 0);
-  memset(out, 0, sizeof *out);
-  tmx_buffer_append(&out->request, head, (size_t)head_length);
-  if (body && body->length) tmx_buffer_append(&out->request, body->data, body->length);
-  raw_call(address, out->request.data, out->request.length, &out->answer);
-}
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -1,33 +1,28 @@
-/* Raw bytes on the loop of the test: a relay between the program and a scripted peer, which keeps
- * every request and its answer as they were sent, and a client that sends what it is given. */
+/** A relay between the program and a scripted peer, on the loop of the test. It keeps every request
+ *  and its answer as they were sent. */
 #ifndef TMX_RELAY_H
 #define TMX_RELAY_H
-#include "fake.h"
+#include "raw_client.h"
 
-struct exchange { /* one request, and the answer to it */
-  struct tmx_buffer request, answer;
-  struct exchange *next;
-};
 struct relay {
-  int fd, target; /* the listening socket; the port of the scripted peer */
-  char address[32];
+  int fd;           /**< listening socket */
+  int target;       /**< port of the scripted peer */
+  char address[32]; /**< where it listens; empty: it is not open */
   ev_io accept;
-  struct exchange *first, *last;
+  struct exchange *first, *last; /**< in the order of the requests */
   struct relay_link *links;
 };
 
+/** Starts to listen. */
 void relay_open(struct relay *relay, int target_port);
+/** Closes the relay and its connections and frees the exchanges; nothing if it is not open. */
 void relay_close(struct relay *relay);
-/* The first answered exchange from `after` on (NULL: of all) whose request begins with `start` and
- * holds the text `part` (NULL: anything) within; waits for it, and fails the test if none comes. */
+/** Waits for an answered exchange and fails the test if none comes.
+ *  @param after only later ones count; NULL: all do
+ *  @param start how the request begins
+ *  @param part a text in the request; NULL: anything
+ *  @return the first such exchange; it stays the relay's */
 const struct exchange *relay_wait(struct relay *relay, const struct exchange *after,
                                   const char *start, const char *part);
-/* Sends a request on a connection of its own and waits for the whole answer. */
-void raw_call(const char *address, const void *request, size_t length, struct tmx_buffer *answer);
-/* Sends a request with this request line and a body of CBOR, which may be NULL, and waits for the
- * whole answer. Both are returned; the caller frees them by exchange_free. */
-void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
-                 struct exchange *out);
-void exchange_free(struct exchange *exchange);
-bool http_complete(const struct tmx_buffer *message);
+
 #endif
