--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -1,16 +1,15 @@
-/* The forms in which the state service keeps jobs, lines of the log, batches, pages, the view and
- * the other keys, byte for byte as recorded under tests/data/wire-format/storage-*.txt, and each
- * read back to what was written. A store that an earlier version wrote must stay readable: a
- * difference here is a change of the format, whatever the code is called. */
-#include "recording.h"
-
+/* The forms in which the store keeps the log, its pages and the view, byte for byte as recorded
+ * under tests/data/wire-format/storage-*.txt, and read back to what was written. A store that an
+ * earlier version wrote must stay readable: a difference here is a change of the format, whatever
+ * the code is called. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/log.h"
+#include "recording.h"
 #include "replica/replica.h"
-#include "tmx/wire.h"
+#include "sample_jobs.h"
+#include "test.h"
 
 static struct tmx_settings settings;
 static struct tmx_replica replica;
@@ -34,228 +33,6 @@
   return 0;
 }
 
-/* ------------------------------------------------------------ records of jobs */
-
-#define SUBMITTED 1500000000.25 /* s of the epoch */
-#define ENDED 1500000060.5
-
-static struct tmx_job_spec plain_job(void) {
-  struct tmx_job_spec spec = {
-      .tasks = 3, .cpus = 1, .mem_gb = 2, .estimate_s = 10, .deadline_s = -1};
-  strcpy(spec.class, "train");
-  strcpy(spec.team, "vision");
-  strcpy(spec.image, "img-07");
-  return spec;
-}
-
-static struct tmx_job_spec full_job(void) {
-  struct tmx_job_spec spec = {.service = true,
-                              .same_zone = true,
-                              .spread = true,
-                              .spot_allowed = true,
-                              .priority = TMX_PRIORITY_PROD,
-                              .tasks = 100000,
-                              .cpus = 0.5,
-                              .gpus = 8,
-                              .mem_gb = 65536,
-                              .image_gb = 6.25,
-                              .estimate_s = 86400,
-                              .checkpoint_s = 30,
-                              .checkpoint_save_s = 4.5,
-                              .deadline_s = 900};
-  strcpy(spec.class, "serve");
-  strcpy(spec.team, "vision");
-  strcpy(spec.image, "img-08");
-  strcpy(spec.zone, "b");
-  strcpy(spec.types[0], "g8");
-  strcpy(spec.types[1], "big");
-  spec.n_types = 2;
-  return spec;
-}
-
-static void assert_same_spec(const struct tmx_job_spec *a, const struct tmx_job_spec *b) {
-  assert_string_equal(a->class, b->class);
-  assert_string_equal(a->team, b->team);
-  assert_string_equal(a->image, b->image);
-  assert_string_equal(a->zone, b->zone);
-  assert_int_equal(a->n_types, b->n_types);
-  for (size_t i = 0; i < a->n_types; i++) assert_string_equal(a->types[i], b->types[i]);
-  assert_int_equal(a->service, b->service);
-  assert_int_equal(a->same_zone, b->same_zone);
-  assert_int_equal(a->spread, b->spread);
-  assert_int_equal(a->spot_allowed, b->spot_allowed);
-  assert_int_equal(a->priority, b->priority);
-  assert_int_equal(a->tasks, b->tasks);
-  const double x[] = {a->cpus,
-                      a->gpus,
-                      a->mem_gb,
-                      a->image_gb,
-                      a->estimate_s,
-                      a->checkpoint_s,
-                      a->checkpoint_save_s,
-                      a->deadline_s};
-  const double y[] = {b->cpus,
-                      b->gpus,
-                      b->mem_gb,
-                      b->image_gb,
-                      b->estimate_s,
-                      b->checkpoint_s,
-                      b->checkpoint_save_s,
-                      b->deadline_s};
-  for (size_t i = 0; i < sizeof x / sizeof *x; i++) assert_true(x[i] == y[i]);
-}
-
-/* Records what was encoded and decodes it; the awaited ids go to `awaits`. */
-static struct tmx_job_record read_record(struct recording *recording,
-                                         const struct tmx_buffer *buffer, char *awaits,
-                                         size_t cap) {
-  struct tmx_job_record out;
-  cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
-  record_cbor(recording, "", buffer->data, buffer->length);
-  assert_non_null(value);
-  assert_true(tmx_job_decode(value, &out));
-  awaits[0] = 0;
-  if (out.awaits) assert_true(tmx_cbor_as_text(out.awaits, awaits, cap));
-  out.awaits = NULL; /* goes with the value */
-  tmx_cbor_free(value);
-  return out;
-}
-
-static void record_open(struct recording *recording, const char *title, const char *id,
-                        const struct tmx_job_spec *spec) {
-  struct tmx_buffer buffer = {0};
-  char awaits[8];
-  record_line(recording, "== %s", title);
-  tmx_job_encode(&buffer, id, spec, SUBMITTED, TMX_JOB_OPEN);
-  struct tmx_job_record back = read_record(recording, &buffer, awaits, sizeof awaits);
-  assert_string_equal(back.id, id);
-  assert_same_spec(&back.spec, spec);
-  assert_true(back.submitted_at == SUBMITTED);
-  assert_int_equal(back.outcome, TMX_JOB_OPEN);
-  assert_int_equal(back.n_awaits, 0);
-  tmx_buffer_free(&buffer);
-}
-
-static void open_jobs(void **state) {
-  (void)state;
-  struct recording recording = {0};
-  struct tmx_job_spec plain = plain_job(), full = full_job();
-  record_open(&recording, "an open job", "wk-000001", &plain);
-  record_open(&recording, "an open job with every field in use", "wk-000002", &full);
-  static const char *const priorities[] = {"idle", "normal", "high", "prod"};
-  for (int i = 0; i < 4; i++) {
-    plain.priority = i;
-    record_open(&recording, priorities[i], "wk-000003", &plain);
-  }
-  static const char *const flags[] = {"a service", "all tasks in one zone", "spread over zones",
-                                      "spot machines allowed"};
-  for (int i = 0; i < 4; i++) { /* one flag each: which bit it is */
-    plain = plain_job();
-    *(bool *[]){&plain.service, &plain.same_zone, &plain.spread, &plain.spot_allowed}[i] = true;
-    record_open(&recording, flags[i], "wk-000004", &plain);
-  }
-  recording_check(&recording, "storage-open-jobs.txt");
-}
-
-static void make_awaits(struct tmx_job_ids *ids, uint32_t count) {
-  ids->count = count;
-  ids->ids = calloc(count, sizeof *ids->ids);
-  assert_non_null(ids->ids);
-  for (uint32_t i = 0; i < count; i++) snprintf(ids->ids[i], TMX_ID_MAX, "wk-%06u", i + 10);
-}
-
-static void record_awaiting(struct recording *recording, const char *title, uint32_t count,
-                            size_t room) {
-  struct tmx_job_spec spec = plain_job();
-  struct tmx_job_ids ids;
-  struct tmx_buffer buffer = {0};
-  char text[1024], line[64];
-  make_awaits(&ids, count);
-  record_line(recording, "== %s", title);
-  uint32_t written = tmx_job_encode_open(&buffer, "wk-000005", &spec, SUBMITTED, &ids, room);
-  struct tmx_job_record back = read_record(recording, &buffer, text, sizeof text);
-  assert_same_spec(&back.spec, &spec);
-  assert_int_equal(back.n_awaits, count);
-  assert_true(back.ended_at == 0);
-  while (written < count) {
-    tmx_dependency_line_print(line, sizeof line, "wk-000005", &ids, &written);
-    record_line(recording, "%s", line);
-  }
-  tmx_job_ids_free(&ids);
-  tmx_buffer_free(&buffer);
-}
-
-static void jobs_that_await_others(void **state) {
-  (void)state;
-  struct recording recording = {0};
-  record_awaiting(&recording, "a job that awaits others", 3, 1000);
-  record_awaiting(&recording, "... with room for some of them, the rest in lines", 20, 160);
-  recording_check(&recording, "storage-awaiting-jobs.txt");
-}
-
-static void jobs_with_many_types(void **state) {
-  (void)state;
-  struct recording recording = {0};
-  struct tmx_job_spec spec = plain_job();
-  struct tmx_job_ids none = {0}, one;
-  struct tmx_buffer buffer = {0};
-  char text[64], line[64];
-  for (; spec.n_types < 12; spec.n_types++)
-    snprintf(spec.types[spec.n_types], TMX_ID_MAX, "type %zu", spec.n_types);
-  make_awaits(&one, 1);
-  record_line(&recording, "types in 200 bytes: %zu, beside awaited jobs: %zu, in none: %zu",
-              tmx_job_types_within("wk-000006", &spec, SUBMITTED, &none, 200),
-              tmx_job_types_within("wk-000006", &spec, SUBMITTED, &one, 200),
-              tmx_job_types_within("wk-000006", &spec, SUBMITTED, &none, 1));
-  struct tmx_job_spec part = spec;
-  part.n_types = tmx_job_types_within("wk-000006", &spec, SUBMITTED, &none, 200);
-  tmx_job_encode_open(&buffer, "wk-000006", &part, SUBMITTED, &none, 200);
-  struct tmx_job_record back = read_record(&recording, &buffer, text, sizeof text);
-  assert_same_spec(&back.spec, &part);
-  for (size_t i = part.n_types; i < spec.n_types; i++) {
-    tmx_type_print(line, sizeof line, "wk-000006", spec.types[i]);
-    record_line(&recording, "%s", line);
-  }
-  tmx_job_ids_free(&one);
-  tmx_buffer_free(&buffer);
-  recording_check(&recording, "storage-many-types.txt");
-}
-
-static void record_final(struct recording *recording, const char *title, int fin, double ended,
-                         size_t room) {
-  struct tmx_job job = {.spec = full_job(), .submitted_at = SUBMITTED};
-  struct tmx_buffer buffer = {0};
-  char awaits[8];
-  strcpy(job.id, "wk-000007");
-  record_line(recording, "== %s", title);
-  tmx_job_encode_final(&buffer, &job, fin, ended, room);
-  struct tmx_job_record back = read_record(recording, &buffer, awaits, sizeof awaits);
-  assert_string_equal(back.id, job.id);
-  assert_int_equal(back.outcome, fin);
-  assert_true(back.ended_at == ended);
-  assert_string_equal(awaits, "");
-  if (room < 100) {
-    job.spec.n_types = 0;
-    job.spec.class[0] = job.spec.image[0] = job.spec.zone[0] = 0;
-  }
-  assert_same_spec(&back.spec, &job.spec);
-  tmx_buffer_free(&buffer);
-}
-
-static void final_jobs(void **state) {
-  (void)state;
-  struct recording recording = {0};
-  record_final(&recording, "a job that is done", TMX_JOB_DONE, 0, 1000);
-  record_final(&recording, "... with the time of its end", TMX_JOB_DONE, ENDED, 1000);
-  record_final(&recording, "a cancelled job", TMX_JOB_CANCELLED, 0, 1000);
-  record_final(&recording, "a job that is done, cut down", TMX_JOB_DONE, 0, 99);
-  record_final(&recording, "... with the time of its end", TMX_JOB_DONE, ENDED, 99);
-  record_final(&recording, "a cancelled job, cut down", TMX_JOB_CANCELLED, 0, 99);
-  recording_check(&recording, "storage-final-jobs.txt");
-}
-
-/* ------------------------------------------------------------ lines */
-
 static struct tmx_operation make_operation(char letter, uint32_t task, char how) {
   struct tmx_operation operation = {.kind = letter, .task = task, .attempt = 2, .reason = how};
   strcpy(operation.job, "wk-000008");
@@ -309,7 +86,7 @@
 }
 
 /* Literal letters: these constants are part of the format. */
-static void lines_of_operations(void **state) {
+static void lines_of_operations_keep_their_form(void **state) {
   (void)state;
   struct recording recording = {0};
   record_operation(&recording, 'p', 0);
@@ -327,8 +104,6 @@
   recording_check(&recording, "storage-operations.txt");
 }
 
-/* ------------------------------------------------------------ values */
-
 static void apply(const char *key, uint64_t version, const struct tmx_buffer *buffer) {
   cbor_item_t *value = tmx_cbor_parse(buffer->data, buffer->length);
   assert_non_null(value);
@@ -344,7 +119,7 @@
   tmx_buffer_free(&list);
 }
 
-/* What pages would hold of the replica as it stands. */
+/* Records the lines that pages would hold of the replica. */
 static void record_replica(struct recording *recording) {
   char line[TMX_LINE_MAX];
   struct tmx_machine *machine, *next_machine;
@@ -370,20 +145,21 @@
 }
 
 static size_t encode_two_jobs(struct tmx_buffer *jobs) {
-  struct tmx_job_spec spec = plain_job();
+  struct tmx_job_spec spec = sample_job();
   struct tmx_job_ids ids;
   spec.tasks = 10;
   strcpy(spec.types[spec.n_types++], "g8");
-  tmx_job_encode(jobs, "wk-000008", &spec, SUBMITTED, TMX_JOB_OPEN);
-  make_awaits(&ids, 1);
+  tmx_job_encode(jobs, "wk-000008", &spec, sample_submitted_at, TMX_JOB_OPEN);
+  sample_awaits(&ids, 1);
   strcpy(ids.ids[0], "wk-000008");
   spec.tasks = 1;
-  tmx_job_encode_open(jobs, "wk-000009", &spec, SUBMITTED, &ids, 0); /* the id follows in a line */
+  tmx_job_encode_open(jobs, "wk-000009", &spec, sample_submitted_at, &ids,
+                      0); /* the id follows in a line */
   tmx_job_ids_free(&ids);
   return 2;
 }
 
-static void batches_and_pages(void **state) {
+static void batches_and_pages_keep_their_form(void **state) {
   (void)state;
   static const char *const batch[] = {"w wk-000009 0 000008",
                                       "y wk-000008 big machine",
@@ -446,7 +222,7 @@
   tmx_buffer_free(&again);
 }
 
-static void views(void **state) {
+static void views_keep_their_form(void **state) {
   (void)state;
   struct recording recording = {0};
   struct tmx_owner_override overrides[3] = {{.machine = "n-000001", .node = "hand-1"},
@@ -464,7 +240,7 @@
   view.overrides = overrides;
   view.n_overrides = 2;
   record_view(&recording, "... with exceptions", &view);
-  view.n_overrides = 3; /* by node: the third one stands beside the first */
+  view.n_overrides = 3; /* sorted by node: the third one follows the first */
   struct tmx_buffer buffer = {0};
   tmx_view_encode(&buffer, &view);
   record_line(&recording, "== ... of which two are one node's");
@@ -488,13 +264,9 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(open_jobs, setup, teardown),
-      cmocka_unit_test_setup_teardown(jobs_that_await_others, setup, teardown),
-      cmocka_unit_test_setup_teardown(jobs_with_many_types, setup, teardown),
-      cmocka_unit_test_setup_teardown(final_jobs, setup, teardown),
-      cmocka_unit_test_setup_teardown(lines_of_operations, setup, teardown),
-      cmocka_unit_test_setup_teardown(batches_and_pages, setup, teardown),
-      cmocka_unit_test_setup_teardown(views, setup, teardown),
+      cmocka_unit_test_setup_teardown(lines_of_operations_keep_their_form, setup, teardown),
+      cmocka_unit_test_setup_teardown(batches_and_pages_keep_their_form, setup, teardown),
+      cmocka_unit_test_setup_teardown(views_keep_their_form, setup, teardown),
   };
   return RUN_TESTS(tests);
 }
--- a/tests/test_wire_format.c
+++ b/tests/test_wire_format.c
@@ -226,8 +226,7 @@
   tmx_buffer_free(&body);
 }
 
-/* The first request after `at` that holds the text; what the scripted worker says is not recorded.
- */
+/* Records the first request after `previous` that has the text, without the scripted answer. */
 static const struct exchange *record_command(struct recording *recording, const char *title,
                                              const struct exchange *previous, const char *start,
                                              const char *part) {
