--- a/tests/cluster/cluster_load.c
+++ b/tests/cluster/cluster_load.c
@@ -33,8 +33,9 @@
 static void adjust(struct tmx_settings *settings) {
   static const char *const teams[] = {"t", "u", "v"};
   static const char *const listed[] = {"small", "tally", "refresh", "live"};
-  settings->n_teams = sizeof teams / sizeof *teams;
-  for (size_t i = 0; i < settings->n_teams; i++) {
+  const size_t n_teams = sizeof teams / sizeof *teams;
+  settings->n_teams = n_teams;
+  for (size_t i = 0; i < n_teams; i++) {
     memset(&settings->teams[i], 0, sizeof settings->teams[i]);
     strcpy(settings->teams[i].name, teams[i]);
   }
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -126,9 +126,11 @@
 void wait_for_placed(unsigned count) { assert_true(run_loop_until(has_placed, &count)); }
 
 void assert_stays_placed(unsigned count, double seconds) {
-  for (double passed = 0; passed < seconds; passed += 0.1) {
+  double passed = 0;
+  while (passed < seconds) {
     run_loop_for(0.1);
     assert_int_equal(fake_count_placed(), count);
+    passed += 0.1;
   }
 }
 
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -20,21 +20,22 @@
                                 first_controller->settings.node_name);
   struct tmx_controller *owner = first_is_owner ? first_controller : second_controller,
                         *other = first_is_owner ? second_controller : first_controller;
-  struct fake_endpoint *door = &fake_store.endpoints[first_is_owner ? 0 : 1];
+  struct fake_endpoint *endpoint = &fake_store.endpoints[first_is_owner ? 0 : 1];
   double lease = first_controller->settings.lease_s, cancel = first_controller->settings.cancel_s;
   worker.fails_commands = true; /* stops sent by command do not arrive */
-  door->read_delay_s = slow_s;
-  door->refuse = !slow_s;
-  door->freeze_watch = slow_s > 0;
+  endpoint->read_delay_s = slow_s;
+  endpoint->refuse = !slow_s;
+  endpoint->freeze_watch = slow_s > 0;
   run_loop_for(0.3);
-  unsigned reads = door->reads;
-  for (int i = 0; slow_s && i < 1000 && door->reads == reads; i++) run_loop_for(0.005);
+  unsigned reads = endpoint->reads;
+  for (int i = 0; slow_s && i < 1000 && endpoint->reads == reads; i++) run_loop_for(0.005);
   assert_string_equal(cancel_job(other, "wk-000001").state, WV_CANCELLED);
   double confirmed = tmx_clock_steady(), renewed = confirmed;
   if (slow_s) run_loop_for(slow_s + 0.3); /* the read that began just before is answered only now */
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   unsigned begun = worker.executed_starts, answered = 0;
-  for (double start = 0; start < cancel + 5; start += 0.5) {
+  double passed = 0;
+  while (passed < cancel + 5) {
     struct tmx_controller *asked[] = {owner, other};
     for (int i = 0; i < 2; i++) {
       double sent = tmx_clock_steady();
@@ -48,6 +49,7 @@
     }
     run_loop_for(0.12);
     tmx_clock_advance(0.38);
+    passed += 0.5;
   }
   assert_true(answered > 0); /* running work went on for a while */
   assert_true(renewed + lease * (1 + TMX_CLOCK_DRIFT) < confirmed + cancel);
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -45,10 +45,12 @@
 
 static void assert_stays_pending(const char *id, double duration_s) {
   unsigned begun = worker.executed_starts;
-  for (double start = 0; start < duration_s; start += 0.2) {
+  double passed = 0;
+  while (passed < duration_s) {
     run_loop_for(0.2);
     report_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
+    passed += 0.2;
   }
   assert_int_equal(worker.executed_starts, begun);
 }
--- /dev/null
+++ b/tests/test_user_wire_format.c
@@ -0,0 +1,132 @@
+/* What controllers answer to users, byte for byte as recorded under tests/data/wire-format. Masked
+ * are ports and, where the program draws it, the value of Retry-After: see recording.h. */
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "admission/admission_policy.h"
+#include "tmx/wire.h"
+#include "wire_fixture.h"
+
+/* Requests that are no CBOR, or no request: only the answer is recorded. */
+static void ask_raw(struct recording *recording, const char *title, const char *request,
+                    size_t length) {
+  struct tmx_buffer answer = {0};
+  record_line(recording, "== %s", title);
+  raw_call(controller_address, request, length, &answer);
+  record_http(recording, "< ", answer.data, answer.length);
+  tmx_buffer_free(&answer);
+}
+
+static void answers_without_the_state(struct recording *recording) {
+  fake_store.endpoints[0].refuse = true;
+  start_recorded_controller(1);
+  ask(recording, "not ready", "GET /ready", NULL);
+  ask(recording, "a submission while the state is out of reach", "POST /v2/runs",
+      SUBMISSION("wk-000001", "t", "2.0"));
+  ask(recording, "a poll while the state is out of reach", "GET /v2/runs/wk-000001", NULL);
+  ask(recording, "a cancellation while the state is out of reach",
+      "POST /v2/runs/wk-000001/withdraw", NULL);
+  fake_store.endpoints[0].refuse = false;
+  assert_true(run_loop_until(fake_controller_is_ready, first_controller));
+}
+
+static void answers_that_refuse(struct recording *recording) {
+  ask(recording, "malformed: a field is missing", "POST /v2/runs", "{\"id\":\"wk-000009\"}");
+  ask(recording, "malformed: not an id", "POST /v2/runs", SUBMISSION("job-1", "t", "2.0"));
+  ask(recording, "unknown team", "POST /v2/runs", SUBMISSION("wk-000009", "other", "2.0"));
+  ask(recording, "more than the team's limit", "POST /v2/runs",
+      SUBMISSION("wk-000009", "t", "9.0"));
+  ask(recording, "never accepted", "GET /v2/runs/wk-000009", NULL);
+  ask(recording, "no id", "GET /v2/runs/none", NULL);
+  ask(recording, "cancellation of an unknown job", "POST /v2/runs/wk-000009/withdraw", NULL);
+  ask(recording, "another method on the jobs", "GET /v2/runs", NULL);
+  ask(recording, "another method on a job", "POST /v2/runs/wk-000001", NULL);
+  ask(recording, "another method on a cancellation", "GET /v2/runs/wk-000001/withdraw", NULL);
+  ask(recording, "no such path", "GET /v3/runs", NULL);
+  static const char no_cbor[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 2\r\n\r\n\xff\xff";
+  ask_raw(recording, "malformed: not CBOR", no_cbor, sizeof no_cbor - 1);
+  static const char closing[] = "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
+  ask_raw(recording, "the connection is to be closed", closing, sizeof closing - 1);
+  static const char no_http[] = "HELLO\r\n\r\n";
+  ask_raw(recording, "not HTTP", no_http, sizeof no_http - 1);
+  static const char large[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
+  static char too_large[sizeof large + 65537];
+  memcpy(too_large, large, sizeof large - 1);
+  ask_raw(recording, "a body beyond the limit", too_large, sizeof large - 1 + 65537);
+}
+
+static bool job_done(void *arg) {
+  const struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
+  return job && job->outcome == TMX_JOB_DONE;
+}
+
+static bool one_done(void *arg) {
+  const struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
+  return job && job->n_done == 1;
+}
+
+static void answers_about_a_job(struct recording *recording) {
+  ask(recording, "accepted", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  ask(recording, "pending", "GET /v2/runs/wk-000001", NULL);
+  ask(recording, "submitted again", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  for (int i = 0; i < 4; i++) send_unrecorded_heartbeat();
+  assert_int_equal(worker.executed_starts, 3);
+  fake_worker_set_task(&worker, "wk-000001/1", 1, WV_EXITED, WV_DONE);
+  send_unrecorded_heartbeat();
+  assert_true(run_loop_until(one_done, "wk-000001"));
+  ask(recording, "running", "GET /v2/runs/wk-000001", NULL);
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
+  fake_worker_set_task(&worker, "wk-000001/2", 1, WV_EXITED, WV_DONE);
+  send_unrecorded_heartbeat();
+  assert_true(run_loop_until(job_done, "wk-000001"));
+  ask(recording, "done", "GET /v2/runs/wk-000001", NULL);
+  ask(recording, "cancelled after it was done", "POST /v2/runs/wk-000001/withdraw", NULL);
+  ask(recording, "submitted after it was done", "POST /v2/runs",
+      SUBMISSION("wk-000001", "t", "2.0"));
+  ask(recording, "accepted", "POST /v2/runs", SUBMISSION("wk-000002", "t", "1.0"));
+  ask(recording, "cancelled", "POST /v2/runs/wk-000002/withdraw", NULL);
+  ask(recording, "cancelled again", "POST /v2/runs/wk-000002/withdraw", NULL);
+  ask(recording, "poll of a cancelled job", "GET /v2/runs/wk-000002", NULL);
+}
+
+static void answers_to_users_keep_their_form(void **state) {
+  (void)state;
+  struct recording recording = {.retry_from = 1, .retry_to = 2};
+  answers_without_the_state(&recording);
+  ask(&recording, "ready", "GET /ready", NULL);
+  answers_that_refuse(&recording);
+  answers_about_a_job(&recording);
+  recording_check(&recording, "user-answers.txt");
+}
+
+static void with_admission(struct tmx_settings *settings) {
+  char err[128];
+  settings->operators.admission.enabled = true;
+  settings->operators.admission.backlog_s = 10;
+  settings->operators.admission.capacity_cpus = 16;
+  assert_true(tmx_admission_resolve(settings, err, sizeof err));
+}
+
+/* Retry-After grows with the backlog, up to 20 s, and is spread by as much as half. */
+static void answers_of_admission_keep_their_form(void **state) {
+  (void)state;
+  struct recording recording = {.retry_from = 1, .retry_to = 30};
+  fake_adjust_settings = with_admission;
+  start_ready_controller();
+  /* 90 s of the machine each */
+  ask(&recording, "a class without work", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  ask(&recording, "more of its class", "POST /v2/runs", SUBMISSION("wk-000002", "t", "2.0"));
+  ask(&recording, "what was refused is not known", "GET /v2/runs/wk-000002", NULL);
+  recording_check(&recording, "admission-answers.txt");
+}
+
+int main(void) {
+  const struct CMUnitTest tests[] = {
+      cmocka_unit_test_setup_teardown(answers_to_users_keep_their_form, setup_recorded_peers,
+                                      teardown_recorded_peers),
+      cmocka_unit_test_setup_teardown(answers_of_admission_keep_their_form, setup_recorded_peers,
+                                      teardown_recorded_peers),
+  };
+  return RUN_TESTS(tests);
+}
