--- a/tests/cluster/cluster_load.c
+++ b/tests/cluster/cluster_load.c
@@ -79,29 +79,6 @@
   return kinds;
 }
 
-/* ------------------------------------------------------------ history of commits */
-
-static void on_op(void *arg, const struct tmx_operation *operation) {
-  char task[TMX_LINE_MAX];
-  (void)arg;
-  if (operation->kind != TMX_OPERATION_PLACE) return;
-  snprintf(task, sizeof task, "%s/%u", operation->job, operation->task);
-  history_placed(task, operation->attempt, operation->machine);
-}
-
-static void on_written(const char *key, const uint8_t *value, size_t len) {
-  char line[TMX_LINE_MAX];
-  if (strncmp(key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) return;
-  cbor_item_t *map = tmx_cbor_parse(value, len);
-  const cbor_item_t *ops = tmx_cbor_get(map, "ops");
-  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++)
-    if (tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line))
-      tmx_log_line_each_operation(line, on_op, NULL);
-  tmx_cbor_free(map);
-}
-
-/* ------------------------------------------------------------ running */
-
 static void inject_due_failures(double now) {
   for (size_t i = 0; i < n_failures; i++) {
     char *rest;
@@ -235,7 +212,7 @@
   cluster_rng = gsl_rng_alloc(gsl_rng_mt19937);
   gsl_rng_set(cluster_rng, (unsigned long)seed);
   fake_start();
-  fake_on_write = on_written;
+  fake_on_write = history_commit;
   history_open(history_path);
   users_open(surge > 0 ? surge_kinds() : steady_kinds(), nodes);
   nodes_open(nodes, operator_config, adjust, machines + SPARE_CONNECTIONS);
--- a/tests/cluster/history.h
+++ b/tests/cluster/history.h
@@ -3,6 +3,7 @@
 #ifndef CLUSTER_HISTORY_H
 #define CLUSTER_HISTORY_H
 #include <stdbool.h>
+#include <stddef.h>
 #include <stdint.h>
 #include <stdio.h>
 
@@ -18,6 +19,9 @@
                     bool final);
 /** A placement was committed. */
 void history_placed(const char *task, uint32_t attempt, const char *machine);
+/** The store committed a value: each placement in a batch is recorded by history_placed. For
+ *  fake_on_write. */
+void history_commit(const char *key, const uint8_t *value, size_t length);
 /** A worker received a command. @param node whose it was @param token its fencing token */
 void history_command(const char *machine, int node, uint64_t token, const char *operation,
                      const char *task, uint32_t attempt);
