--- a/src/replica/placement_caps.c
+++ b/src/replica/placement_caps.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 uint32_t tmx_zone_cap(const struct tmx_job_spec *spec, size_t zones) {
-  uint32_t half = (spec->tasks + 1) / 2; /* rounded up */
+  const uint32_t half = (spec->tasks + 1) / 2; /* rounded up */
   if (spec->same_zone || spec->zone[0] || zones < 2) return spec->spread ? half : spec->tasks;
-  uint32_t cap = spec->service ? (uint32_t)((spec->tasks + zones - 1) / zones) : spec->tasks;
+  const uint32_t cap = spec->service ? (uint32_t)((spec->tasks + zones - 1) / zones) : spec->tasks;
   return spec->spread && half < cap ? half : cap;
 }
 
--- a/src/replica/placement_caps.h
+++ b/src/replica/placement_caps.h
@@ -7,7 +7,11 @@
  */
 #ifndef TMX_PLACEMENT_CAPS_H
 #define TMX_PLACEMENT_CAPS_H
-#include "replica/replica.h"
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include "replica/job_spec.h"
 
 /**
  * The most tasks of the job that may be placed in one zone at a time.
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -45,9 +45,9 @@
   worker->reported_before = worker->agent;
 }
 
-static void record_commands(const struct worker *worker, int node, uint64_t token) {
+static void record_commands(const struct worker *worker, int sender, uint64_t token) {
   for (size_t i = 0; i < worker->agent.n_commands_received; i++)
-    history_command(worker->agent.id, node, token, worker->agent.commands_received[i].operation,
+    history_command(worker->agent.id, sender, token, worker->agent.commands_received[i].operation,
                     worker->agent.commands_received[i].task,
                     worker->agent.commands_received[i].attempt);
 }
--- a/tests/fake_users.c
+++ b/tests/fake_users.c
@@ -50,7 +50,7 @@
 }
 
 void encode_submission_of(struct tmx_buffer *buffer, const struct fake_job *job) {
-  tmx_cbor_put_map(buffer, 17 + (job->awaits != NULL) + (job->types != NULL));
+  tmx_cbor_put_map(buffer, 17u + (job->awaits != NULL) + (job->types != NULL));
   if (job->types) {
     tmx_cbor_put_text(buffer, W_TYPES);
     tmx_buffer_append(buffer, job->types->data, job->types->length);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -95,10 +95,10 @@
   const char *at = strstr(valid_settings, "\"cluster\"");
   assert_non_null(at);
   at = strchr(at, '{') + 1;
-  int length = snprintf(many, sizeof many, "%.*s\"objectives\":[{}", (int)(at - valid_settings),
-                        valid_settings);
+  size_t length = (size_t)snprintf(many, sizeof many, "%.*s\"objectives\":[{}",
+                                   (int)(at - valid_settings), valid_settings);
   for (int i = 0; i < TMX_OBJECTIVES_MAX; i++)
-    length += snprintf(many + length, sizeof many - length, ",{}");
+    length += (size_t)snprintf(many + length, sizeof many - length, ",{}");
   snprintf(many + length, sizeof many - length, "],%s", at);
   assert_false(tmx_settings_parse(&settings, many, err, sizeof err));
   assert_non_null(strstr(err, "objectives"));
