--- a/tests/cluster/load.c
+++ b/tests/cluster/cluster_load.c
@@ -1,7 +1,7 @@
-/* A cluster on loopback without a bench, run by hand: real controllers, and scripted peers in this
- * process: a state service, a cloud, workers that run tasks, users that submit and ask. Prints what
- * each controller used and how each class fared. `load --help` lists the options; docs/results.md
- * and docs/admission.md have what was found with it. */
+/* A cluster on loopback: controllers as real processes, and scripted peers in this process: a
+ * store, a cloud, workers that run tasks, users that submit and poll. Prints what each controller
+ * used and how each class fared. `cluster_load --help` lists the options; docs/results.md and
+ * docs/admission.md have what was found with it. */
 #include <gsl/gsl_rng.h>
 #include <popt.h>
 #include <stdio.h>
@@ -24,8 +24,8 @@
 gsl_rng *cluster_rng;
 static int machines = 2187, nodes = 5, seconds = 60, services = 280, arrays = 30, away, seed = 1;
 static double report_s = 10, run_s = 50, surge;
-static char *operator_config, *history_path, *troubles[TROUBLES_MAX];
-static size_t n_troubles;
+static char *operator_config, *history_path, *failures[TROUBLES_MAX];
+static size_t n_failures;
 static double begun_at;
 static bool submitting;
 static unsigned state_commits, state_reads;
@@ -33,8 +33,9 @@
 static void adjust(struct tmx_settings *settings) {
   static const char *const teams[] = {"t", "u", "v"};
   static const char *const listed[] = {"small", "tally", "refresh", "live"};
-  settings->n_teams = sizeof teams / sizeof *teams;
-  for (size_t i = 0; i < settings->n_teams; i++) {
+  const size_t n_teams = sizeof teams / sizeof *teams;
+  settings->n_teams = n_teams;
+  for (size_t i = 0; i < n_teams; i++) {
     memset(&settings->teams[i], 0, sizeof settings->teams[i]);
     strcpy(settings->teams[i].name, teams[i]);
   }
@@ -60,10 +61,10 @@
                                     {'r', "v", "refresh", WV_ARRAY, "normal", 4, 4, 10, 0.125, 0},
                                     {'s', "v", "live", WV_SERVICE, "prod", 2, 1, 0, 0, 5},
                                     {0}};
-  for (struct job_kind *k = kinds; k->letter; k++) {
-    if (k->run_s <= 0) continue;
-    double share = k->per_s, work = k->tasks * k->cpus * k->run_s;
-    k->per_s = surge * share * machines * MACHINE_CPUS / work;
+  for (struct job_kind *kind = kinds; kind->letter; kind++) {
+    if (kind->run_s <= 0) continue;
+    double share = kind->per_s, work = kind->tasks * kind->cpus * kind->run_s;
+    kind->per_s = surge * share * machines * MACHINE_CPUS / work;
   }
   return kinds;
 }
@@ -78,77 +79,54 @@
   return kinds;
 }
 
-/* ------------------------------------------------------------ history of commits */
-
-static void on_op(void *arg, const struct tmx_operation *op) {
-  char task[TMX_LINE_MAX];
-  (void)arg;
-  if (op->kind != TMX_OPERATION_PLACE) return;
-  snprintf(task, sizeof task, "%s/%u", op->job, op->task);
-  history_placed(task, op->attempt, op->machine);
-}
-
-static void on_written(const char *key, const uint8_t *value, size_t len) {
-  char line[TMX_LINE_MAX];
-  if (strncmp(key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) return;
-  cbor_item_t *map = tmx_cbor_parse(value, len);
-  const cbor_item_t *ops = tmx_cbor_get(map, "ops");
-  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++)
-    if (tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line))
-      tmx_log_line_each_operation(line, on_op, NULL);
-  tmx_cbor_free(map);
-}
-
-/* ------------------------------------------------------------ running */
-
-static void begin_troubles(double now) {
-  for (size_t i = 0; i < n_troubles; i++) {
+static void inject_due_failures(double now) {
+  for (size_t i = 0; i < n_failures; i++) {
     char *rest;
-    if (!troubles[i] || now - begun_at < strtod(troubles[i], &rest)) continue;
-    if (!nodes_trouble(rest)) fprintf(stderr, "load: unknown trouble: %s\n", rest);
-    free(troubles[i]);
-    troubles[i] = NULL;
+    if (!failures[i] || now - begun_at < strtod(failures[i], &rest)) continue;
+    if (!nodes_inject_failure(rest)) fprintf(stderr, "cluster_load: unknown failure: %s\n", rest);
+    free(failures[i]);
+    failures[i] = NULL;
   }
 }
 
-static void on_step(struct ev_loop *l, ev_timer *t, int events) {
+static void on_step(struct ev_loop *loop, ev_timer *timer, int events) {
   static double last;
-  (void)l;
-  (void)t;
+  (void)loop;
+  (void)timer;
   (void)events;
-  double now = tmx_clock_steady(), dt = last ? now - last : 0;
+  double now = tmx_clock_steady(), elapsed_s = last ? now - last : 0;
   last = now;
-  begin_troubles(now);
-  nodes_tick();
+  inject_due_failures(now);
+  nodes_end_failures();
   fake_enforce_leases();
-  workers_step(now, dt);
-  if (submitting && now - begun_at > quiet_s) users_submit(dt);
+  workers_step(now, elapsed_s);
+  if (submitting && now - begun_at > quiet_s) users_submit(elapsed_s);
   users_step(now);
 }
 
-static void go_on(double s) { /* longer than one pump */
-  double until = tmx_clock_steady() + s;
+static void run_for(double duration_s) { /* longer than one pump */
+  double until = tmx_clock_steady() + duration_s;
   while (tmx_clock_steady() < until)
     run_loop_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
 }
 
 static void show(const char *when, double over) {
   unsigned reads = 0;
-  struct users_figures u = users_take_figures();
-  struct workers_figures w = workers_take_figures();
+  struct users_figures users = users_take_figures();
+  struct workers_figures workers = workers_take_figures();
   printf("%-22s", when);
   for (int k = 0; k < nodes; k++) {
-    double mb = 0, peak = 0, cpu = node[k].pid ? node_used(k, &mb, &peak) : 0;
-    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu) / over, mb, peak);
-    node[k].cpu = cpu;
+    double mb = 0, peak = 0, cpu = node[k].pid ? node_resources_used(k, &mb, &peak) : 0;
+    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu_s) / over, mb, peak);
+    node[k].cpu_s = cpu;
     reads += fake_store.endpoints[k].reads;
   }
-  printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", u.accepted, u.refused,
-         u.answered, u.asked, w.finished);
+  printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", users.accepted,
+         users.refused, users.polls_answered, users.polls, workers.finished);
   printf(
       "  | slowest report %.2f s, accepted submission %.2f s; state: %.1f commits, %.1f reads a "
       "second\n",
-      w.slowest_report, u.slowest_submission, (fake_store.commits - state_commits) / over,
+      workers.slowest_report, users.slowest_submission, (fake_store.commits - state_commits) / over,
       (reads - state_reads) / over);
   state_commits = fake_store.commits;
   state_reads = reads;
@@ -156,40 +134,40 @@
 }
 
 static void run_steady(void) {
-  go_on(5);
+  run_for(5);
   show("registering", 5);
-  go_on(20);
+  run_for(20);
   show("submissions begin", 20);
   for (int i = 0; i < 2; i++) {
-    go_on(seconds);
+    run_for(seconds);
     show("steady", seconds);
   }
   if (!away) return;
   for (int k = 0; k < nodes; k++) {
     char text[32];
     snprintf(text, sizeof text, "kill %d %d", k, k < away ? seconds + 10 : 0);
-    if (k < away) nodes_trouble(text);
+    if (k < away) nodes_inject_failure(text);
   }
-  go_on(10);
+  run_for(10);
   show("others take over", 10);
-  go_on(seconds);
+  run_for(seconds);
   show("all back", seconds);
 }
 
 static void run_surge(void) {
-  go_on(seconds);
+  run_for(seconds);
   show("surge", seconds);
   users_print_table(seconds);
   submitting = false;
-  go_on(settle_s);
-  users_ask_all();
+  run_for(settle_s);
+  users_poll_all_finally();
   for (double until = tmx_clock_steady() + final_s;
-       tmx_clock_steady() < until && !users_all_told();)
+       tmx_clock_steady() < until && !users_all_answered();)
     run_loop_for(0.5);
 }
 
 static void read_options(int argc, const char **argv) {
-  char *trouble = NULL;
+  char *failure = NULL;
   const struct poptOption options[] = {
       {"machines", 'm', POPT_ARG_INT, &machines, 0, "how many report", "N"},
       {"nodes", 'n', POPT_ARG_INT, &nodes, 0, "controllers, 5 at most", "N"},
@@ -202,21 +180,22 @@
       {"surge", 0, POPT_ARG_DOUBLE, &surge, 0, "instead: this many times what can be served", "X"},
       {"seed", 0, POPT_ARG_INT, &seed, 0, "of the random numbers", "N"},
       {"operator-config", 'o', POPT_ARG_STRING, &operator_config, 0, "of the controllers", "FILE"},
-      {"history", 0, POPT_ARG_STRING, &history_path, 0, "what all did, for check_history", "FILE"},
-      {"do", 0, POPT_ARG_STRING, &trouble, 'd',
-       "seconds and trouble: '30 kill 0 5', '30 pause 1 10', '30 cut state 2 5' (refuse, delay; "
+      {"history", 0, POPT_ARG_STRING, &history_path, 0, "what all did, for history_checker",
+       "FILE"},
+      {"do", 0, POPT_ARG_STRING, &failure, 'd',
+       "seconds and failure: '30 kill 0 5', '30 pause 1 10', '30 cut state 2 5' (refuse, delay; "
        "peers, users, workers)",
        "TEXT"},
       POPT_AUTOHELP POPT_TABLEEND};
-  poptContext pc = poptGetContext("load", argc, argv, options, 0);
-  int rc;
-  while ((rc = poptGetNextOpt(pc)) == 'd' && n_troubles < TROUBLES_MAX)
-    troubles[n_troubles++] = trouble;
-  if (rc != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
-    fprintf(stderr, "load: %s\n", rc < -1 ? poptStrerror(rc) : "out of range");
+  poptContext options_context = poptGetContext("cluster_load", argc, argv, options, 0);
+  int result;
+  while ((result = poptGetNextOpt(options_context)) == 'd' && n_failures < TROUBLES_MAX)
+    failures[n_failures++] = failure;
+  if (result != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
+    fprintf(stderr, "cluster_load: %s\n", result < -1 ? poptStrerror(result) : "out of range");
     exit(2);
   }
-  poptFreeContext(pc);
+  poptFreeContext(options_context);
 }
 
 static void raise_file_limit(void) {
@@ -233,7 +212,7 @@
   cluster_rng = gsl_rng_alloc(gsl_rng_mt19937);
   gsl_rng_set(cluster_rng, (unsigned long)seed);
   fake_start();
-  fake_on_write = on_written;
+  fake_on_write = history_commit;
   history_open(history_path);
   users_open(surge > 0 ? surge_kinds() : steady_kinds(), nodes);
   nodes_open(nodes, operator_config, adjust, machines + SPARE_CONNECTIONS);
@@ -244,9 +223,9 @@
                                        .lease_s = 42,
                                        .run_s = users_run_s,
                                        .on_begin = users_task_began});
-  ev_timer t;
-  ev_timer_init(&t, on_step, 0, step_s);
-  ev_timer_start(test_loop, &t);
+  ev_timer timer;
+  ev_timer_init(&timer, on_step, 0, step_s);
+  ev_timer_start(test_loop, &timer);
   submitting = true;
   if (surge > 0)
     run_surge();
--- /dev/null
+++ b/tests/cluster/history_check.c
@@ -0,0 +1,189 @@
+/* Judges a history line by line: what each party did is kept in three tables. */
+#include <jansson.h>
+#include <stdlib.h>
+#include <string.h>
+#include <uthash.h>
+
+#include "cluster/history.h"
+#include "tmx/constants.h"
+#include "tmx/wire.h"
+
+enum { LINE_MAX_BYTES = 4096, NAME_BYTES = 96 };
+
+struct job {
+  char id[NAME_BYTES];
+  bool accepted, asked_to_cancel, known_finally;
+  unsigned tasks, tasks_done;
+  char final_state[16]; /* done or withdrawn, once told */
+  UT_hash_handle hh;
+};
+struct task {
+  char id[NAME_BYTES];
+  char machine[NAME_BYTES]; /* where it runs; empty: nowhere */
+  char placed[NAME_BYTES];  /* where the log has its latest attempt */
+  unsigned attempt;
+  bool done;
+  UT_hash_handle hh;
+};
+struct machine {
+  char id[NAME_BYTES];
+  uint64_t term;
+  int owner; /* whose commands of this term it received */
+  UT_hash_handle hh;
+};
+struct check {
+  struct history_findings findings;
+  struct job *jobs;
+  struct task *tasks;
+  struct machine *machines;
+  FILE *out;
+  const char *line;
+};
+
+static void add_finding(struct check *check, unsigned *count, const char *rule) {
+  ++*count;
+  fprintf(check->out, "%s: %s", rule, check->line);
+}
+
+/* The record of that name, made when it is new. */
+#define RECORD(table, name, record)                         \
+  do {                                                      \
+    HASH_FIND_STR(table, name, record);                     \
+    if (record) break;                                      \
+    record = calloc(1, sizeof *(record));                   \
+    if (!(record)) abort();                                 \
+    snprintf((record)->id, sizeof(record)->id, "%s", name); \
+    HASH_ADD_STR(table, id, record);                        \
+  } while (0)
+
+static struct job *job_of(struct check *check, const char *id) {
+  struct job *job;
+  RECORD(check->jobs, id, job);
+  return job;
+}
+static struct task *task_of(struct check *check, const char *id) {
+  struct task *task;
+  RECORD(check->tasks, id, task);
+  return task;
+}
+
+static void on_answer(struct check *check, const char *ask, const char *id, unsigned tasks,
+                      int status, const char *state, bool final) {
+  struct job *job = job_of(check, id);
+  struct history_findings *findings = &check->findings;
+  if (tasks) job->tasks = tasks;
+  if (!strcmp(ask, "cancel")) job->asked_to_cancel = true;
+  if (status == 404 && job->accepted)
+    add_finding(check, &findings->went_back, "an accepted job is unknown");
+  if (status != 200 && status != 201) return;
+  job->accepted = true;
+  job->known_finally |= final;
+  bool is_final = !strcmp(state, WV_DONE) || !strcmp(state, WV_CANCELLED);
+  if (job->final_state[0] && strcmp(job->final_state, state))
+    add_finding(check, &findings->went_back, "a final state changed");
+  if (!is_final || job->final_state[0]) return;
+  snprintf(job->final_state, sizeof job->final_state, "%s", state);
+  if (!strcmp(state, WV_CANCELLED) && !job->asked_to_cancel)
+    add_finding(check, &findings->not_done, "cancelled, and nobody asked");
+  if (!strcmp(state, WV_DONE) && job->tasks_done < job->tasks)
+    add_finding(check, &findings->not_done, "called done before its tasks were");
+}
+
+static void on_command(struct check *check, const char *machine_id, int node, uint64_t token) {
+  struct machine *machine;
+  RECORD(check->machines, machine_id, machine);
+  uint64_t term = token >> TMX_TOKEN_SEQUENCE_BITS;
+  bool other = term == machine->term && node != machine->owner;
+  if (term < machine->term || other)
+    add_finding(check, &check->findings.two_owners, "commands of two owners");
+  machine->term = term;
+  machine->owner = node;
+}
+
+static void on_begin(struct check *check, const char *id, unsigned attempt, const char *machine) {
+  struct task *task = task_of(check, id);
+  if (task->machine[0]) add_finding(check, &check->findings.overlaps, "began while on a machine");
+  if (strcmp(task->placed, machine) || task->attempt != attempt)
+    add_finding(check, &check->findings.unplanned, "started without a placement in the log");
+  snprintf(task->machine, sizeof task->machine, "%s", machine);
+}
+
+static void on_end(struct check *check, const char *id, const char *how) {
+  struct task *task = task_of(check, id);
+  char name[NAME_BYTES];
+  task->machine[0] = 0;
+  if (strcmp(how, WV_DONE) || task->done) return;
+  task->done = true;
+  snprintf(name, sizeof name, "%.*s", (int)strcspn(id, "/"), id);
+  job_of(check, name)->tasks_done++;
+}
+
+static void judge_event(struct check *check, json_t *event) {
+  const char *what = "", *ask = "", *job = "", *state = "", *machine = "", *task = "", *how = "";
+  int tasks = 0, status = 0, node = 0, attempt = 0, final = 0;
+  json_int_t token = 0;
+  json_unpack(event, "{s?s s?s s?s s?s s?s s?s s?s}", "what", &what, "ask", &ask, "job", &job,
+              "state", &state, "machine", &machine, "task", &task, "how", &how);
+  json_unpack(event, "{s?i s?i s?i s?i s?b s?I}", "tasks", &tasks, "status", &status, "node", &node,
+              "attempt", &attempt, "final", &final, "token", &token);
+  if (!strcmp(what, "answer")) {
+    on_answer(check, ask, job, (unsigned)tasks, status, state, final);
+  } else if (!strcmp(what, "order")) {
+    on_command(check, machine, node, (uint64_t)token);
+  } else if (!strcmp(what, "placed")) {
+    struct task *placed = task_of(check, task);
+    snprintf(placed->placed, sizeof placed->placed, "%s", machine);
+    placed->attempt = (unsigned)attempt;
+  } else if (!strcmp(what, "begin")) {
+    on_begin(check, task, (unsigned)attempt, machine);
+  } else if (!strcmp(what, "end")) {
+    on_end(check, task, how);
+  } else {
+    check->findings.unreadable++;
+  }
+}
+
+static void judge_end(struct check *check) {
+  struct job *job, *next;
+  HASH_ITER(hh, check->jobs, job, next) {
+    check->line = job->id;
+    if (job->accepted && !job->known_finally) {
+      add_finding(check, &check->findings.lost, "not known at the end");
+      fputc('\n', check->out);
+    }
+    HASH_DEL(check->jobs, job);
+    free(job);
+  }
+}
+
+struct history_findings history_check(FILE *input, FILE *out) {
+  struct check check = {.out = out};
+  char line[LINE_MAX_BYTES];
+  check.line = line;
+  while (fgets(line, sizeof line, input)) {
+    json_t *event = json_loads(line, 0, NULL);
+    check.findings.lines++;
+    if (event)
+      judge_event(&check, event);
+    else
+      check.findings.unreadable++;
+    json_decref(event);
+  }
+  judge_end(&check);
+  struct task *task, *next_task;
+  HASH_ITER(hh, check.tasks, task, next_task) {
+    HASH_DEL(check.tasks, task);
+    free(task);
+  }
+  struct machine *machine, *next_machine;
+  HASH_ITER(hh, check.machines, machine, next_machine) {
+    HASH_DEL(check.machines, machine);
+    free(machine);
+  }
+  return check.findings;
+}
+
+unsigned history_count_violations(const struct history_findings *findings) {
+  return findings->unreadable + findings->lost + findings->overlaps + findings->two_owners +
+         findings->unplanned + findings->went_back + findings->not_done;
+}
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -1,4 +1,4 @@
-/* Cancellations that meet other troubles: a confirmed cancellation holds, whatever fails. */
+/* Cancellations during other failures: a confirmed cancellation is final, whatever fails. */
 #include "controller_fixture.h"
 
 #include <stdio.h>
@@ -7,11 +7,11 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* The day "gap": the state refuses the leader alone, another controller confirms a cancellation,
- * then the state is down for all, for longer than cancel_s, and the worker keeps reporting to its
- * old owner. Whatever any of them answers, no lease outlasts the time of the cancellation, and
- * nothing of the job starts. slow_s: in place of the refusal the owner's reads are answered so
- * late, and its watch tells nothing. */
+/* The scenario "gap": the store refuses the leader alone, another controller confirms a
+ * cancellation, then the store is down for all, for longer than cancel_s, and the worker keeps
+ * reporting to its old owner. Whatever any of them answers, no lease outlasts the time of the
+ * cancellation, and nothing of the job starts. slow_s: in place of the refusal the owner's reads
+ * are answered so late, and its watch shows no change. */
 static void play_gap(double slow_s) {
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
@@ -20,26 +20,27 @@
                                 first_controller->settings.node_name);
   struct tmx_controller *owner = first_is_owner ? first_controller : second_controller,
                         *other = first_is_owner ? second_controller : first_controller;
-  struct fake_endpoint *door = &fake_store.endpoints[first_is_owner ? 0 : 1];
+  struct fake_endpoint *endpoint = &fake_store.endpoints[first_is_owner ? 0 : 1];
   double lease = first_controller->settings.lease_s, cancel = first_controller->settings.cancel_s;
-  worker.mute = true; /* stops sent by command do not arrive */
-  door->slow_s = slow_s;
-  door->refuse = !slow_s;
-  door->freeze_watch = slow_s > 0;
+  worker.fails_commands = true; /* stops sent by command do not arrive */
+  endpoint->read_delay_s = slow_s;
+  endpoint->refuse = !slow_s;
+  endpoint->freeze_watch = slow_s > 0;
   run_loop_for(0.3);
-  unsigned reads = door->reads;
-  for (int i = 0; slow_s && i < 1000 && door->reads == reads; i++) run_loop_for(0.005);
+  unsigned reads = endpoint->reads;
+  for (int i = 0; slow_s && i < 1000 && endpoint->reads == reads; i++) run_loop_for(0.005);
   assert_string_equal(cancel_job(other, "wk-000001").state, WV_CANCELLED);
   double confirmed = tmx_clock_steady(), renewed = confirmed;
   if (slow_s) run_loop_for(slow_s + 0.3); /* the read that began just before is answered only now */
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   unsigned begun = worker.executed_starts, answered = 0;
-  for (double t = 0; t < cancel + 5; t += 0.5) {
+  double passed = 0;
+  while (passed < cancel + 5) {
     struct tmx_controller *asked[] = {owner, other};
     for (int i = 0; i < 2; i++) {
       double sent = tmx_clock_steady();
       fake_worker_send_heartbeat(&worker, asked[i]);
-      if (worker.status != 200 || worker.answer_token < worker.token) continue;
+      if (worker.report_status != 200 || worker.response_token < worker.token) continue;
       answered++;
       assert_false(fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1));
       if (fake_worker_was_commanded(&worker, WV_STOP, "wk-000001/0", 1))
@@ -48,35 +49,37 @@
     }
     run_loop_for(0.12);
     tmx_clock_advance(0.38);
+    passed += 0.5;
   }
   assert_true(answered > 0); /* running work went on for a while */
   assert_true(renewed + lease * (1 + TMX_CLOCK_DRIFT) < confirmed + cancel);
   assert_int_equal(worker.executed_starts, begun);
 }
 
-static void no_lease_outlasts_a_cancellation_in_a_store_outage(void **st) {
-  (void)st;
+static void no_lease_outlasts_a_cancellation_in_a_store_outage(void **state) {
+  (void)state;
   play_gap(0);
 }
 
-static void no_lease_outlasts_a_cancellation_with_slow_reads(void **st) {
-  (void)st;
+static void no_lease_outlasts_a_cancellation_with_slow_reads(void **state) {
+  (void)state;
   play_gap(1.9); /* just before they are given up */
 }
 
-/* ... and the leader does not reach the other controllers either. */
-static int setup_unreachable_peers(void **st) {
+/* The same, and the leader does not reach the other controllers either. */
+static int setup_unreachable_peers(void **state) {
   fake_peers_unreachable = true;
-  return setup_two_settled_controllers(st);
+  return setup_two_settled_controllers(state);
 }
 
 /* The owner's start is held up on its way, the job is cancelled through another controller, which
- * knows it, and then the state is out and the owner gone. Who keeps the lease for the owner raises
- * no token: the start may still be executed, and must not outlast the cancellation. */
-static void no_lease_is_kept_for_a_delayed_start(void **st) {
-  (void)st;
+ * knows it, and then the store is unreachable and the owner ends. A controller that renews the
+ * lease for the owner raises no token: the start may still be executed, and must not outlast the
+ * cancellation. */
+static void no_lease_is_kept_for_a_delayed_start(void **state) {
+  (void)state;
   register_worker(&worker);
-  worker.mute = true;
+  worker.fails_commands = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_for_placed(1);
   wait_for_unanswered_command(0);
@@ -88,7 +91,7 @@
   run_loop_for(0.3);
   tmx_clock_advance(9);
   run_loop_for(0.5);
-  worker.silent = true;
+  worker.unresponsive = true;
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   stop_controller(first_is_owner ? first_controller : second_controller);
   if (first_is_owner)
@@ -100,19 +103,19 @@
   fake_worker_send_heartbeat(&worker, keeper);
   tmx_clock_advance(TMX_STORE_LOST_S);
   fake_worker_send_heartbeat(&worker, keeper);
-  assert_int_equal(worker.status, 200); /* a lease from now on ends in time */
+  assert_int_equal(worker.report_status, 200); /* a lease from now on ends in time */
   assert_true(tmx_clock_steady() + keeper->settings.lease_s <
               confirmed + keeper->settings.cancel_s);
   tmx_clock_advance(7);
   assert_true(tmx_authority_may_act(&keeper->authority));
   fake_worker_send_heartbeat(&worker, keeper);
-  assert_int_not_equal(worker.status, 200);
+  assert_int_not_equal(worker.report_status, 200);
 }
 
 /* Without the state nothing starts, though leases are renewed: somebody may have cancelled the job.
  */
-static void nothing_starts_on_a_stale_replica(void **st) {
-  (void)st;
+static void nothing_starts_on_a_stale_replica(void **state) {
+  (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
   wait_for_starts(1);
@@ -124,7 +127,7 @@
   worker.n_tasks = 0;
   for (int i = 0; i < 3; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
-    assert_int_equal(worker.status, 200);
+    assert_int_equal(worker.report_status, 200);
     fake_worker_execute_commands(&worker);
     run_loop_for(0.1);
   }
@@ -139,10 +142,10 @@
 }
 
 /* A cancellation, a question and a repeated submission meet the last task's end, whose transaction
- * is carried out without an answer, or late, or not at all. The first of the two that the log has
- * stands. */
-static void a_cancellation_at_the_last_completion_gets_one_answer(void **st) {
-  (void)st;
+ * is carried out without an answer, or late, or not at all. The first of the two in the log is
+ * final. */
+static void a_cancellation_at_the_last_completion_gets_one_answer(void **state) {
+  (void)state;
   static const char *ids[] = {"wk-000001", "wk-000002"};
   char task[48];
   register_worker(&worker);
@@ -152,22 +155,24 @@
     wait_for_starts(late + 1);
     char key[64];
     snprintf(key, sizeof key, TMX_KEY_JOB "%s", ids[late]);
-    strcpy(late ? endpoint->late_key : endpoint->lose_key, key);
+    strcpy(late ? endpoint->late_transaction_key : endpoint->lost_response_key, key);
     if (late)
-      endpoint->late_next_txn = true;
+      endpoint->next_transaction_is_late = true;
     else
-      endpoint->lose_next_txn = true;
+      endpoint->lose_next_response = true;
     snprintf(task, sizeof task, "%s/0", ids[late]);
     fake_worker_set_task(&worker, task, 1, WV_EXITED, WV_DONE);
     fake_worker_send_heartbeat(&worker, first_controller);
-    for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_txn); i++)
+    for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_response);
+         i++)
       run_loop_for(0.005);
     /* the cancellation's own key may have been the one that was held: it is repeated then */
-    struct fake_answer c = cancel_job(first_controller, ids[late]);
-    for (int i = 0; i < 20 && c.status != 200; i++) c = cancel_job(first_controller, ids[late]);
-    assert_int_equal(c.status, 200);
+    struct fake_answer answer = cancel_job(first_controller, ids[late]);
+    for (int i = 0; i < 20 && answer.status != 200; i++)
+      answer = cancel_job(first_controller, ids[late]);
+    assert_int_equal(answer.status, 200);
     char first_answer[16];
-    strcpy(first_answer, c.state);
+    strcpy(first_answer, answer.state);
     if (!late) assert_string_equal(first_answer, WV_DONE);
     if (late) assert_int_equal(fake_execute_late_transaction(endpoint), 409);
     for (int i = 0; i < 5; i++) {
@@ -187,12 +192,12 @@
   assert_int_equal(worker.executed_starts, 2);
 }
 
-/* A job is cancelled in the seconds in which its owner's work changes hands: the owner ends between
+/* A job is cancelled while another controller takes over from its owner: the owner ends between
  * the placement and the start, and the other controller confirms the cancellation before, while or
  * after it takes the machine. Nothing of the job starts after the confirmation, and its place is
  * free again. */
-static void a_cancellation_holds_while_owners_change(void **st) {
-  (void)st;
+static void a_cancellation_holds_while_owners_change(void **state) {
+  (void)state;
   static const double after[] = {0, 0.5, 1.5, 3};
   char id[32];
   register_worker(&worker);
@@ -201,7 +206,7 @@
                                   first_controller->settings.node_name);
     struct tmx_controller *owner = first_is_owner ? first_controller : second_controller,
                           *successor = first_is_owner ? second_controller : first_controller;
-    worker.mute = true;
+    worker.fails_commands = true;
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(submit_simple_job(successor, id, "batch", 2, 2, "t"), 201);
     wait_for_placed(2);
@@ -210,11 +215,11 @@
     stop_controller(owner);
     *(first_is_owner ? &first_controller : &second_controller) = NULL;
     run_loop_for(after[i]);
-    struct fake_answer r = cancel_job(successor, id);
-    for (int k = 0; k < 20 && r.status == 503; k++) r = cancel_job(successor, id);
-    assert_string_equal(r.state, WV_CANCELLED);
+    struct fake_answer answer = cancel_job(successor, id);
+    for (int k = 0; k < 20 && answer.status == 503; k++) answer = cancel_job(successor, id);
+    assert_string_equal(answer.state, WV_CANCELLED);
     unsigned begun = worker.executed_starts;
-    worker.mute = false;
+    worker.fails_commands = false;
     for (int k = 0; k < 400 && fake_count_placed(); k++) {
       run_loop_for(0.05);
       fake_worker_send_heartbeat(&worker, successor);
@@ -233,25 +238,25 @@
 
 /* A controller that the state service refuses renews leases only as long as a cancellation
  * elsewhere allows, and sends workers away at once when it knows that others are served. */
-static void a_cancellation_holds_while_the_store_is_cut_off(void **st) {
-  (void)st;
+static void a_cancellation_holds_while_the_store_is_cut_off(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   fake_store.endpoints[0].refuse = true;
   run_loop_for(0.2);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.status, 200); /* fresh enough: running work goes on */
+  assert_int_equal(worker.report_status, 200); /* fresh enough: running work goes on */
   tmx_clock_advance(first_controller->settings.cancel_s - first_controller->settings.lease_s -
                     TMX_FRESH_MARGIN_S + 0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.status, 503);
-  struct fake_answer r = send_request(first_controller, "GET", WP_READY, NULL);
-  assert_int_equal(r.status, 503);
+  assert_int_equal(worker.report_status, 503);
+  struct fake_answer answer = send_request(first_controller, "GET", WP_READY, NULL);
+  assert_int_equal(answer.status, 503);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
 }
 
 /* Cancelled: stopped, and nothing of it starts again. */
-static void tasks_of_a_cancelled_job_are_stopped(void **st) {
-  (void)st;
+static void tasks_of_a_cancelled_job_are_stopped(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "service", 2, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -7,16 +7,16 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* A start of the earlier owner may still be under way: its heir believes no absence before the
- * worker has seen the heir's token. */
-static void late_commands_of_the_former_owner_are_fenced(void **st) {
-  (void)st;
+/* A start of the earlier owner may still be under way: its successor takes no task to be absent
+ * before the worker has seen the successor's token. */
+static void late_commands_of_the_former_owner_are_fenced(void **state) {
+  (void)state;
   register_worker_at(first_controller);
-  worker.mute = true;
+  worker.fails_commands = true;
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_is_placed, NULL));
-  for (int i = 0; i < 100 && !worker.commands; i++) run_loop_for(0.02);
-  assert_true(worker.commands > 0);
+  for (int i = 0; i < 100 && !worker.command_requests; i++) run_loop_for(0.02);
+  assert_true(worker.command_requests > 0);
   stop_controller(first_controller);
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
@@ -30,9 +30,9 @@
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
 
-/* Two that both take themselves for the leader: every batch was planned on all before it. */
-static void a_deposed_leader_places_nothing(void **st) {
-  (void)st;
+/* Two controllers that both act as the leader: every batch was planned on all before it. */
+static void a_deposed_leader_places_nothing(void **state) {
+  (void)state;
   struct tmx_buffer value = {0};
   char id[32];
   register_worker_at_owner();
@@ -66,8 +66,8 @@
 }
 
 /* A worker whose lease lapsed has forgotten its tasks; the attempt is started there again. */
-static void a_worker_that_lost_its_lease_starts_a_new_session(void **st) {
-  (void)st;
+static void a_worker_that_lost_its_lease_starts_a_new_session(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
@@ -78,29 +78,29 @@
   for (int i = 0; i < 100 && worker.executed_starts < 2; i++) run_loop_for(0.02);
   assert_int_equal(worker.executed_starts, 2);
   /* a late copy of a report of the earlier session says nothing */
-  uint64_t s = worker.session, q = worker.sequence;
+  uint64_t session = worker.session, sequence = worker.sequence;
   worker.session = 1;
   worker.sequence = 1;
   worker.n_tasks = 0;
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_not_equal(worker.status, 200);
-  worker.session = s;
-  worker.sequence = q;
+  assert_int_not_equal(worker.report_status, 200);
+  worker.session = session;
+  worker.sequence = sequence;
   assert_int_equal(fake_count_placed(), 1);
 }
 
-/* The token of another, newer owner: this controller must not hold the worker. */
-static void a_higher_token_is_not_answered_with_200(void **st) {
-  (void)st;
+/* The token of another, newer owner: this controller must not keep the worker. */
+static void a_higher_token_is_not_answered_with_200(void **state) {
+  (void)state;
   register_worker_at(first_controller);
   worker.token += 1ull << 40;
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.status, 421);
+  assert_int_equal(worker.report_status, 421);
 }
 
 /* Two controllers on copies of different age: what they place together stays in the limit. */
-static void a_quota_holds_over_two_controllers(void **st) {
-  (void)st;
+static void a_quota_holds_over_two_controllers(void **state) {
+  (void)state;
   register_worker_at_owner();
   fake_store.endpoints[1].freeze_watch = true; /* b lags from here on */
   char id[32];
@@ -122,8 +122,8 @@
 /* A zone is cut off from everything: its workers' owner is outside, and no view can be written. The
  * controller inside keeps their leases as long as a cancellation elsewhere allows, starts nothing,
  * and stops what it knows to be cancelled. */
-static void a_lease_is_renewed_for_an_unreachable_owner(void **st) {
-  (void)st;
+static void a_lease_is_renewed_for_an_unreachable_owner(void **state) {
+  (void)state;
   register_worker_at_owner();
   submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t");
   assert_true(run_loop_until(any_task_was_started, NULL));
@@ -143,19 +143,19 @@
     second_controller = NULL;
   run_loop_for(0.3);
   fake_worker_send_heartbeat(&worker, inside);
-  assert_int_equal(worker.status, 421); /* the owner may be back in a moment */
+  assert_int_equal(worker.report_status, 421); /* the owner may be back in a moment */
   tmx_clock_advance(TMX_STORE_LOST_S);
   fake_worker_set_task(&worker, "wk-000002/0", 1, WV_RUNNING,
                        NULL); /* it has not heard of the cancellation */
   uint64_t token = worker.token;
   fake_worker_send_heartbeat(&worker, inside);
-  assert_int_equal(worker.status, 200);
-  assert_int_equal(worker.answer_token, token);
+  assert_int_equal(worker.report_status, 200);
+  assert_int_equal(worker.response_token, token);
   assert_int_equal(worker.n_commands_received, 1);
   assert_true(fake_worker_was_commanded(&worker, WV_STOP, "wk-000002/0", 1));
   tmx_clock_advance(inside->settings.cancel_s - inside->settings.lease_s - TMX_FRESH_MARGIN_S);
   fake_worker_send_heartbeat(&worker, inside);
-  assert_int_equal(worker.status, 503);
+  assert_int_equal(worker.report_status, 503);
 }
 
 int main(void) {
