--- a/tests/test_scale_out_plan.c
+++ b/tests/test_scale_out_plan.c
@@ -18,18 +18,27 @@
   struct tmx_demand demand = {&spec, 1, -1, 0};
   struct tmx_offer offers[2] = {{&small, 0, false, 0.2}, {&big, 0, false, 1.0}};
   struct tmx_scale_out choices[4];
-  assert_int_equal(tmx_plan_scale_out(&demand, 1, offers, 2, NULL, 0, 10, choices, 4), 1);
+  struct tmx_scale_out_situation situation = {
+      .demands = &demand, .n_demands = 1, .offers = offers, .n_offers = 2, .have_cpus = 10};
+  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 1);
   assert_int_equal(choices[0].offer, 0);
   assert_int_equal(choices[0].count, 1);
   /* what is on its way is counted */
   struct tmx_coming coming = {&small, 0, false, 4, 0, 16};
-  assert_int_equal(tmx_plan_scale_out(&demand, 1, offers, 2, &coming, 1, 10, choices, 4), 0);
+  situation.coming = &coming;
+  situation.n_coming = 1;
+  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 0);
   /* a service never gets a spot machine */
   struct tmx_offer spot = {&small, 0, true, 0.05};
-  assert_int_equal(tmx_plan_scale_out(&demand, 1, &spot, 1, NULL, 0, 10, choices, 4), 0);
+  situation.n_coming = 0;
+  situation.offers = &spot;
+  situation.n_offers = 1;
+  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 0);
   /* a large demand does not wait until the cheapest offer is exhausted */
   demand.tasks = 2000;
-  assert_int_equal(tmx_plan_scale_out(&demand, 1, offers, 2, NULL, 0, 10, choices, 4), 2);
+  situation.offers = offers;
+  situation.n_offers = 2;
+  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 2);
   assert_int_equal(choices[0].count, TMX_SCALE_OUT_OFFER_MAX);
   assert_int_equal(choices[1].count, TMX_SCALE_OUT_OFFER_MAX);
 }
