--- a/tests/cluster/history_check.c
+++ b/tests/cluster/history_check.c
@@ -45,12 +45,13 @@
   fprintf(check->out, "%s: %s", rule, check->line);
 }
 
-/* The record of that name, made when it is new. */
+/* The record of that name in the table, made when it is new. The parameters are an lvalue of the
+ * table, the name, and a variable for the record. */
 #define RECORD(table, name, record)                         \
   do {                                                      \
-    HASH_FIND_STR(table, name, record);                     \
+    HASH_FIND_STR((table), (name), (record));               \
     if (record) break;                                      \
-    record = calloc(1, sizeof *(record));                   \
+    (record) = calloc(1, sizeof *(record));                 \
     if (!(record)) abort();                                 \
     snprintf((record)->id, sizeof(record)->id, "%s", name); \
     HASH_ADD_STR(table, id, record);                        \
--- a/tests/cluster/users.h
+++ b/tests/cluster/users.h
@@ -23,7 +23,7 @@
 
 /** Sets the workload. @param kinds ends with letter 0 and must outlive the users
  *  @param nodes the number of controllers */
-void users_open(const struct job_kind *kinds, int nodes);
+void users_open(const struct job_kind *wanted, int nodes);
 /** Submits the new jobs of a period of `elapsed_s`. */
 void users_submit(double elapsed_s);
 /** Sends the retries and polls that are due at `now`. */
--- a/tests/cluster/workers.h
+++ b/tests/cluster/workers.h
@@ -18,7 +18,7 @@
 };
 
 /** Makes the workers; each begins with a controller of its own. */
-void workers_open(const struct workers_setup *setup);
+void workers_open(const struct workers_setup *wanted);
 /** Lets `elapsed_s` pass for the tasks, and sends the heartbeats that are due at `now`. */
 void workers_step(double now, double elapsed_s);
 /** Takes the figures and resets the maximum. */
--- a/tests/fake_clock.c
+++ b/tests/fake_clock.c
@@ -20,19 +20,19 @@
 
 static long long passed_ns;
 
-int clock_gettime(clockid_t id, struct timespec *time) {
-  if (id != CLOCK_MONOTONIC && id != CLOCK_REALTIME)
-    return (int)syscall(SYS_clock_gettime, id, time);
-  time->tv_sec =
-      (id == CLOCK_REALTIME ? REALTIME_START_S : MONOTONIC_START_S) + passed_ns / 1000000000;
-  time->tv_nsec = passed_ns % 1000000000;
+int clock_gettime(clockid_t clock_id, struct timespec *tp) {
+  if (clock_id != CLOCK_MONOTONIC && clock_id != CLOCK_REALTIME)
+    return (int)syscall(SYS_clock_gettime, clock_id, tp);
+  tp->tv_sec =
+      (clock_id == CLOCK_REALTIME ? REALTIME_START_S : MONOTONIC_START_S) + passed_ns / 1000000000;
+  tp->tv_nsec = passed_ns % 1000000000;
   return 0;
 }
 
-int gettimeofday(struct timeval *time, void *zone) {
-  (void)zone;
-  time->tv_sec = REALTIME_START_S + passed_ns / 1000000000;
-  time->tv_usec = passed_ns % 1000000000 / 1000;
+int gettimeofday(struct timeval *tv, void *tz) {
+  (void)tz;
+  tv->tv_sec = REALTIME_START_S + passed_ns / 1000000000;
+  tv->tv_usec = passed_ns % 1000000000 / 1000;
   return 0;
 }
 
@@ -43,13 +43,14 @@
   return count;
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int max, int wait_ms) {
-  int count = poll_events(fd, events, max, 0);
+int epoll_wait(int epfd, struct epoll_event *events, int maxevents, int timeout) {
+  int count = poll_events(epfd, events, maxevents, 0);
   passed_ns += TURN_NS;
-  if (count || !wait_ms) return count; /* 0: something is due, or a planner's thread is done */
-  while (!count && fake_any_planner_busy()) count = poll_events(fd, events, max, ARRIVAL_MS);
+  if (count || !timeout) return count; /* 0: something is due, or a planner's thread is done */
+  while (!count && fake_any_planner_busy())
+    count = poll_events(epfd, events, maxevents, ARRIVAL_MS);
   if (count) return count;
-  count = poll_events(fd, events, max, ARRIVAL_MS);
-  if (!count && wait_ms > 0) passed_ns += wait_ms * 1000000LL;
+  count = poll_events(epfd, events, maxevents, ARRIVAL_MS);
+  if (!count && timeout > 0) passed_ns += timeout * 1000000LL;
   return count;
 }
--- a/tests/planned_cluster.c
+++ b/tests/planned_cluster.c
@@ -32,18 +32,18 @@
   return cluster;
 }
 
-struct tmx_job_spec *add_job(struct planned_cluster *cluster, size_t k, bool service,
+struct tmx_job_spec *add_job(struct planned_cluster *cluster, size_t index, bool service,
                              uint32_t tasks, double cpus) {
-  struct tmx_plan_job *job = &cluster->jobs[k];
+  struct tmx_plan_job *job = &cluster->jobs[index];
   struct tmx_job_spec *spec = calloc(1, sizeof *spec);
-  snprintf(job->id, sizeof job->id, "wk-%06zu", k);
+  snprintf(job->id, sizeof job->id, "wk-%06zu", index);
   spec->service = service;
   spec->tasks = tasks;
   spec->cpus = cpus;
   spec->mem_gb = 1;
   spec->fetch_tolerance_s = 10;
   spec->priority = service ? TMX_PRIORITY_PROD : TMX_PRIORITY_NORMAL;
-  job->slot = (int)k;
+  job->slot = (int)index;
   job->spec = spec;
   job->zone = -1;
   job->open = true;
@@ -57,10 +57,10 @@
   return spec;
 }
 
-void add_running_task(struct planned_cluster *cluster, size_t machine_index, size_t k,
-                      uint32_t task, double since, bool stopping) {
-  struct tmx_plan_machine *machine = &cluster->machines[machine_index];
-  machine->tasks[machine->n_tasks++] = (struct tmx_plan_task){(int)k, task, 1, since, stopping};
+void add_running_task(struct planned_cluster *cluster, size_t machine, size_t job, uint32_t task,
+                      double since, bool stopping) {
+  struct tmx_plan_machine *record = &cluster->machines[machine];
+  record->tasks[record->n_tasks++] = (struct tmx_plan_task){(int)job, task, 1, since, stopping};
 }
 
 /* Gives the cluster to a new planner and plans a round; the cluster stays as it is. */
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -17,15 +17,16 @@
 
 /* Whether the leader has settled and the owner suspects the machine, and what the owner says. */
 #define SUSPICION(settled, by_owner, silence, lost, unacknowledged) \
-  .leader_settled = settled, .suspected = by_owner,                 \
-  .suspicion = {.silence_s = silence, .probes_lost = lost, .unacknowledged_s = unacknowledged}
+  .leader_settled = (settled), .suspected = (by_owner),             \
+  .suspicion = {                                                    \
+      .silence_s = (silence), .probes_lost = (lost), .unacknowledged_s = (unacknowledged)}
 #define DEAD SUSPICION(true, true, 2, TMX_PROBES_LOST, 0)
 #define SILENT_FOR(silence) SUSPICION(true, true, silence, TMX_PROBES_LOST, 0), .has_tasks = true
 #define UNREACHED_FOR(unacknowledged) \
   SUSPICION(true, true, 0.5, 0, unacknowledged), .has_tasks = true
 
-static void deletion_of_machines(void **st) {
-  (void)st;
+static void deletion_of_machines(void **state) {
+  (void)state;
   const struct {
     const char *name;
     struct tmx_machine_evidence evidence;
@@ -75,8 +76,8 @@
   }
 }
 
-static void deadlines_from_settings(void **st) {
-  (void)st;
+static void deadlines_from_settings(void **state) {
+  (void)state;
   struct tmx_settings *settings = calloc(1, sizeof *settings);
   assert_non_null(settings);
   settings->cancel_s = 12;
@@ -92,8 +93,8 @@
   free(settings);
 }
 
-static void deletion_of_instances(void **st) {
-  (void)st;
+static void deletion_of_instances(void **state) {
+  (void)state;
   const struct {
     const char *name;
     struct tmx_instance_evidence evidence;
@@ -132,8 +133,8 @@
 }
 
 /* Operators search the log for these words. */
-static void words_of_the_log(void **st) {
-  (void)st;
+static void words_of_the_log(void **state) {
+  (void)state;
   const char *const words[] = {
       [TMX_DELETE_NOT] = "",
       [TMX_DELETE_FAILED] = "failed",
@@ -148,8 +149,8 @@
     assert_string_equal(tmx_deletion_reason_text((enum tmx_deletion_reason)i), words[i]);
 }
 
-static void draining_of_idle_machines(void **st) {
-  (void)st;
+static void draining_of_idle_machines(void **state) {
+  (void)state;
   const struct {
     const char *name;
     struct tmx_idle_evidence evidence;
@@ -174,8 +175,8 @@
 
 static const struct tmx_machine_type type = {.cpus = 16, .price = 1.6, .spot_price = 0.8};
 
-static void draining_to_the_peak(void **st) {
-  (void)st;
+static void draining_to_the_peak(void **state) {
+  (void)state;
   const struct tmx_reserve reserve = {.peak_cpus = 1000, .margin = 0.1};
   const struct {
     const char *name;
@@ -200,8 +201,8 @@
   }
 }
 
-static void draining_takes_machines_out_of_the_fleet(void **st) {
-  (void)st;
+static void draining_takes_machines_out_of_the_fleet(void **state) {
+  (void)state;
   struct tmx_fleet fleet = {.cpus = 100};
   const struct tmx_drain_candidate plain = {.type = &type};
   const struct tmx_drain_candidate serving = {.type = &type, .service_cpus = 2};
@@ -213,8 +214,8 @@
   assert_float_equal(fleet.draining_cpus, 16, 1e-9);
 }
 
-static void the_most_expensive_go_first(void **st) {
-  (void)st;
+static void the_most_expensive_go_first(void **state) {
+  (void)state;
   struct tmx_drain_candidate candidates[] = {
       {.id = "spot", .type = &type, .spot = true},
       {.id = "busy", .type = &type, .booked_cpus = 8},
@@ -227,8 +228,8 @@
   for (size_t i = 0; i < COUNT(order); i++) assert_string_equal(candidates[i].id, order[i]);
 }
 
-static void room_for_replicas_that_move(void **st) {
-  (void)st;
+static void room_for_replicas_that_move(void **state) {
+  (void)state;
   const struct tmx_reserve reserve = {.peak_cpus = 100, .move_room = 0.2};
   /* 8 of its own CPUs are free; twice its replicas and a tenth of the peak must be free elsewhere
    */
@@ -242,8 +243,8 @@
   assert_true(tmx_replicas_can_move(&fleet, &reserve, &without, 2));
 }
 
-static void reserve_shrinks_with_the_fleet_s_size(void **st) {
-  (void)st;
+static void reserve_shrinks_with_the_fleet_s_size(void **state) {
+  (void)state;
   assert_float_equal(tmx_reserve_for(100, 0).margin, TMX_PEAK_MARGIN, 1e-9);
   assert_float_equal(tmx_reserve_for(100, 100).margin, 0.1, 1e-9);
   assert_float_equal(tmx_reserve_for(100, 100).move_room, 0.2, 1e-9);
@@ -251,8 +252,8 @@
   assert_float_equal(tmx_reserve_for(100, 10000).move_room, 0.02, 1e-9);
 }
 
-static void peak_of_the_last_while(void **st) {
-  (void)st;
+static void peak_of_the_last_while(void **state) {
+  (void)state;
   struct tmx_demand_history history = {.latest_second = 0};
   tmx_demand_history_record(&history, 50, 1000.2);
   tmx_demand_history_record(&history, 40, 1000.9);
@@ -268,8 +269,8 @@
   assert_float_equal(tmx_demand_history_peak(&history), 3, 1e-9);
 }
 
-static void backoff_of_offers(void **st) {
-  (void)st;
+static void backoff_of_offers(void **state) {
+  (void)state;
   struct tmx_offer_backoffs *backoffs = calloc(1, sizeof *backoffs);
   assert_non_null(backoffs);
   assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, false, 100));
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -275,48 +275,60 @@
   }
 }
 
+static void serve_worker(void) {
+  report_to_owner();
+  fake_worker_execute_commands(&worker);
+}
+
+/* Submits as a user does: repeated while no controller can decide. */
+static void submit_one_task_job(struct tmx_controller *controller, const char *id) {
+  int status = submit_simple_job(controller, id, "batch", 1, 2, "t");
+  for (int tries = 0; tries < 20 && status == 503; tries++)
+    status = submit_simple_job(controller, id, "batch", 1, 2, "t");
+  assert_true(status == 201 || status == 200);
+}
+
+/* Cancels until it is confirmed; `told` gets the state that the user was told. */
+static void cancel_until_confirmed(struct tmx_controller *controller, const char *id, char *told) {
+  struct fake_answer answer = cancel_job(controller, id);
+  for (int tries = 0; tries < 20 && answer.status != 200; tries++)
+    answer = cancel_job(controller, id);
+  assert_int_equal(answer.status, 200);
+  strcpy(told, answer.state);
+}
+
+static void complete_all_placed(void) {
+  for (int i = 0; i < 400 && fake_count_placed(); i++) {
+    complete_all_tasks();
+    serve_worker();
+    run_loop_for(0.1);
+  }
+  assert_int_equal(fake_count_placed(), 0);
+}
+
 /* One-task jobs come four a second, a quarter of them are cancelled, some at their end, and the
  * leader changes on the way: each ends as its user was answered, the limit is kept, and nothing is
- * left.
- */
+ * left. */
 static void one_task_jobs_run_once_or_stay_cancelled(void **state) {
   (void)state;
-  enum { N = 80 };
+  enum { JOBS = 80 };
   register_worker(&worker);
-  char id[32], told[N][16] = {{0}};
-  for (int i = 0; i < N; i++) {
-    struct tmx_controller *asked = i % 3 ? first_controller : second_controller;
+  char id[32], told[JOBS][16] = {{0}};
+  for (int i = 0; i < JOBS; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
-    int status = submit_simple_job(asked, id, "batch", 1, 2, "t");
-    for (int k = 0; k < 20 && status == 503; k++)
-      status = submit_simple_job(asked, id, "batch", 1, 2, "t");
-    assert_true(status == 201 || status == 200);
+    submit_one_task_job(i % 3 ? first_controller : second_controller, id);
     if (i % 10 == 5) complete_all_tasks();
-    if (i % 4 == 0) {
-      struct fake_answer answer = cancel_job(i % 8 ? first_controller : second_controller, id);
-      for (int k = 0; k < 20 && answer.status != 200; k++)
-        answer = cancel_job(i % 8 ? first_controller : second_controller, id);
-      assert_int_equal(answer.status, 200);
-      strcpy(told[i], answer.state);
-    }
+    if (i % 4 == 0)
+      cancel_until_confirmed(i % 8 ? first_controller : second_controller, id, told[i]);
     if (i % 20 == 10) let_lead(i % 40 == 10 ? second_controller : first_controller);
     run_loop_for(0.25);
     assert_in_range(fake_count_placed(), 0, 4);
     if (i % 2) complete_all_tasks();
-    fake_worker_send_heartbeat(&worker, first_controller);
-    if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
-    fake_worker_execute_commands(&worker);
-  }
-  for (int i = 0; i < 400 && fake_count_placed(); i++) {
-    complete_all_tasks();
-    fake_worker_send_heartbeat(&worker, first_controller);
-    if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
-    fake_worker_execute_commands(&worker);
-    run_loop_for(0.1);
+    serve_worker();
   }
-  assert_int_equal(fake_count_placed(), 0);
+  complete_all_placed();
   run_loop_for(1);
-  for (int i = 0; i < N; i++) {
+  for (int i = 0; i < JOBS; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     assert_string_equal(poll_job(i % 2 ? first_controller : second_controller, id).state,
                         told[i][0] ? told[i] : WV_DONE);
