--- a/src/store/compaction.c
+++ b/src/store/compaction.c
@@ -81,7 +81,7 @@
   compaction->point = tmx_snapshot_writer_generation(compaction->writer);
   compaction->point_version = compaction->replica->compaction_version;
   compaction->state = COMPACTION_WRITING_PAGES;
-  tmx_log(TMX_LOG_INFO, "fold: %zu machines, %zu jobs, %zu batches",
+  tmx_log(TMX_LOG_INFO, "compaction: %zu machines, %zu jobs, %zu batches",
           tmx_snapshot_writer_machine_count(compaction->writer),
           tmx_snapshot_writer_job_count(compaction->writer), n_batches);
 }
@@ -103,7 +103,7 @@
       compaction->state = COMPACTION_MOVING_POINT;
       break;
     case TMX_SNAPSHOT_ITEM_TOO_LARGE:
-      tmx_log(TMX_LOG_ERROR, "fold: given up, %s exceeds a value",
+      tmx_log(TMX_LOG_ERROR, "compaction: abandoned, %s exceeds a value",
               tmx_snapshot_writer_next_job(compaction->writer));
       compaction->state = COMPACTION_IDLE;
       break;
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -76,10 +76,10 @@
   add_event(key, NULL, 0);
 }
 
-void fake_store_encode_entry(struct tmx_buffer *buffer, const char *field, const char *key,
+void fake_store_encode_entry(struct tmx_buffer *buffer, const char *field, const char *stored_key,
                              const uint8_t *value, size_t length, uint64_t version) {
   tmx_cbor_put_map(buffer, value ? 3 : 2);
-  tmx_cbor_put_text_field(buffer, field, key);
+  tmx_cbor_put_text_field(buffer, field, stored_key);
   if (value) {
     tmx_cbor_put_text(buffer, W_VALUE);
     tmx_buffer_append(buffer, value, length);
--- a/tests/fake_store_internal.h
+++ b/tests/fake_store_internal.h
@@ -16,7 +16,7 @@
 /** Appends a key with its value and version, as reads and watches hold it.
  *  @param name the field that holds the key
  *  @param value NULL: the key was dropped */
-void fake_store_encode_entry(struct tmx_buffer *buffer, const char *field, const char *key,
+void fake_store_encode_entry(struct tmx_buffer *buffer, const char *field, const char *stored_key,
                              const uint8_t *value, size_t length, uint64_t version);
 /** Whether a transaction's operations pass the limits of the store. */
 bool fake_store_is_oversized(const cbor_item_t *operations);
