--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -1,5 +1,7 @@
 #include "fake_cloud.h"
 
+#include "test.h"
+
 #include <http_parser.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -93,6 +95,7 @@
   memset(&fake_cloud, 0, sizeof fake_cloud);
   fake_cloud.server =
       tmx_http_server_new(test_loop, "127.0.0.1:0", 100, 60, on_request, &fake_cloud);
+  assert_non_null(fake_cloud.server);
 }
 
 void fake_cloud_close(void) { tmx_http_server_free(fake_cloud.server); }
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -182,6 +182,7 @@
     struct fake_endpoint *endpoint = &fake_store.endpoints[i];
     endpoint->store = &fake_store;
     endpoint->server = tmx_http_server_new(test_loop, "127.0.0.1:0", 200, 60, on_request, endpoint);
+    assert_non_null(endpoint->server);
   }
 }
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -106,6 +106,25 @@
   assert_false(tmx_settings_parse(&settings, "{", err, sizeof err));
 }
 
+/* A list that is longer than its table is refused, and not copied beyond the table's end. */
+static void lists_that_are_too_long_are_refused(void **state) {
+  (void)state;
+  enum { ZONES = 1000 };
+  struct tmx_settings *settings = calloc(1, sizeof *settings);
+  char err[256], *text = calloc(1, sizeof valid_settings + (size_t)ZONES * 8);
+  assert_non_null(settings);
+  assert_non_null(text);
+  const char *zones = strstr(valid_settings, "\"a\"],\"teams\"");
+  assert_non_null(zones);
+  int length = sprintf(text, "%.*s", (int)(zones - valid_settings), valid_settings);
+  for (int zone = 0; zone < ZONES; zone++) length += sprintf(text + length, "\"z%d\",", zone);
+  strcpy(text + length, zones);
+  assert_false(tmx_settings_parse(settings, text, err, sizeof err));
+  assert_non_null(strstr(err, "cluster.zones: too long a list"));
+  free(text);
+  free(settings);
+}
+
 static bool load_operator_settings(const char *text, char *err, size_t cap) {
   struct tmx_operator_settings operators;
   char path[] = "/tmp/tmx-op-XXXXXX";
@@ -134,6 +153,7 @@
 int main(void) {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(faulty_settings_are_refused_with_a_reason),
+      cmocka_unit_test(lists_that_are_too_long_are_refused),
       cmocka_unit_test(faulty_operator_settings_are_refused_with_a_reason),
   };
   return RUN_TESTS(tests);
