--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -7,7 +7,7 @@
 
 /** A buffer that is all zero is empty and ready for use. The buffer owns `data`. */
 struct tmx_buffer {
-  uint8_t *data;
+  uint8_t *data;   /**< the bytes; NULL while none are allocated */
   size_t length;   /**< bytes in use */
   size_t capacity; /**< bytes allocated */
 };
--- a/src/net/cbor_reader.h
+++ b/src/net/cbor_reader.h
@@ -34,9 +34,12 @@
 /** false: neither true nor false. */
 bool tmx_cbor_as_bool(const cbor_item_t *item, bool *out);
 
-/** The value of `key` in `map`, read as above; likewise the three that follow. */
+/** Reads the value of `key` in `map` as tmx_cbor_as_text does; false also if it is absent. */
 bool tmx_cbor_get_text(const cbor_item_t *map, const char *key, char *out, size_t capacity);
+/** Reads the value of `key` in `map` as tmx_cbor_as_u64 does; false also if it is absent. */
 bool tmx_cbor_get_u64(const cbor_item_t *map, const char *key, uint64_t *out);
+/** Reads the value of `key` in `map` as tmx_cbor_as_number does; false also if it is absent. */
 bool tmx_cbor_get_number(const cbor_item_t *map, const char *key, double *out);
+/** Reads the value of `key` in `map` as tmx_cbor_as_bool does; false also if it is absent. */
 bool tmx_cbor_get_bool(const cbor_item_t *map, const char *key, bool *out);
 #endif
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -10,6 +10,7 @@
 
 #include "net/buffer.h"
 
+/** A client of one server, with its connections. */
 struct tmx_http_client;
 
 /** What a callback gets in place of an HTTP status when no response came. */
@@ -23,13 +24,17 @@
 
 /**
  * Called once for each request that tmx_http_client_call took, never from within that call.
+ * @param arg     the `arg` of the call
  * @param status  the HTTP status, or an enum tmx_http_no_response; `body` is then NULL
  * @param body    valid during the callback only; the client owns it
+ * @param len     bytes of `body`
  */
 typedef void (*tmx_http_response_cb)(void *arg, int status, const uint8_t *body, size_t len);
 
 /**
  * A client of the server at `addr`, such as 10.0.0.1:8080. It connects when it is first called.
+ * @param loop       must outlive the client
+ * @param addr       IPv4 address and port
  * @param max_conns  connections, and so requests under way, at most
  * @return NULL if the address is malformed.
  */
@@ -38,8 +43,13 @@
 void tmx_http_client_free(struct tmx_http_client *client);
 /**
  * Sends a request.
+ * @param client   the client to send through
+ * @param method   the HTTP method in capitals, such as POST
+ * @param path     the path with its query
  * @param body     NULL for none; copied
  * @param timeout  seconds from now until the whole response must have arrived
+ * @param callback gets the response, or that there was none
+ * @param arg      passed to `callback`; stays with the caller
  * @return false if no connection is free or can be opened, or if the path is too long: nothing was
  *         sent and there will be no callback.
  */
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -10,7 +10,9 @@
 #include "net/buffer.h"
 #include "tmx/constants.h"
 
+/** A listener with the connections that it accepted. */
 struct tmx_http_server;
+/** One accepted connection; owned by the server. */
 struct tmx_http_connection;
 
 /** A whole request. It is owned by the handler until tmx_http_reply frees it. */
@@ -27,10 +29,13 @@
 
 /**
  * Listens on `addr`, such as 10.0.0.1:8080; port 0 takes any free port.
+ * @param loop       must outlive the server
+ * @param addr       IPv4 address and port
  * @param max_conns  connections open at once, at most
  * @param idle_s     seconds after which an unused connection is closed; it is closed sooner when
  *                   `max_conns` are open and another comes
  * @param handler    gets `arg` and each whole request
+ * @param arg        passed to `handler`; stays with the caller
  * @return NULL if the address is malformed or cannot be bound.
  */
 struct tmx_http_server *tmx_http_server_new(struct ev_loop *loop, const char *addr, int max_conns,
@@ -41,6 +46,8 @@
 int tmx_http_server_port(const struct tmx_http_server *server);
 /**
  * Answers and frees the request; every request is answered exactly once.
+ * @param request      the request, which is freed
+ * @param status       the HTTP status
  * @param body         NULL for none; stays with the caller
  * @param retry_after  seconds, sent as Retry-After; 0 for no such header
  */
--- a/src/net/socket_internal.h
+++ b/src/net/socket_internal.h
@@ -7,6 +7,7 @@
 
 #include "net/buffer.h"
 
+/** How far tmx_socket_send got. */
 enum tmx_send_result {
   TMX_SEND_COMPLETE, /**< every byte was handed to the kernel */
   TMX_SEND_BLOCKED,  /**< the socket is full: go on when it is writable */
