--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -19,16 +19,18 @@
 
 /** Another controller of the cluster. */
 struct tmx_peer_settings {
-  char name[TMX_NAME_MAX];
-  char zone[TMX_NAME_MAX];
+  char name[TMX_NAME_MAX]; /**< node name of the controller */
+  char zone[TMX_NAME_MAX]; /**< zone that it runs in */
   char addr[TMX_NAME_MAX]; /**< for heartbeats between controllers, such as 10.0.0.1:8080 */
 };
 
 /** A team with its quota: what it is guaranteed, and its limit (0: none). */
 struct tmx_team_settings {
-  char name[TMX_NAME_MAX];
-  double cpus, cpus_max;
-  double gpus, gpus_max;
+  char name[TMX_NAME_MAX]; /**< as submissions name it */
+  /** CPUs that are guaranteed. */
+  double cpus, /** Limit of CPUs in use at once; 0: none. */ cpus_max;
+  /** GPUs that are guaranteed. */
+  double gpus, /** Limit of GPUs in use at once; 0: none. */ gpus_max;
 };
 
 /** A service-level objective of a class of work. */
@@ -40,19 +42,19 @@
 
 /** A team's share of the admitted work, as the operators name it. */
 struct tmx_team_share {
-  char team[TMX_NAME_MAX];
-  double share; /**< 0 to 1 */
+  char team[TMX_NAME_MAX]; /**< name of the team */
+  double share;            /**< 0 to 1 */
 };
 
 /** The operators' settings of admission control. */
 struct tmx_admission_settings {
-  bool enabled;
+  bool enabled;         /**< false: every submission that can run is admitted */
   double backlog_s;     /**< work admitted and not done, at most: seconds of the whole cluster */
   double reserve;       /**< share of it that is set aside for teams and classes, 0 to 1 */
   double capacity_cpus; /**< CPUs that can be had at least, rented ones included; 0: not told */
   double start_s;       /**< a class whose work waits gets a start this often, seconds */
   struct tmx_team_share named[TMX_TEAMS_MAX]; /**< in no particular order */
-  size_t n_named;
+  size_t n_named;                             /**< entries of `named` in use */
   double share[TMX_TEAMS_MAX]; /**< of each team, by index; see tmx_admission_resolve */
 };
 
@@ -61,25 +63,25 @@
   double idle_return_s; /**< an empty machine is returned after this, seconds */
   double headroom;      /**< share of the services' room kept free, 0 to 1 */
   double silent_s; /**< a machine that answers no probe goes after this, seconds; 0: the default */
-  struct tmx_admission_settings admission;
+  struct tmx_admission_settings admission; /**< admission control */
 };
 
 /** All settings of one controller. Addresses have the form 10.0.0.1:8080. */
 struct tmx_settings {
-  char node_name[TMX_NAME_MAX];   /**< of this controller */
-  char zone[TMX_NAME_MAX];        /**< of this controller */
-  char listen[TMX_NAME_MAX];      /**< for users and workers */
-  char peer_listen[TMX_NAME_MAX]; /**< for heartbeats between controllers */
-  char cloud[TMX_NAME_MAX];       /**< the cloud's API */
-  char state[TMX_NAME_MAX];       /**< the state service */
-  struct tmx_peer_settings peers[TMX_MEMBERS_MAX];
-  size_t n_peers;
-  char zones[TMX_ZONES_MAX][TMX_NAME_MAX];
-  size_t n_zones;
-  struct tmx_team_settings teams[TMX_TEAMS_MAX];
-  size_t n_teams;
-  struct tmx_objective objectives[TMX_OBJECTIVES_MAX];
-  size_t n_objectives;
+  char node_name[TMX_NAME_MAX];                        /**< of this controller */
+  char zone[TMX_NAME_MAX];                             /**< of this controller */
+  char listen[TMX_NAME_MAX];                           /**< for users and workers */
+  char peer_listen[TMX_NAME_MAX];                      /**< for heartbeats between controllers */
+  char cloud[TMX_NAME_MAX];                            /**< the cloud's API */
+  char state[TMX_NAME_MAX];                            /**< the state service */
+  struct tmx_peer_settings peers[TMX_MEMBERS_MAX];     /**< the other controllers */
+  size_t n_peers;                                      /**< entries of `peers` in use */
+  char zones[TMX_ZONES_MAX][TMX_NAME_MAX];             /**< names of the zones */
+  size_t n_zones;                                      /**< entries of `zones` in use */
+  struct tmx_team_settings teams[TMX_TEAMS_MAX];       /**< the teams with their quotas */
+  size_t n_teams;                                      /**< entries of `teams` in use */
+  struct tmx_objective objectives[TMX_OBJECTIVES_MAX]; /**< service-level objectives */
+  size_t n_objectives;                                 /**< entries of `objectives` in use */
   double report_s; /**< time between two heartbeats of a worker, seconds */
   double lease_s;  /**< length of the lease that a worker gets, seconds */
   double cancel_s; /**< a cancelled job must have stopped after this, seconds */
@@ -94,12 +96,14 @@
   double core_share;   /**< processor cores of this controller, often less than one */
   double ram_mb;       /**< memory of this controller, MB */
   int sockets;         /**< open sockets of this controller, at most */
-  double clock_off_ms; /**< difference of this host's time of day from true time, at most */
-  struct tmx_operator_settings operators;
+  double clock_off_ms; /**< difference of this host's time of day from true time, at most, ms */
+  struct tmx_operator_settings operators; /**< the operators' own settings */
 };
 
 /**
  * Reads the platform's settings from a file; the operators' settings get their defaults.
+ * @param settings        receives the settings; owned by the caller
+ * @param path            of the JSON file
  * @param error           receives one line that names the field at fault, and is left alone
  *                        otherwise
  * @param error_capacity  bytes of `error`
@@ -107,7 +111,8 @@
  */
 bool tmx_settings_load(struct tmx_settings *settings, const char *path, char *error,
                        size_t error_capacity);
-/** The same from a text. */
+/** Reads the platform's settings from JSON text that ends with a zero byte; otherwise as
+ *  tmx_settings_load. */
 bool tmx_settings_parse(struct tmx_settings *settings, const char *text, char *error,
                         size_t error_capacity);
 
--- a/src/config/settings_error_internal.h
+++ b/src/config/settings_error_internal.h
@@ -13,9 +13,9 @@
  */
 struct settings_error {
   const char *source; /**< the settings at fault: the first words of the text */
-  char *text;
-  size_t capacity; /**< bytes of `text` */
-  bool is_set;
+  char *text;         /**< receives the text, one line; owned by the caller */
+  size_t capacity;    /**< bytes of `text` */
+  bool is_set;        /**< an error has been written */
 };
 
 /** Writes "SOURCE: SECTIONKEY: REASON"; `section` is empty or ends with a dot. */
