--- a/src/peer/heartbeat_codec.h
+++ b/src/peer/heartbeat_codec.h
@@ -23,10 +23,10 @@
   char node[TMX_HEARTBEAT_NODE_BYTES]; /**< the sender */
   uint64_t revision;                   /**< of its replica */
   uint64_t term;                       /**< of the view by which it owns its machines */
-  double replica_age_s;                /**< since its replica was last known to be fresh */
+  double replica_age_s;                /**< since its replica was last known to be fresh, seconds */
   bool reaches_no_workers;             /**< it reaches hardly any of its machines */
   struct tmx_suspicion *suspicions;    /**< of its machines; the caller frees them with free() */
-  size_t n_suspicions;
+  size_t n_suspicions;                 /**< entries of `suspicions` */
   struct tmx_zone_liveness zones[TMX_ZONES_MAX]; /**< of its machines, by zone of the settings */
 };
 
--- a/src/peer/incoming_connections.h
+++ b/src/peer/incoming_connections.h
@@ -10,6 +10,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** The listener with the connections that it accepted. */
 struct tmx_incoming_connections;
 
 /** Takes one record, without its length. False: it is malformed, and the connection is closed. */
--- a/src/peer/outgoing_connection.h
+++ b/src/peer/outgoing_connection.h
@@ -11,18 +11,18 @@
 
 #include "net/cbor.h"
 
-/** Times are of the steady clock. */
+/** The connection to one peer. Times are of the monotonic clock, seconds. */
 struct tmx_outgoing_connection {
-  struct ev_loop *loop;
-  struct sockaddr_in address;
-  int fd; /**< -1: closed */
-  bool connecting;
-  ev_io write_watcher;
-  struct tmx_buffer unsent;
-  size_t sent;          /**< bytes of `unsent` that have been sent */
-  double blocked_since; /**< of what is unsent, or of the attempt to connect */
-  int refusals;         /**< in a row, of attempts to connect */
-  double refused_at;    /**< the latest refusal */
+  struct ev_loop *loop;       /**< not owned */
+  struct sockaddr_in address; /**< of the peer */
+  int fd;                     /**< the socket, owned; -1: closed */
+  bool connecting;            /**< the attempt to connect has not ended yet */
+  ev_io write_watcher;        /**< for the end of an attempt to connect, and for room to send */
+  struct tmx_buffer unsent;   /**< the latest bytes to be sent, owned */
+  size_t sent;                /**< bytes of `unsent` that have been sent */
+  double blocked_since;       /**< of what is unsent, or of the attempt to connect */
+  int refusals;               /**< in a row, of attempts to connect */
+  double refused_at;          /**< the latest refusal */
 };
 
 /** Prepares a closed connection to the address. */
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -12,14 +12,15 @@
 #include "replica/replica.h"
 #include "store/store.h"
 
+/** The other controllers of the settings, with the connections to and from them. */
 struct tmx_peers;
 
-/** s; the silence of a peer that was never heard. */
+/** Silence of a peer that was never heard, seconds. */
 #define TMX_PEER_NEVER_HEARD_S 1e9
 
 /** What heartbeats carry of this controller's machines, and where those of others go. */
 struct tmx_peers_source {
-  void *context;
+  void *context; /**< passed to each function; not owned */
   /** Calls back for each machine of this controller with which something is wrong. */
   void (*each_suspicion)(void *context, tmx_suspicion_cb callback, void *arg);
   /** Takes what a peer says of one of its machines, by the view of this term. */
@@ -33,11 +34,11 @@
 
 /** What the module works on; all of it must outlive it. */
 struct tmx_peers_dependencies {
-  struct ev_loop *loop;
-  const struct tmx_settings *settings;
-  const struct tmx_replica *replica;
-  struct tmx_store *store;
-  struct tmx_peers_source source;
+  struct ev_loop *loop;                /**< runs the connections */
+  const struct tmx_settings *settings; /**< the peers and their addresses */
+  const struct tmx_replica *replica;   /**< its revision and its view's term are sent */
+  struct tmx_store *store; /**< tells how fresh the replica is; is told when a peer is ahead */
+  struct tmx_peers_source source; /**< copied; its context is not owned */
 };
 
 /** Listens for the peers of the settings; the connections to them are opened by the first tick.
@@ -48,13 +49,13 @@
 /** Every TMX_HEARTBEAT_PERIOD_S: opens connections that are closed, and sends heartbeats. */
 void tmx_peers_tick(struct tmx_peers *peers);
 
-/** s since the peer's last heartbeat; TMX_PEER_NEVER_HEARD_S: never. */
+/** Seconds since the peer's last heartbeat; TMX_PEER_NEVER_HEARD_S: never. */
 double tmx_peers_silence(const struct tmx_peers *peers, const char *node);
 /** Whether its host refuses connections, several in a row, while no heartbeat of it comes. */
 bool tmx_peers_refuses_connections(const struct tmx_peers *peers, const char *node);
 /** Whether any peer's heartbeats arrive. */
 bool tmx_peers_any_alive(const struct tmx_peers *peers);
-/** s; age of the freshest replica among the peers, by their latest heartbeats;
+/** Age of the freshest replica among the peers, by their latest heartbeats, seconds;
  * TMX_PEER_NEVER_HEARD_S: none was ever heard. */
 double tmx_peers_store_age(const struct tmx_peers *peers);
 /** Whether the store answers peers but not this controller: others should do its work. When the
--- a/src/peer/peers_internal.h
+++ b/src/peer/peers_internal.h
@@ -10,24 +10,26 @@
 
 /** One other controller of the settings: the connection to it and its latest heartbeat. */
 struct tmx_peer {
-  char name[TMX_NAME_MAX];
-  struct tmx_outgoing_connection outgoing;
-  double heartbeat_at;  /**< steady clock; 0: never heard, and what follows is empty */
-  double replica_age_s; /**< of its replica, when the heartbeat was sent */
+  char name[TMX_NAME_MAX];                 /**< node name of the controller */
+  struct tmx_outgoing_connection outgoing; /**< the connection to it */
+  double heartbeat_at;  /**< monotonic clock, seconds; 0: never heard, and what follows is empty */
+  double replica_age_s; /**< of its replica, when the heartbeat was sent, seconds */
   uint64_t term;        /**< of the view by which it owned its machines */
-  bool reaches_no_workers;
+  bool reaches_no_workers; /**< it reaches hardly any of its machines */
+  /** Signs of life of its machines, by zone of the settings. */
   struct tmx_zone_liveness zone_liveness[TMX_ZONES_MAX];
 };
 
+/** State of the module. */
 struct tmx_peers {
-  const struct tmx_settings *settings;
-  const struct tmx_replica *replica;
-  struct tmx_store *store;
-  struct tmx_peers_source source;
-  struct tmx_incoming_connections *incoming;
-  struct tmx_peer *peers; /**< in the order of the settings */
-  size_t count;
-  double sent_at; /**< steady clock, of the latest heartbeats */
+  const struct tmx_settings *settings;       /**< not owned */
+  const struct tmx_replica *replica;         /**< not owned */
+  struct tmx_store *store;                   /**< not owned */
+  struct tmx_peers_source source;            /**< a copy; its context is not owned */
+  struct tmx_incoming_connections *incoming; /**< owned */
+  struct tmx_peer *peers;                    /**< owned; in the order of the settings */
+  size_t count;                              /**< entries of `peers` */
+  double sent_at; /**< time of the latest heartbeats, monotonic clock, seconds */
 };
 
 /** The peer of this name, or NULL. */
