--- a/src/user/user_api.h
+++ b/src/user/user_api.h
@@ -12,19 +12,22 @@
 #include "scheduler/scheduler.h"
 #include "store/store.h"
 
+/** The users' interface of one controller. */
 struct tmx_users;
 
 /** What the module works on; all of it must outlive it. */
 struct tmx_users_dependencies {
-  const struct tmx_settings *settings;
-  struct tmx_replica *replica;
-  struct tmx_store *store;
-  const struct tmx_machine_catalog *catalog;
-  struct tmx_admission_control *admission; /**< NULL: everything that can run is admitted */
-  struct tmx_scheduler *scheduler;
+  const struct tmx_settings *settings;       /**< teams, zones and limits */
+  struct tmx_replica *replica;               /**< the jobs that are known */
+  struct tmx_store *store;                   /**< reads the state anew and commits cancellations */
+  const struct tmx_machine_catalog *catalog; /**< machine types that jobs may need */
+  struct tmx_admission_control *admission;   /**< NULL: everything that can run is admitted */
+  struct tmx_scheduler *scheduler;           /**< takes the submissions that are to be committed */
 };
 
+/** Makes the interface; the caller frees it with tmx_users_free. Never NULL. */
 struct tmx_users *tmx_users_new(const struct tmx_users_dependencies *dependencies);
+/** Frees the interface. No callback of the store or of the scheduler may come for it after this. */
 void tmx_users_free(struct tmx_users *users);
 /** Answers the request now or later, once; false: the path is not one of users. */
 bool tmx_users_handle(struct tmx_users *users, struct tmx_http_request *request);
