--- a/src/controller/controller_internal.h
+++ b/src/controller/controller_internal.h
@@ -1,4 +1,7 @@
-/* What the files of the controller share. */
+/**
+ * @file
+ * State and functions that the files of src/controller share. Loop's thread only.
+ */
 #ifndef TMX_CONTROLLER_INTERNAL_H
 #define TMX_CONTROLLER_INTERNAL_H
 #include "admission/admission_control.h"
@@ -16,34 +19,42 @@
 #include "user/user_api.h"
 #include "worker/workers.h"
 
+/** State of one controller process, with its modules. */
 struct tmx_controller {
-  struct ev_loop *loop;
-  struct tmx_settings settings;
-  struct tmx_replica replica;
-  struct tmx_machine_catalog catalog;
-  struct tmx_loop_monitor loop_monitor;
-  struct tmx_authority authority;
-  struct tmx_admission_control *admission; /* NULL: every submission that can run is admitted */
-  struct tmx_store *store;
-  struct tmx_view_manager *view_manager;
-  struct tmx_scheduler *scheduler;
-  struct tmx_peers *peers;
-  struct tmx_workers *workers;
-  struct tmx_cloud *cloud;
-  struct tmx_users *users;
-  struct tmx_compaction *compaction;
-  struct tmx_http_server *server;
-  ev_timer tick_timer;
-  ev_prepare prepare;
-  double started_at;  /* monotonic clock, s */
-  double impaired_at; /* the loop was late, or the store or all peers out of reach, until then */
+  struct ev_loop *loop;                 /**< not owned */
+  struct tmx_settings settings;         /**< a copy */
+  struct tmx_replica replica;           /**< the local copy of the stored state */
+  struct tmx_machine_catalog catalog;   /**< filled by the cloud module */
+  struct tmx_loop_monitor loop_monitor; /**< whether the event loop runs on time */
+  struct tmx_authority authority;       /**< whether this controller may act */
+  /** Owned; NULL: every submission that can run is admitted. */
+  struct tmx_admission_control *admission;
+  struct tmx_store *store;               /**< owned */
+  struct tmx_view_manager *view_manager; /**< owned */
+  struct tmx_scheduler *scheduler;       /**< owned */
+  struct tmx_peers *peers;               /**< owned; NULL while the controller is being made */
+  struct tmx_workers *workers;           /**< owned; NULL while the controller is being made */
+  struct tmx_cloud *cloud;               /**< owned; NULL while the controller is being made */
+  struct tmx_users *users;               /**< owned; NULL while the controller is being made */
+  struct tmx_compaction *compaction;     /**< owned */
+  struct tmx_http_server *server;        /**< owned; for users and workers */
+  ev_timer tick_timer;                   /**< runs the ticks of the modules, every TMX_TICK_S */
+  ev_prepare prepare; /**< sends what was gathered, before the loop waits for events */
+  double started_at;  /**< monotonic clock, seconds */
+  double impaired_at; /**< monotonic clock, seconds: until then the loop was late, or the store or
+                         all peers were out of reach */
 };
 
-/* replica_events.c: passes the replica's changes on to scheduler, workers and admission. */
+/** Passes the replica's changes on to scheduler, workers and admission. replica_events.c */
 void tmx_controller_observe_replica(struct tmx_controller *controller);
-/* peer_observation.c: evidence for the failure detector, for the view and for the election. */
+/** Evidence of the failure detector for the view; valid as long as the controller.
+ * peer_observation.c */
 struct tmx_view_observer tmx_controller_view_observer(const struct tmx_controller *controller);
+/** Whether the leader, as the replica names it, is suspected to have failed. false also if there is
+ * none, if it is this controller, or if this one reaches hardly any of its workers.
+ * peer_observation.c */
 bool tmx_controller_leader_is_suspected(const struct tmx_controller *controller);
-/* request_router.c */
+/** Handler of the HTTP server; `arg` is the controller. Hands each request to users or workers, or
+ * answers 404. request_router.c */
 void tmx_controller_handle_request(void *arg, struct tmx_http_request *request);
 #endif
