--- a/src/membership/authority.h
+++ b/src/membership/authority.h
@@ -15,9 +15,10 @@
 
 /** What entitlement depends on; all owned by the controller. */
 struct tmx_authority {
-  const struct tmx_settings *settings;
-  const struct tmx_replica *replica;
-  const struct tmx_store *store;
+  const struct tmx_settings
+      *settings;                     /**< this controller's name, and bounds of the replica's age */
+  const struct tmx_replica *replica; /**< holds the view and its term */
+  const struct tmx_store *store;     /**< tells how fresh the replica is */
 };
 
 /**
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -14,12 +14,12 @@
 /** Counts of the registered controllers other than this one; "heard" are those whose heartbeats
  * arrive. */
 struct tmx_peer_census {
-  size_t others;
-  size_t heard;
-  size_t same_zone; /**< in this controller's zone */
-  size_t same_zone_heard;
-  size_t other_zones; /**< in any other zone */
-  size_t other_zones_heard;
+  size_t others;            /**< registered controllers other than this one */
+  size_t heard;             /**< of `others`, those that are heard */
+  size_t same_zone;         /**< in this controller's zone */
+  size_t same_zone_heard;   /**< of `same_zone`, those that are heard */
+  size_t other_zones;       /**< in any other zone */
+  size_t other_zones_heard; /**< of `other_zones`, those that are heard */
 };
 
 /** What this controller knows of one other controller. */
@@ -43,9 +43,9 @@
 
 /** Liveness of the machines of one zone, as their owners report it. */
 struct tmx_zone_liveness {
-  unsigned machines;
-  unsigned lost;  /**< several probes in a row were lost */
-  unsigned alive; /**< estimate, from signs of life within TMX_ALIVE_S */
+  unsigned machines; /**< machines in the zone */
+  unsigned lost;     /**< several probes in a row were lost */
+  unsigned alive;    /**< estimate, from signs of life within TMX_ALIVE_S */
 };
 
 /** Whether the zone seems to be partitioned from the owners of its machines, rather than its
