--- a/src/store/store.h
+++ b/src/store/store.h
@@ -55,8 +55,10 @@
 /**
  * Waits until the replica holds everything that was committed before this call, so that an answer
  * from it is linearizable.
+ * @param store     the client whose replica is waited for
  * @param timeout   s; how long to wait at most
  * @param callback  called once, unless the store is freed before
+ * @param arg       passed to the callback; not owned
  * @return whether the read was accepted; if not, too many reads are waiting already and the
  * callback is not called
  */
@@ -106,7 +108,8 @@
 /**
  * Sets the peer whose process is taken to be down. If it is the leader, this controller takes the
  * leadership at once instead of waiting for the lease to expire.
- * @param node  the peer's name, copied; empty: no peer is suspected
+ * @param store  the client that runs for leader
+ * @param node   the peer's name, copied; empty: no peer is suspected
  */
 void tmx_store_suspect_leader(struct tmx_store *store, const char *node);
 
@@ -128,18 +131,27 @@
  * freed by its owner, buffer by buffer.
  */
 struct tmx_transaction {
-  struct tmx_buffer conditions, operations; /**< encoded items, one after the other */
-  int n_conditions, n_operations;           /**< items in the buffers */
+  struct tmx_buffer conditions, /**< encoded conditions, one after the other; owned */
+      operations;               /**< encoded operations, one after the other; owned */
+  int n_conditions,             /**< items in `conditions` */
+      n_operations;             /**< items in `operations` */
 };
 
-/** Adds the condition that the key has this version. @param version 0: the key does not exist */
+/**
+ * Adds the condition that the key has this version.
+ * @param transaction  gets the condition
+ * @param key          copied
+ * @param version      0: the key does not exist
+ */
 void tmx_transaction_require_version(struct tmx_transaction *transaction, const char *key,
                                      uint64_t version);
 
 /**
  * Adds the write of a key.
- * @param value  one encoded item; copied
- * @param lease  the key is deleted when this lease expires; 0: none
+ * @param transaction  gets the operation
+ * @param key          copied
+ * @param value        one encoded item; copied
+ * @param lease        the key is deleted when this lease expires; 0: none
  */
 void tmx_transaction_put(struct tmx_transaction *transaction, const char *key,
                          const struct tmx_buffer *value, uint64_t lease);
@@ -149,13 +161,15 @@
 
 /**
  * Adds a write of the head key, whose version changes with each batch of the log.
- * @param by  name of the writing controller
+ * @param transaction  gets the operation
+ * @param by           name of the writing controller; copied
  */
 void tmx_transaction_advance_head(struct tmx_transaction *transaction, const char *by);
 
 /**
  * Tells the caller of tmx_store_commit() the result.
  * @param arg       as passed to tmx_store_commit()
+ * @param result    what became of the transaction
  * @param revision  at which it was committed; 0 if the response names none
  */
 typedef void (*tmx_transaction_cb)(void *arg, enum tmx_transaction_result result,
@@ -163,10 +177,13 @@
 
 /**
  * Sends a transaction, and frees its buffers whether it was sent or not.
+ * @param store     the client that sends it
+ * @param transaction  its buffers are freed; the struct stays with the caller
  * @param urgent    true: sent even if the write budget is used up; the puts are then taken from the
  *                  budget in advance. false: not sent if the budget has too few.
  * @param callback  called once if the transaction was sent, unless the store is freed before; may
  *                  be NULL
+ * @param arg       passed to the callback; not owned
  * @return whether it was sent; false: the budget does not allow it, or no connection is free, and
  *         the callback is not called
  */
@@ -193,6 +210,7 @@
 /**
  * Reserves puts beyond this controller's share, as far as all controllers leave them unused, for
  * what others wait for; the commit that follows takes them.
+ * @param store   the client whose budget is used
  * @param wanted  the most that is reserved
  * @return how many puts were reserved
  */
--- a/src/store/write_budget.h
+++ b/src/store/write_budget.h
@@ -30,13 +30,22 @@
   double refilled_at;       /**< steady clock, s: the time that the tokens stand for */
 };
 
-/** Sets the tokens with which a controller starts. @param now steady clock, s */
+/**
+ * Sets the tokens with which a controller starts.
+ * @param budget  need not be initialised
+ * @param now     steady clock, s
+ */
 void tmx_write_budget_init(struct tmx_write_budget *budget, double now);
 
 /** This controller's share of the write rate, puts/s. */
 double tmx_write_budget_member_rate(const struct tmx_write_share *share);
 
-/** Adds the tokens that accrued since the last refill. @param now steady clock, s */
+/**
+ * Adds the tokens that accrued since the last refill.
+ * @param budget  is brought up to `now`
+ * @param share   determines the rate of the tokens
+ * @param now     steady clock, s
+ */
 void tmx_write_budget_refill(struct tmx_write_budget *budget, const struct tmx_write_share *share,
                              double now);
 
@@ -70,7 +79,9 @@
 /**
  * Reserves one put for a submission that is committed singly; the commit that follows takes it.
  * Refills the budget itself, but only if no token that is kept for submissions was left.
- * @param now  steady clock, s
+ * @param budget  from which the put is reserved
+ * @param share   determines the rate of the tokens
+ * @param now     steady clock, s
  * @return whether there is a put for it
  */
 bool tmx_write_budget_reserve_submission(struct tmx_write_budget *budget,
@@ -79,6 +90,8 @@
 /**
  * Reserves puts beyond this controller's share, as far as all controllers leave them unused; the
  * commit that follows takes them.
+ * @param budget  from which the puts are reserved
+ * @param share   determines what is left unused
  * @param wanted  the most that is reserved
  * @return how many puts were reserved
  */
