--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -10,14 +10,18 @@
 #include "replica/job_dependencies.h"
 #include "replica/replica.h"
 
+/** Admission of one controller. */
 struct tmx_admission_control;
 
-/** Returns NULL if admission is not enabled: each function below takes NULL for an admission
- * control that admits everything. The parameters must outlive it, and the replica uses its backlog.
+/** Creates the admission control, which the caller owns. Returns NULL if admission is not enabled:
+ * each function below takes NULL for an admission control that admits everything. The parameters
+ * must outlive it, and the replica uses its backlog.
  */
 struct tmx_admission_control *tmx_admission_control_new(const struct tmx_settings *settings,
                                                         struct tmx_replica *replica,
                                                         const struct tmx_machine_catalog *catalog);
+/** Frees the admission control and its statistics; NULL is allowed. The replica must not be changed
+ * afterwards, since it still points to the backlog. */
 void tmx_admission_control_free(struct tmx_admission_control *admission);
 
 /** The request for a job of the team with this index. */
--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -11,24 +11,27 @@
 
 /** A submission on which admission decides. */
 struct tmx_admission_request {
-  int team;       /**< index */
-  size_t account; /**< of its class within the team */
-  struct tmx_load load;
+  int team;             /**< index */
+  size_t account;       /**< of its class within the team */
+  struct tmx_load load; /**< what the job needs of each resource */
   /** It depends on accepted jobs that are not over: it is part of a pipeline that has begun. */
   bool has_open_dependencies;
 };
 
+/** The outcome of a decision. */
 enum tmx_admission_result {
-  TMX_ADMITTED,
+  TMX_ADMITTED,      /**< the submission may be committed */
   TMX_REFUSED_TEAM,  /**< the team has reached its ceiling */
   TMX_REFUSED_CLASS, /**< the class has reached its ceiling within the team */
 };
 
+/** A decision, with the figures that it rests on. */
 struct tmx_admission_decision {
+  /** Whether it is admitted, and if not, which ceiling refused it. */
   enum tmx_admission_result result;
-  /** Of the account that decided, with the submission, s of the whole cluster's time; and what that
-   * account may have now. */
-  double backlog_s, ceiling_s;
+  double backlog_s, /**< of the team or account that decided, with the submission; s of the whole
+                       cluster's time */
+      ceiling_s;    /**< the backlog that this team or account may have now, s */
 };
 
 /** `in_flight`: accounts of submissions of this controller whose commits have no answer yet; NULL:
--- a/src/admission/admission_rates.h
+++ b/src/admission/admission_rates.h
@@ -9,10 +9,13 @@
 /** What the cluster works off in a second, by resource. 0: it has none, which then bounds nothing.
  */
 struct tmx_rates {
-  double per_s[TMX_ADMISSION_RESOURCES];
+  double per_s[TMX_ADMISSION_RESOURCES]; /**< units of enum tmx_admission_resource a second */
 };
+/** The size of one machine, or the sum of several. */
 struct tmx_machine_size {
-  double cpus, gpus, mem_gb;
+  double cpus, /**< CPUs */
+      gpus,    /**< GPUs */
+      mem_gb;  /**< memory, GB */
 };
 
 /** Rates of the machines that are `present`, at least what the teams are guaranteed and what the
--- a/src/admission/admission_settings.h
+++ b/src/admission/admission_settings.h
@@ -1,4 +1,7 @@
-/** @file The operators' settings of admission, checked against those of the platform. */
+/**
+ * @file
+ * The operators' settings of admission, checked against those of the platform.
+ */
 #ifndef TMX_ADMISSION_SETTINGS_H
 #define TMX_ADMISSION_SETTINGS_H
 #include "config/settings.h"
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -13,7 +13,7 @@
   double bound;         /**< what all parties together may use */
   double reserve;       /**< share of the bound that is set aside, 0 to 1 */
   const double *weight; /**< of the reserve, one a party, adding up to 1; NULL: equal parts */
-  size_t parties;
+  size_t parties;       /**< number of parties; length of `weight` */
 };
 
 /** What the party at `index` may use while the others use what `used` tells. It is at least the
