--- a/src/worker/commands.h
+++ b/src/worker/commands.h
@@ -14,12 +14,12 @@
 struct tmx_command_list {
   struct tmx_buffer encoded; /**< owned; one map after the other */
   size_t count;              /**< at most TMX_COMMANDS_MAX */
-  bool has_starts;
+  bool has_starts;           /**< at least one command starts an attempt */
 };
 
 /** Which commands may go out. */
 enum tmx_command_scope {
-  TMX_COMMANDS_ALL,
+  TMX_COMMANDS_ALL,        /**< starts, stops, and what the worker may forget */
   TMX_COMMANDS_STOPS_ONLY, /**< these may go at any time, and more than once */
 };
 
@@ -29,6 +29,7 @@
 /** Appends stops of attempts whose jobs are over, whether or not the log places them there. */
 void tmx_worker_derive_stops_of_ended_jobs(const struct tmx_worker *worker,
                                            struct tmx_command_list *list);
+/** Frees the encoded commands; the struct stays with the caller. */
 void tmx_command_list_free(struct tmx_command_list *list);
 
 /** Sends the list as a direct command with the current token, on the open connection;
--- a/src/worker/report_intake.h
+++ b/src/worker/report_intake.h
@@ -13,6 +13,7 @@
   TMX_REPORT_FROM_ANSWER,    /**< the answer to a probe or a command of this controller */
 };
 
+/** What became of a report. */
 enum tmx_intake_result {
   TMX_INTAKE_REFUSED,         /**< malformed, or the table of workers is full */
   TMX_INTAKE_MACHINE_REMOVED, /**< a late copy of a machine that the log has removed: dropped */
@@ -20,10 +21,12 @@
   TMX_INTAKE_NEWER,           /**< taken in */
 };
 
+/** Outcome of taking a report in. */
 struct tmx_intake {
-  enum tmx_intake_result result;
-  struct tmx_worker *worker; /**< whose report it is; NULL: refused, or the machine is removed */
-  uint64_t session;          /**< that the report names */
+  enum tmx_intake_result result; /**< whether it was taken in, and if not, why */
+  struct tmx_worker *worker;     /**< whose report it is, owned by the table; NULL: refused, or the
+                                    machine is removed */
+  uint64_t session;              /**< that the report names */
 };
 
 /** Takes a report in. */
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -23,19 +23,20 @@
 #include "scheduler/scheduler.h"
 #include "store/store.h"
 
+/** The module: the workers that one controller knows. */
 struct tmx_workers;
 
 /** What the module works on; all of it must outlive it. */
 struct tmx_workers_dependencies {
-  struct ev_loop *loop;
-  const struct tmx_settings *settings;
-  struct tmx_replica *replica;
-  struct tmx_store *store;
-  const struct tmx_authority *authority;
-  struct tmx_view_manager *view_manager;
-  const struct tmx_loop_monitor *loop_monitor;
-  struct tmx_peers *peers;
-  struct tmx_scheduler *scheduler;
+  struct ev_loop *loop;                        /**< runs the timers and connections */
+  const struct tmx_settings *settings;         /**< read only */
+  struct tmx_replica *replica;                 /**< what the log wants of the machines */
+  struct tmx_store *store;                     /**< tells membership and freshness of the replica */
+  const struct tmx_authority *authority;       /**< what this controller is entitled to do */
+  struct tmx_view_manager *view_manager;       /**< takes machines over */
+  const struct tmx_loop_monitor *loop_monitor; /**< tells when the event loop stalled */
+  struct tmx_peers *peers;                     /**< the other controllers and their silence */
+  struct tmx_scheduler *scheduler;             /**< its rounds are triggered by reports */
 };
 
 /** Makes the module; the caller owns it. */
@@ -78,12 +79,14 @@
 bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
                                 const struct tmx_machine *machine, struct tmx_suspicion *out);
 
-/** Of the machines that this controller owns. */
+/** How many of its machines this controller reaches; while it may not act as a member, how many of
+ * a sample of any machines. */
 struct tmx_reachability {
-  unsigned owned;
-  unsigned reached;
+  unsigned owned;      /**< machines that this controller owns, or the sample */
+  unsigned reached;    /**< of `owned`, those that answered lately */
   double report_age_s; /**< since any worker's report came here; 1e9: never */
 };
+/** The counts of the latest check, which tmx_workers_tick() makes. */
 struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers);
 /** Whether this controller reaches hardly any of its machines: others should drive them. */
 bool tmx_workers_are_unreachable(const struct tmx_workers *workers);
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -14,19 +14,19 @@
 /** What a worker reports of an attempt. */
 enum tmx_reported_state {
   TMX_REPORTED_FETCHING, /**< the image is being fetched */
-  TMX_REPORTED_RUNNING,
-  TMX_REPORTED_SAVING, /**< it writes its checkpoint, on request */
-  TMX_REPORTED_EXITED,
+  TMX_REPORTED_RUNNING,  /**< its process runs */
+  TMX_REPORTED_SAVING,   /**< it writes its checkpoint, on request */
+  TMX_REPORTED_EXITED,   /**< it is over; `end_reason` tells how */
 };
 
 /** One attempt of the latest report. */
 struct tmx_reported_task {
-  char job[TMX_ID_MAX];
-  uint32_t task;
-  uint32_t attempt;
-  enum tmx_reported_state state;
-  char end_reason; /**< TMX_END_*, when exited */
-  bool in_log;     /**< the log places this very attempt on this machine */
+  char job[TMX_ID_MAX];          /**< id of the job */
+  uint32_t task;                 /**< index of the task within the job */
+  uint32_t attempt;              /**< number of the attempt of the task */
+  enum tmx_reported_state state; /**< as the worker reports it */
+  char end_reason;               /**< TMX_END_*, when exited */
+  bool in_log;                   /**< the log places this very attempt on this machine */
 };
 
 /** The latest report, from a heartbeat or from an answer to a probe or a command. Written by
@@ -34,11 +34,11 @@
 struct tmx_worker_report {
   uint64_t session;  /**< incarnation of the worker's set of tasks; 0: no report came yet */
   uint64_t sequence; /**< of the report, within the session */
-  struct tmx_machine_facts facts;
+  struct tmx_machine_facts facts;  /**< what the worker says of its machine */
   bool spot_notice;                /**< the cloud is about to take the machine back */
   struct tmx_reported_task *tasks; /**< owned by the record */
-  size_t n_tasks;
-  uint32_t number; /**< this process's count of reports, never 0 once one came */
+  size_t n_tasks;                  /**< length of `tasks` */
+  uint32_t number;                 /**< this process's count of reports, never 0 once one came */
 };
 
 /** Signs of life, each a time of the steady clock in s. Written by report_intake.c, and by
@@ -53,9 +53,9 @@
 /** The report and the state of the log that were last compared. Written by reconciliation.c, and
  * is_queued by worker_table.c. */
 struct tmx_worker_reconciliation {
-  uint32_t report_number;
-  uint32_t machine_changes;
-  bool is_queued; /**< in the queue of workers whose reports may prove an end */
+  uint32_t report_number;   /**< `number` of the report */
+  uint32_t machine_changes; /**< `change_count` of the machine in the replica */
+  bool is_queued;           /**< in the queue of workers whose reports may prove an end */
 };
 
 /** This controller's ownership of the machine, and the fencing tokens of it. Written by
@@ -97,47 +97,47 @@
 /** The connection to the worker. Written by worker_connection.c. */
 struct tmx_worker_connection {
   struct tmx_http_client *client; /**< NULL: none is open */
-  char address[TMX_NAME_MAX];
+  char address[TMX_NAME_MAX];     /**< host and port to which `client` connects */
 };
 
 /** Probes of the machine. Written by probes.c; fencing.c begins a new ownership with none lost, and
  * worker_connection.c ends a probe with its connection. */
 struct tmx_worker_probing {
-  bool in_flight;
+  bool in_flight; /**< a probe waits for its answer */
   int lost;       /**< in a row */
   double sent_at; /**< steady clock, s */
 };
 
 /** What another owner says of its machine. Written by suspicions.c. */
 struct tmx_worker_owner_suspicion {
-  struct tmx_suspicion suspicion;
-  char reporter[TMX_NAME_MAX]; /**< name of the controller that said it */
-  double received_at;          /**< steady clock, s; 0: never */
-  uint64_t term;               /**< of the view by which it spoke */
+  struct tmx_suspicion suspicion; /**< the latest that was said */
+  char reporter[TMX_NAME_MAX];    /**< name of the controller that said it */
+  double received_at;             /**< steady clock, s; 0: never */
+  uint64_t term;                  /**< of the view by which it spoke */
 };
 
 /** The worker of one machine. */
 struct tmx_worker {
-  char id[TMX_ID_MAX];
-  struct tmx_workers *workers;
-  struct tmx_machine *machine; /**< once the replica has it, else NULL */
-  struct tmx_worker_report report;
-  struct tmx_worker_liveness liveness;
-  struct tmx_worker_reconciliation reconciliation;
-  struct tmx_worker_ownership ownership;
-  struct tmx_worker_commands commands;
-  struct tmx_worker_redirection redirection;
-  struct tmx_worker_connection connection;
-  struct tmx_worker_probing probing;
-  struct tmx_worker_owner_suspicion owner_suspicion;
-  UT_hash_handle hh;
+  char id[TMX_ID_MAX];                               /**< id of the machine; key of the table */
+  struct tmx_workers *workers;                       /**< the module that owns this record */
+  struct tmx_machine *machine;                       /**< once the replica has it, else NULL */
+  struct tmx_worker_report report;                   /**< latest report */
+  struct tmx_worker_liveness liveness;               /**< signs of life */
+  struct tmx_worker_reconciliation reconciliation;   /**< what was last compared */
+  struct tmx_worker_ownership ownership;             /**< ownership and fencing tokens */
+  struct tmx_worker_commands commands;               /**< state of the commands to it */
+  struct tmx_worker_redirection redirection;         /**< heartbeats for another owner */
+  struct tmx_worker_connection connection;           /**< connection to it */
+  struct tmx_worker_probing probing;                 /**< probes of the machine */
+  struct tmx_worker_owner_suspicion owner_suspicion; /**< what another owner says of it */
+  UT_hash_handle hh;                                 /**< of the table tmx_workers.all */
 };
 
 /** Workers to look at later. An entry is NULL when its worker was freed in the meantime. */
 struct tmx_worker_queue {
-  struct tmx_worker **items;
-  size_t length;
-  size_t capacity;
+  struct tmx_worker **items; /**< the array is owned, the workers are not */
+  size_t length;             /**< entries in use, gaps included */
+  size_t capacity;           /**< allocated length of `items` */
 };
 
 /** The budget of probes and where their turns stand. Written by probes.c. */
@@ -149,28 +149,29 @@
 
 /** The module: its table of workers and what it works on. */
 struct tmx_workers {
-  struct ev_loop *loop;
-  const struct tmx_settings *settings;
-  struct tmx_replica *replica;
-  struct tmx_store *store;
-  const struct tmx_authority *authority;
-  struct tmx_view_manager *view_manager;
-  const struct tmx_loop_monitor *loop_monitor;
-  struct tmx_peers *peers;
-  struct tmx_scheduler *scheduler;
-  struct tmx_worker *all; /**< hash table by id */
-  struct tmx_worker_queue command_queue;
-  struct tmx_worker_queue completion_queue;
-  double unregistered_seen_at; /**< latest report of a machine that is not registered */
-  double last_heartbeat_at;    /**< latest new heartbeat of any worker; 0: never */
-  int n_parked;                /**< heartbeats that wait */
-  int n_clients;               /**< open connections */
-  uint32_t report_counter;
-  double checked_at; /**< when the health of machines was last judged */
-  struct tmx_probe_budget probe_budget;
-  struct tmx_reachability reachability;
+  struct ev_loop *loop;                /**< not owned; runs the timers and connections */
+  const struct tmx_settings *settings; /**< not owned; read only */
+  struct tmx_replica *replica;         /**< not owned; what the log wants of the machines */
+  struct tmx_store *store; /**< not owned; tells membership and freshness of the replica */
+  const struct tmx_authority *authority; /**< not owned; what this controller is entitled to do */
+  struct tmx_view_manager *view_manager; /**< not owned; takes machines over */
+  const struct tmx_loop_monitor *loop_monitor; /**< not owned; tells when the event loop stalled */
+  struct tmx_peers *peers;               /**< not owned; the other controllers and their silence */
+  struct tmx_scheduler *scheduler;       /**< not owned; its rounds are triggered by reports */
+  struct tmx_worker *all;                /**< hash table by id; owns the records */
+  struct tmx_worker_queue command_queue; /**< workers to which commands may be due */
+  struct tmx_worker_queue completion_queue; /**< workers whose reports may prove an end */
+  double unregistered_seen_at;          /**< latest report of a machine that is not registered */
+  double last_heartbeat_at;             /**< latest new heartbeat of any worker; 0: never */
+  int n_parked;                         /**< heartbeats that wait */
+  int n_clients;                        /**< open connections */
+  uint32_t report_counter;              /**< number of the latest report */
+  double checked_at;                    /**< when the health of machines was last judged */
+  struct tmx_probe_budget probe_budget; /**< limits the probes */
+  struct tmx_reachability reachability; /**< as of checked_at */
   bool most_are_unreported; /**< most of its machines send no heartbeats: that tells of this
                                  controller, not of them */
+  /** Signs of life of this controller's machines, by the index of the zone in the settings. */
   struct tmx_zone_liveness zone_liveness[TMX_ZONES_MAX];
 };
 #endif
