--- a/src/planner/ageing.h
+++ b/src/planner/ageing.h
@@ -16,7 +16,9 @@
  * tmx_turn_due(). Where none finds room, the leader reserves a machine. Returns how many were
  * placed.
  *
+ * @param round the round under way
  * @param by_release open jobs, the earliest released first
+ * @param count entries of `by_release`
  */
 uint32_t tmx_ageing_place_by_rotation(struct round *round, struct planner_job **by_release,
                                       size_t count);
--- a/src/planner/candidate_heap.h
+++ b/src/planner/candidate_heap.h
@@ -15,7 +15,8 @@
 /** A binary heap with the lowest cost first; zeroed: empty. */
 struct candidate_heap {
   struct candidate *candidates; /**< allocated; released with free() */
-  size_t count, capacity;
+  size_t count,                 /**< candidates in the heap */
+      capacity;                 /**< candidates allocated */
 };
 
 /** Adds a candidate without regard to the order; tmx_candidate_heap_build() must follow. */
--- a/src/planner/job_order.h
+++ b/src/planner/job_order.h
@@ -20,7 +20,9 @@
  * Prepares all open jobs for this round: their place in the order, and which are guaranteed. The
  * guaranteed quota of a team covers its earliest jobs.
  *
+ * @param input read only
  * @param by_release as tmx_job_order_by_release() returned them
+ * @param count entries of `by_release`
  */
 void tmx_job_order_prepare(const struct tmx_round_input *input, struct planner_job **by_release,
                            size_t count);
@@ -29,7 +31,9 @@
  * Sorts jobs so that accounts take turns: first the oldest job of each, then the second of each.
  * Does nothing where there are no turns.
  *
+ * @param round the round under way, which tells whether there are turns
  * @param jobs the earliest released first
+ * @param count entries of `jobs`
  */
 void tmx_job_order_by_rotation(const struct round *round, struct planner_job **jobs, size_t count);
 
--- a/src/planner/placement.h
+++ b/src/planner/placement.h
@@ -16,6 +16,10 @@
  * jobs that were not looked at: those that wait for room again and again must not keep a round from
  * those that would find some.
  *
+ * @param round the round under way
+ * @param jobs in the order in which they are placed
+ * @param count entries of `jobs`
+ * @param max tasks placed of each job, at most
  * @param resume_slot slot of the job to begin with; set to that for the next round; -1: the first
  */
 uint32_t tmx_place_jobs(struct round *round, struct planner_job **jobs, size_t count, uint32_t max,
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -20,26 +20,28 @@
 
 /** What a round depends on besides the tables. The caller owns it; the round only reads it. */
 struct tmx_round_input {
-  double now_steady, now_wall; /**< steady clock and time of day, s */
-  int self_member;             /**< index of this controller among the members */
-  bool leading;                /**< this controller is the leader */
-  size_t n_zones;
+  double now_steady,          /**< steady clock, s */
+      now_wall;               /**< time of day, s */
+  int self_member;            /**< index of this controller among the members */
+  bool leading;               /**< this controller is the leader */
+  size_t n_zones;             /**< zones that the settings name */
   double own_planner_grace_s; /**< s: so long the member that plans a job goes before the leader */
-  struct tmx_usage usage[TMX_TEAMS_MAX]; /**< resources that each team has placed */
-  struct tmx_team_settings teams[TMX_TEAMS_MAX];
-  size_t n_teams;
-  size_t max_operations; /**< operations emitted by the round, at most */
-  size_t max_visits;     /**< machines and tasks looked at, at most: bounds the time of a round */
-  struct tmx_turns turns;
+  struct tmx_usage usage[TMX_TEAMS_MAX];         /**< resources that each team has placed */
+  struct tmx_team_settings teams[TMX_TEAMS_MAX]; /**< quotas of the teams */
+  size_t n_teams;                                /**< entries of `usage` and `teams` in use */
+  size_t max_operations;                         /**< operations emitted by the round, at most */
+  size_t max_visits;      /**< machines and tasks looked at, at most: bounds the time of a round */
+  struct tmx_turns turns; /**< how long each account has gone without a start */
 };
 
 /** What a round planned. */
 struct tmx_round_output {
   struct tmx_operation *operations; /**< in the order to be committed; the caller frees the array */
-  size_t n_operations, cap_operations;
-  uint32_t unplaced; /**< tasks that found no room, or were not looked at */
-  bool truncated;    /**< a bound of the round was reached: the next one is due at once */
-  size_t visits;     /**< machines and tasks looked at */
+  size_t n_operations,              /**< entries in use */
+      cap_operations;               /**< entries allocated */
+  uint32_t unplaced;                /**< tasks that found no room, or were not looked at */
+  bool truncated; /**< a bound of the round was reached: the next one is due at once */
+  size_t visits;  /**< machines and tasks looked at */
 };
 
 /** The planner's tables. */
@@ -70,6 +72,8 @@
  * The draft picks the least used machine within a zone; counting the fetch is a change of ours, see
  * docs/design.md. Pure; public for the tests.
  *
+ * @param machine its size, what is booked on it and the images it has
+ * @param spec of the job
  * @param now steady clock, s
  */
 double tmx_booked_share(const struct tmx_plan_machine *machine, const struct tmx_job_spec *spec,
--- a/src/planner/planner_delta.h
+++ b/src/planner/planner_delta.h
@@ -19,8 +19,9 @@
 
 /** A task that is placed on a machine. */
 struct tmx_plan_task {
-  int job; /**< slot of its job; -1: not known */
-  uint32_t task, attempt;
+  int job;           /**< slot of its job; -1: not known */
+  uint32_t task,     /**< number of the task within its job */
+      attempt;       /**< number of the attempt that was placed */
   double lost_since; /**< steady clock, s: stopping it loses the work done since then, unless its
                           job saves checkpoints, see the job's spec */
   bool stopping;     /**< it has been told to stop: its room is counted as being released */
@@ -28,32 +29,40 @@
 
 /** A machine as it stands. CPUs and GPUs are counted, memory is in GB. */
 struct tmx_plan_machine {
-  int slot;
-  char id[TMX_ID_MAX], type[TMX_ID_MAX];
-  int zone;                  /**< index of the zone; -1: not known, nothing is placed there */
-  bool spot;                 /**< may be taken back by its provider */
-  bool usable;               /**< heard and reached lately, not faulty, no interruption notice */
-  bool draining;             /**< about to be returned: its services move, nothing new is placed */
-  int owner;                 /**< index of the member that commands it */
-  double cpus, gpus, mem_gb; /**< its size */
-  double booked_cpus, booked_gpus, booked_mem_gb;          /**< held by all tasks placed on it */
-  double releasing_cpus, releasing_gpus, releasing_mem_gb; /**< part of that: tasks that stop */
-  double fetch_gb_per_s;                                   /**< speed at which images are fetched */
-  struct tmx_image images[TMX_IMAGES_KEPT];                /**< present, or being fetched */
-  size_t n_images;
-  struct tmx_plan_task *tasks; /**< allocated; the planner takes it over */
-  size_t n_tasks;
+  int slot;              /**< number of the machine, see above */
+  char id[TMX_ID_MAX],   /**< given by the cloud */
+      type[TMX_ID_MAX];  /**< name of the machine type */
+  int zone;              /**< index of the zone; -1: not known, nothing is placed there */
+  bool spot;             /**< may be taken back by its provider */
+  bool usable;           /**< heard and reached lately, not faulty, no interruption notice */
+  bool draining;         /**< about to be returned: its services move, nothing new is placed */
+  int owner;             /**< index of the member that commands it */
+  double cpus,           /**< its size: CPUs */
+      gpus,              /**< its size: GPUs */
+      mem_gb;            /**< its size: memory, GB */
+  double booked_cpus,    /**< CPUs held by all tasks placed on it */
+      booked_gpus,       /**< GPUs held by them */
+      booked_mem_gb;     /**< memory held by them, GB */
+  double releasing_cpus, /**< part of booked_cpus: held by tasks that stop */
+      releasing_gpus,    /**< part of booked_gpus: likewise */
+      releasing_mem_gb;  /**< part of booked_mem_gb: likewise */
+  double fetch_gb_per_s; /**< GB/s: speed at which images are fetched */
+  struct tmx_image images[TMX_IMAGES_KEPT]; /**< present, or being fetched */
+  size_t n_images;                          /**< entries of `images` in use */
+  struct tmx_plan_task *tasks;              /**< allocated; the planner takes it over */
+  size_t n_tasks;                           /**< entries of `tasks` */
 };
 
 /** A task that waits for a machine. */
 struct tmx_plan_waiting_task {
-  uint32_t task, attempt; /**< the attempt to be made */
+  uint32_t task, /**< number of the task within its job */
+      attempt;   /**< number of the attempt to be made */
 };
 
 /** A job as it stands. */
 struct tmx_plan_job {
-  int slot;
-  char id[TMX_ID_MAX];
+  int slot;                  /**< number of the job, see above */
+  char id[TMX_ID_MAX];       /**< as in the log */
   struct tmx_job_spec *spec; /**< allocated; the planner takes it over. NULL: as told before */
   int team;                  /**< index of the team; -1: not known, nothing is placed */
   int planner;               /**< index of the member that plans it */
@@ -66,10 +75,11 @@
   double target_s;       /**< s from its release: when it should be done */
   double run_s;          /**< s: how long one task is expected to run */
   double next_target_s; /**< the first of its objectives that is still ahead; as target_s if none */
-  uint32_t n_done, n_placed; /**< tasks */
-  bool open;                 /**< it has work to place; else only its placed tasks count */
-  struct tmx_plan_waiting_task *waiting; /**< the first that wait; allocated; taken over */
-  size_t n_waiting;
+  uint32_t n_done,      /**< tasks that are done */
+      n_placed;         /**< tasks that are placed on machines */
+  bool open;            /**< it has work to place; else only its placed tasks count */
+  struct tmx_plan_waiting_task *waiting;  /**< the first that wait; allocated; taken over */
+  size_t n_waiting;                       /**< entries of `waiting` */
   uint32_t placed_in_zone[TMX_ZONES_MAX]; /**< tasks */
   char failed_machines[4][TMX_ID_MAX];    /**< where it failed lately; "" in unused entries */
 };
@@ -79,13 +89,16 @@
  * have been given the slot of a removed one, then jobs and machines.
  */
 struct tmx_planner_delta {
-  bool reset;   /**< forget everything told before */
-  int *removed; /**< slots of machines that are gone */
-  size_t n_removed, cap_removed;
+  bool reset;                        /**< forget everything told before */
+  int *removed;                      /**< slots of machines that are gone */
+  size_t n_removed,                  /**< entries in use */
+      cap_removed;                   /**< entries allocated */
   struct tmx_plan_machine *machines; /**< the latest state of each that changed */
-  size_t n_machines, cap_machines;
-  struct tmx_plan_job *jobs; /**< the latest state of each that changed */
-  size_t n_jobs, cap_jobs;
+  size_t n_machines,                 /**< entries in use */
+      cap_machines;                  /**< entries allocated */
+  struct tmx_plan_job *jobs;         /**< the latest state of each that changed */
+  size_t n_jobs,                     /**< entries in use */
+      cap_jobs;                      /**< entries allocated */
 };
 
 /** A zeroed machine record at the end of the delta, to be filled; valid until the next one. */
--- a/src/planner/resources.h
+++ b/src/planner/resources.h
@@ -15,9 +15,11 @@
  */
 #define RESOURCE_EPSILON 1e-6
 
-/** CPUs and GPUs are counted, memory is in GB. */
+/** An amount of each resource; may be below 0 as a difference. */
 struct tmx_resources {
-  double cpus, gpus, mem_gb;
+  double cpus, /**< CPUs */
+      gpus,    /**< GPUs */
+      mem_gb;  /**< memory, GB */
 };
 
 /** What one task of the job asks for. */
@@ -42,6 +44,7 @@
                                 machine->releasing_mem_gb};
 }
 
+/** Sets what all tasks placed on the machine hold. */
 static inline void tmx_resources_set_booked(struct tmx_plan_machine *machine,
                                             struct tmx_resources booked) {
   machine->booked_cpus = booked.cpus;
@@ -49,6 +52,7 @@
   machine->booked_mem_gb = booked.mem_gb;
 }
 
+/** Sets the part of the booked amount that is held by tasks which are stopping. */
 static inline void tmx_resources_set_releasing(struct tmx_plan_machine *machine,
                                                struct tmx_resources releasing) {
   machine->releasing_cpus = releasing.cpus;
@@ -56,12 +60,14 @@
   machine->releasing_mem_gb = releasing.mem_gb;
 }
 
+/** `left` plus `right`. */
 static inline struct tmx_resources tmx_resources_add(struct tmx_resources left,
                                                      struct tmx_resources right) {
   return (struct tmx_resources){left.cpus + right.cpus, left.gpus + right.gpus,
                                 left.mem_gb + right.mem_gb};
 }
 
+/** `left` minus `right`. */
 static inline struct tmx_resources tmx_resources_subtract(struct tmx_resources left,
                                                           struct tmx_resources right) {
   return (struct tmx_resources){left.cpus - right.cpus, left.gpus - right.gpus,
--- a/src/planner/round.h
+++ b/src/planner/round.h
@@ -26,15 +26,15 @@
 
 /** The candidates for one job in one pool. */
 struct candidate_set {
-  bool built; /**< for the job at hand */
-  bool empty; /**< there was none when it was built */
-  struct candidate_heap zone_heaps[TMX_ZONES_MAX];
+  bool built;                                      /**< for the job at hand */
+  bool empty;                                      /**< there was none when it was built */
+  struct candidate_heap zone_heaps[TMX_ZONES_MAX]; /**< candidates by zone */
 };
 
 /** A job that found no candidate in a pool. */
 struct failed_fit {
-  const struct planner_job *job;
-  enum candidate_pool pool;
+  const struct planner_job *job; /**< borrowed from the planner's tables */
+  enum candidate_pool pool;      /**< the pool that held none */
 };
 
 /**
@@ -42,35 +42,41 @@
  * number bounds the work for each job. A failure beyond it is forgotten, which costs no more than
  * another look at the machines.
  */
-enum { FAILED_FITS_MAX = 48 };
+enum {
+  FAILED_FITS_MAX = 48 /**< entries */
+};
 
 /** A task that this round stops to make room. */
 struct preemption {
-  struct planner_machine *machine;
-  size_t task; /**< index among the machine's tasks */
+  struct planner_machine *machine; /**< borrowed from the planner's tables */
+  size_t task;                     /**< index among the machine's tasks */
 };
 
 /** The round: it lives on the stack of tmx_planner_run_round(), and its arrays end with it. */
 struct round {
-  struct tmx_planner *planner;
-  const struct tmx_round_input *input;
-  struct tmx_round_output *output;
+  struct tmx_planner *planner;           /**< borrowed; its tables are changed and restored */
+  const struct tmx_round_input *input;   /**< borrowed from the caller */
+  struct tmx_round_output *output;       /**< borrowed from the caller, to be filled */
   struct tmx_usage usage[TMX_TEAMS_MAX]; /**< by team, with what the round has placed */
   size_t visited;                        /**< machines and tasks looked at */
   size_t visit_limit;                    /**< bound on it in the present part of the round */
 
-  /** What must be restored at the end of the round. */
-  struct planner_machine **touched_machines;
-  size_t n_touched_machines, cap_touched_machines;
-  struct planner_job **touched_jobs;
-  size_t n_touched_jobs, cap_touched_jobs;
-  struct preemption *preemptions;
-  size_t n_preemptions, cap_preemptions;
-
-  struct failed_fit failed_fits[FAILED_FITS_MAX];
-  size_t n_failed_fits;
-  int *releasing_machines; /**< slots of machines with tasks that are stopping */
-  size_t n_releasing_machines, cap_releasing_machines;
+  /* What must be restored at the end of the round. */
+  struct planner_machine **touched_machines; /**< machines that the round changed, each once */
+  size_t n_touched_machines,                 /**< entries in use */
+      cap_touched_machines;                  /**< entries allocated */
+  struct planner_job **touched_jobs;         /**< jobs that the round changed, each once */
+  size_t n_touched_jobs,                     /**< entries in use */
+      cap_touched_jobs;                      /**< entries allocated */
+  struct preemption *preemptions;            /**< tasks that the round marked as stopping */
+  size_t n_preemptions,                      /**< entries in use */
+      cap_preemptions;                       /**< entries allocated */
+
+  struct failed_fit failed_fits[FAILED_FITS_MAX]; /**< see failed_fits.h */
+  size_t n_failed_fits;                           /**< entries in use */
+  int *releasing_machines;     /**< slots of machines with tasks that are stopping */
+  size_t n_releasing_machines, /**< entries in use */
+      cap_releasing_machines;  /**< entries allocated */
 
   /** Of the job at hand; the memory of the heaps is kept from job to job. */
   struct candidate_set candidate_sets[POOL_COUNT];
@@ -82,11 +88,14 @@
   /** Machines on which nothing else is placed in this round, see ageing.h: until it ends they are
    * marked as not usable. */
   struct planner_machine *reserved_machines[TMX_RESERVED_MACHINES_MAX];
-  size_t n_reserved_machines;
+  size_t n_reserved_machines; /**< entries in use */
 };
 
 /** How a worker stops a task: `reason` of an operation TMX_OPERATION_STOP, a letter of the log. */
-enum stop_mode { STOP_AT_ONCE = '1', STOP_AFTER_CHECKPOINT = '2' };
+enum stop_mode {
+  STOP_AT_ONCE = '1',         /**< the work since the latest checkpoint is lost */
+  STOP_AFTER_CHECKPOINT = '2' /**< the task saves a checkpoint first */
+};
 
 /** What room on a machine is taken for. */
 enum reservation {
@@ -109,7 +118,12 @@
 /**
  * Appends an operation to the round's output. The pointer is valid until the next call.
  *
+ * @param round receives the operation in its output, which owns it
  * @param kind TMX_OPERATION_PLACE or TMX_OPERATION_STOP
+ * @param job whose task it is
+ * @param task number of the task within the job
+ * @param attempt attempt to be placed or stopped
+ * @return the operation, in which the fields that no parameter gives are zeroed
  */
 struct tmx_operation *tmx_round_emit(struct round *round, char kind, const struct planner_job *job,
                                      uint32_t task, uint32_t attempt);
