--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -17,18 +17,19 @@
 #include "store/store.h"
 #include "worker/workers.h"
 
+/** The module's state; opaque, see cloud_internal.h. */
 struct tmx_cloud;
 
 /** What the module works on; all of it must outlive it. */
 struct tmx_cloud_dependencies {
-  struct ev_loop *loop;
-  const struct tmx_settings *settings;
-  struct tmx_replica *replica;
-  struct tmx_store *store;
-  struct tmx_machine_catalog *catalog; /**< filled by this module */
-  struct tmx_peers *peers;
-  struct tmx_scheduler *scheduler;
-  struct tmx_workers *workers;
+  struct ev_loop *loop;                /**< event loop of the thread that calls the module */
+  const struct tmx_settings *settings; /**< read only */
+  struct tmx_replica *replica;         /**< machines and jobs as the log tells them */
+  struct tmx_store *store;             /**< tells whether this controller leads */
+  struct tmx_machine_catalog *catalog; /**< machine types; filled by this module */
+  struct tmx_peers *peers;             /**< heartbeats and reports of the other controllers */
+  struct tmx_scheduler *scheduler;     /**< takes the lines that are appended to the log */
+  struct tmx_workers *workers;         /**< machines that this controller owns */
 };
 
 /** Makes the module; nothing is sent before the first tick. Free it with tmx_cloud_free(). */
--- a/src/cloud/cloud_api.h
+++ b/src/cloud/cloud_api.h
@@ -12,9 +12,11 @@
 #include "config/settings.h"
 #include "net/http.h"
 
+/** The client: its token bucket and its connections; opaque. */
 struct tmx_cloud_api;
 
-/** The settings must outlive the client. */
+/** Makes the client; the loop and the settings must outlive it. Free it with
+ * tmx_cloud_api_free(). */
 struct tmx_cloud_api *tmx_cloud_api_new(struct ev_loop *loop, const struct tmx_settings *settings);
 /** Calls that are still under way end without a callback. */
 void tmx_cloud_api_free(struct tmx_cloud_api *api);
--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -12,40 +12,49 @@
 
 /** Since when a machine has had no task, as this leader has seen it. */
 struct tmx_idle_machine {
-  char id[TMX_ID_MAX];
-  double since; /**< steady clock */
-  UT_hash_handle hh;
+  char id[TMX_ID_MAX]; /**< of the machine */
+  double since;        /**< steady clock, s */
+  UT_hash_handle hh;   /**< by id */
 };
 
-/** Network partitions between the owners and the machines of a zone; steady clock, by zone. */
+/** Network partitions between the owners and the machines of a zone; steady clock, s, by zone. */
 struct tmx_zone_partitions {
   double partitioned_until[TMX_ZONES_MAX]; /**< the zone counts as partitioned */
   double spared_until[TMX_ZONES_MAX];      /**< none of its machines is replaced for silence */
 };
 
+/** A request to rent machines; opaque, see rental.c. */
 struct tmx_rental_request;
 struct tmx_deletion_request;
 
+/** The module's state. What tmx_cloud_dependencies names is borrowed, the rest is owned. */
 struct tmx_cloud {
-  const struct tmx_settings *settings;
-  struct tmx_replica *replica;
-  struct tmx_store *store;
-  struct tmx_machine_catalog *catalog;
-  struct tmx_peers *peers;
-  struct tmx_scheduler *scheduler;
-  struct tmx_workers *workers;
-  struct tmx_cloud_api *api;
-  struct tmx_inventory inventory;
-  struct tmx_demand_history demand;
-  struct tmx_offer_backoffs offer_backoffs;
-  struct tmx_idle_machine *idle_machines;
-  struct tmx_zone_partitions zone_partitions;
-  double leading_since; /**< steady clock */
-  double catalog_read_at, list_read_at, scale_out_at, reclaim_at, drain_chosen_at, usage_logged_at;
-  bool catalog_read_in_flight;
-  struct tmx_rental_request *rentals_in_flight;    /**< a list */
-  struct tmx_deletion_request *deletion_in_flight; /**< at most one */
-  uint64_t last_rental_number;
+  const struct tmx_settings *settings; /**< borrowed */
+  struct tmx_replica *replica;         /**< borrowed; machines and jobs as the log tells them */
+  struct tmx_store *store;             /**< borrowed; tells whether this controller leads */
+  struct tmx_machine_catalog *catalog; /**< borrowed; filled by tmx_cloud_read_catalog() */
+  struct tmx_peers *peers;             /**< borrowed; the other controllers */
+  struct tmx_scheduler *scheduler;     /**< borrowed; takes lines for the log */
+  struct tmx_workers *workers;         /**< borrowed; the machines that this controller owns */
+  struct tmx_cloud_api *api;           /**< owned; all requests to the cloud go through it */
+  struct tmx_inventory inventory;      /**< instances that the cloud lists or that were rented */
+  struct tmx_demand_history demand;    /**< recorded by every controller, used by the leader */
+  struct tmx_offer_backoffs offer_backoffs;   /**< offers that the cloud refused lately */
+  struct tmx_idle_machine *idle_machines;     /**< owned; hash by id; NULL: empty */
+  struct tmx_zone_partitions zone_partitions; /**< written by tmx_reclaim_evidence_gather() */
+  /** Steady clock, s: the latest tick at which it did not lead, or the store was out of reach. */
+  double leading_since;
+  /* When each periodic step was last begun. */
+  double catalog_read_at,      /**< steady clock, s: the catalogue was requested */
+      list_read_at,            /**< steady clock, s: the list of instances was requested */
+      scale_out_at,            /**< steady clock, s: scale-out was considered */
+      reclaim_at,              /**< steady clock, s: tmx_cloud_reclaim() was called */
+      drain_chosen_at,         /**< steady clock, s: machines to drain were looked for */
+      usage_logged_at;         /**< steady clock, s: the usage was logged */
+  bool catalog_read_in_flight; /**< the catalogue was requested and the response is awaited */
+  struct tmx_rental_request *rentals_in_flight;    /**< owned; linked list; NULL: none */
+  struct tmx_deletion_request *deletion_in_flight; /**< owned; at most one; NULL: none */
+  uint64_t last_rental_number; /**< part of the name of the latest rental request; 0: none yet */
 };
 
 /** Reads the machine types that the cloud offers into the catalogue, when that is due. */
--- a/src/cloud/deletion_request.h
+++ b/src/cloud/deletion_request.h
@@ -7,12 +7,14 @@
 #include "cloud/cloud_internal.h"
 #include "cloud/replacement_policy.h"
 
+/** The request, from the first machine added until the response is handled. */
 struct tmx_deletion_request {
-  struct tmx_cloud *cloud;
-  char ids[TMX_SCALE_IN_MAX][TMX_ID_MAX];
-  size_t count;
+  struct tmx_cloud *cloud;                /**< the module that sends it; outlives it */
+  char ids[TMX_SCALE_IN_MAX][TMX_ID_MAX]; /**< instances to delete */
+  size_t count;                           /**< entries of `ids` in use */
 };
 
+/** Allocates an empty request, which tmx_deletion_request_send() takes over. */
 struct tmx_deletion_request *tmx_deletion_request_new(struct tmx_cloud *cloud);
 /** Whether it holds as many machines as one request may. */
 bool tmx_deletion_request_is_full(const struct tmx_deletion_request *request);
--- a/src/cloud/demand_history.h
+++ b/src/cloud/demand_history.h
@@ -11,9 +11,9 @@
 
 /** A zeroed history is an empty one. */
 struct tmx_demand_history {
-  double cpus_by_second[TMX_PEAK_DEMAND_S]; /**< ring: the highest demand seen in each second */
-  int latest_second;                        /**< of the steady clock, of the latest sample */
-  double since; /**< steady clock; samples have been taken without a gap since then */
+  double cpus_by_second[TMX_PEAK_DEMAND_S]; /**< ring: the highest demand of each second, CPUs */
+  int latest_second;                        /**< of the steady clock, of the latest sample, s */
+  double since; /**< steady clock, s; samples have been taken without a gap since then */
 };
 
 /** Adds a sample. After a gap of more than TMX_DEMAND_GAP_S the history starts afresh, as the
--- a/src/cloud/inventory.h
+++ b/src/cloud/inventory.h
@@ -13,31 +13,38 @@
 #include "tmx/constants.h"
 
 /** States in the order in which an instance passes through them. */
-enum tmx_instance_state { TMX_INSTANCE_BOOTING, TMX_INSTANCE_RUNNING, TMX_INSTANCE_FAILED };
+enum tmx_instance_state {
+  TMX_INSTANCE_BOOTING, /**< rented, not up yet */
+  TMX_INSTANCE_RUNNING, /**< up; the cloud's word for a state that is not known counts as this */
+  TMX_INSTANCE_FAILED   /**< broken, as the cloud says; it is deleted */
+};
 
 /** A rented machine as the cloud shows it. */
 struct tmx_instance {
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_MAX];   /**< given by the cloud */
   char type[TMX_ID_MAX]; /**< empty: no list has shown it yet */
   int zone;              /**< index in the settings; -1: a zone that the settings do not name */
-  enum tmx_instance_state state;
-  bool spot;
-  double age_s;         /**< s since it was rented, as of the list read at `age_as_of` */
-  double age_as_of;     /**< steady clock; 0: never listed */
-  double rented_at;     /**< steady clock, rented by this controller; 0: known from a list only */
-  double unheard_since; /**< steady clock; listed as running without reporting; 0: it reports */
+  enum tmx_instance_state state; /**< the latest that was listed; never goes back */
+  bool spot;                     /**< the cloud may interrupt it */
+  double age_s;                  /**< s since it was rented, as of the list read at `age_as_of` */
+  double age_as_of;              /**< steady clock, s; 0: never listed */
+  double rented_at; /**< steady clock, s: rented by this controller; 0: known from a list only */
+  double unheard_since; /**< steady clock, s: listed as running without reporting; 0: it reports */
   bool deleting;        /**< a request to delete it is under way or was granted */
   UT_hash_handle hh;    /**< by id */
 };
 
+/** The table of instances, and how far the cloud's list has been read. */
 struct tmx_inventory {
-  const struct tmx_settings *settings;
-  struct tmx_cloud_api *api;
-  struct tmx_instance *instances;
-  bool read_in_flight;
+  const struct tmx_settings *settings; /**< borrowed; zones and the lag of lists */
+  struct tmx_cloud_api *api;           /**< borrowed */
+  struct tmx_instance *instances;      /**< owned; hash by id; NULL: empty */
+  bool read_in_flight;                 /**< a page was requested and the response is awaited */
   char cursor[TMX_ID_MAX]; /**< the last id of the pages read so far; empty: from the start */
 };
 
+/** Sets up a zeroed inventory as an empty one; both arguments must outlive it. Release what it
+ * holds with tmx_inventory_clear(). */
 void tmx_inventory_init(struct tmx_inventory *inventory, const struct tmx_settings *settings,
                         struct tmx_cloud_api *api);
 /** Frees the instances. */
--- a/src/cloud/reclaim_evidence.h
+++ b/src/cloud/reclaim_evidence.h
@@ -9,16 +9,16 @@
 
 /** Gathered anew for each pass through the machines. */
 struct tmx_reclaim_evidence {
-  double now;                        /**< steady clock */
-  double leading_s;                  /**< how long this controller has led */
+  double now;                        /**< steady clock, s: when it was gathered */
+  double leading_s;                  /**< s: how long this controller has led */
   bool leader_settled;               /**< it has had time to hear peers and workers */
   bool owner_heard[TMX_MEMBERS_MAX]; /**< by member of the view: it is heard and reaches workers */
-  unsigned owners_heard;
-  double spare_s[TMX_ZONES_MAX]; /**< how long a zone's machines are spared after a partition */
-  double free_cpus;              /**< on machines that are not draining */
-  double service_cpus;           /**< booked by services */
+  unsigned owners_heard;             /**< how many of `owner_heard` are true */
+  double spare_s[TMX_ZONES_MAX]; /**< s: how long a zone's machines are spared after a partition */
+  double free_cpus;              /**< CPUs not booked, on machines that are not draining */
+  double service_cpus;           /**< CPUs booked by services */
   bool work_waits;               /**< more than the usual few tasks wait */
-  bool any_zone_partitioned;
+  bool any_zone_partitioned;     /**< a zone counts as partitioned, see tmx_zone_partitions */
 };
 
 /** Gathers the evidence and notes zones that are cut off. */
--- a/src/cloud/replacement_policy.h
+++ b/src/cloud/replacement_policy.h
@@ -27,15 +27,15 @@
 
 /** What is known of a registered machine. */
 struct tmx_machine_evidence {
-  bool listed_as_failed;
+  bool listed_as_failed;          /**< the cloud's list shows its instance as failed */
   bool leader_settled;            /**< this leader has had time to hear peers and workers */
   bool suspected;                 /**< its owner, which is heard, suspects it */
   struct tmx_suspicion suspicion; /**< of the owner; meaningful if `suspected` */
   bool silence_excused; /**< its zone is or was cut off, so silence does not show that it is dead */
-  bool has_tasks;
-  bool has_services;
-  bool draining;
-  bool faulty; /**< TMX_FAULTY_MACHINE_ERRORS errors in a row, of several jobs */
+  bool has_tasks;       /**< tasks are placed on it */
+  bool has_services;    /**< some of them are replicas of services */
+  bool draining;        /**< it gets no new work and is deleted when empty */
+  bool faulty;          /**< TMX_FAULTY_MACHINE_ERRORS errors in a row, of several jobs */
 };
 
 /** The times that apply to machines, s. */
@@ -55,13 +55,13 @@
 
 /** What is known of an instance that is not registered as a machine. */
 struct tmx_instance_evidence {
-  enum tmx_instance_state state;
-  double age_s;         /**< since it was rented */
-  bool type_known;      /**< the catalogue has its type */
-  double boot_s;        /**< usual boot time of the type; meaningful if `type_known` */
-  bool leader_settled;  /**< this leader has had time to hear peers and workers */
-  double unheard_s;     /**< since it was first seen as running without a heartbeat */
-  double unheard_max_s; /**< how long that may last */
+  enum tmx_instance_state state; /**< the latest that the cloud listed */
+  double age_s;                  /**< s since it was rented */
+  bool type_known;               /**< the catalogue has its type */
+  double boot_s;                 /**< s: usual boot time of the type; meaningful if `type_known` */
+  bool leader_settled;           /**< this leader has had time to hear peers and workers */
+  double unheard_s;              /**< s since it was first seen as running without a heartbeat */
+  double unheard_max_s;          /**< s: how long that may last */
 };
 
 /** Whether, and why, an instance without a machine is deleted. */
--- a/src/cloud/scale_out_demand.h
+++ b/src/cloud/scale_out_demand.h
@@ -10,11 +10,13 @@
 
 /** A zeroed list is empty; the specs belong to the replica. Free `demands` with free(). */
 struct tmx_demand_list {
-  struct tmx_demand *demands;
-  size_t count, capacity;
+  struct tmx_demand *demands; /**< allocated; NULL: empty */
+  size_t count,               /**< demands in use */
+      capacity;               /**< demands allocated */
 };
 
-/** Collects the tasks that wait and that their team's limit lets start. */
+/** Adds to the list the tasks that wait and that their team's limit lets start. `now`: steady
+ * clock, s. */
 void tmx_demand_list_collect(struct tmx_demand_list *list, const struct tmx_settings *settings,
                              const struct tmx_replica *replica, double now);
 #endif
