--- a/src/replica/apply_log.h
+++ b/src/replica/apply_log.h
@@ -8,6 +8,8 @@
 
 /**
  * Applies the record of a job.
+ * @param replica the replica to change.
+ * @param item the record, as CBOR; the caller keeps it. A malformed one changes nothing.
  * @param key_version version of the job's own key, if the record comes from there; otherwise 0.
  */
 void tmx_replica_apply_job_record(struct tmx_replica *replica, const cbor_item_t *item,
--- a/src/replica/backlog.h
+++ b/src/replica/backlog.h
@@ -20,16 +20,17 @@
 
 /** What admitted work uses up until it is done. */
 enum tmx_admission_resource {
-  TMX_ADMISSION_CPU,    /**< CPU milliseconds */
-  TMX_ADMISSION_GPU,    /**< GPU milliseconds */
-  TMX_ADMISSION_MEMORY, /**< memory of machines, MB times s */
-  TMX_ADMISSION_LOG,    /**< bytes of lines of the log */
-  TMX_ADMISSION_PUTS,   /**< puts of final states */
-  TMX_ADMISSION_HELD,   /**< bytes of a controller's memory */
-  TMX_ADMISSION_RESOURCES
+  TMX_ADMISSION_CPU,      /**< CPU milliseconds */
+  TMX_ADMISSION_GPU,      /**< GPU milliseconds */
+  TMX_ADMISSION_MEMORY,   /**< memory of machines, MB times s */
+  TMX_ADMISSION_LOG,      /**< bytes of lines of the log */
+  TMX_ADMISSION_PUTS,     /**< puts of final states */
+  TMX_ADMISSION_HELD,     /**< bytes of a controller's memory */
+  TMX_ADMISSION_RESOURCES /**< number of resources */
 };
 /** An amount of each resource. */
 struct tmx_load {
+  /** By enum tmx_admission_resource, each in the unit given there. */
   int64_t amount[TMX_ADMISSION_RESOURCES];
 };
 
@@ -51,7 +52,8 @@
 /** All accounts. */
 struct tmx_backlog {
   char listed[TMX_LISTED_MAX][TMX_NAME_MAX]; /**< the classes that the objectives name */
-  size_t n_listed, n_teams;
+  size_t n_listed,                           /**< used entries of `listed` */
+      n_teams;                               /**< teams in the settings; used rows of `accounts` */
   struct tmx_account accounts[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX]; /**< by team, then by account */
 };
 
--- a/src/replica/job_dependencies.h
+++ b/src/replica/job_dependencies.h
@@ -24,8 +24,9 @@
   struct tmx_job **needs;      /**< the jobs named; NULL until every id is read and known */
   uint32_t n_unfinished;       /**< how many of `needs` are not done */
   struct tmx_job **dependents; /**< open jobs that name this one */
-  size_t n_dependents, cap_dependents;
-  bool in_work_list; /**< on the work list of the function that is under way */
+  size_t n_dependents,         /**< used entries of `dependents` */
+      cap_dependents;          /**< allocated entries of `dependents` */
+  bool in_work_list;           /**< on the work list of the function that is under way */
 };
 
 /** What the planner goes by: the job's own values, until a dependent asks for more. */
--- a/src/replica/job_ids.h
+++ b/src/replica/job_ids.h
@@ -15,8 +15,8 @@
 
 /** Ids of jobs, sorted and each present once. The array is owned: see tmx_job_ids_free(). */
 struct tmx_job_ids {
-  char (*ids)[TMX_ID_MAX];
-  uint32_t count;
+  char (*ids)[TMX_ID_MAX]; /**< `count` ids, each terminated by zero; NULL: none */
+  uint32_t count;          /**< number of ids */
 };
 
 /** Releases the array and leaves an empty set. */
@@ -33,6 +33,9 @@
 
 /**
  * Writes ids as they stand in a record or a line: without their common prefix, separated by spaces.
+ * @param out receives the text with a terminating zero.
+ * @param capacity size of `out` in bytes.
+ * @param ids the ids to write.
  * @param from position of the first id to write; moves behind the last one that fitted.
  * @return bytes written, without the terminating zero.
  */
--- a/src/replica/job_record.h
+++ b/src/replica/job_record.h
@@ -17,8 +17,8 @@
 
 /** A job as its record tells of it. */
 struct tmx_job_record {
-  char id[TMX_ID_MAX];
-  struct tmx_job_spec spec;
+  char id[TMX_ID_MAX];       /**< the job's id */
+  struct tmx_job_spec spec;  /**< what its owner asked for */
   double submitted_at;       /**< time of day, s */
   double ended_at;           /**< time of day, s; 0: not known */
   uint64_t outcome;          /**< enum tmx_job_outcome */
@@ -33,6 +33,11 @@
 /**
  * Appends the record of an open job with as many of the ids that it names as `room` leaves. The
  * other ids follow in lines, see tmx_dependency_line_print().
+ * @param buffer receives the record at its end; owned by the caller.
+ * @param id the job's id.
+ * @param spec the job's specification.
+ * @param submitted time of day, s.
+ * @param ids the jobs that it names.
  * @param room bytes as JSON that the record may take.
  * @return how many ids were written.
  */
@@ -51,7 +56,11 @@
 /**
  * Appends the record of a job that is over. If it exceeds `room` bytes as JSON, only what still
  * counts is kept.
+ * @param buffer receives the record at its end; owned by the caller.
+ * @param job the job.
+ * @param outcome its final state: enum tmx_job_outcome.
  * @param ended time of day, s; 0 leaves it out.
+ * @param room bytes as JSON that the record may take.
  */
 void tmx_job_encode_final(struct tmx_buffer *buffer, const struct tmx_job *job, int outcome,
                           double ended, size_t room);
--- a/src/replica/job_work_list.h
+++ b/src/replica/job_work_list.h
@@ -11,10 +11,12 @@
 
 #include "replica/job.h"
 
-/** Zeroed memory is an empty list. The array is owned by whoever holds the list: free() it. */
+/** A list of jobs to be visited, last in, first out. Zeroed memory is an empty list. The array is
+ * owned by whoever holds the list: free() it. */
 struct tmx_job_work_list {
-  struct tmx_job **jobs;
-  size_t n, capacity;
+  struct tmx_job **jobs; /**< the array; the jobs belong to the replica */
+  size_t n,              /**< used entries of `jobs` */
+      capacity;          /**< allocated entries of `jobs` */
 };
 
 /** Adds the job unless it is in a list. */
--- a/src/replica/log_codec.h
+++ b/src/replica/log_codec.h
@@ -32,14 +32,16 @@
 /** State of the tasks of a TMX_LINE_TASK_RUN. A task that is asked to stop has its stop mode as a
  * digit instead. */
 enum tmx_task_run_state {
-  TMX_TASK_RUN_DONE = 'd',
-  TMX_TASK_RUN_WAITING = 'w',
-  TMX_TASK_RUN_PLACED = 'p'
+  TMX_TASK_RUN_DONE = 'd',    /**< completed */
+  TMX_TASK_RUN_WAITING = 'w', /**< waiting to be placed again */
+  TMX_TASK_RUN_PLACED = 'p'   /**< placed, and not asked to stop */
 };
 
 /**
  * Splits a line at its spaces, in place: lines are read by the thousand when a controller starts.
+ * @param line the line; its spaces are overwritten.
  * @param fields receives at most `max` fields, which point into the line.
+ * @param max size of `fields`.
  * @return how many there are, at most `max`.
  */
 size_t tmx_log_line_split(char *line, char **fields, size_t max);
@@ -56,6 +58,10 @@
                       const struct tmx_machine *machine);
 /**
  * Prints the line of the tasks of a job from index `from` on that are alike, for a page.
+ * @param out receives the line with a terminating zero.
+ * @param capacity size of `out` in bytes.
+ * @param job the job.
+ * @param from index of the first task.
  * @param length receives the line's length; 0 if the tasks were never placed and need no line.
  * @return how many tasks the line tells of.
  */
--- a/src/replica/log_keys.h
+++ b/src/replica/log_keys.h
@@ -13,9 +13,9 @@
 
 /** A key that stands. */
 struct tmx_log_key {
-  char *key; /**< owned by the entry */
-  uint64_t version;
-  UT_hash_handle hh;
+  char *key;         /**< owned by the entry */
+  uint64_t version;  /**< of the key, as the store reported it last */
+  UT_hash_handle hh; /**< in the table, by key */
 };
 
 /** Adds the key, or sets its version. */
--- a/src/replica/machine.h
+++ b/src/replica/machine.h
@@ -28,33 +28,39 @@
 
 /** A machine that was registered, or on which a task was placed. */
 struct tmx_machine {
-  char id[TMX_ID_MAX];
-  char addr[TMX_NAME_MAX];
-  char type[TMX_ID_MAX];
-  int zone;               /**< index among the settings' zones; -1: unknown */
-  bool spot;              /**< a spot instance, which may be taken away */
-  bool registered;        /**< a line registered it, and none has removed it */
-  bool draining;          /**< to be returned: it takes no more tasks */
-  struct tmx_task *tasks; /**< tasks that are placed on it */
-  uint32_t n_tasks;
-  uint32_t change_count; /**< counts the changes that observers were told of */
-  int owner;             /**< index of the member that owns it; -1: there is no view */
-  double booked_cpus, booked_gpus, booked_mem_gb; /**< sizes of all that is placed */
-  double service_cpus;                            /**< of these CPUs, those of services */
-  uint32_t consecutive_errors;                    /**< attempts in a row that ended with an error */
-  char error_job[TMX_ID_MAX];                     /**< the job of the latest of them */
-  bool errors_of_several_jobs;                    /**< they were of more than one job */
+  char id[TMX_ID_MAX];         /**< the machine's id, which is never used again */
+  char addr[TMX_NAME_MAX];     /**< address of its worker, as registered */
+  char type[TMX_ID_MAX];       /**< name of its machine type */
+  int zone;                    /**< index among the settings' zones; -1: unknown */
+  bool spot;                   /**< a spot instance, which may be taken away */
+  bool registered;             /**< a line registered it, and none has removed it */
+  bool draining;               /**< to be returned: it takes no more tasks */
+  struct tmx_task *tasks;      /**< tasks that are placed on it */
+  uint32_t n_tasks;            /**< number of tasks in `tasks` */
+  uint32_t change_count;       /**< counts the changes that observers were told of */
+  int owner;                   /**< index of the member that owns it; -1: there is no view */
+  double booked_cpus,          /**< CPUs of all tasks placed on it */
+      booked_gpus,             /**< GPUs of all tasks placed on it */
+      booked_mem_gb;           /**< memory of all tasks placed on it, GB */
+  double service_cpus;         /**< of these CPUs, those of services */
+  uint32_t consecutive_errors; /**< attempts in a row that ended with an error */
+  char error_job[TMX_ID_MAX];  /**< the job of the latest of them */
+  bool errors_of_several_jobs; /**< they were of more than one job */
   struct tmx_image images[TMX_IMAGES_KEPT]; /**< the one used latest first, as the log tells */
-  size_t n_images;
-  double size_cpus, size_gpus, size_mem_gb; /**< of its type, set by the controller; 0: unknown */
-  bool usable;                              /**< the planner may use it, set by the controller */
-  bool planner_update_due;                  /**< the planner is to be told of it */
-  int planner_slot;                         /**< its place in the planner's tables */
-  struct tmx_worker *worker;                /**< its agent, kept by src/worker */
+  size_t n_images;                          /**< used entries of `images` */
+  double size_cpus,          /**< CPUs of its type, set by the controller; 0: unknown */
+      size_gpus,             /**< GPUs of its type, set by the controller */
+      size_mem_gb;           /**< memory of its type, GB, set by the controller; 0: unknown */
+  bool usable;               /**< the planner may use it, set by the controller */
+  bool planner_update_due;   /**< the planner is to be told of it */
+  int planner_slot;          /**< its place in the planner's tables */
+  struct tmx_worker *worker; /**< its agent, kept by src/worker */
   /** @name Sums of the batch being checked, see operation_check.h */
   /** @{ */
-  uint64_t check_id;
-  double check_cpus, check_gpus, check_mem_gb;
+  uint64_t check_id; /**< the check that these sums belong to */
+  double check_cpus, /**< CPUs booked, with those of the batch */
+      check_gpus,    /**< GPUs booked, with those of the batch */
+      check_mem_gb;  /**< memory booked, GB, with that of the batch */
   /** @} */
   UT_hash_handle hh; /**< in the replica's `machines`, by id */
 };
--- a/src/replica/machine_table.h
+++ b/src/replica/machine_table.h
@@ -13,6 +13,7 @@
 void tmx_replica_clear_machines(struct tmx_replica *replica);
 /**
  * Applies a line of kind TMX_LINE_MACHINE, TMX_LINE_MACHINE_DRAINING or TMX_LINE_MACHINE_REMOVED.
+ * @param replica the replica to change.
  * @param line is split in place; one that is malformed changes nothing.
  */
 void tmx_replica_apply_machine_line(struct tmx_replica *replica, char *line);
--- a/src/replica/operation.h
+++ b/src/replica/operation.h
@@ -20,21 +20,25 @@
   TMX_OPERATION_END = 'e'    /**< tells how an attempt ended */
 };
 /** First letter of a line that tells of several operations on one job. */
-enum tmx_operation_group_kind { TMX_OPERATION_GROUP_PLACE = 'P', TMX_OPERATION_GROUP_END = 'E' };
+enum tmx_operation_group_kind {
+  TMX_OPERATION_GROUP_PLACE = 'P', /**< several placements */
+  TMX_OPERATION_GROUP_END = 'E'    /**< several ends */
+};
 /** How an attempt ended; the value is the letter in its line. */
 enum tmx_end_reason {
-  TMX_END_DONE = 'd',
-  TMX_END_STOPPED = 's',
-  TMX_END_ERROR = 'e',
+  TMX_END_DONE = 'd',    /**< the task completed */
+  TMX_END_STOPPED = 's', /**< it was asked to stop, and has */
+  TMX_END_ERROR = 'e',   /**< it failed */
   TMX_END_REFUSED = 'r', /**< the worker did not take it */
   TMX_END_LOST = 'l'     /**< it is gone with its machine or worker */
 };
 
 /** One operation on one task. */
 struct tmx_operation {
-  char kind; /**< enum tmx_operation_kind */
-  char job[TMX_ID_MAX];
-  uint32_t task, attempt;
+  char kind;                /**< enum tmx_operation_kind */
+  char job[TMX_ID_MAX];     /**< id of the job */
+  uint32_t task,            /**< index of the task within its job */
+      attempt;              /**< number of the attempt */
   char machine[TMX_ID_MAX]; /**< of a placement */
   char reason;              /**< of an end: enum tmx_end_reason; of a stop: enum tmx_stop_mode as a
                                digit */
--- a/src/replica/operation_check.h
+++ b/src/replica/operation_check.h
@@ -15,7 +15,7 @@
 
 /** The check of one batch. */
 struct tmx_operation_check {
-  struct tmx_replica *replica;
+  struct tmx_replica *replica; /**< of the caller; unchanged while the check lasts */
   uint64_t id; /**< of this check: counts of jobs and machines that carry another are out of date */
   struct tmx_usage usage[TMX_TEAMS_MAX]; /**< of each team, with the operations checked so far */
 };
--- a/src/replica/placement_caps.h
+++ b/src/replica/placement_caps.h
@@ -29,6 +29,7 @@
  * From the Poseidon affinity draft: 1 for services, or ceil(tasks / eligible) where fewer machines
  * than tasks are eligible. Arrays have no such cap: UINT32_MAX.
  *
+ * @param spec the job's specification.
  * @param eligible number of machines in use that could hold a task of the job when empty
  */
 uint32_t tmx_machine_cap(const struct tmx_job_spec *spec, uint32_t eligible);
--- a/src/replica/planner_slots.h
+++ b/src/replica/planner_slots.h
@@ -8,9 +8,10 @@
 
 /** Slots of one of the planner's tables. Zeroed memory is a pool of which none was taken. */
 struct tmx_slot_pool {
-  int *free; /**< slots that were given back; owned by the pool */
-  size_t n_free, capacity;
-  int n_given; /**< how many different slots have ever been taken */
+  int *free;     /**< slots that were given back; owned by the pool */
+  size_t n_free, /**< used entries of `free` */
+      capacity;  /**< allocated entries of `free` */
+  int n_given;   /**< how many different slots have ever been taken */
 };
 
 /** Takes a slot: the one given back last, or else the lowest that was never taken. */
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -32,23 +32,24 @@
 
 /** Number of an image's name: names are compared once, numbers from then on. */
 struct tmx_image_name {
-  char name[TMX_NAME_MAX];
-  int id;
-  UT_hash_handle hh;
+  char name[TMX_NAME_MAX]; /**< name of the image */
+  int id;                  /**< its number, from 1 */
+  UT_hash_handle hh;       /**< in the replica's `images`, by name */
 };
 /** Sum of what tasks take up. */
 struct tmx_usage {
-  double cpus, gpus;
+  double cpus, /**< CPUs */
+      gpus;    /**< GPUs */
 };
 /** How many machines of a type are registered. */
 struct tmx_type_count {
-  char type[TMX_ID_MAX];
-  uint32_t machines;
+  char type[TMX_ID_MAX]; /**< name of the machine type */
+  uint32_t machines;     /**< registered machines of this type */
 };
 /** When a member last committed a batch, which proves that it was alive. */
 struct tmx_batch_sighting {
-  char node[TMX_NAME_MAX];
-  double at; /**< steady clock, s */
+  char node[TMX_NAME_MAX]; /**< node name of the member */
+  double at;               /**< steady clock, s */
 };
 
 /** The copy of the state, and what is derived from it. */
@@ -60,12 +61,12 @@
   uint64_t head_version;               /**< version of the log's head */
   struct tmx_job *jobs;                /**< hash table by id */
   struct tmx_machine *machines;        /**< hash table by id */
-  struct tmx_view view;
+  struct tmx_view view;                /**< the latest view; empty: none was read */
   struct tmx_member registered_members[TMX_MEMBERS_MAX]; /**< those whose member key stands */
-  size_t n_registered_members;
-  char leader[TMX_NAME_MAX]; /**< empty: none */
-  uint64_t leader_version;   /**< version of the leader's key; 0: there is none */
-  uint64_t leader_incarnation;
+  size_t n_registered_members;    /**< used entries of `registered_members` */
+  char leader[TMX_NAME_MAX];      /**< empty: none */
+  uint64_t leader_version;        /**< version of the leader's key; 0: there is none */
+  uint64_t leader_incarnation;    /**< version of the leader's member key, see tmx_member */
   struct tmx_log_key *batch_keys; /**< batches that stand */
   struct tmx_log_key *page_keys;  /**< snapshot pages that stand */
   /** Machines that are proved to be gone, the latest ones: late copies of their reports must not
@@ -74,20 +75,22 @@
   uint64_t compaction_version;    /**< version of the compaction's key */
   uint64_t compaction_point;      /**< batches up to this version are in the pages */
   uint64_t compaction_generation; /**< of the pages that count */
+  /** The latest batch of each member, as far as one was seen. */
   struct tmx_batch_sighting batch_sightings[TMX_MEMBERS_MAX];
-  size_t n_batch_sightings;
-  struct tmx_slot_pool machine_slots, job_slots; /**< of the planner's tables */
+  size_t n_batch_sightings;                      /**< used entries of `batch_sightings` */
+  struct tmx_slot_pool machine_slots, job_slots; /**< slots of the planner's tables */
   bool dependencies_in_use; /**< a job that names others was seen: records and lines may hold more
                                from now on than an older version reads */
   struct tmx_job **unstored_outcomes; /**< jobs cancelled because of others, whose own keys do not
                                          say so yet; array owned by the replica */
-  size_t n_unstored_outcomes, cap_unstored_outcomes;
-  struct tmx_run_estimate run_estimates[TMX_RUN_ESTIMATES_MAX];
-  size_t n_run_estimates;
-  struct tmx_image_name *images; /**< hash table by name */
-  struct tmx_usage team_usage[TMX_TEAMS_MAX];
-  struct tmx_type_count type_counts[TMX_TYPES_MAX];
-  size_t n_type_counts;
+  size_t n_unstored_outcomes,         /**< used entries of `unstored_outcomes` */
+      cap_unstored_outcomes;          /**< allocated entries of `unstored_outcomes` */
+  struct tmx_run_estimate run_estimates[TMX_RUN_ESTIMATES_MAX]; /**< one for each class seen */
+  size_t n_run_estimates;                           /**< used entries of `run_estimates` */
+  struct tmx_image_name *images;                    /**< hash table by name */
+  struct tmx_usage team_usage[TMX_TEAMS_MAX];       /**< of placed tasks, by team of the settings */
+  struct tmx_type_count type_counts[TMX_TYPES_MAX]; /**< types beyond the bound are not counted */
+  size_t n_type_counts;                             /**< used entries of `type_counts` */
   struct tmx_backlog *backlog; /**< of the caller; NULL: there is no admission */
   double booked_cpus;          /**< CPUs of all tasks that are placed */
   double waiting_cpus;         /**< CPUs of all tasks that wait */
@@ -125,14 +128,20 @@
 
 /** A key as a read of the state returned it. */
 struct tmx_store_entry {
-  char *key;
-  uint64_t version;
-  const cbor_item_t *value;
+  char *key;                /**< the key's name; owned by the caller */
+  uint64_t version;         /**< revision of the key's latest change */
+  const cbor_item_t *value; /**< the decoded value; owned by the caller */
 };
 /** Applies the keys of a whole read, which are sorted in place into the order that loading needs.
  */
 void tmx_replica_load(struct tmx_replica *replica, struct tmx_store_entry *entries, size_t n);
-/** Applies one key. Keys of other programs are ignored. @param value NULL: the key was deleted. */
+/**
+ * Applies one key. Keys of other programs are ignored.
+ * @param replica the replica to change.
+ * @param key the key's name.
+ * @param version the key's version.
+ * @param value the decoded value, of the caller; NULL: the key was deleted.
+ */
 void tmx_replica_apply(struct tmx_replica *replica, const char *key, uint64_t version,
                        const cbor_item_t *value);
 /** Tells that all events up to the revision were applied; completes loading once that is enough. */
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -11,9 +11,14 @@
 /** Tells the observer that a round may be worth while. */
 void tmx_replica_notify_schedulable(struct tmx_replica *replica);
 
-/** @name Members and views (membership.c) */
+/** @name Members and views (ownership.c) */
 /** @{ */
-/** Index of the member that owns the machine; -1: there is no view. @param zone -1: unknown. */
+/**
+ * Index of the member that owns the machine; -1: there is no view.
+ * @param replica the replica.
+ * @param machine the machine's id.
+ * @param zone the machine's zone, an index among the settings' zones; -1: unknown.
+ */
 int tmx_replica_owner_index(const struct tmx_replica *replica, const char *machine, int zone);
 /** Applies a member's key; NULL: it was deleted. */
 void tmx_replica_apply_member(struct tmx_replica *replica, const char *name, uint64_t version,
--- a/src/replica/run_estimate.h
+++ b/src/replica/run_estimate.h
@@ -20,7 +20,12 @@
  * estimates of the class have been off lately. */
 double tmx_run_estimate_expected(const struct tmx_replica *replica,
                                  const struct tmx_job_spec *spec);
-/** Learns from a task that was done. @param ran its run time, s; 0 or less: not known. */
+/**
+ * Learns from a task that was done.
+ * @param replica the replica that keeps the estimates.
+ * @param spec specification of the task's job.
+ * @param ran its run time, s; 0 or less: not known.
+ */
 void tmx_run_estimate_observe(struct tmx_replica *replica, const struct tmx_job_spec *spec,
                               double ran);
 #endif
--- a/src/replica/view.h
+++ b/src/replica/view.h
@@ -15,29 +15,29 @@
 
 /** A controller in the view, or one that is registered. */
 struct tmx_member {
-  char name[TMX_NAME_MAX];
-  uint64_t incarnation; /**< version of its member key: which run of the process it is */
-  int zone;             /**< where the settings say it is; -1: unknown */
+  char name[TMX_NAME_MAX]; /**< node name of the controller */
+  uint64_t incarnation;    /**< version of its member key: which run of the process it is */
+  int zone;                /**< where the settings say it is; -1: unknown */
 };
 
 /** A machine whose owner is not the one that the hash says. */
 struct tmx_owner_override {
-  char machine[TMX_ID_MAX];
-  char node[TMX_NAME_MAX]; /**< its owner's name */
-  UT_hash_handle hh;       /**< in the view's `overrides_by_machine` */
+  char machine[TMX_ID_MAX]; /**< id of the machine */
+  char node[TMX_NAME_MAX];  /**< its owner's name */
+  UT_hash_handle hh;        /**< in the view's `overrides_by_machine` */
 };
 
 /** Members and owners, as the leader committed them. */
 struct tmx_view {
   uint64_t version; /**< of its key */
   uint64_t term;    /**< grows with every view; upper part of fencing tokens */
-  struct tmx_member members[TMX_MEMBERS_MAX];
-  size_t n_members;
+  struct tmx_member members[TMX_MEMBERS_MAX]; /**< the members; owners are indexes into it */
+  size_t n_members;                           /**< used entries of `members` */
   bool zones_partitioned; /**< zones cannot reach each other: machines belong to members of their
                              own zone */
   struct tmx_owner_override *overrides;            /**< array, owned by the view */
   struct tmx_owner_override *overrides_by_machine; /**< hash table of its entries */
-  size_t n_overrides;
+  size_t n_overrides;                              /**< used entries of `overrides` */
 };
 
 /** Appends the view's stored form. */
