--- a/src/scheduler/delta_collection.h
+++ b/src/scheduler/delta_collection.h
@@ -1,4 +1,7 @@
-/** @file The delta that the planner gets with a round. Loop's thread only. */
+/**
+ * @file
+ * The delta that the planner gets with a round. Loop's thread only.
+ */
 #ifndef TMX_DELTA_COLLECTION_H
 #define TMX_DELTA_COLLECTION_H
 #include "scheduler/scheduler_internal.h"
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -8,21 +8,25 @@
 #include "replica/operation_check.h"
 #include "scheduler/scheduler_internal.h"
 
+/** A batch under construction. */
 struct tmx_log_batch {
-  struct tmx_scheduler *scheduler;
+  struct tmx_scheduler *scheduler;    /**< whose replica and settings it goes by; not owned */
   struct tmx_transaction transaction; /**< the values that are complete */
-  /** The value under construction. Lengths are counted as JSON, which is how the limits count. */
-  struct tmx_buffer jobs, operations;
-  size_t n_jobs, n_lines;
-  size_t value_json_length, value_json_max;
-  size_t transaction_json_length; /**< of all values before it */
-  int writes_left;                /**< puts that may still be used, the one of head aside */
-  /** Whether operations of one job share lines. The line that grows, empty if there is none, and
-   * the first of its operations. */
-  bool grouped;
-  char group_line[TMX_LINE_MAX];
-  struct tmx_operation group_first;
-  struct tmx_buffer value_buffer; /**< where values are encoded */
+  /** @name The value under construction
+   * Lengths are counted as JSON, which is how the limits count. */
+  /** @{ */
+  struct tmx_buffer jobs, operations; /**< encoded job records, and encoded lines; owned */
+  size_t n_jobs,                      /**< records in `jobs` */
+      n_lines;                        /**< lines in `operations` */
+  size_t value_json_length, /**< bytes of the records and lines, with the line that grows */
+      value_json_max;       /**< limit of `value_json_length`, bytes */
+  /** @} */
+  size_t transaction_json_length;   /**< bytes of all values that are complete */
+  int writes_left;                  /**< puts that may still be used, the one of head aside */
+  bool grouped;                     /**< operations of one job may share lines */
+  char group_line[TMX_LINE_MAX];    /**< the line that grows; empty: none */
+  struct tmx_operation group_first; /**< first operation of `group_line` */
+  struct tmx_buffer value_buffer;   /**< where values are encoded */
 };
 
 /** Begins a batch of at most `max_writes` puts beside the one of head, conditional on the head that
--- a/src/scheduler/pending_lines.h
+++ b/src/scheduler/pending_lines.h
@@ -1,4 +1,7 @@
-/** @file Lines of the log that are kept until they are committed. Loop's thread only. */
+/**
+ * @file
+ * Lines of the log that are kept until they are committed. Loop's thread only.
+ */
 #ifndef TMX_PENDING_LINES_H
 #define TMX_PENDING_LINES_H
 #include "scheduler/log_batch.h"
--- a/src/scheduler/planner_records.h
+++ b/src/scheduler/planner_records.h
@@ -1,4 +1,7 @@
-/** @file What the planner is told of one machine or one job. Loop's thread only. */
+/**
+ * @file
+ * What the planner is told of one machine or one job. Loop's thread only.
+ */
 #ifndef TMX_PLANNER_RECORDS_H
 #define TMX_PLANNER_RECORDS_H
 #include "scheduler/scheduler_internal.h"
--- a/src/scheduler/round_commit.h
+++ b/src/scheduler/round_commit.h
@@ -1,4 +1,7 @@
-/** @file The commit of a round. Loop's thread only. */
+/**
+ * @file
+ * The commit of a round. Loop's thread only.
+ */
 #ifndef TMX_ROUND_COMMIT_H
 #define TMX_ROUND_COMMIT_H
 #include "scheduler/scheduler_internal.h"
--- a/src/scheduler/round_timing.h
+++ b/src/scheduler/round_timing.h
@@ -1,4 +1,7 @@
-/** @file When a round may begin and when its batch may be sent. Loop's thread only. */
+/**
+ * @file
+ * When a round may begin and when its batch may be sent. Loop's thread only.
+ */
 #ifndef TMX_ROUND_TIMING_H
 #define TMX_ROUND_TIMING_H
 #include "scheduler/scheduler_internal.h"
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -19,16 +19,16 @@
 
 /** A machine as its worker reports it, before it is registered in the log. */
 struct tmx_machine_facts {
-  char id[TMX_ID_MAX];
-  char addr[TMX_NAME_MAX];
-  char type[TMX_ID_MAX];
-  char zone[TMX_NAME_MAX];
-  bool spot;
+  char id[TMX_ID_MAX];     /**< the machine's id */
+  char addr[TMX_NAME_MAX]; /**< address of its worker */
+  char type[TMX_ID_MAX];   /**< name of its machine type */
+  char zone[TMX_NAME_MAX]; /**< name of its zone */
+  bool spot;               /**< a spot instance, which may be taken away */
 };
 
 /** Where a round gets what only workers' reports tell. Both return how many they wrote. */
 struct tmx_scheduler_source {
-  void *context;
+  void *context; /**< first argument of both functions; not owned */
   /** Attempts whose end is proven by reports. */
   size_t (*collect_completions)(void *context, struct tmx_operation *operations, size_t max);
   /** Machines that report and are not in the log. */
@@ -37,14 +37,14 @@
 
 /** What the scheduler works on; all of it must outlive the scheduler. */
 struct tmx_scheduler_dependencies {
-  struct ev_loop *loop;
-  const struct tmx_settings *settings;
-  struct tmx_replica *replica;
-  struct tmx_store *store;
-  const struct tmx_authority *authority;
-  const struct tmx_machine_catalog *catalog;
-  struct tmx_admission_control *admission; /**< NULL: everything that can run is admitted */
-  struct tmx_scheduler_source source;
+  struct ev_loop *loop;                  /**< the controller's event loop */
+  const struct tmx_settings *settings;   /**< settings of the deployment */
+  struct tmx_replica *replica;           /**< the copy of the state that rounds are checked on */
+  struct tmx_store *store;               /**< sends the transactions and keeps the write budget */
+  const struct tmx_authority *authority; /**< whether this controller may act */
+  const struct tmx_machine_catalog *catalog; /**< machine types */
+  struct tmx_admission_control *admission;   /**< NULL: everything that can run is admitted */
+  struct tmx_scheduler_source source;        /**< what workers report; copied */
 };
 
 /** Starts the planner's thread. */
@@ -71,23 +71,27 @@
 
 /** What became of a submission that was queued. */
 enum tmx_submission_outcome {
-  TMX_SUBMISSION_COMMITTED,
+  TMX_SUBMISSION_COMMITTED,     /**< the job is in the log */
   TMX_SUBMISSION_KNOWN,         /**< the job was accepted before */
   TMX_SUBMISSION_NOT_COMMITTED, /**< not in the log; the user may repeat it */
   TMX_SUBMISSION_UNDECIDED,     /**< the store's answer is missing: committed or not */
   TMX_SUBMISSION_OVERLOAD,      /**< not sent: its team or class had no room by then */
 };
+/** Receives a submission's outcome, on the loop's thread. `arg` is the one that was given to
+ * tmx_scheduler_submit(). */
 typedef void (*tmx_submission_cb)(void *arg, enum tmx_submission_outcome outcome);
+/** Whether a submission was queued. */
 enum tmx_submit_result {
   TMX_SUBMIT_QUEUED,     /**< the callback will be called once */
-  TMX_SUBMIT_QUEUE_FULL, /**< no room now; no callback */
+  TMX_SUBMIT_QUEUE_FULL, /**< no room now, or the id is queued already; no callback */
   TMX_SUBMIT_TOO_LARGE,  /**< more than a transaction can hold; no callback */
 };
+/** A job to be submitted; owned by the caller. */
 struct tmx_submission {
-  char id[TMX_ID_MAX];
-  struct tmx_job_spec spec;
-  struct tmx_job_ids dependencies;
-  double submitted_at; /**< time of day, s */
+  char id[TMX_ID_MAX];             /**< the job's id */
+  struct tmx_job_spec spec;        /**< what its owner asks for */
+  struct tmx_job_ids dependencies; /**< jobs that it needs */
+  double submitted_at;             /**< time of day, s */
 };
 /** Queues a submission for the log; it is copied. Without a commit within `within_s` it is settled
  * as not committed. */
--- a/src/scheduler/submission_queue.h
+++ b/src/scheduler/submission_queue.h
@@ -1,4 +1,7 @@
-/** @file Submissions that wait for their commit. Loop's thread only. */
+/**
+ * @file
+ * Submissions that wait for their commit. Loop's thread only.
+ */
 #ifndef TMX_SUBMISSION_QUEUE_H
 #define TMX_SUBMISSION_QUEUE_H
 #include "scheduler/log_batch.h"
