--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -77,8 +77,9 @@
   uint64_t compaction_generation; /**< of the pages that count */
   /** The latest batch of each member, as far as one was seen. */
   struct tmx_batch_sighting batch_sightings[TMX_MEMBERS_MAX];
-  size_t n_batch_sightings;                      /**< used entries of `batch_sightings` */
-  struct tmx_slot_pool machine_slots, job_slots; /**< slots of the planner's tables */
+  size_t n_batch_sightings;           /**< used entries of `batch_sightings` */
+  struct tmx_slot_pool machine_slots; /**< slots of machines in the planner's tables */
+  struct tmx_slot_pool job_slots;     /**< slots of jobs in the planner's tables */
   bool dependencies_in_use; /**< a job that names others was seen: records and lines may hold more
                                from now on than an older version reads */
   struct tmx_job **unstored_outcomes; /**< jobs cancelled because of others, whose own keys do not
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -15,11 +15,12 @@
   /** @name The value under construction
    * Lengths are counted as JSON, which is how the limits count. */
   /** @{ */
-  struct tmx_buffer jobs, operations; /**< encoded job records, and encoded lines; owned */
-  size_t n_jobs,                      /**< records in `jobs` */
-      n_lines;                        /**< lines in `operations` */
-  size_t value_json_length, /**< bytes of the records and lines, with the line that grows */
-      value_json_max;       /**< limit of `value_json_length`, bytes */
+  struct tmx_buffer jobs;       /**< encoded job records */
+  struct tmx_buffer operations; /**< encoded lines */
+  size_t n_jobs,                /**< records in `jobs` */
+      n_lines;                  /**< lines in `operations` */
+  size_t value_json_length,     /**< bytes of the records and lines, with the line that grows */
+      value_json_max;           /**< limit of `value_json_length`, bytes */
   /** @} */
   size_t transaction_json_length;   /**< bytes of all values that are complete */
   int writes_left;                  /**< puts that may still be used, the one of head aside */
