--- a/src/planner/ageing.c
+++ b/src/planner/ageing.c
@@ -7,44 +7,47 @@
 
 #include <stdlib.h>
 
-static bool may_be_reserved(const struct round *round, const struct planner_job *job,
-                            const struct planner_machine *machine) {
+static bool is_reservable(const struct round *round, const struct planner_job *job,
+                          const struct planner_machine *machine) {
   return machine->record.usable && !machine->record.draining &&
          machine->record.owner == round->input->self_member &&
-         (job->record.zone < 0 || machine->record.zone == job->record.zone);
+         (job->record.required_zone < 0 || machine->record.zone == job->record.required_zone);
 }
 
 static double free_cpus(const struct planner_machine *machine) {
   return machine->record.cpus - machine->record.booked_cpus;
 }
 
-/* The machine of this controller's shard with the most free CPUs that could hold a task of the job
- * when empty; NULL: there is none. */
-static struct planner_machine *emptiest_machine(struct round *round,
-                                                const struct planner_job *job) {
-  struct planner_machine *emptiest = NULL;
+/* Returns the machine with the most free CPUs among those of this controller's shard that could run
+ * a task of the job if empty; NULL: there is none. */
+static struct planner_machine *find_machine_with_most_free_cpus(struct round *round,
+                                                                const struct planner_job *job) {
+  struct planner_machine *best = NULL;
   for (size_t i = 0; i < round->planner->n_groups; i++) {
     const struct machine_group *group = &round->planner->groups[i];
     round->visited += group->n_machines;
     if (!tmx_fit_group_is_eligible(group, job->record.spec)) continue;
     for (size_t k = 0; k < group->n_machines; k++) {
       struct planner_machine *machine = round->planner->machines[group->slots[k]];
-      if (!may_be_reserved(round, job, machine)) continue;
-      if (!emptiest || free_cpus(machine) > free_cpus(emptiest)) emptiest = machine;
+      if (!is_reservable(round, job, machine)) continue;
+      if (!best || free_cpus(machine) > free_cpus(best)) best = machine;
     }
   }
-  return emptiest;
+  return best;
 }
 
-/* A task that is larger than what ends around it would never find room, as what ends is filled
- * again at once: nothing else is placed on the emptiest machine that suits it. Only the leader does
- * so, and on machines of its own shard: there it alone places besides their owner. */
+/* Reserves a machine for a job without a candidate: the round places no more tasks on it, so that
+ * its capacity accumulates as tasks end. Otherwise smaller tasks would take up freed capacity at
+ * once, and a task larger than those that end would never fit.
+ *
+ * Only the leader reserves machines, and only in its own shard. A member other than the leader
+ * places tasks in its own shard only, so no other member places tasks on a reserved machine. */
 static void reserve_machine(struct round *round, const struct planner_job *job) {
   if (!round->input->leading || round->n_reserved_machines == TMX_RESERVED_MACHINES_MAX ||
       job->record.retry_at > round->input->now_steady ||
       job->next_waiting >= job->record.n_waiting || !tmx_fit_within_quota(round, job))
     return;
-  struct planner_machine *machine = emptiest_machine(round, job);
+  struct planner_machine *machine = find_machine_with_most_free_cpus(round, job);
   if (!machine) return;
   machine->record.usable = false;
   round->reserved_machines[round->n_reserved_machines++] = machine;
@@ -61,35 +64,35 @@
 uint32_t tmx_ageing_place_by_rotation(struct round *round, struct planner_job **by_release,
                                       size_t count) {
   bool served[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX] = {{false}};
-  /* the oldest job of each account that found no room */
-  struct planner_job *without_room[TMX_RESERVED_MACHINES_MAX];
-  size_t n_without_room = 0;
+  /* For each account, its oldest job that could not be placed. */
+  struct planner_job *unplaced_jobs[TMX_RESERVED_MACHINES_MAX];
+  size_t n_unplaced_jobs = 0;
   uint32_t placed = 0;
-  if (round->input->turns.start_s <= 0) return 0;
+  if (round->input->start_rotation.start_s <= 0) return 0;
   for (size_t i = 0; i < count && round->visited <= round->visit_limit; i++) {
     struct planner_job *job = by_release[i];
-    if (job->record.team < 0 || tmx_fit_precedence(job) == PRECEDENCE_PRODUCTION) continue;
+    if (job->record.team < 0 || tmx_job_precedence(job) == PRECEDENCE_PRODUCTION) continue;
     size_t team = (size_t)job->record.team, account = (size_t)job->record.account;
-    if (served[team][account] ||
-        !tmx_turn_due(&round->input->turns, team, account, tmx_job_waited_s(round->input, job)))
+    if (served[team][account] || !tmx_turn_due(&round->input->start_rotation, team, account,
+                                               tmx_job_waited_s(round->input, job)))
       continue;
     uint32_t placed_now = tmx_place_job(round, job, 1);
     served[team][account] = placed_now > 0;
     placed += placed_now;
-    if (!placed_now && n_without_room < TMX_RESERVED_MACHINES_MAX &&
-        !has_job_of_account(without_room, n_without_room, job))
-      without_room[n_without_room++] = job;
+    if (!placed_now && n_unplaced_jobs < TMX_RESERVED_MACHINES_MAX &&
+        !has_job_of_account(unplaced_jobs, n_unplaced_jobs, job))
+      unplaced_jobs[n_unplaced_jobs++] = job;
   }
-  for (size_t i = 0; i < n_without_room; i++) {
-    const struct tmx_plan_job *record = &without_room[i]->record;
-    if (!served[record->team][record->account]) reserve_machine(round, without_room[i]);
+  for (size_t i = 0; i < n_unplaced_jobs; i++) {
+    const struct tmx_plan_job *record = &unplaced_jobs[i]->record;
+    if (!served[record->team][record->account]) reserve_machine(round, unplaced_jobs[i]);
   }
   return placed;
 }
 
 static bool has_aged(const struct round *round, const struct planner_job *job) {
   return tmx_job_waited_s(round->input, job) >= TMX_AGED_JOB_S &&
-         tmx_fit_precedence(job) != PRECEDENCE_PRODUCTION;
+         tmx_job_precedence(job) != PRECEDENCE_PRODUCTION;
 }
 
 void tmx_ageing_place_first_tasks(struct round *round, struct planner_job **by_release,
@@ -101,7 +104,7 @@
     if (has_aged(round, job) && !job->record.n_done && !job->record.n_placed)
       not_started[n_not_started++] = job;
   }
-  tmx_job_order_by_rotation(round, not_started, n_not_started);
+  tmx_job_order_sort_by_rotation(round, not_started, n_not_started);
   tmx_place_jobs(round, not_started, n_not_started, 1, &round->planner->resume_not_started);
   free(not_started);
 }
--- a/src/planner/candidates.c
+++ b/src/planner/candidates.c
@@ -33,7 +33,7 @@
                                 struct planner_machine *machine, double placement_cost,
                                 double *cost) {
   if (placement_cost >= FAILED_MACHINE_COST) {
-    round->rejected_for_this_job_alone = true;
+    round->job_specific_rejection = true;
     return false;
   }
   double lost_s = tmx_preemption_cost(round, job, machine);
@@ -48,10 +48,10 @@
                              struct planner_machine *machine, enum candidate_pool pool,
                              double *cost) {
   if (!machine->record.usable || machine->record.draining) return false;
-  if (pool == POOL_OWN_SHARD && machine->record.owner != job->record.planner) return false;
+  if (pool == POOL_OWN_SHARD && machine->record.owner != job->record.planning_member) return false;
   if (pool != POOL_PREEMPTIBLE && !has_room(machine, job->record.spec, pool)) return false;
   if (job->record.spec->service && tasks_placed_on(job, machine) >= round->machine_cap) {
-    round->rejected_for_this_job_alone = true;
+    round->job_specific_rejection = true;
     return false;
   }
   *cost = tmx_placement_cost(round, job, machine);
@@ -69,7 +69,7 @@
 }
 
 static bool zone_is_allowed(const struct planner_job *job, int zone) {
-  return job->record.zone < 0 || zone == job->record.zone;
+  return job->record.required_zone < 0 || zone == job->record.required_zone;
 }
 
 static size_t add_machines_of_groups(struct round *round, const struct planner_job *job,
@@ -78,7 +78,7 @@
   size_t added = 0;
   for (size_t i = 0; i < planner->n_groups; i++) {
     const struct machine_group *group = &planner->groups[i];
-    if (!group->n_usable || !tmx_fit_group_is_eligible(group, job->record.spec) ||
+    if (!group->n_schedulable || !tmx_fit_group_is_eligible(group, job->record.spec) ||
         !zone_is_allowed(job, group->zone))
       continue;
     round->visited += group->n_machines;
@@ -110,13 +110,13 @@
   for (size_t zone = 0; zone < TMX_ZONES_MAX; zone++) set->zone_heaps[zone].count = 0;
   set->empty = tmx_failed_fits_cover(round, job, pool);
   if (set->empty) return;
-  round->rejected_for_this_job_alone = false;
+  round->job_specific_rejection = false;
   size_t added = pool == POOL_RELEASING ? add_releasing_machines(round, job)
                                         : add_machines_of_groups(round, job, pool);
   for (size_t zone = 0; zone < round->input->n_zones; zone++)
     tmx_candidate_heap_build(&set->zone_heaps[zone]);
   set->empty = !added;
-  if (!added && !round->rejected_for_this_job_alone) tmx_failed_fits_add(round, job, pool);
+  if (!added && !round->job_specific_rejection) tmx_failed_fits_add(round, job, pool);
 }
 
 /* Brings the first candidate of the heap up to date: what the round did since the heap was built
@@ -162,6 +162,6 @@
 void tmx_candidates_begin_job(struct round *round, const struct planner_job *job) {
   for (size_t pool = 0; pool < POOL_COUNT; pool++)
     round->candidate_sets[pool].built = round->candidate_sets[pool].empty = false;
-  uint32_t eligible = tmx_fit_eligible_machines(round->planner, job->record.spec);
+  uint32_t eligible = tmx_fit_count_eligible_machines(round->planner, job->record.spec);
   round->machine_cap = tmx_machine_cap(job->record.spec, eligible);
 }
--- a/src/planner/failed_fits.c
+++ b/src/planner/failed_fits.c
@@ -19,7 +19,7 @@
                        enum candidate_pool pool) {
   switch (pool) {
     case POOL_OWN_SHARD:
-      return left->record.planner == right->record.planner;
+      return left->record.planning_member == right->record.planning_member;
     case POOL_PREEMPTIBLE:
       return left->record.team == right->record.team &&
              left->record.priority == right->record.priority &&
--- a/src/planner/fit.c
+++ b/src/planner/fit.c
@@ -6,11 +6,12 @@
          tmx_type_allowed(spec, group->type);
 }
 
-uint32_t tmx_fit_eligible_machines(const struct tmx_planner *planner,
-                                   const struct tmx_job_spec *spec) {
+uint32_t tmx_fit_count_eligible_machines(const struct tmx_planner *planner,
+                                         const struct tmx_job_spec *spec) {
   uint32_t count = 0;
   for (size_t i = 0; i < planner->n_groups; i++)
-    if (tmx_fit_group_is_eligible(&planner->groups[i], spec)) count += planner->groups[i].n_usable;
+    if (tmx_fit_group_is_eligible(&planner->groups[i], spec))
+      count += planner->groups[i].n_schedulable;
   return count;
 }
 
--- a/src/planner/job_order.c
+++ b/src/planner/job_order.c
@@ -6,30 +6,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* CPU seconds: added to the work of late jobs, so that they come after all others */
-#define LATE_JOB_ORDER 1e9
-/* s: a task counts as running this long at least */
-#define RUN_S_MIN 1
-/* CPUs: a task counts as asking this much at least */
-#define CPUS_MIN 0.1
-/* share of a placed task's work that is taken as still to be done */
-#define PLACED_WORK_SHARE 0.5
+/* CPU seconds added to the sort key of late jobs, so that they come after all others. */
+#define LATE_JOB_PENALTY 1e9
+/* Minimum expected run time of a task, s. */
+#define RUN_TIME_MIN_S 1
+/* Minimum CPUs that a task counts with. */
+#define TASK_CPUS_MIN 0.1
+/* Share of a placed task's work that is assumed to remain. */
+#define PLACED_TASK_REMAINING_SHARE 0.5
 
 double tmx_job_waited_s(const struct tmx_round_input *input, const struct planner_job *job) {
   return input->now_wall - job->record.released_at;
 }
 
-/* The place of an array in the order, lower first: the remaining work in CPU seconds. The least
- * remaining work first brings the most jobs home in time; what can no longer meet its objective
- * comes after everything that can. */
-static double scheduling_order(const struct tmx_round_input *input, const struct planner_job *job) {
+/* Returns the remaining work of the job in CPU seconds, by which jobs are sorted, lower first. The
+ * least remaining work first lets the most jobs meet their completion targets. A late job, which
+ * can no longer meet its target, gets a penalty and comes after all jobs that can. */
+static double compute_sort_key(const struct tmx_round_input *input, const struct planner_job *job) {
   const struct tmx_plan_job *record = &job->record;
-  double waited_s = tmx_job_waited_s(input, job), run_s = fmax(record->run_s, RUN_S_MIN);
+  double waited_s = tmx_job_waited_s(input, job),
+         run_s = fmax(record->expected_run_s, RUN_TIME_MIN_S);
   uint32_t unfinished = record->spec->tasks - record->n_done;
   uint32_t waiting = unfinished - record->n_placed;
-  double work =
-      (waiting + PLACED_WORK_SHARE * record->n_placed) * fmax(record->spec->cpus, CPUS_MIN) * run_s;
-  return waited_s + run_s > record->target_s ? LATE_JOB_ORDER + work : work;
+  double work = (waiting + PLACED_TASK_REMAINING_SHARE * record->n_placed) *
+                fmax(record->spec->cpus, TASK_CPUS_MIN) * run_s;
+  return waited_s + run_s > record->completion_target_s ? LATE_JOB_PENALTY + work : work;
 }
 
 static const struct planner_job *job_at(const void *element) {
@@ -45,11 +46,11 @@
 
 static int compare_by_rank(const void *a, const void *b) {
   const struct planner_job *left = job_at(a), *right = job_at(b);
-  int left_precedence = tmx_fit_precedence(left), right_precedence = tmx_fit_precedence(right);
+  int left_precedence = tmx_job_precedence(left), right_precedence = tmx_job_precedence(right);
   if (left_precedence != right_precedence) return right_precedence - left_precedence;
   if (left->record.priority != right->record.priority)
     return right->record.priority - left->record.priority;
-  if (left->order != right->order) return left->order < right->order ? -1 : 1;
+  if (left->sort_key != right->sort_key) return left->sort_key < right->sort_key ? -1 : 1;
   return strcmp(left->record.id, right->record.id);
 }
 
@@ -78,27 +79,28 @@
 
 void tmx_job_order_prepare(const struct tmx_round_input *input, struct planner_job **by_release,
                            size_t count) {
-  struct tmx_usage asked_by_team[TMX_TEAMS_MAX] = {{0, 0}};
+  struct tmx_usage requested_by_team[TMX_TEAMS_MAX] = {{0, 0}};
   for (size_t i = 0; i < count; i++) {
     struct planner_job *job = by_release[i];
     const struct tmx_job_spec *spec = job->record.spec;
     job->next_waiting = 0;
-    job->order = scheduling_order(input, job);
+    job->sort_key = compute_sort_key(input, job);
     job->guaranteed = false;
     if (job->record.team < 0) continue;
     const struct tmx_team_settings *team = &input->teams[job->record.team];
-    struct tmx_usage *asked = &asked_by_team[job->record.team];
+    struct tmx_usage *requested = &requested_by_team[job->record.team];
     uint32_t unfinished = spec->tasks - job->record.n_done;
-    asked->cpus += unfinished * spec->cpus;
-    asked->gpus += unfinished * spec->gpus;
-    job->guaranteed = team->cpus > 0 && asked->cpus <= team->cpus + RESOURCE_EPSILON &&
-                      asked->gpus <= team->gpus + RESOURCE_EPSILON;
+    requested->cpus += unfinished * spec->cpus;
+    requested->gpus += unfinished * spec->gpus;
+    job->guaranteed = team->cpus > 0 && requested->cpus <= team->cpus + RESOURCE_EPSILON &&
+                      requested->gpus <= team->gpus + RESOURCE_EPSILON;
   }
 }
 
-void tmx_job_order_by_rotation(const struct round *round, struct planner_job **jobs, size_t count) {
+void tmx_job_order_sort_by_rotation(const struct round *round, struct planner_job **jobs,
+                                    size_t count) {
   uint32_t jobs_of_account[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX] = {{0}};
-  if (round->input->turns.start_s <= 0) return;
+  if (round->input->start_rotation.start_s <= 0) return;
   for (size_t i = 0; i < count; i++) {
     const struct tmx_plan_job *record = &jobs[i]->record;
     jobs[i]->older_in_account =
--- a/src/planner/job_order.h
+++ b/src/planner/job_order.h
@@ -1,43 +1,46 @@
 /**
  * @file
- * The order in which a round places jobs: internal to src/planner.
+ * The order in which a round places jobs. Internal to src/planner.
  */
 #ifndef TMX_JOB_ORDER_H
 #define TMX_JOB_ORDER_H
 #include "planner/round.h"
 
-/** All open jobs, the earliest released first. An array of n_open_jobs; the caller frees it. */
+/** Returns all open jobs, the earliest released first. The array has tmx_planner::n_open_jobs
+ * entries; the caller frees it. */
 struct planner_job **tmx_job_order_by_release(const struct tmx_planner *planner);
 
 /**
- * All open jobs by rank: precedence, then priority, then the least remaining work among those that
- * can still meet their objective, then the others. tmx_job_order_prepare() must have been called.
- * An array of n_open_jobs; the caller frees it.
+ * Returns all open jobs by rank: higher precedence first, then higher priority. Among equals, jobs
+ * that can still meet their completion target come before late ones, then less remaining work comes
+ * first. tmx_job_order_prepare() must have been called. The array has tmx_planner::n_open_jobs
+ * entries; the caller frees it.
  */
 struct planner_job **tmx_job_order_by_rank(const struct tmx_planner *planner);
 
 /**
- * Prepares all open jobs for this round: their place in the order, and which are guaranteed. The
- * guaranteed quota of a team covers its earliest jobs.
+ * Prepares all open jobs for this round: computes their sort keys, marks guaranteed jobs and resets
+ * planner_job::next_waiting. The guaranteed quota of a team covers its earliest released jobs.
  *
- * @param input read only
- * @param by_release as tmx_job_order_by_release() returned them
+ * @param input the input of the round
+ * @param by_release open jobs, as returned by tmx_job_order_by_release()
  * @param count entries of `by_release`
  */
 void tmx_job_order_prepare(const struct tmx_round_input *input, struct planner_job **by_release,
                            size_t count);
 
 /**
- * Sorts jobs so that accounts take turns: first the oldest job of each, then the second of each.
- * Does nothing where there are no turns.
+ * Sorts jobs in round-robin order of their accounts: first the oldest job of each account, then the
+ * second oldest of each, and so on. Does nothing if start rotation is off.
  *
- * @param round the round under way, which tells whether there are turns
- * @param jobs the earliest released first
+ * @param round the running round; its input tells whether start rotation is on
+ * @param jobs jobs to sort, the earliest released first
  * @param count entries of `jobs`
  */
-void tmx_job_order_by_rotation(const struct round *round, struct planner_job **jobs, size_t count);
+void tmx_job_order_sort_by_rotation(const struct round *round, struct planner_job **jobs,
+                                    size_t count);
 
-/** s since the job was released. */
+/** Returns the time since the job was released, s. */
 double tmx_job_waited_s(const struct tmx_round_input *input, const struct planner_job *job);
 
 #endif
--- a/src/planner/placement.c
+++ b/src/planner/placement.c
@@ -164,8 +164,8 @@
   const struct job_placement placement = {
       .round = round,
       .job = job,
-      .precedence = tmx_fit_precedence(job),
-      .own = job->record.planner == input->self_member,
+      .precedence = tmx_job_precedence(job),
+      .own = job->record.planning_member == input->self_member,
       .in_grace = input->now_steady - job->record.unplaced_since <= input->own_planner_grace_s};
   if (!may_place_now(round, job)) return 0;
   /* Another member's job concerns the leader, and others only if it stands before their arrays. */
--- a/src/planner/placement_cost.c
+++ b/src/planner/placement_cost.c
@@ -49,8 +49,8 @@
          fmin(fetch_s / spec->fetch_tolerance_s, FETCH_COST_MAX);
 }
 
-double tmx_booked_share(const struct tmx_plan_machine *machine, const struct tmx_job_spec *spec,
-                        double now) {
+double tmx_base_placement_cost(const struct tmx_plan_machine *machine,
+                               const struct tmx_job_spec *spec, double now) {
   return share_with_fetch(machine, spec, remaining_fetch_s(machine, spec, now));
 }
 
@@ -61,9 +61,10 @@
   const struct tmx_job_spec *spec = job->record.spec;
   const struct tmx_plan_job *record = &job->record;
   if (spec->service || !spec->spot_allowed) return false;
-  double left_s = record->next_target_s - (round->input->now_wall - record->released_at);
-  double lost_s = spec->checkpoint_s > 0 ? fmin(spec->checkpoint_s, record->run_s) : record->run_s;
-  bool loss_would_be_late = left_s < record->run_s + lost_s + TMX_FETCH_TOLERANCE_S;
+  double left_s = record->next_completion_target_s - (round->input->now_wall - record->released_at);
+  double lost_s = spec->checkpoint_s > 0 ? fmin(spec->checkpoint_s, record->expected_run_s)
+                                         : record->expected_run_s;
+  bool loss_would_be_late = left_s < record->expected_run_s + lost_s + TMX_FETCH_TOLERANCE_S;
   return spot == loss_would_be_late;
 }
 
--- a/src/planner/planner.c
+++ b/src/planner/planner.c
@@ -40,29 +40,29 @@
   for (size_t pool = 0; pool < POOL_COUNT; pool++)
     for (size_t zone = 0; zone < TMX_ZONES_MAX; zone++)
       free(round->candidate_sets[pool].zone_heaps[zone].candidates);
-  free(round->touched_machines);
-  free(round->touched_jobs);
+  free(round->modified_machines);
+  free(round->modified_jobs);
   free(round->preemptions);
   free(round->releasing_machines);
 }
 
 static size_t count_production_jobs(struct planner_job *const *by_rank, size_t count) {
-  size_t production = 0;
-  while (production < count && tmx_fit_precedence(by_rank[production]) == PRECEDENCE_PRODUCTION)
-    production++;
-  return production;
+  size_t n_production = 0;
+  while (n_production < count && tmx_job_precedence(by_rank[n_production]) == PRECEDENCE_PRODUCTION)
+    n_production++;
+  return n_production;
 }
 
-/* Places all jobs: those of production precedence, then those that have aged, then the rest. Half
- * of what may be looked at is for the first part, half of what is left for the second, so that none
- * is starved by the one before. */
-static void place_all(struct round *round, struct planner_job **by_release,
-                      struct planner_job **by_rank, size_t count) {
+/* Places the jobs of production precedence, then aged jobs, then all others. The first part may use
+ * half of the visit limit and the second part a quarter of it, so that no part starves the parts
+ * after it. The third part may use all that is left. */
+static void place_all_jobs(struct round *round, struct planner_job **by_release,
+                           struct planner_job **by_rank, size_t count) {
   struct tmx_planner *planner = round->planner;
   const size_t max_visits = round->input->max_visits;
-  size_t production = count_production_jobs(by_rank, count);
+  size_t n_production = count_production_jobs(by_rank, count);
   round->visit_limit = max_visits / 2;
-  tmx_place_jobs(round, by_rank, production, UINT32_MAX, &planner->resume_production);
+  tmx_place_jobs(round, by_rank, n_production, UINT32_MAX, &planner->resume_production);
 
   round->visit_limit = round->visited + (max_visits - round->visit_limit) / 2;
   uint32_t placed = tmx_ageing_place_by_rotation(round, by_release, count);
@@ -70,7 +70,7 @@
   placed += tmx_ageing_place_oldest(round, by_release, count);
 
   round->visit_limit = max_visits;
-  placed += tmx_place_jobs(round, by_rank + production, count - production, UINT32_MAX,
+  placed += tmx_place_jobs(round, by_rank + n_production, count - n_production, UINT32_MAX,
                            &planner->resume_others);
   planner->aged_job_credit =
       fmin(planner->aged_job_credit + TMX_AGED_JOB_SHARE * placed, TMX_PLAN_TASKS);
@@ -84,7 +84,7 @@
   struct planner_job **by_release = tmx_job_order_by_release(planner);
   tmx_job_order_prepare(input, by_release, count);
   struct planner_job **by_rank = tmx_job_order_by_rank(planner);
-  place_all(&round, by_release, by_rank, count);
+  place_all_jobs(&round, by_release, by_rank, count);
   if (input->leading && !output->unplaced && !output->truncated) tmx_migrate_services(&round);
   end_round(&round);
   free(by_rank);
--- a/src/planner/planner_delta.c
+++ b/src/planner/planner_delta.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct tmx_plan_machine *tmx_planner_delta_machine(struct tmx_planner_delta *delta) {
+struct tmx_plan_machine *tmx_planner_delta_add_machine(struct tmx_planner_delta *delta) {
   delta->machines = tmx_grow(delta->machines, &delta->cap_machines, delta->n_machines + 1,
                              sizeof *delta->machines);
   struct tmx_plan_machine *machine = &delta->machines[delta->n_machines++];
@@ -12,14 +12,14 @@
   return machine;
 }
 
-struct tmx_plan_job *tmx_planner_delta_job(struct tmx_planner_delta *delta) {
+struct tmx_plan_job *tmx_planner_delta_add_job(struct tmx_planner_delta *delta) {
   delta->jobs = tmx_grow(delta->jobs, &delta->cap_jobs, delta->n_jobs + 1, sizeof *delta->jobs);
   struct tmx_plan_job *job = &delta->jobs[delta->n_jobs++];
   memset(job, 0, sizeof *job);
   return job;
 }
 
-void tmx_planner_delta_removed(struct tmx_planner_delta *delta, int slot) {
+void tmx_planner_delta_add_removed(struct tmx_planner_delta *delta, int slot) {
   delta->removed =
       tmx_grow(delta->removed, &delta->cap_removed, delta->n_removed + 1, sizeof *delta->removed);
   delta->removed[delta->n_removed++] = slot;
--- a/src/planner/planner_delta.h
+++ b/src/planner/planner_delta.h
@@ -1,17 +1,17 @@
 /**
  * @file
- * What the loop's thread tells the planner: the machines and jobs that changed since it was last
- * told, each as it stands now.
+ * Deltas update the planner's tables: each holds the current state of the machines and jobs that
+ * changed since the previous delta.
  *
- * Ownership: whoever holds a `struct tmx_planner_delta` owns it with everything it points to; there
- * is no sharing. The loop's thread fills one, then hands it over by value under the scheduler's
- * lock and zeroes its own copy. The planner's thread passes it to tmx_planner_apply(), which takes
- * over what the planner keeps, releases the rest and leaves the delta empty. A delta that is not
- * handed over is released by tmx_planner_delta_clear(). The functions here take no locks: only the
- * holder may call them.
+ * Ownership: the holder of a `struct tmx_planner_delta` owns it and all memory that it points to.
+ * The event loop's thread fills a delta, hands it to the planner's thread by value under the lock
+ * of struct tmx_planner_thread, and zeroes its own copy. The planner's thread passes the delta to
+ * tmx_planner_apply(), which takes over the memory that the planner keeps, releases the rest and
+ * leaves the delta empty. tmx_planner_delta_clear() releases a delta that was not handed over. The
+ * functions of this header take no locks; only the holder of a delta may call them.
  *
- * Slots are small numbers that name machines and jobs within this process; the two are numbered
- * apart.
+ * A slot is a small number that identifies a machine or a job within this process. Machines and
+ * jobs have separate slot numbers.
  */
 #ifndef TMX_PLANNER_DELTA_H
 #define TMX_PLANNER_DELTA_H
@@ -19,98 +19,104 @@
 
 /** A task that is placed on a machine. */
 struct tmx_plan_task {
-  int job;           /**< slot of its job; -1: not known */
-  uint32_t task,     /**< number of the task within its job */
-      attempt;       /**< number of the attempt that was placed */
-  double lost_since; /**< steady clock, s: stopping it loses the work done since then, unless its
-                          job saves checkpoints, see the job's spec */
-  bool stopping;     /**< it has been told to stop: its room is counted as being released */
+  int job;          /**< slot of its job; -1: unknown */
+  uint32_t task,    /**< index of the task within its job */
+      attempt;      /**< number of the placed attempt */
+  double placed_at; /**< steady clock, s: when this process first saw the attempt placed. A stop
+                         loses the work done since then, unless the job saves checkpoints */
+  bool stopping;    /**< a stop was requested: its resources count as being released */
 };
 
-/** A machine as it stands. CPUs and GPUs are counted, memory is in GB. */
+/** The current state of a machine. CPUs and GPUs are counts, memory is in GB. */
 struct tmx_plan_machine {
-  int slot;              /**< number of the machine, see above */
-  char id[TMX_ID_MAX],   /**< given by the cloud */
-      type[TMX_ID_MAX];  /**< name of the machine type */
-  int zone;              /**< index of the zone; -1: not known, nothing is placed there */
-  bool spot;             /**< may be taken back by its provider */
-  bool usable;           /**< heard and reached lately, not faulty, no interruption notice */
-  bool draining;         /**< about to be returned: its services move, nothing new is placed */
-  int owner;             /**< index of the member that commands it */
-  double cpus,           /**< its size: CPUs */
-      gpus,              /**< its size: GPUs */
-      mem_gb;            /**< its size: memory, GB */
-  double booked_cpus,    /**< CPUs held by all tasks placed on it */
-      booked_gpus,       /**< GPUs held by them */
-      booked_mem_gb;     /**< memory held by them, GB */
-  double releasing_cpus, /**< part of booked_cpus: held by tasks that stop */
-      releasing_gpus,    /**< part of booked_gpus: likewise */
-      releasing_mem_gb;  /**< part of booked_mem_gb: likewise */
-  double fetch_gb_per_s; /**< GB/s: speed at which images are fetched */
-  struct tmx_image images[TMX_IMAGES_KEPT]; /**< present, or being fetched */
+  int slot;             /**< slot of the machine */
+  char id[TMX_ID_MAX],  /**< id of the machine, assigned by the cloud */
+      type[TMX_ID_MAX]; /**< name of the machine type */
+  int zone;             /**< index of the zone; -1: unknown, the machine gets no tasks */
+  bool spot;            /**< spot instance: the provider may reclaim it */
+  bool usable;   /**< recent contact in both directions, not faulty, no interruption notice */
+  bool draining; /**< will be returned to the cloud: services move off it, it gets no new tasks */
+  int owner;     /**< index of the member that controls it */
+  double cpus,   /**< total CPUs */
+      gpus,      /**< total GPUs */
+      mem_gb;    /**< total memory, GB */
+  double booked_cpus,                       /**< CPUs of all tasks placed on it */
+      booked_gpus,                          /**< GPUs of all tasks placed on it */
+      booked_mem_gb;                        /**< memory of all tasks placed on it, GB */
+  double releasing_cpus,                    /**< part of booked_cpus that stopping tasks hold */
+      releasing_gpus,                       /**< part of booked_gpus that stopping tasks hold */
+      releasing_mem_gb;                     /**< part of booked_mem_gb that stopping tasks hold */
+  double fetch_gb_per_s;                    /**< throughput of image fetches, GB/s */
+  struct tmx_image images[TMX_IMAGES_KEPT]; /**< images that are present or being fetched */
   size_t n_images;                          /**< entries of `images` in use */
-  struct tmx_plan_task *tasks;              /**< allocated; the planner takes it over */
+  struct tmx_plan_task *tasks;              /**< allocated; the planner takes the array over */
   size_t n_tasks;                           /**< entries of `tasks` */
 };
 
 /** A task that waits for a machine. */
 struct tmx_plan_waiting_task {
-  uint32_t task, /**< number of the task within its job */
-      attempt;   /**< number of the attempt to be made */
+  uint32_t task, /**< index of the task within its job */
+      attempt;   /**< number of the next attempt */
 };
 
-/** A job as it stands. */
+/** The current state of a job. */
 struct tmx_plan_job {
-  int slot;                  /**< number of the job, see above */
-  char id[TMX_ID_MAX];       /**< as in the log */
-  struct tmx_job_spec *spec; /**< allocated; the planner takes it over. NULL: as told before */
-  int team;                  /**< index of the team; -1: not known, nothing is placed */
-  int planner;               /**< index of the member that plans it */
-  int account;               /**< of its class within the team, see src/admission */
-  int priority;              /**< its own, or that of a job which depends on it */
-  int zone;                  /**< the only one allowed; -1: any */
-  double released_at; /**< time of day, s: it could have begun since; its waits count from here */
-  double unplaced_since; /**< steady clock, s: no task of it was placed since; 0: none waits */
-  double retry_at;       /**< steady clock, s: nothing is placed before (backoff) */
-  double target_s;       /**< s from its release: when it should be done */
-  double run_s;          /**< s: how long one task is expected to run */
-  double next_target_s; /**< the first of its objectives that is still ahead; as target_s if none */
-  uint32_t n_done,      /**< tasks that are done */
-      n_placed;         /**< tasks that are placed on machines */
-  bool open;            /**< it has work to place; else only its placed tasks count */
-  struct tmx_plan_waiting_task *waiting;  /**< the first that wait; allocated; taken over */
+  int slot;                  /**< slot of the job */
+  char id[TMX_ID_MAX];       /**< id of the job, as in the log */
+  struct tmx_job_spec *spec; /**< allocated; the planner takes it over. NULL: unchanged */
+  int team;                  /**< index of the team; -1: unknown, no task is placed */
+  int planning_member;       /**< index of the member that plans the job; -1: there is no view */
+  int account;  /**< account of the job's class within its team, see struct tmx_backlog */
+  int priority; /**< enum tmx_job_priority: its own, or inherited from a job that depends on it */
+  int required_zone;     /**< index of the only allowed zone; -1: any zone */
+  double released_at;    /**< wall clock, s: when the job could first start; its waiting time counts
+                            from here */
+  double unplaced_since; /**< steady clock, s: no task was placed since then; 0: no task waits */
+  double retry_at;       /**< steady clock, s: end of the backoff, before which no task is placed */
+  double completion_target_s;      /**< s after its release: when it should be done */
+  double expected_run_s;           /**< expected run time of one task, s */
+  double next_completion_target_s; /**< s after its release: its next completion objective or
+                                      deadline; as completion_target_s if all have passed */
+  uint32_t n_done,                 /**< completed tasks */
+      n_placed;                    /**< tasks placed on machines */
+  bool open; /**< neither finished nor blocked by a dependency; if false, the job is kept for its
+                placed tasks */
+  struct tmx_plan_waiting_task *waiting;  /**< first waiting tasks; the planner takes it over */
   size_t n_waiting;                       /**< entries of `waiting` */
-  uint32_t placed_in_zone[TMX_ZONES_MAX]; /**< tasks */
-  char failed_machines[4][TMX_ID_MAX];    /**< where it failed lately; "" in unused entries */
+  uint32_t placed_in_zone[TMX_ZONES_MAX]; /**< placed tasks by zone */
+  char failed_machines[4][TMX_ID_MAX];    /**< where its tasks failed recently; unused: "" */
 };
 
 /**
- * What changed. The planner applies the reset first, then what was removed, since a new machine may
- * have been given the slot of a removed one, then jobs and machines.
+ * Changes to the planner's tables. The planner applies the reset first, then removals, then jobs
+ * and machines. Removals come before machines because a new machine may have the slot of a removed
+ * one.
  */
 struct tmx_planner_delta {
-  bool reset;                        /**< forget everything told before */
-  int *removed;                      /**< slots of machines that are gone */
+  bool reset;                        /**< remove all machines and jobs first */
+  int *removed;                      /**< slots of removed machines */
   size_t n_removed,                  /**< entries in use */
       cap_removed;                   /**< entries allocated */
-  struct tmx_plan_machine *machines; /**< the latest state of each that changed */
+  struct tmx_plan_machine *machines; /**< current state of each changed machine */
   size_t n_machines,                 /**< entries in use */
       cap_machines;                  /**< entries allocated */
-  struct tmx_plan_job *jobs;         /**< the latest state of each that changed */
+  struct tmx_plan_job *jobs;         /**< current state of each changed job */
   size_t n_jobs,                     /**< entries in use */
       cap_jobs;                      /**< entries allocated */
 };
 
-/** A zeroed machine record at the end of the delta, to be filled; valid until the next one. */
-struct tmx_plan_machine *tmx_planner_delta_machine(struct tmx_planner_delta *delta);
+/** Appends a zeroed machine record, which the caller fills. The pointer is valid until the next
+ * call. */
+struct tmx_plan_machine *tmx_planner_delta_add_machine(struct tmx_planner_delta *delta);
 
-/** A zeroed job record at the end of the delta, to be filled; valid until the next one. */
-struct tmx_plan_job *tmx_planner_delta_job(struct tmx_planner_delta *delta);
+/** Appends a zeroed job record, which the caller fills. The pointer is valid until the next
+ * call. */
+struct tmx_plan_job *tmx_planner_delta_add_job(struct tmx_planner_delta *delta);
 
-/** Notes that the machine of this slot is gone. */
-void tmx_planner_delta_removed(struct tmx_planner_delta *delta, int slot);
+/** Appends the slot of a removed machine. */
+void tmx_planner_delta_add_removed(struct tmx_planner_delta *delta, int slot);
 
-/** Releases everything the delta owns and leaves it empty, ready to be filled again. */
+/** Releases all memory that the delta owns and leaves it empty and reusable. */
 void tmx_planner_delta_clear(struct tmx_planner_delta *delta);
 
 #endif
--- a/src/planner/planner_tables.c
+++ b/src/planner/planner_tables.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Returns the index of the machine's group, which is added if there is none. */
+/* Returns the index of the machine's group. Adds the group if it does not exist. */
 static int find_or_add_group(struct tmx_planner *planner, const struct tmx_plan_machine *machine) {
   for (size_t i = 0; i < planner->n_groups; i++) {
     const struct machine_group *group = &planner->groups[i];
@@ -22,15 +22,15 @@
   return (int)planner->n_groups++;
 }
 
-static bool is_placeable(const struct tmx_plan_machine *machine) {
+static bool is_schedulable(const struct tmx_plan_machine *machine) {
   return machine->usable && !machine->draining;
 }
 
 static void leave_group(struct tmx_planner *planner, struct planner_machine *machine) {
   if (machine->group < 0) return;
   struct machine_group *group = &planner->groups[machine->group];
-  if (is_placeable(&machine->record)) group->n_usable--;
-  /* The last one takes its place, unless it was the last one itself. */
+  if (is_schedulable(&machine->record)) group->n_schedulable--;
+  /* Fills the gap with the last slot of the group, unless the machine had the last slot. */
   group->slots[machine->index_in_group] = group->slots[--group->n_machines];
   if (machine->index_in_group < group->n_machines)
     planner->machines[group->slots[machine->index_in_group]]->index_in_group =
@@ -48,7 +48,7 @@
       tmx_grow(group->slots, &group->cap_machines, group->n_machines + 1, sizeof *group->slots);
   machine->index_in_group = group->n_machines;
   group->slots[group->n_machines++] = machine->record.slot;
-  if (is_placeable(&machine->record)) group->n_usable++;
+  if (is_schedulable(&machine->record)) group->n_schedulable++;
 }
 
 static void remove_machine(struct tmx_planner *planner, int slot) {
@@ -61,7 +61,7 @@
   planner->machines[slot] = NULL;
 }
 
-/* Takes over the record's tasks. */
+/* Replaces the machine's state. Takes over the record's task array. */
 static void update_machine(struct tmx_planner *planner, struct tmx_plan_machine *record) {
   planner->machines = tmx_grow(planner->machines, &planner->cap_machines, (size_t)record->slot + 1,
                                sizeof *planner->machines);
@@ -106,12 +106,12 @@
   planner->jobs[slot] = NULL;
 }
 
-/* Takes over the record's waiting tasks, and its spec if it has one. */
+/* Replaces the job's state. Takes over the record's waiting tasks, and its spec if it has one. */
 static void update_job(struct tmx_planner *planner, struct tmx_plan_job *record) {
   planner->jobs =
       tmx_grow(planner->jobs, &planner->cap_jobs, (size_t)record->slot + 1, sizeof *planner->jobs);
   struct planner_job *job = planner->jobs[record->slot];
-  if (!record->open && !record->n_placed) { /* over, and nothing of it is left anywhere */
+  if (!record->open && !record->n_placed) { /* not open, and no task is on a machine */
     remove_job(planner, record->slot);
     return;
   }
--- a/src/planner/preemption.c
+++ b/src/planner/preemption.c
@@ -39,7 +39,7 @@
 static bool may_preempt(const struct round *round, const struct planner_job *job,
                         const struct tmx_plan_task *task) {
   const struct planner_job *other = job_of_task(round, task);
-  if (!other || task->stopping || tmx_fit_precedence(job) <= tmx_fit_precedence(other))
+  if (!other || task->stopping || tmx_job_precedence(job) <= tmx_job_precedence(other))
     return false;
   if (other->record.priority < job->record.priority) return true;
   if (!job->guaranteed || other->record.team == job->record.team || other->record.team < 0 ||
@@ -52,7 +52,7 @@
                           const struct tmx_plan_task *task) {
   const struct tmx_job_spec *spec = job->record.spec;
   if (spec->checkpoint_s > 0) return spec->checkpoint_save_s + 1; /* it saves before it stops */
-  return round->input->now_steady - task->lost_since;
+  return round->input->now_steady - task->placed_at;
 }
 
 /* Lower priority first, then the least lost work; among equals the earlier one. */
@@ -86,7 +86,7 @@
   bool may_save = spec->checkpoint_s > 0 && !job->record.spec->service;
   tmx_round_emit(round, TMX_OPERATION_STOP, victim->job, task->task, task->attempt)->reason =
       may_save ? STOP_AFTER_CHECKPOINT : STOP_AT_ONCE;
-  tmx_round_touch_machine(round, machine);
+  tmx_round_snapshot_machine(round, machine);
   tmx_round_mark_preempted(round, machine, victim->task);
   tmx_resources_set_releasing(
       record, tmx_resources_add(tmx_resources_releasing(record), tmx_resources_of_task(spec)));
--- a/src/planner/round.c
+++ b/src/planner/round.c
@@ -3,26 +3,26 @@
 
 #include <string.h>
 
-void tmx_round_touch_machine(struct round *round, struct planner_machine *machine) {
-  if (machine->touched_in_round == round->planner->round_number) return;
-  machine->touched_in_round = round->planner->round_number;
+void tmx_round_snapshot_machine(struct round *round, struct planner_machine *machine) {
+  if (machine->snapshot_round == round->planner->round_number) return;
+  machine->snapshot_round = round->planner->round_number;
   machine->snapshot =
       (struct machine_snapshot){.booked = tmx_resources_booked(&machine->record),
                                 .releasing = tmx_resources_releasing(&machine->record),
                                 .n_tasks = machine->record.n_tasks};
-  round->touched_machines =
-      tmx_grow(round->touched_machines, &round->cap_touched_machines, round->n_touched_machines + 1,
-               sizeof *round->touched_machines);
-  round->touched_machines[round->n_touched_machines++] = machine;
+  round->modified_machines =
+      tmx_grow(round->modified_machines, &round->cap_modified_machines,
+               round->n_modified_machines + 1, sizeof *round->modified_machines);
+  round->modified_machines[round->n_modified_machines++] = machine;
 }
 
-void tmx_round_touch_job(struct round *round, struct planner_job *job) {
-  if (job->touched_in_round == round->planner->round_number) return;
-  job->touched_in_round = round->planner->round_number;
+void tmx_round_snapshot_job(struct round *round, struct planner_job *job) {
+  if (job->snapshot_round == round->planner->round_number) return;
+  job->snapshot_round = round->planner->round_number;
   memcpy(job->saved_placed_in_zone, job->record.placed_in_zone, sizeof job->saved_placed_in_zone);
-  round->touched_jobs = tmx_grow(round->touched_jobs, &round->cap_touched_jobs,
-                                 round->n_touched_jobs + 1, sizeof *round->touched_jobs);
-  round->touched_jobs[round->n_touched_jobs++] = job;
+  round->modified_jobs = tmx_grow(round->modified_jobs, &round->cap_modified_jobs,
+                                  round->n_modified_jobs + 1, sizeof *round->modified_jobs);
+  round->modified_jobs[round->n_modified_jobs++] = job;
 }
 
 void tmx_round_mark_preempted(struct round *round, struct planner_machine *machine, size_t task) {
@@ -47,9 +47,9 @@
     const struct preemption *preemption = &round->preemptions[i];
     preemption->machine->record.tasks[preemption->task].stopping = false;
   }
-  for (size_t i = 0; i < round->n_touched_machines; i++)
-    restore_machine(round->touched_machines[i]);
-  for (size_t i = 0; i < round->n_touched_jobs; i++) restore_job(round->touched_jobs[i]);
+  for (size_t i = 0; i < round->n_modified_machines; i++)
+    restore_machine(round->modified_machines[i]);
+  for (size_t i = 0; i < round->n_modified_jobs; i++) restore_job(round->modified_jobs[i]);
 }
 
 struct tmx_operation *tmx_round_emit(struct round *round, char kind, const struct planner_job *job,
@@ -71,15 +71,15 @@
   struct planner_machine *machine = round->planner->machines[machine_slot];
   struct tmx_plan_machine *record = &machine->record;
   const struct tmx_job_spec *spec = job->record.spec;
-  tmx_round_touch_machine(round, machine);
+  tmx_round_snapshot_machine(round, machine);
   tmx_resources_set_booked(
       record, tmx_resources_add(tmx_resources_booked(record), tmx_resources_of_task(spec)));
   record->tasks =
       tmx_grow(record->tasks, &machine->cap_tasks, record->n_tasks + 1, sizeof *record->tasks);
-  /* Marked as stopping, so that nothing preempts what this round has placed. */
+  /* The stopping mark keeps this round from preempting its own reservations. */
   record->tasks[record->n_tasks++] =
       (struct tmx_plan_task){.job = job->record.slot, .stopping = true};
-  tmx_round_touch_job(round, job);
+  tmx_round_snapshot_job(round, job);
   job->record.placed_in_zone[record->zone]++;
   if (reservation == RESERVATION_UNTIL_RELEASE) return;
   round->usage[job->record.team].cpus += spec->cpus;
--- a/src/planner/service_migration.c
+++ b/src/planner/service_migration.c
@@ -29,7 +29,7 @@
  */
 static int find_new_machine(struct round *round, struct planner_job *job, int zone) {
   tmx_candidates_begin_job(round, job);
-  tmx_round_touch_job(round, job);
+  tmx_round_snapshot_job(round, job);
   job->record.placed_in_zone[zone]--;
   int machine = tmx_candidates_best(round, job, POOL_ANY_SHARD, IMAGE_WARM);
   job->record.placed_in_zone[zone]++;
--- a/src/scheduler/delta_collection.c
+++ b/src/scheduler/delta_collection.c
@@ -29,7 +29,7 @@
 }
 
 void tmx_scheduler_machine_removed(struct tmx_scheduler *scheduler, struct tmx_machine *machine) {
-  tmx_planner_delta_removed(&scheduler->delta, machine->planner_slot);
+  tmx_planner_delta_add_removed(&scheduler->delta, machine->planner_slot);
   for (size_t i = 0; machine->planner_update_due && i < scheduler->n_changed_machines; i++)
     if (scheduler->changed_machines[i] == machine) {
       scheduler->changed_machines[i] = scheduler->changed_machines[--scheduler->n_changed_machines];
@@ -75,7 +75,7 @@
   input->leading = tmx_store_is_leader(scheduler->store);
   input->n_zones = scheduler->settings->n_zones;
   input->own_planner_grace_s = own_planner_grace(scheduler);
-  tmx_turns_fill(&input->turns, replica->backlog, scheduler->settings, input->now_steady);
+  tmx_turns_fill(&input->start_rotation, replica->backlog, scheduler->settings, input->now_steady);
   input->n_teams = scheduler->settings->n_teams;
   memcpy(input->teams, scheduler->settings->teams, sizeof input->teams);
   memcpy(input->usage, replica->team_usage, sizeof input->usage);
--- a/src/scheduler/planner_records.c
+++ b/src/scheduler/planner_records.c
@@ -43,7 +43,7 @@
   const struct tmx_machine_type *type = tmx_machine_catalog_find(scheduler->catalog, machine->type);
   machine->planner_update_due = false;
   if (!machine->registered) return;
-  struct tmx_plan_machine *record = tmx_planner_delta_machine(&scheduler->delta);
+  struct tmx_plan_machine *record = tmx_planner_delta_add_machine(&scheduler->delta);
   record->slot = machine->planner_slot;
   memcpy(record->id, machine->id, sizeof record->id);
   memcpy(record->type, machine->type, sizeof record->type);
@@ -77,10 +77,11 @@
                          const struct tmx_job *job) {
   record->slot = job->planner_slot;
   memcpy(record->id, job->id, sizeof record->id);
-  record->zone = job->spec.zone[0] ? tmx_zone_index(scheduler->settings, job->spec.zone) : -1;
+  record->required_zone =
+      job->spec.zone[0] ? tmx_zone_index(scheduler->settings, job->spec.zone) : -1;
   record->team = job->team;
   record->account = job->account;
-  record->planner = tmx_job_planner_index(scheduler->replica, job->id);
+  record->planning_member = tmx_job_planner_index(scheduler->replica, job->id);
 }
 
 static void add_times(const struct tmx_scheduler *scheduler, struct tmx_plan_job *record,
@@ -89,9 +90,10 @@
   record->released_at = job->released_at;
   record->unplaced_since = job->unplaced_since;
   record->retry_at = job->retry_at;
-  record->target_s = tmx_objectives_final_completion_target(scheduler->settings, job);
-  record->next_target_s = tmx_objectives_next_completion_target(scheduler->settings, job, elapsed);
-  record->run_s =
+  record->completion_target_s = tmx_objectives_final_completion_target(scheduler->settings, job);
+  record->next_completion_target_s =
+      tmx_objectives_next_completion_target(scheduler->settings, job, elapsed);
+  record->expected_run_s =
       fmax(tmx_run_estimate_expected(scheduler->replica, &job->spec), job->longest_run_s);
 }
 
@@ -120,7 +122,7 @@
   job->planner_update_due = false;
   bool open = !job->outcome && job->tasks && !tmx_job_is_blocked(job);
   if (!open && !job->n_placed && !job->known_to_planner) return;
-  struct tmx_plan_job *record = tmx_planner_delta_job(&scheduler->delta);
+  struct tmx_plan_job *record = tmx_planner_delta_add_job(&scheduler->delta);
   add_identity(scheduler, record, job);
   add_specification(scheduler->settings, record, job);
   add_times(scheduler, record, job);
--- a/tests/planned_cluster.c
+++ b/tests/planned_cluster.c
@@ -45,12 +45,12 @@
   spec->priority = service ? TMX_PRIORITY_PROD : TMX_PRIORITY_NORMAL;
   job->slot = (int)index;
   job->spec = spec;
-  job->zone = -1;
+  job->required_zone = -1;
   job->open = true;
   job->released_at = 95;
   job->unplaced_since = 95;
-  job->target_s = 600;
-  job->run_s = 50;
+  job->completion_target_s = 600;
+  job->expected_run_s = 50;
   job->waiting = calloc(tasks, sizeof *job->waiting);
   for (uint32_t i = 0; i < tasks; i++)
     job->waiting[job->n_waiting++] = (struct tmx_plan_waiting_task){i, 1};
@@ -68,7 +68,7 @@
   struct tmx_planner *planner = tmx_planner_new();
   struct tmx_planner_delta delta = {0};
   for (size_t i = 0; i < cluster->n_jobs; i++) {
-    struct tmx_plan_job *job = tmx_planner_delta_job(&delta);
+    struct tmx_plan_job *job = tmx_planner_delta_add_job(&delta);
     *job = cluster->jobs[i];
     job->spec = malloc(sizeof *job->spec);
     *job->spec = *cluster->jobs[i].spec;
@@ -77,7 +77,7 @@
     memcpy(job->waiting, cluster->jobs[i].waiting, job->n_waiting * sizeof *job->waiting);
   }
   for (size_t i = 0; i < cluster->n_machines; i++) {
-    struct tmx_plan_machine *machine = tmx_planner_delta_machine(&delta);
+    struct tmx_plan_machine *machine = tmx_planner_delta_add_machine(&delta);
     *machine = cluster->machines[i];
     machine->tasks = calloc(machine->n_tasks + 1, sizeof *machine->tasks);
     memcpy(machine->tasks, cluster->machines[i].tasks, machine->n_tasks * sizeof *machine->tasks);
--- a/tests/test_planner_order.c
+++ b/tests/test_planner_order.c
@@ -103,13 +103,13 @@
   /* who does not lead looks at another's job first, in that one's part: it says nothing of its own
    */
   cluster->input.leading = false;
-  cluster->jobs[0].planner = 1;
+  cluster->jobs[0].planning_member = 1;
   cluster->machines[7].owner = 0;
   cluster->machines[7].n_tasks = 0;
   for (size_t machine_index = 0; machine_index < 64; machine_index++)
     cluster->machines[machine_index].owner = machine_index == 7 ? 0 : 1;
   cluster->jobs[0].n_placed = 0;
-  for (size_t k = 1; k < 16; k++) cluster->jobs[k].planner = 0;
+  for (size_t k = 1; k < 16; k++) cluster->jobs[k].planning_member = 0;
   run_round(cluster, &output);
   assert_true(output.n_operations >= 1);
   for (size_t i = 0; i < output.n_operations; i++)
@@ -136,13 +136,13 @@
       machine->usable = gsl_rng_uniform_int(random, 5) > 0;
       machine->draining = gsl_rng_uniform_int(random, 8) == 0;
       machine->owner = (int)gsl_rng_uniform_int(random, 2);
-      struct tmx_plan_machine *target = tmx_planner_delta_machine(&delta);
+      struct tmx_plan_machine *target = tmx_planner_delta_add_machine(&delta);
       *target = *machine;
       target->tasks = NULL;
       target->n_tasks = 0;
-      struct tmx_plan_job *job = &cluster->jobs[k], *target_job = tmx_planner_delta_job(&delta);
+      struct tmx_plan_job *job = &cluster->jobs[k], *target_job = tmx_planner_delta_add_job(&delta);
       job->n_waiting = gsl_rng_uniform_int(random, 21);
-      job->planner = (int)gsl_rng_uniform_int(random, 2);
+      job->planning_member = (int)gsl_rng_uniform_int(random, 2);
       *target_job = *job;
       target_job->spec = NULL; /* as before */
       target_job->waiting = calloc(21, sizeof *target_job->waiting);
--- a/tests/test_planner_placement.c
+++ b/tests/test_planner_placement.c
@@ -54,12 +54,12 @@
   struct tmx_plan_machine machine = {.cpus = 16, .mem_gb = 64, .fetch_gb_per_s = 1, .n_images = 1};
   struct tmx_job_spec spec = {
       .cpus = 2, .mem_gb = 1, .image_gb = 4, .fetch_tolerance_s = 10, .image_id = 1};
-  assert_float_equal(tmx_booked_share(&machine, &spec, 100), 0.4, 1e-9); /* 4 s of 10 */
+  assert_float_equal(tmx_base_placement_cost(&machine, &spec, 100), 0.4, 1e-9); /* 4 s of 10 */
   machine.images[0].id = 1;
   machine.images[0].fetch_started_at = 99;
-  assert_float_equal(tmx_booked_share(&machine, &spec, 100), 0.3, 1e-9);
+  assert_float_equal(tmx_base_placement_cost(&machine, &spec, 100), 0.3, 1e-9);
   machine.images[0].fetch_started_at = 90;
-  assert_float_equal(tmx_booked_share(&machine, &spec, 100), 0, 1e-9);
+  assert_float_equal(tmx_base_placement_cost(&machine, &spec, 100), 0, 1e-9);
 }
 
 static void a_task_waits_rather_than_break_a_cap(void **state) {
@@ -169,7 +169,7 @@
       spec->spread = gsl_rng_uniform_int(random, 2);
       spec->same_zone = gsl_rng_uniform_int(random, 4) == 0;
       spec->spot_allowed = !spec->service && gsl_rng_uniform_int(random, 2);
-      cluster->jobs[k].planner = (int)gsl_rng_uniform_int(random, 3);
+      cluster->jobs[k].planning_member = (int)gsl_rng_uniform_int(random, 3);
     }
     run_round(cluster, &output);
     double total = 0;
@@ -212,7 +212,8 @@
   struct tmx_round_output output;
   add_job(cluster, 0, true, 1, 4);
   add_job(cluster, 1, false, 3, 4);
-  cluster->jobs[0].planner = 1; /* the service is another's, the array and the machine are ours */
+  cluster->jobs[0].planning_member =
+      1; /* the service is another's, the array and the machine are ours */
   cluster->input.leading = false;
   cluster->machines[0].booked_cpus = 12;
   run_round(cluster, &output);
--- a/tests/test_scale_out_plan.c
+++ b/tests/test_scale_out_plan.c
@@ -51,8 +51,8 @@
     struct planned_cluster *cluster = make_cluster(2, 1, 1);
     cluster->machines[1].spot = true;
     add_job(cluster, 0, k == 2, 1, 2)->spot_allowed = k < 2;
-    cluster->jobs[0].next_target_s = 250;
-    cluster->jobs[0].run_s = k ? 150 : 40;
+    cluster->jobs[0].next_completion_target_s = 250;
+    cluster->jobs[0].expected_run_s = k ? 150 : 40;
     struct tmx_round_output output;
     run_round(cluster, &output);
     assert_int_equal(output.n_operations, 1);
--- a/tests/test_start_rotation.c
+++ b/tests/test_start_rotation.c
@@ -8,7 +8,7 @@
 enum { FLOOD = 40 };
 
 static void fill_delta(struct tmx_planner_delta *feed, double released, bool flooder, int slot) {
-  struct tmx_plan_job *job = tmx_planner_delta_job(feed);
+  struct tmx_plan_job *job = tmx_planner_delta_add_job(feed);
   job->slot = slot;
   snprintf(job->id, sizeof job->id, "wk-%06d", slot);
   job->spec = calloc(1, sizeof *job->spec);
@@ -18,11 +18,11 @@
   job->spec->fetch_tolerance_s = 10;
   job->spec->priority = job->priority = TMX_PRIORITY_NORMAL;
   job->account = flooder ? 0 : 1;
-  job->zone = -1;
+  job->required_zone = -1;
   job->released_at = released;
   job->unplaced_since = 1;
-  job->target_s = job->next_target_s = 600;
-  job->run_s = 10;
+  job->completion_target_s = job->next_completion_target_s = 600;
+  job->expected_run_s = 10;
   job->open = true;
   job->n_waiting = job->spec->tasks;
   job->waiting = calloc(job->n_waiting, sizeof *job->waiting);
@@ -49,9 +49,9 @@
       .n_zones = 1, .leading = x.leading, .max_operations = 400, .max_visits = 400000};
   input->n_teams = 1;
   input->now_steady = input->now_wall = 1000;
-  input->turns.start_s = x.start_s;
-  input->turns.since_start[0][1] = x.since_start;
-  struct tmx_plan_machine *machine = tmx_planner_delta_machine(&delta);
+  input->start_rotation.start_s = x.start_s;
+  input->start_rotation.since_start[0][1] = x.since_start;
+  struct tmx_plan_machine *machine = tmx_planner_delta_add_machine(&delta);
   strcpy(machine->id, "n-000001");
   strcpy(machine->type, "big");
   machine->usable = true;
@@ -67,7 +67,7 @@
   *larger = false;
   for (size_t i = 0; i < n; i++) *larger |= !strcmp(output.operations[i].job, "wk-000040");
   free(output.operations);
-  input->turns.start_s = 0; /* what was kept free is free again in a round without turns */
+  input->start_rotation.start_s = 0; /* what was kept free is free again in a round without turns */
   tmx_planner_run_round(model, input, &output);
   assert_int_equal(output.n_operations, (size_t)x.free_cpus);
   free(output.operations);
