--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -29,7 +29,7 @@
 
 static void tick_election(struct tmx_controller *controller) {
   bool suspected = tmx_controller_leader_is_suspected(controller);
-  tmx_store_suspect_leader(controller->store, suspected ? controller->replica.leader : "");
+  tmx_store_set_suspected_leader(controller->store, suspected ? controller->replica.leader : "");
   tmx_store_abstain_from_election(
       controller->store,
       tmx_workers_are_unreachable(controller->workers) && tmx_peers_any_alive(controller->peers));
--- a/src/store/election.c
+++ b/src/store/election.c
@@ -1,4 +1,5 @@
-/* The leader election: a compare-and-swap on the leader key, which is attached to the lease. */
+/* The leader election: controllers compete with a compare-and-swap on the leader key, which is
+ * attached to the lease of the controller that wrote it. */
 #include <stdio.h>
 #include <string.h>
 
@@ -13,16 +14,16 @@
   return !strcmp(store->replica->leader, store->settings->node_name);
 }
 
-static bool leader_key_is_of_this_incarnation(const struct tmx_store *store) {
+static bool leader_key_names_this_incarnation(const struct tmx_store *store) {
   return leader_key_names_this_node(store) &&
          store->replica->leader_incarnation == store->registration.incarnation;
 }
 
-/* A leader key of an earlier incarnation of this node would stand until its lease expires, and
- * that of a suspected leader as well: both are overwritten at once. */
-static bool is_leadership_open(const struct tmx_store *store) {
+/* A leader key that an earlier incarnation of this node or a suspected leader wrote exists until
+ * its lease expires. This controller may overwrite both at once. */
+static bool may_claim_leadership(const struct tmx_store *store) {
   const struct tmx_replica *replica = store->replica;
-  if (leader_key_is_of_this_incarnation(store)) return false;
+  if (leader_key_names_this_incarnation(store)) return false;
   if (!replica->leader_version || leader_key_names_this_node(store)) return true;
   return !strcmp(replica->leader, store->election.suspected_leader);
 }
@@ -31,11 +32,11 @@
   struct tmx_store *store = arg;
   (void)revision;
   store->election.in_flight = false;
-  if (result == TMX_TRANSACTION_COMMITTED) tmx_log(TMX_LOG_INFO, "state: leading now");
+  if (result == TMX_TRANSACTION_COMMITTED) tmx_log(TMX_LOG_INFO, "state: elected leader");
 }
 
-/* On the condition that the leader key is as the replica shows it: of several candidates one wins.
- */
+/* The transaction requires the version of the leader key that the replica shows, so only one of
+ * several candidates wins. */
 static void write_leader_key(struct tmx_store *store, double now) {
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
@@ -54,15 +55,15 @@
   if (election->abstains || election->in_flight) return;
   if (!store->replica->loaded || !store->registration.incarnation) return;
   if (now - election->attempted_at < TMX_STORE_RETRY_S) return;
-  if (is_leadership_open(store)) write_leader_key(store, now);
+  if (may_claim_leadership(store)) write_leader_key(store, now);
 }
 
 bool tmx_store_is_leader(const struct tmx_store *store) {
   return tmx_store_is_member(store) && store->replica->leader_version &&
-         leader_key_is_of_this_incarnation(store);
+         leader_key_names_this_incarnation(store);
 }
 
-void tmx_store_suspect_leader(struct tmx_store *store, const char *node) {
+void tmx_store_set_suspected_leader(struct tmx_store *store, const char *node) {
   struct tmx_election *election = &store->election;
   snprintf(election->suspected_leader, sizeof election->suspected_leader, "%s", node);
 }
--- a/src/store/initial_load.c
+++ b/src/store/initial_load.c
@@ -1,4 +1,4 @@
-/* The initial load: reads all keys of the store into the replica, page by page. */
+/* The initial load: reads all keys of the store in pages and loads them into the replica. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -16,12 +16,12 @@
   *load = (struct tmx_initial_load){0};
 }
 
-static void retry_later(struct tmx_store *store) {
+static void restart_later(struct tmx_store *store) {
   tmx_initial_load_reset(&store->load);
   tmx_watch_schedule(store, TMX_STORE_RETRY_S);
 }
 
-/* Keeps the page, which owns the values of its entries. */
+/* Keeps the page until the load ends, as the page owns the values of its entries. */
 static void append_page(struct tmx_initial_load *load, cbor_item_t *page) {
   load->pages = tmx_grow(load->pages, &load->cap_pages, load->n_pages + 1, sizeof *load->pages);
   load->pages[load->n_pages++] = page;
@@ -43,8 +43,9 @@
   }
 }
 
-/* Pages are read at different revisions. So the events since the first page's revision are applied
- * again on top, and only at the last page's revision is the replica consistent. */
+/* Each page is read at a different revision. Therefore the watch starts at the first page's
+ * revision and applies the events since then again. The replica is consistent only from the last
+ * page's revision on. */
 static void finish_load(struct tmx_store *store, uint64_t last_page_revision) {
   struct tmx_replica *replica = store->replica;
   struct tmx_initial_load *load = &store->load;
@@ -57,7 +58,7 @@
           (unsigned long long)last_page_revision);
   tmx_initial_load_reset(load);
   tmx_replica_advance_to(replica, first_page_revision);
-  tmx_watch_start(store);
+  tmx_watch_poll(store);
 }
 
 static void on_page(void *arg, int status, const uint8_t *body, size_t length) {
@@ -68,7 +69,7 @@
   uint64_t revision;
   if (!page || !tmx_cbor_get_u64(page, W_REVISION, &revision)) {
     tmx_cbor_free(page);
-    retry_later(store);
+    restart_later(store);
     return;
   }
   if (!load->first_page_revision) load->first_page_revision = revision;
@@ -78,12 +79,12 @@
   append_page(load, page);
   append_entries(load, items);
   if (has_next && tmx_cbor_list_length(items))
-    tmx_initial_load_start(store);
+    tmx_initial_load_request_page(store);
   else
     finish_load(store, revision);
 }
 
-void tmx_initial_load_start(struct tmx_store *store) {
+void tmx_initial_load_request_page(struct tmx_store *store) {
   struct tmx_initial_load *load = &store->load;
   char path[TMX_PATH_MAX + 64];
   if (load->in_flight) return;
@@ -91,5 +92,5 @@
            load->last_key[0] ? "&from=" : "", load->last_key);
   load->in_flight = tmx_http_client_call(store->request_connections, "GET", path, NULL,
                                          TMX_STORE_TIMEOUT_S * 2, on_page, store);
-  if (!load->in_flight) retry_later(store);
+  if (!load->in_flight) restart_later(store);
 }
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -1,4 +1,4 @@
-/* The lease: requests and renews the lease to which this controller's keys are attached. */
+/* Requests and renews the lease to which this controller's member and leader keys are attached. */
 #include <stdio.h>
 
 #include "base/log.h"
@@ -7,11 +7,11 @@
 
 void tmx_lease_init(struct tmx_lease *lease) { lease->attempted_at = -TMX_LEASE_RENEW_S; }
 
-void tmx_lease_expire(struct tmx_store *store) {
+void tmx_lease_handle_expiry(struct tmx_store *store) {
   tmx_log(TMX_LOG_INFO, "state: the lease expired, registering again");
   store->lease.id = 0;
   store->registration.incarnation = 0;
-  tmx_lease_init(&store->lease); /* the next request is due at once */
+  tmx_lease_init(&store->lease); /* makes the next request due at once */
 }
 
 static void on_granted(void *arg, int status, const uint8_t *body, size_t length) {
@@ -27,13 +27,13 @@
   tmx_store_tick(store);
 }
 
-/* Other errors than an expired lease are met by the next renewal. */
+/* An expired lease is replaced. After any other error the next periodic renewal is the retry. */
 static void on_renewed(void *arg, int status, const uint8_t *body, size_t length) {
   struct tmx_store *store = arg;
   (void)body;
   (void)length;
   store->lease.request_in_flight = false;
-  if (status == TMX_STATUS_NOT_FOUND) tmx_lease_expire(store);
+  if (status == TMX_STATUS_NOT_FOUND) tmx_lease_handle_expiry(store);
 }
 
 static void request_lease(struct tmx_store *store) {
--- a/src/store/read_index.c
+++ b/src/store/read_index.c
@@ -1,6 +1,6 @@
-/* Linearizable reads. A caller's answer may be given from the replica once the replica has reached
- * a revision that was read from the store after the call. One read serves all callers that were
- * waiting when it was sent, so reads are few and paced. */
+/* Linearizable reads. A call completes once the replica has reached a revision that was read from
+ * the store after the call. One read of the revision serves all callers that were waiting when it
+ * was sent, so a low, paced rate of reads is sufficient. */
 #include <stdlib.h>
 #include <utlist.h>
 
@@ -10,18 +10,18 @@
 #include "store/store_internal.h"
 #include "tmx/wire.h"
 
-/* s between two looks for waiters whose deadline has passed */
+/* period of the check for waiters whose deadline has passed, s */
 static const double DEADLINE_CHECK_S = 0.1;
-/* s: a read that is due in less than this is sent at once */
+/* a read whose pacing delay does not exceed this is sent at once, s */
 static const double PACING_TOLERANCE_S = 0.001;
 
-/** A caller of tmx_store_read_index() that has not been answered. Owned by the list it is in. */
+/** A call of tmx_store_read_index() without an outcome. Owned by the list of waiters. */
 struct read_waiter {
-  tmx_read_index_cb callback; /**< called exactly once, unless the store is freed before */
+  tmx_read_index_cb callback; /**< called exactly once, unless the client is freed first */
   void *arg;
   double requested_at, deadline; /**< steady clock, s */
-  /** The revision that the replica has to reach; 0: no read that was sent after the call has been
-   * answered. */
+  /** The revision that the replica must reach; 0: there is no response yet to a read that was sent
+   * after the call. */
   uint64_t required_revision;
   struct read_waiter *prev, *next;
 };
@@ -33,8 +33,8 @@
 static void advance_freshness(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
   if (!reads->pending_revision || !replica_has_reached(store, reads->pending_revision)) return;
-  if (reads->pending_started_at > reads->fresh_as_of)
-    reads->fresh_as_of = store->replica->fresh_as_of = reads->pending_started_at;
+  if (reads->pending_sent_at > reads->fresh_as_of)
+    reads->fresh_as_of = store->replica->fresh_as_of = reads->pending_sent_at;
   reads->pending_revision = 0;
 }
 
@@ -52,26 +52,27 @@
   }
 }
 
-/* Only waiters that came before the read was sent may rely on its revision. */
+/* Only waiters whose call precedes the sending of the read may rely on its revision. */
 static void record_revision(struct tmx_read_index *reads, uint64_t revision) {
   struct read_waiter *waiter;
   DL_FOREACH(reads->waiters, waiter) {
-    if (!waiter->required_revision && waiter->requested_at <= reads->started_at)
+    if (!waiter->required_revision && waiter->requested_at <= reads->sent_at)
       waiter->required_revision = revision;
   }
   if (reads->pending_revision) return;
   reads->pending_revision = revision;
-  reads->pending_started_at = reads->started_at;
-  reads->pending_since = tmx_clock_steady();
+  reads->pending_sent_at = reads->sent_at;
+  reads->pending_received_at = tmx_clock_steady();
 }
 
-/* A watch that the network cut silently reports no error until its poll times out. It shows here:
- * the store has been ahead of the replica for longer than an event takes to arrive. */
-static void reopen_silent_watch(struct tmx_store *store) {
+/* If the watch's connection breaks without an error, the watch reports a failure only when its poll
+ * times out. This check detects it earlier: the store has been ahead of the replica for longer than
+ * the delivery of an event takes. */
+static void reopen_lagging_watch(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
   if (!reads->pending_revision || !store->replica->revision || !store->watch.in_flight) return;
-  if (tmx_clock_steady() - reads->pending_since <= TMX_WATCH_LAG_S) return;
-  tmx_log(TMX_LOG_INFO, "state: the watch lags behind revision %llu, opened anew",
+  if (tmx_clock_steady() - reads->pending_received_at <= TMX_WATCH_LAG_S) return;
+  tmx_log(TMX_LOG_INFO, "state: the watch has not reached revision %llu, reopening it",
           (unsigned long long)reads->pending_revision);
   reads->pending_revision = 0;
   tmx_watch_reopen(store);
@@ -83,14 +84,14 @@
   cbor_item_t *response = status == TMX_STATUS_OK ? tmx_cbor_parse(body, length) : NULL;
   uint64_t revision;
   reads->in_flight = false;
-  /* A store that refuses a read for its rate is reachable. */
+  /* A store that refuses a read because of the request rate is reachable. */
   reads->last_read_failed = status != TMX_STATUS_OK && status != TMX_STATUS_TOO_MANY_REQUESTS;
   if (response && tmx_cbor_get_u64(response, W_REVISION, &revision))
     record_revision(reads, revision);
   tmx_cbor_free(response);
   tmx_read_index_complete(store);
-  reopen_silent_watch(store);
-  tmx_read_index_poll(store);
+  reopen_lagging_watch(store);
+  tmx_read_index_send_if_due(store);
 }
 
 static bool is_read_due(const struct tmx_read_index *reads, double now) {
@@ -102,14 +103,15 @@
   return now - reads->last_read_at > period;
 }
 
-/* Seconds until this controller's share of the store's request rate allows the next read. */
+/* Returns the seconds until this controller's share of the store's request rate allows the next
+ * read; not positive if it does so now. */
 static double pacing_delay(const struct tmx_store *store, double now) {
   double rate =
       store->settings->state_rps * TMX_READ_INDEX_SHARE / tmx_store_members_sharing_rates(store);
   return store->read_index.last_read_at + 1 / rate - now;
 }
 
-void tmx_read_index_poll(struct tmx_store *store) {
+void tmx_read_index_send_if_due(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
   double now = tmx_clock_steady();
   if (reads->in_flight || ev_is_active(&reads->pacing_timer) || !is_read_due(reads, now)) return;
@@ -120,7 +122,7 @@
     return;
   }
   reads->expedited = false;
-  reads->started_at = reads->last_read_at = now;
+  reads->sent_at = reads->last_read_at = now;
   reads->in_flight = tmx_http_client_call(store->request_connections, "GET",
                                           WP_KV "?prefix=" TMX_KEY_HEAD "&page=1", NULL,
                                           TMX_STORE_TIMEOUT_S, on_revision, store);
@@ -129,19 +131,19 @@
 static void on_pacing_timer(struct ev_loop *loop, ev_timer *timer, int events) {
   (void)loop;
   (void)events;
-  tmx_read_index_poll(timer->data);
+  tmx_read_index_send_if_due(timer->data);
 }
 
 static void on_deadline_timer(struct ev_loop *loop, ev_timer *timer, int events) {
   (void)loop;
   (void)events;
   tmx_read_index_complete(timer->data);
-  tmx_read_index_poll(timer->data);
+  tmx_read_index_send_if_due(timer->data);
 }
 
 void tmx_read_index_init(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
-  reads->last_read_at = -TMX_READ_INDEX_IDLE_S; /* the first read is due at once */
+  reads->last_read_at = -TMX_READ_INDEX_IDLE_S; /* makes the first read due at once */
   ev_timer_init(&reads->pacing_timer, on_pacing_timer, 0, 0);
   ev_timer_init(&reads->deadline_timer, on_deadline_timer, DEADLINE_CHECK_S, DEADLINE_CHECK_S);
   reads->pacing_timer.data = reads->deadline_timer.data = store;
@@ -170,23 +172,24 @@
   waiter->deadline = waiter->requested_at + timeout;
   DL_APPEND(reads->waiters, waiter);
   reads->n_waiters++;
-  tmx_read_index_poll(store);
+  tmx_read_index_send_if_due(store);
   return true;
 }
 
 void tmx_store_expedite_read_index(struct tmx_store *store) {
   store->read_index.expedited = true;
   ev_timer_stop(store->loop, &store->read_index.pacing_timer);
-  tmx_read_index_poll(store);
+  tmx_read_index_send_if_due(store);
 }
 
-/* A read shows whether the watch was cut silently. Every peer that is ahead says so with each of
- * its heartbeats; one read a period serves all of them. */
+/* A read of the revision shows whether the watch's connection broke without an error. Each
+ * heartbeat of each peer that is ahead causes a call; one read per heartbeat period is enough for
+ * all of them. */
 void tmx_store_note_peer_ahead(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
   if (tmx_clock_steady() - reads->last_read_at < TMX_HEARTBEAT_PERIOD_S) return;
   reads->last_read_at = -TMX_READ_INDEX_IDLE_S;
-  tmx_read_index_poll(store);
+  tmx_read_index_send_if_due(store);
 }
 
 double tmx_store_fresh_as_of(const struct tmx_store *store) {
--- a/src/store/registration.c
+++ b/src/store/registration.c
@@ -1,4 +1,5 @@
-/* The registration: keeps this controller's member key, whose version is its incarnation. */
+/* The registration: maintains this controller's member key, whose version is the controller's
+ * incarnation. */
 #include <stdio.h>
 #include <string.h>
 
@@ -32,14 +33,15 @@
       break;
     case TMX_TRANSACTION_CONFLICT:
     case TMX_TRANSACTION_UNKNOWN:
-      break; /* tried again once the retry time after the attempt has passed */
+      break; /* retried TMX_STORE_RETRY_S after the attempt was sent */
   }
 }
 
-/* A write of the member key that got no response, of this process or the one before it, may be
- * executed after the write that counts. The key then shows another incarnation, or is deleted with
- * the lease of the other write, and no view would ever contain this incarnation. */
-static bool was_overwritten(const struct tmx_store *store) {
+/* A put of the member key that got no response, from this process or the previous one, may be
+ * executed after the put that set the current incarnation. The key then shows another incarnation,
+ * or the store deletes it when the lease of the other put expires. Without a new registration no
+ * view would contain the current incarnation. */
+static bool is_registration_lost(const struct tmx_store *store) {
   const struct tmx_replica *replica = store->replica;
   uint64_t incarnation = store->registration.incarnation;
   if (!incarnation || !replica->loaded || replica->revision < incarnation) return false;
@@ -66,8 +68,9 @@
 void tmx_registration_maintain(struct tmx_store *store, double now) {
   struct tmx_registration *registration = &store->registration;
   if (registration->in_flight) return;
-  if (was_overwritten(store)) {
-    tmx_log(TMX_LOG_INFO, "state: the member key shows another incarnation, registering again");
+  if (is_registration_lost(store)) {
+    tmx_log(TMX_LOG_INFO,
+            "state: the member key is missing or shows another incarnation, registering again");
     registration->incarnation = 0;
   }
   if (!store->lease.id || registration->incarnation) return;
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,5 +1,5 @@
-/* The facade of the store client: its life cycle, its tick, and the write budget under the share
- * that this controller has at the moment. */
+/* The facade of the store client: creation and destruction, the tick, and the access to the write
+ * budget with this controller's current share of the write rate. */
 #include "store/store.h"
 
 #include <stdlib.h>
@@ -31,7 +31,7 @@
   tmx_watch_free(store);
   tmx_read_index_free(store);
   tmx_http_client_free(store->request_connections);
-  tmx_transactions_abandon(store);
+  tmx_transactions_discard(store);
   tmx_initial_load_reset(&store->load);
   free(store);
 }
@@ -42,10 +42,11 @@
   tmx_registration_maintain(store, now);
   tmx_election_maintain(store, now);
   tmx_read_index_complete(store);
-  tmx_read_index_poll(store);
+  tmx_read_index_send_if_due(store);
 }
 
-/* Before the replica knows a view, every controller in the settings may be running. */
+/* Until the replica is loaded and has a view, every controller in the settings counts, as each of
+ * them may be running. */
 double tmx_store_members_sharing_rates(const struct tmx_store *store) {
   size_t n_members = store->replica->view.n_members;
   if (n_members > 0 && store->replica->loaded) return (double)n_members;
@@ -58,7 +59,7 @@
                                   .is_leader = tmx_store_is_leader(store)};
 }
 
-struct tmx_write_budget *tmx_store_refilled_budget(struct tmx_store *store) {
+struct tmx_write_budget *tmx_store_refill_write_budget(struct tmx_store *store) {
   struct tmx_write_share share = tmx_store_write_share(store);
   tmx_write_budget_refill(&store->write_budget, &share, tmx_clock_steady());
   return &store->write_budget;
@@ -66,22 +67,22 @@
 
 double tmx_store_write_budget(struct tmx_store *store) {
   struct tmx_write_share share = tmx_store_write_share(store);
-  return tmx_write_budget_available(tmx_store_refilled_budget(store), &share);
+  return tmx_write_budget_available(tmx_store_refill_write_budget(store), &share);
 }
 
 double tmx_store_write_budget_delay(struct tmx_store *store, double puts) {
   struct tmx_write_share share = tmx_store_write_share(store);
-  return tmx_write_budget_delay(tmx_store_refilled_budget(store), &share, puts);
+  return tmx_write_budget_delay(tmx_store_refill_write_budget(store), &share, puts);
 }
 
 bool tmx_store_is_write_load_low(struct tmx_store *store) {
   struct tmx_write_share share = tmx_store_write_share(store);
-  return tmx_write_budget_is_load_low(tmx_store_refilled_budget(store), &share);
+  return tmx_write_budget_is_load_low(tmx_store_refill_write_budget(store), &share);
 }
 
 bool tmx_store_has_housekeeping_budget(struct tmx_store *store) {
   struct tmx_write_share share = tmx_store_write_share(store);
-  return tmx_write_budget_has_housekeeping(tmx_store_refilled_budget(store), &share);
+  return tmx_write_budget_allows_housekeeping(tmx_store_refill_write_budget(store), &share);
 }
 
 bool tmx_store_reserve_submission_write(struct tmx_store *store) {
@@ -91,5 +92,5 @@
 
 int tmx_store_reserve_unused_writes(struct tmx_store *store, int wanted) {
   struct tmx_write_share share = tmx_store_write_share(store);
-  return tmx_write_budget_reserve_unused(tmx_store_refilled_budget(store), &share, wanted);
+  return tmx_write_budget_reserve_unused(tmx_store_refill_write_budget(store), &share, wanted);
 }
--- a/src/store/transaction.c
+++ b/src/store/transaction.c
@@ -1,4 +1,4 @@
-/* Transactions: builds compare-and-swaps, sends them and interprets their responses. */
+/* Builds transactions, sends them and interprets the responses. */
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
@@ -8,13 +8,13 @@
 #include "store/store_internal.h"
 #include "tmx/wire.h"
 
-/** A transaction that was sent and has no response yet. In the store's list until then. */
+/** A sent transaction. It is in the client's list until its response arrives. */
 struct pending_transaction {
   struct tmx_store *store;
   struct pending_transaction *prev, *next;
   tmx_transaction_cb callback; /**< may be NULL */
   void *arg;
-  uint64_t lease_id; /**< the lease that stood when it was sent */
+  uint64_t lease_id; /**< the client's lease when the transaction was sent */
 };
 
 void tmx_transaction_require_version(struct tmx_transaction *transaction, const char *key,
@@ -49,7 +49,8 @@
   tmx_buffer_free(&value);
 }
 
-/* Whatever is not known to have failed may have been executed, or may be executed later. */
+/* A status that does not rule out execution is TMX_TRANSACTION_UNKNOWN: the store may have executed
+ * the transaction or may execute it later. */
 static enum tmx_transaction_result result_of(int status, uint64_t revision) {
   switch (status) {
     case TMX_STATUS_OK:
@@ -67,15 +68,15 @@
   }
 }
 
-/* Nothing can be written with an expired lease any more, so a new one is requested at once rather
- * than when a renewal fails. A late response may tell of a lease that has been replaced meanwhile:
- * that is an error of the transaction only. */
+/* The store accepts no puts under an expired lease, so the client replaces the lease without
+ * waiting for a renewal to fail. If the lease was replaced after the transaction was sent, only the
+ * transaction has failed. */
 static void handle_bad_request(const struct pending_transaction *pending, const char *error) {
   struct tmx_store *store = pending->store;
   if (!strcmp(error, WV_NO_LEASE) && pending->lease_id == store->lease.id)
-    tmx_lease_expire(store);
+    tmx_lease_handle_expiry(store);
   else
-    tmx_log(TMX_LOG_ERROR, "state: a transaction was refused: %s", error);
+    tmx_log(TMX_LOG_ERROR, "state: the store refused a transaction: %s", error);
 }
 
 static void remove_pending(struct pending_transaction *pending) {
@@ -83,7 +84,7 @@
   free(pending);
 }
 
-void tmx_transactions_abandon(struct tmx_store *store) {
+void tmx_transactions_discard(struct tmx_store *store) {
   while (store->pending_transactions) remove_pending(store->pending_transactions);
 }
 
@@ -98,15 +99,15 @@
     tmx_cbor_free(response);
   }
   if (status == TMX_STATUS_BAD_REQUEST) handle_bad_request(pending, error);
-  if (status == TMX_STATUS_TOO_MANY_REQUESTS) { /* others used more than their share */
+  if (status == TMX_STATUS_TOO_MANY_REQUESTS) { /* other controllers exceeded their share */
     tmx_write_budget_exhaust(&pending->store->write_budget);
-    tmx_log(TMX_LOG_INFO, "state: too many puts");
+    tmx_log(TMX_LOG_INFO, "state: the store refused a transaction: write rate exceeded");
   }
   if (pending->callback) pending->callback(pending->arg, result_of(status, revision), revision);
   remove_pending(pending);
 }
 
-static void encode(struct tmx_buffer *body, const struct tmx_transaction *transaction) {
+static void encode_transaction(struct tmx_buffer *body, const struct tmx_transaction *transaction) {
   tmx_cbor_put_map(body, 2);
   tmx_cbor_put_text(body, W_IF);
   tmx_cbor_put_list(body, (size_t)transaction->n_conditions);
@@ -116,14 +117,14 @@
   tmx_buffer_append(body, transaction->operations.data, transaction->operations.length);
 }
 
-/* Returns whether it was sent; if not, the callback is not called. */
+/* Returns whether the transaction was sent; if not, the callback is not called. */
 static bool send_transaction(struct tmx_store *store, const struct tmx_transaction *transaction,
                              tmx_transaction_cb callback, void *arg) {
   struct tmx_buffer body = {0};
   struct pending_transaction *pending = tmx_allocate(1, sizeof *pending);
   *pending = (struct pending_transaction){
       .store = store, .callback = callback, .arg = arg, .lease_id = store->lease.id};
-  encode(&body, transaction);
+  encode_transaction(&body, transaction);
   bool sent = tmx_http_client_call(store->request_connections, "POST", WP_TXN, &body,
                                    TMX_STORE_TIMEOUT_S, on_response, pending);
   if (sent)
@@ -136,11 +137,11 @@
 
 bool tmx_store_commit(struct tmx_store *store, struct tmx_transaction *transaction, bool urgent,
                       tmx_transaction_cb callback, void *arg) {
-  struct tmx_write_budget *budget = tmx_store_refilled_budget(store);
+  struct tmx_write_budget *budget = tmx_store_refill_write_budget(store);
   bool sent = false;
   if (urgent || budget->member_tokens >= transaction->n_operations) {
     struct tmx_write_share share = tmx_store_write_share(store);
-    tmx_write_budget_take(budget, &share, transaction->n_operations);
+    tmx_write_budget_consume(budget, &share, transaction->n_operations);
     sent = send_transaction(store, transaction, callback, arg);
   }
   tmx_buffer_free(&transaction->conditions);
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -1,4 +1,4 @@
-/* The watch: follows the events of all keys by long polls and applies them to the replica. */
+/* The watch: receives the events of all keys with long polls and applies them to the replica. */
 #include <math.h>
 #include <stdio.h>
 
@@ -9,7 +9,7 @@
 
 enum { WATCH_CONNECTIONS = 2 };
 
-/* s beyond the wait that the poll asks for; then its response is taken for lost */
+/* added to the wait that a poll requests, s: the poll times out after the sum */
 static const double RESPONSE_MARGIN_S = 3;
 
 static void schedule_reload(struct tmx_store *store) {
@@ -31,12 +31,12 @@
 static void apply_events(struct tmx_store *store, const cbor_item_t *events) {
   size_t n_events = tmx_cbor_list_length(events);
   store->replica->now = tmx_clock_steady();
-  tmx_write_budget_record_events(tmx_store_refilled_budget(store), (double)n_events);
+  tmx_write_budget_record_events(tmx_store_refill_write_budget(store), (double)n_events);
   for (size_t i = 0; i < n_events; i++) apply_event(store->replica, tmx_cbor_list_at(events, i));
 }
 
-/* Polls are sent at once while this controller's share of requests allows it: a controller whose
- * replica lags behind the log loses the race for the head key. */
+/* The next poll is sent at once if this controller's share of the request rate allows it, because a
+ * controller whose replica lags behind the log has conflicts on the head key. */
 static void schedule_next_poll(struct tmx_store *store) {
   struct tmx_watch *watch = &store->watch;
   double now = tmx_clock_steady();
@@ -53,7 +53,7 @@
   struct tmx_replica *replica = store->replica;
   store->watch.in_flight = false;
   if (status == TMX_STATUS_GONE) {
-    tmx_log(TMX_LOG_INFO, "state: the watch fell behind, all keys are read again");
+    tmx_log(TMX_LOG_INFO, "state: the revision of the watch is too old, reading all keys again");
     schedule_reload(store);
     return;
   }
@@ -69,9 +69,10 @@
   apply_events(store, tmx_cbor_get(response, W_EVENTS));
   tmx_cbor_free(response);
   if (!was_loaded && replica->compaction_version != compaction_version) {
-    /* The compaction point moved while keys were read. The load passed over the pages of the new
-     * point, and those of the point before it may have been deleted already. */
-    tmx_log(TMX_LOG_INFO, "state: a compaction ended meanwhile, all keys are read again");
+    /* The compaction point moved while the keys were read. The load skipped the snapshot pages of
+     * the new point, and the pages of the previous point may have been deleted already. */
+    tmx_log(TMX_LOG_INFO,
+            "state: a compaction completed during the initial load, reading all keys again");
     schedule_reload(store);
     return;
   }
@@ -80,7 +81,7 @@
   schedule_next_poll(store);
 }
 
-void tmx_watch_start(struct tmx_store *store) {
+void tmx_watch_poll(struct tmx_store *store) {
   struct tmx_watch *watch = &store->watch;
   char path[256];
   if (watch->in_flight) return;
@@ -107,7 +108,7 @@
   tmx_http_client_free(store->watch.connection);
   open_connection(store);
   store->watch.in_flight = false;
-  tmx_watch_start(store);
+  tmx_watch_poll(store);
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *timer, int events) {
@@ -115,9 +116,9 @@
   (void)events;
   struct tmx_store *store = timer->data;
   if (store->replica->revision)
-    tmx_watch_start(store);
+    tmx_watch_poll(store);
   else
-    tmx_initial_load_start(store);
+    tmx_initial_load_request_page(store);
 }
 
 void tmx_watch_init(struct tmx_store *store) {
--- a/src/store/write_budget.h
+++ b/src/store/write_budget.h
@@ -1,107 +1,113 @@
 /**
  * @file
- * The write budget: how many puts this controller may send to the store.
+ * The write budget: the number of puts that this controller may send to the store.
  *
- * The store limits the puts of all controllers together. Each controller keeps to a share of that
- * rate by a token bucket of its own. From the watch it also knows what all of them wrote, so it
- * tracks the store's own bucket and can use what the others leave unused.
+ * The store limits the rate of puts of all controllers combined. Each controller limits itself to a
+ * share of that rate with its own token bucket. The watch reports the writes of all controllers, so
+ * each controller also estimates the store's token bucket and can use the tokens that the others
+ * leave unused.
  *
- * The module is pure: it does no I/O and reads no clock; the time is passed in. Functions that take
- * no time expect a budget that tmx_write_budget_refill() has brought up to the present. Not
- * thread-safe: the owner's thread only.
+ * The module does no I/O and reads no clock; callers pass the time. Functions without a time
+ * parameter expect a budget that tmx_write_budget_refill() has refilled up to the present. The
+ * module is not thread-safe; only the thread of the budget's owner may call it.
  */
 #ifndef TMX_WRITE_BUDGET_H
 #define TMX_WRITE_BUDGET_H
 #include <stdbool.h>
 
-/** What determines this controller's share of the store's write rate; changes with the view. */
+/** Parameters of this controller's share of the store's write rate; they change with the view. */
 struct tmx_write_share {
-  double store_rate; /**< puts/s that the store accepts from all controllers together */
-  double n_members;  /**< controllers among which the rate is shared; at least 1 */
-  bool is_leader;    /**< this controller is the leader, which has a double share */
+  double store_rate; /**< puts/s that the store accepts from all controllers combined */
+  double n_members;  /**< number of controllers that share the rate; at least 1 */
+  bool is_leader;    /**< whether this controller is the leader, which has two shares */
 };
 
-/** Token buckets, in puts. Tokens below 0 are writes made in advance. */
+/** Token buckets; one token is one put. A negative balance means that writes were sent before their
+ * tokens accrued. */
 struct tmx_write_budget {
-  double member_tokens;     /**< this controller's share */
-  double submission_tokens; /**< kept apart for submissions that are committed singly */
-  double shared_tokens;     /**< estimate of the store's own bucket, from the events of all */
-  double recent_writes;     /**< puts of all, decaying over TMX_RECENT_WRITES_S */
-  double refilled_at;       /**< steady clock, s: the time that the tokens stand for */
+  double member_tokens;     /**< tokens of this controller's share */
+  double submission_tokens; /**< reserve for submissions that are committed without a batch */
+  double store_tokens;      /**< estimate of the store's bucket, from the events of the watch */
+  double recent_writes;     /**< writes of all controllers, decayed with TMX_RECENT_WRITES_S */
+  double refilled_at;       /**< steady clock, s: time of the latest refill */
 };
 
 /**
- * Sets the tokens with which a controller starts.
- * @param budget  need not be initialised
+ * Initializes the budget with the tokens that a controller starts with.
+ * @param budget  need not be initialized
  * @param now     steady clock, s
  */
 void tmx_write_budget_init(struct tmx_write_budget *budget, double now);
 
-/** This controller's share of the write rate, puts/s. */
+/** Returns this controller's share of the write rate, in puts/s. */
 double tmx_write_budget_member_rate(const struct tmx_write_share *share);
 
 /**
- * Adds the tokens that accrued since the last refill.
- * @param budget  is brought up to `now`
- * @param share   determines the rate of the tokens
+ * Adds the tokens that have accrued since the latest refill.
+ * @param budget  refilled up to `now`
+ * @param share   determines the refill rates
  * @param now     steady clock, s
  */
 void tmx_write_budget_refill(struct tmx_write_budget *budget, const struct tmx_write_share *share,
                              double now);
 
-/** Records puts of any controller that the watch reported. */
+/** Records events that the watch reported, which are writes of any controller. */
 void tmx_write_budget_record_events(struct tmx_write_budget *budget, double events);
 
 /**
- * Whether all controllers together wrote so little of late that they hardly disturb each other.
+ * Returns whether the recent write load of all controllers combined is so low that they rarely
+ * conflict.
  *
- * This is an average over seconds. By the load of the moment, all controllers would find room at
- * the same moment and write at once.
+ * The load is an average over several seconds. With the instantaneous load, all controllers would
+ * see free capacity at the same moment and write simultaneously.
  */
 bool tmx_write_budget_is_load_low(const struct tmx_write_budget *budget,
                                   const struct tmx_write_share *share);
 
 /**
- * Puts that may be sent now; may be negative. This is the controller's share, or, while the load is
- * low, half of what is free in the store's bucket if that is more.
+ * Returns the number of puts that may be sent now; may be negative. It is the balance of this
+ * controller's share. While the write load is low, it is half of the store's tokens above
+ * TMX_SHARED_WRITES_KEPT_SHARE of the bucket if that is more.
  */
 double tmx_write_budget_available(const struct tmx_write_budget *budget,
                                   const struct tmx_write_share *share);
 
-/** Seconds until `puts` may be sent, with a small margin; always above 0. */
+/** Returns the seconds until `puts` may be sent, plus a small margin; always above 0. */
 double tmx_write_budget_delay(const struct tmx_write_budget *budget,
                               const struct tmx_write_share *share, double puts);
 
-/** Whether enough tokens are left that housekeeping, such as compaction, delays nothing else. */
-bool tmx_write_budget_has_housekeeping(const struct tmx_write_budget *budget,
-                                       const struct tmx_write_share *share);
+/** Returns whether enough tokens are left that housekeeping such as a compaction does not delay
+ * other writes. */
+bool tmx_write_budget_allows_housekeeping(const struct tmx_write_budget *budget,
+                                          const struct tmx_write_share *share);
 
 /**
- * Reserves one put for a submission that is committed singly; the commit that follows takes it.
- * Refills the budget itself, but only if no token that is kept for submissions was left.
- * @param budget  from which the put is reserved
- * @param share   determines the rate of the tokens
+ * Reserves one put for a submission that is committed without a batch. The next commit consumes the
+ * put. The function refills the budget itself, but only if no submission token is left.
+ * @param budget  the budget that provides the put
+ * @param share   determines the refill rates and the unused tokens
  * @param now     steady clock, s
- * @return whether there is a put for it
+ * @return whether a put was reserved
  */
 bool tmx_write_budget_reserve_submission(struct tmx_write_budget *budget,
                                          const struct tmx_write_share *share, double now);
 
 /**
- * Reserves puts beyond this controller's share, as far as all controllers leave them unused; the
- * commit that follows takes them.
- * @param budget  from which the puts are reserved
- * @param share   determines what is left unused
- * @param wanted  the most that is reserved
- * @return how many puts were reserved
+ * Reserves puts beyond this controller's share from the part of the store's write rate that all
+ * controllers leave unused. The next commit consumes the puts.
+ * @param budget  the budget that provides the puts
+ * @param share   determines the unused tokens
+ * @param wanted  maximum number of puts to reserve
+ * @return the number of reserved puts
  */
 int tmx_write_budget_reserve_unused(struct tmx_write_budget *budget,
                                     const struct tmx_write_share *share, int wanted);
 
-/** Takes the puts of a commit, at most down to one second's share in advance. */
-void tmx_write_budget_take(struct tmx_write_budget *budget, const struct tmx_write_share *share,
-                           double puts);
+/** Consumes the tokens of a commit. The balance goes no lower than minus one second's share. */
+void tmx_write_budget_consume(struct tmx_write_budget *budget, const struct tmx_write_share *share,
+                              double puts);
 
-/** The store refused a write for its rate: no tokens are left in either bucket. */
+/** Handles a write that the store refused because of its rate: empties the bucket of this
+ * controller's share and the estimate of the store's bucket. */
 void tmx_write_budget_exhaust(struct tmx_write_budget *budget);
 #endif
