--- a/src/replica/apply_log.c
+++ b/src/replica/apply_log.c
@@ -12,8 +12,8 @@
 #include "replica/placement_caps.h"
 #include "replica/replica_internal.h"
 
-/* Ids that the record has no room for follow in lines of the same transaction or of the same
- * pages: the job counts as blocked until all have been read. */
+/* A record holds only as many dependency ids as fit. The other ids follow in lines of the same
+ * transaction or of the same set of pages. The job is blocked until all ids have been read. */
 static void read_dependencies(struct tmx_replica *replica, struct tmx_job *job,
                               const struct tmx_job_record *record) {
   if (!record->n_awaits || job->outcome) return;
@@ -31,7 +31,7 @@
                                   uint64_t key_version) {
   struct tmx_job_record record;
   if (!tmx_job_decode(item, &record)) {
-    tmx_log(TMX_LOG_ERROR, "state: a job cannot be read");
+    tmx_log(TMX_LOG_ERROR, "state: malformed job record ignored");
     return;
   }
   struct tmx_job *job = tmx_job_find(replica, record.id);
@@ -52,8 +52,8 @@
   tmx_replica_job_changed(replica, job);
 }
 
-/* Ends the line behind its third field, and returns what follows. */
-static char *cut_behind_third_field(char *line) {
+/* Terminates the line at its third space. Returns the text after that space, which may be empty. */
+static char *split_at_third_space(char *line) {
   size_t spaces = 0;
   for (char *p = line; *p; p++)
     if (*p == ' ' && ++spaces == 3) {
@@ -63,12 +63,12 @@
   return line + strlen(line);
 }
 
-/* `w JOB POSITION IDS`: the ids are the rest of the line. */
+/* Applies `w JOB POSITION IDS`, where IDS is the rest of the line. */
 static void apply_dependency_line(struct tmx_replica *replica, char *line) {
   enum { KIND, JOB, POSITION, FIELDS };
   char *field[FIELDS];
   uint32_t position;
-  const char *ids = cut_behind_third_field(line);
+  const char *ids = split_at_third_space(line);
   if (tmx_log_line_split(line, field, FIELDS) != FIELDS ||
       !tmx_log_line_parse_u32(field[POSITION], &position))
     return;
@@ -79,7 +79,7 @@
   tmx_replica_job_updated(replica, job);
 }
 
-/* `y JOB TYPE`: the type is the rest of the line, since its name may hold spaces. */
+/* Applies `y JOB TYPE`, where TYPE is the rest of the line because it can contain spaces. */
 static void apply_type_line(struct tmx_replica *replica, const char *line) {
   char id[TMX_ID_MAX];
   int type_at = 0;
@@ -91,59 +91,59 @@
   snprintf(job->spec.types[job->spec.n_types++], TMX_ID_MAX, "%s", type);
 }
 
-/* Adjacent tasks of a job that are alike, as a page tells of them. */
-struct task_run {
+/* Consecutive tasks of a job that share their state and attempt number, as stored in a page. */
+struct task_range {
   char job[TMX_ID_MAX];
   uint32_t first, count, attempt;
-  char state; /* enum tmx_task_run_state, or a stop mode as a digit */
+  char state; /* enum tmx_task_range_state, or enum tmx_stop_mode as a digit */
   const char *machine;
 };
 
-/* Reads `t JOB/INDEX COUNT ATTEMPT STATE MACHINE`. */
-static bool parse_task_run(char *line, struct task_run *run) {
+/* Parses `t JOB/INDEX COUNT ATTEMPT STATE MACHINE`. */
+static bool parse_task_range(char *line, struct task_range *range) {
   enum { KIND, FIRST_TASK, COUNT, ATTEMPT, STATE, MACHINE, FIELDS };
   char *field[FIELDS];
   if (tmx_log_line_split(line, field, FIELDS) != FIELDS || strlen(field[MACHINE]) >= TMX_ID_MAX ||
-      !tmx_task_parse(field[FIRST_TASK], run->job, sizeof run->job, &run->first) ||
-      !tmx_log_line_parse_u32(field[COUNT], &run->count) ||
-      !tmx_log_line_parse_u32(field[ATTEMPT], &run->attempt))
+      !tmx_task_parse(field[FIRST_TASK], range->job, sizeof range->job, &range->first) ||
+      !tmx_log_line_parse_u32(field[COUNT], &range->count) ||
+      !tmx_log_line_parse_u32(field[ATTEMPT], &range->attempt))
     return false;
-  run->state = field[STATE][0];
-  run->machine = field[MACHINE];
+  range->state = field[STATE][0];
+  range->machine = field[MACHINE];
   return true;
 }
 
-static void apply_run_to_task(struct tmx_replica *replica, const struct task_run *run,
-                              struct tmx_task *task) {
+static void apply_range_to_task(struct tmx_replica *replica, const struct task_range *range,
+                                struct tmx_task *task) {
   struct tmx_job *job = task->job;
-  if (run->attempt < task->attempt || task->state == TMX_TASK_DONE) return;
-  if (run->state == TMX_TASK_RUN_DONE || run->state == TMX_TASK_RUN_WAITING) {
-    /* an older batch may still say that this attempt is placed: the page is newer */
+  if (range->attempt < task->attempt || task->state == TMX_TASK_DONE) return;
+  if (range->state == TMX_TASK_RANGE_DONE || range->state == TMX_TASK_RANGE_WAITING) {
+    /* an older batch may have placed this attempt; the page is newer */
     if (task->state == TMX_TASK_PLACED) tmx_replica_unplace_task(replica, task);
-    task->attempt = run->attempt;
-    if (run->state == TMX_TASK_RUN_WAITING) return;
+    task->attempt = range->attempt;
+    if (range->state == TMX_TASK_RANGE_WAITING) return;
     task->state = TMX_TASK_DONE;
     if (job->outcome != TMX_JOB_DONE) job->n_done++;
-  } else if (run->attempt > task->attempt) {
+  } else if (range->attempt > task->attempt) {
     struct tmx_operation operation = {
-        .kind = TMX_OPERATION_PLACE, .task = tmx_task_index(task), .attempt = run->attempt};
-    snprintf(operation.job, sizeof operation.job, "%s", run->job);
-    snprintf(operation.machine, sizeof operation.machine, "%s", run->machine);
+        .kind = TMX_OPERATION_PLACE, .task = tmx_task_index(task), .attempt = range->attempt};
+    snprintf(operation.job, sizeof operation.job, "%s", range->job);
+    snprintf(operation.machine, sizeof operation.machine, "%s", range->machine);
     tmx_replica_apply_operation(replica, &operation);
-    const int stop_mode = run->state - '0';
+    const int stop_mode = range->state - '0';
     if (stop_mode == TMX_STOP_AT_ONCE || stop_mode == TMX_STOP_AFTER_SAVING)
       task->stop_mode = (uint8_t)stop_mode;
   }
 }
 
-/* A page holds the state of runs of tasks as of its own version. */
-static void apply_task_run_line(struct tmx_replica *replica, char *line) {
-  struct task_run run;
-  if (!parse_task_run(line, &run)) return;
-  const struct tmx_job *job = tmx_job_find(replica, run.job);
+/* The line holds the state of the tasks as of the page's version. */
+static void apply_task_range_line(struct tmx_replica *replica, char *line) {
+  struct task_range range;
+  if (!parse_task_range(line, &range)) return;
+  const struct tmx_job *job = tmx_job_find(replica, range.job);
   if (!job || !job->tasks) return;
-  for (uint32_t i = run.first, left = run.count; left && i < job->spec.tasks; i++, left--)
-    apply_run_to_task(replica, &run, &job->tasks[i]);
+  for (uint32_t i = range.first, left = range.count; left && i < job->spec.tasks; i++, left--)
+    apply_range_to_task(replica, &range, &job->tasks[i]);
 }
 
 static void on_operation(void *context, const struct tmx_operation *operation) {
@@ -158,17 +158,17 @@
     case TMX_LINE_MACHINE_REMOVED:
       tmx_replica_apply_machine_line(replica, line);
       break;
-    case TMX_LINE_TASK_RUN:
-      apply_task_run_line(replica, line);
+    case TMX_LINE_TASK_RANGE:
+      apply_task_range_line(replica, line);
       break;
     case TMX_LINE_DEPENDENCIES:
       apply_dependency_line(replica, line);
       break;
-    case TMX_LINE_TYPE:
+    case TMX_LINE_PERMITTED_TYPE:
       apply_type_line(replica, line);
       break;
     default:
-      tmx_log_line_each_operation(line, on_operation, replica);
+      tmx_log_line_for_each_operation(line, on_operation, replica);
   }
 }
 
--- a/src/replica/apply_operation.c
+++ b/src/replica/apply_operation.c
@@ -8,11 +8,13 @@
 #include "replica/machine_table.h"
 #include "replica/replica_internal.h"
 
-/* Steady clock, s: long before this process started, for images that were read at the start. */
-#define LONG_AGO (-1e9)
+/* Monotonic clock, s, long before this process started: assumed as the start of the image fetch for
+ * tasks that were placed before the replica was loaded. */
+#define FETCHED_LONG_AGO (-1e9)
 
-/* Adds a placed task's size to all sums that count it; `sign` is -1 to take it out. */
-static void count_placement(struct tmx_replica *replica, const struct tmx_task *task, int sign) {
+/* Adds a placed task's resources to all totals that include them, or subtracts them if `sign` is
+ * -1. */
+static void add_to_totals(struct tmx_replica *replica, const struct tmx_task *task, int sign) {
   struct tmx_job *job = task->job;
   struct tmx_machine *machine = task->machine;
   const double cpus = sign * job->spec.cpus, gpus = sign * job->spec.gpus;
@@ -31,9 +33,9 @@
 void tmx_replica_unplace_task(struct tmx_replica *replica, struct tmx_task *task) {
   struct tmx_machine *machine = task->machine;
   struct tmx_job *job = task->job;
-  count_placement(replica, task, -1);
+  add_to_totals(replica, task, -1);
   DL_DELETE(machine->tasks, task);
-  /* an empty machine is empty, whatever rounding has left in its sums */
+  /* without tasks the totals are zero: clear what rounding errors have left in them */
   if (--machine->n_tasks == 0)
     machine->booked_cpus = machine->booked_gpus = machine->booked_mem_gb = machine->service_cpus =
         0;
@@ -48,8 +50,10 @@
   tmx_replica_job_updated(replica, job);
 }
 
-/* A machine keeps the images used latest. How many is bounded here, not by its cache size. */
-static void remember_image(struct tmx_machine *machine, int image_id, double fetch_started_at) {
+/* Moves the image to the front of the machine's list of recently used images, and adds it if it is
+ * missing. The list is bounded by TMX_IMAGES_KEPT, not by the size of the machine's cache. */
+static void update_recent_images(struct tmx_machine *machine, int image_id,
+                                 double fetch_started_at) {
   struct tmx_image *images = machine->images;
   size_t i = 0;
   while (i < machine->n_images && images[i].id != image_id) i++;
@@ -60,8 +64,9 @@
   images[0] = (struct tmx_image){.id = image_id, .fetch_started_at = fetch_started_at};
 }
 
-/* Starts set the order of classes in the rounds, and the distribution of waits. */
-static void note_start(struct tmx_replica *replica, struct tmx_job *job) {
+/* Records that a task of the job was placed. The time of the latest start determines the order of
+ * classes in scheduling rounds; the first start of each job enters the distribution of waits. */
+static void record_start(struct tmx_replica *replica, struct tmx_job *job) {
   if (!replica->backlog || !replica->loaded || job->team < 0) return;
   if (job->in_account)
     replica->backlog->accounts[job->team][job->account].started_at = replica->now;
@@ -69,8 +74,8 @@
   job->started = true;
 }
 
-static void put_on_machine(struct tmx_replica *replica, struct tmx_task *task,
-                           struct tmx_machine *machine) {
+static void assign_to_machine(struct tmx_replica *replica, struct tmx_task *task,
+                              struct tmx_machine *machine) {
   task->state = TMX_TASK_PLACED;
   task->machine = machine;
   task->placed_at = (float)replica->now;
@@ -78,10 +83,11 @@
   DL_APPEND(machine->tasks, task);
   machine->n_tasks++;
   task->job->n_placed++;
-  count_placement(replica, task, 1);
+  add_to_totals(replica, task, 1);
 }
 
-/* Attempts only grow, so an event that is seen twice, or early while loading, changes nothing. */
+/* Attempt numbers only increase. A placement that is repeated, or that is older than one applied
+ * earlier while loading, therefore changes nothing. */
 static void apply_place(struct tmx_replica *replica, struct tmx_task *task,
                         const struct tmx_operation *operation) {
   struct tmx_job *job = task->job;
@@ -89,12 +95,13 @@
   if (task->state == TMX_TASK_PLACED) tmx_replica_unplace_task(replica, task);
   task->attempt = operation->attempt;
   struct tmx_machine *machine = tmx_replica_ensure_machine(replica, operation->machine);
-  put_on_machine(replica, task, machine);
-  remember_image(machine, job->spec.image_id, replica->loaded ? replica->now : LONG_AGO);
+  assign_to_machine(replica, task, machine);
+  update_recent_images(machine, job->spec.image_id,
+                       replica->loaded ? replica->now : FETCHED_LONG_AGO);
   tmx_replica_notify_machine(replica, machine);
   job->unplaced_since = replica->now;
   tmx_replica_job_updated(replica, job);
-  note_start(replica, job);
+  record_start(replica, job);
   if (replica->loaded && !machine->registered) tmx_replica_unplace_task(replica, task);
 }
 
@@ -105,8 +112,8 @@
   tmx_replica_notify_machine(replica, task->machine);
 }
 
-static void note_success(struct tmx_replica *replica, struct tmx_task *task,
-                         struct tmx_machine *machine, float ran_s) {
+static void record_success(struct tmx_replica *replica, struct tmx_task *task,
+                           struct tmx_machine *machine, float ran_s) {
   struct tmx_job *job = task->job;
   task->state = TMX_TASK_DONE;
   if (ran_s > job->longest_run_s) job->longest_run_s = ran_s;
@@ -117,15 +124,15 @@
   machine->errors_of_several_jobs = false;
 }
 
-/* The backoff doubles with each failure in a row, up to a bound. */
+/* Exponential backoff: doubles with each consecutive failure, up to TMX_RETRY_MAX_S. */
 static double retry_backoff_s(uint32_t failures_before) {
   double backoff_s = TMX_RETRY_BASE_S;
   for (uint32_t i = 0; i < failures_before && backoff_s < TMX_RETRY_MAX_S; i++) backoff_s *= 2;
   return backoff_s < TMX_RETRY_MAX_S ? backoff_s : TMX_RETRY_MAX_S;
 }
 
-static void note_error(const struct tmx_replica *replica, struct tmx_job *job,
-                       struct tmx_machine *machine) {
+static void record_error(const struct tmx_replica *replica, struct tmx_job *job,
+                         struct tmx_machine *machine) {
   job->retry_at = replica->now + retry_backoff_s(job->consecutive_failures++);
   char *failed_machine =
       job->failed_machines[job->next_failed_machine++ % TMX_FAILED_MACHINES_KEPT];
@@ -143,9 +150,9 @@
   const float ran_s = task->running_since ? (float)replica->now - task->running_since : 0;
   tmx_replica_unplace_task(replica, task);
   if (operation->reason == TMX_END_DONE)
-    note_success(replica, task, machine, ran_s);
+    record_success(replica, task, machine, ran_s);
   else if (operation->reason == TMX_END_ERROR)
-    note_error(replica, job, machine);
+    record_error(replica, job, machine);
   tmx_replica_job_updated(replica, job);
   tmx_replica_release_tasks(replica, job);
   tmx_replica_notify_schedulable(replica);
--- a/src/replica/job_record.h
+++ b/src/replica/job_record.h
@@ -47,8 +47,8 @@
 
 /**
  * How many of its machine types a record in `room` bytes as JSON can name, at least one. The other
- * types follow in lines, see tmx_type_print(); a version that passes over these takes the job for
- * one that permits fewer types.
+ * types follow in lines, see tmx_permitted_type_line_print(); a version that passes over these
+ * takes the job for one that permits fewer types.
  */
 size_t tmx_job_types_within(const char *id, const struct tmx_job_spec *spec, double submitted,
                             const struct tmx_job_ids *ids, size_t room);
--- a/src/replica/job_table.c
+++ b/src/replica/job_table.c
@@ -103,7 +103,7 @@
   tmx_replica_job_changed(replica, job);
 }
 
-void tmx_replica_prune_unstored(struct tmx_replica *replica) {
+void tmx_replica_prune_unstored_outcomes(struct tmx_replica *replica) {
   size_t n = 0;
   for (size_t i = 0; i < replica->n_unstored_outcomes; i++)
     if (!replica->unstored_outcomes[i]->outcome_stored)
--- a/src/replica/log_codec.c
+++ b/src/replica/log_codec.c
@@ -29,8 +29,8 @@
   return p > text && !*p && number <= UINT32_MAX;
 }
 
-void tmx_type_print(char *out, size_t capacity, const char *id, const char *type) {
-  snprintf(out, capacity, "%c %s %s", TMX_LINE_TYPE, id, type);
+void tmx_permitted_type_line_print(char *out, size_t capacity, const char *id, const char *type) {
+  snprintf(out, capacity, "%c %s %s", TMX_LINE_PERMITTED_TYPE, id, type);
 }
 
 void tmx_dependency_line_print(char *out, size_t capacity, const char *id,
@@ -39,50 +39,50 @@
   tmx_job_ids_to_text(out + length, capacity - (size_t)length, ids, from);
 }
 
-int tmx_machine_print(char *out, size_t capacity, const struct tmx_replica *replica,
-                      const struct tmx_machine *machine) {
+int tmx_machine_line_print(char *out, size_t capacity, const struct tmx_replica *replica,
+                           const struct tmx_machine *machine) {
   const char *address = machine->addr[0] ? machine->addr : "-";
   const char *zone = machine->zone >= 0 ? replica->settings->zones[machine->zone] : "-";
   return snprintf(out, capacity, "%c %s %s %s %s %d %d", TMX_LINE_MACHINE, machine->id, address,
                   machine->type, zone, machine->spot, machine->draining);
 }
 
-static char run_state_of(const struct tmx_task *task) {
+static char range_state(const struct tmx_task *task) {
   switch ((enum tmx_task_state)task->state) {
     case TMX_TASK_DONE:
-      return TMX_TASK_RUN_DONE;
+      return TMX_TASK_RANGE_DONE;
     case TMX_TASK_WAITING:
-      return TMX_TASK_RUN_WAITING;
+      return TMX_TASK_RANGE_WAITING;
     case TMX_TASK_PLACED:
       break;
   }
   if (task->stop_mode) return (char)('0' + task->stop_mode);
-  return TMX_TASK_RUN_PLACED;
+  return TMX_TASK_RANGE_PLACED;
 }
 
-/* How many tasks from `from` on share its state and attempt. Placed tasks stand alone, since each
- * is on a machine of its own. */
-static uint32_t run_length(const struct tmx_job *job, uint32_t from) {
+/* Number of consecutive tasks that share the state and attempt number of the task at `from`. A
+ * placed task is always a range of its own, since a line holds one machine. */
+static uint32_t range_length(const struct tmx_job *job, uint32_t from) {
   const struct tmx_task *first = &job->tasks[from];
-  const char state = run_state_of(first);
+  const char state = range_state(first);
   uint32_t n = 1;
-  if (state != TMX_TASK_RUN_DONE && state != TMX_TASK_RUN_WAITING) return n;
-  while (from + n < job->spec.tasks && run_state_of(&first[n]) == state &&
+  if (state != TMX_TASK_RANGE_DONE && state != TMX_TASK_RANGE_WAITING) return n;
+  while (from + n < job->spec.tasks && range_state(&first[n]) == state &&
          first[n].attempt == first->attempt)
     n++;
   return n;
 }
 
-uint32_t tmx_task_run_print(char *out, size_t capacity, const struct tmx_job *job, uint32_t from,
-                            int *length) {
+uint32_t tmx_task_range_line_print(char *out, size_t capacity, const struct tmx_job *job,
+                                   uint32_t from, int *length) {
   const struct tmx_task *first = &job->tasks[from];
-  const char state = run_state_of(first);
-  const uint32_t n = run_length(job, from);
-  const bool never_placed = state == TMX_TASK_RUN_WAITING && !first->attempt;
-  *length = never_placed
-                ? 0
-                : snprintf(out, capacity, "%c %s/%u %u %u %c %s", TMX_LINE_TASK_RUN, job->id, from,
-                           n, first->attempt, state, first->machine ? first->machine->id : "-");
+  const char state = range_state(first);
+  const uint32_t n = range_length(job, from);
+  const bool never_placed = state == TMX_TASK_RANGE_WAITING && !first->attempt;
+  *length = never_placed ? 0
+                         : snprintf(out, capacity, "%c %s/%u %u %u %c %s", TMX_LINE_TASK_RANGE,
+                                    job->id, from, n, first->attempt, state,
+                                    first->machine ? first->machine->id : "-");
   return n;
 }
 
--- a/src/replica/operation.c
+++ b/src/replica/operation.c
@@ -73,7 +73,7 @@
   return snprintf(out, capacity, " %u", operation->task);
 }
 
-/* Reads an item of a group, `TASK:MACHINE` of placements and `TASK` of ends, into the operation. */
+/* Parses one item of a group into the operation: `TASK:MACHINE` for placements, `TASK` for ends. */
 static bool parse_group_item(char *item, struct tmx_operation *operation) {
   char *machine = strchr(item, ':');
   if ((operation->kind == TMX_OPERATION_PLACE) != (machine != NULL)) return false;
@@ -85,12 +85,13 @@
   return tmx_log_line_parse_u32(item, &operation->task);
 }
 
-static void each_operation_of_group(const char *line, tmx_operation_cb callback, void *context) {
+static void for_each_operation_in_group(const char *line, tmx_operation_cb callback,
+                                        void *context) {
   enum { KIND, JOB, ATTEMPT, FIRST_PLACEMENT, REASON = FIRST_PLACEMENT, FIRST_END };
   char copy[TMX_LINE_MAX], *field[TMX_LINE_MAX / 2];
-  const bool places = line[0] == TMX_OPERATION_GROUP_PLACE;
-  const size_t first_item = places ? FIRST_PLACEMENT : FIRST_END;
-  struct tmx_operation operation = {.kind = places ? TMX_OPERATION_PLACE : TMX_OPERATION_END};
+  const bool is_placement = line[0] == TMX_OPERATION_GROUP_PLACE;
+  const size_t first_item = is_placement ? FIRST_PLACEMENT : FIRST_END;
+  struct tmx_operation operation = {.kind = is_placement ? TMX_OPERATION_PLACE : TMX_OPERATION_END};
   if (strlen(line) >= sizeof copy) return;
   strcpy(copy, line);
   const size_t n = tmx_log_line_split(copy, field, sizeof field / sizeof *field);
@@ -98,15 +99,15 @@
       !tmx_log_line_parse_u32(field[ATTEMPT], &operation.attempt))
     return;
   strcpy(operation.job, field[JOB]);
-  if (!places) operation.reason = field[REASON][0];
+  if (!is_placement) operation.reason = field[REASON][0];
   for (size_t i = first_item; i < n; i++)
     if (parse_group_item(field[i], &operation)) callback(context, &operation);
 }
 
-void tmx_log_line_each_operation(const char *line, tmx_operation_cb callback, void *context) {
+void tmx_log_line_for_each_operation(const char *line, tmx_operation_cb callback, void *context) {
   struct tmx_operation operation;
   if (line[0] == TMX_OPERATION_GROUP_PLACE || line[0] == TMX_OPERATION_GROUP_END)
-    each_operation_of_group(line, callback, context);
+    for_each_operation_in_group(line, callback, context);
   else if (tmx_operation_parse(line, &operation))
     callback(context, &operation);
 }
--- a/src/replica/operation.h
+++ b/src/replica/operation.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Operations of the log on tasks, and the lines that tell of them.
+ * Task operations of the log, and their encoding as lines of text.
  *
- * The lines are stored: their form must not change. Pure functions without shared state: any
- * thread may call them.
+ * The lines are stored, so their format must not change. All functions are pure: any thread may
+ * call them.
  */
 #ifndef TMX_OPERATION_H
 #define TMX_OPERATION_H
@@ -13,24 +13,24 @@
 
 #include "tmx/constants.h"
 
-/** What an operation does to a task; the value is the letter with which its line begins. */
+/** Kind of an operation on a task. The value is the first letter of the operation's line. */
 enum tmx_operation_kind {
-  TMX_OPERATION_PLACE = 'p', /**< begins an attempt on a machine */
-  TMX_OPERATION_STOP = 's',  /**< asks an attempt to stop */
-  TMX_OPERATION_END = 'e'    /**< tells how an attempt ended */
+  TMX_OPERATION_PLACE = 'p', /**< starts an attempt on a machine */
+  TMX_OPERATION_STOP = 's',  /**< requests that an attempt stop */
+  TMX_OPERATION_END = 'e'    /**< records how an attempt ended */
 };
-/** First letter of a line that tells of several operations on one job. */
+/** First letter of a line that holds a group: several operations of one kind on one job. */
 enum tmx_operation_group_kind {
   TMX_OPERATION_GROUP_PLACE = 'P', /**< several placements */
   TMX_OPERATION_GROUP_END = 'E'    /**< several ends */
 };
-/** How an attempt ended; the value is the letter in its line. */
+/** How an attempt ended. The value is the letter in the operation's line. */
 enum tmx_end_reason {
   TMX_END_DONE = 'd',    /**< the task completed */
-  TMX_END_STOPPED = 's', /**< it was asked to stop, and has */
-  TMX_END_ERROR = 'e',   /**< it failed */
-  TMX_END_REFUSED = 'r', /**< the worker did not take it */
-  TMX_END_LOST = 'l'     /**< it is gone with its machine or worker */
+  TMX_END_STOPPED = 's', /**< the attempt stopped on request */
+  TMX_END_ERROR = 'e',   /**< the attempt failed */
+  TMX_END_REFUSED = 'r', /**< the worker rejected the attempt */
+  TMX_END_LOST = 'l'     /**< the attempt was lost with its machine or worker */
 };
 
 /** One operation on one task. */
@@ -39,36 +39,46 @@
   char job[TMX_ID_MAX];     /**< id of the job */
   uint32_t task,            /**< index of the task within its job */
       attempt;              /**< number of the attempt */
-  char machine[TMX_ID_MAX]; /**< of a placement */
-  char reason;              /**< of an end: enum tmx_end_reason; of a stop: enum tmx_stop_mode as a
-                               digit */
-  uint32_t machine_cap; /**< of a placement, not in the log: how many tasks of the job may be on the
-                           machine; 0: any number */
+  char machine[TMX_ID_MAX]; /**< target machine; placements only */
+  char reason;              /**< ends: enum tmx_end_reason; stops: enum tmx_stop_mode as a digit */
+  uint32_t machine_cap; /**< most tasks of the job on the machine, 0: no limit; placements only, and
+                           not part of the line */
 };
 
-/** Prints the operation's line. @return its length, as snprintf() does. */
+/** Writes the operation's line. @return the line's length, as snprintf() does. */
 int tmx_operation_print(char *out, size_t capacity, const struct tmx_operation *operation);
-/** Reads the line of one operation. @return false if it is none. */
+/** Parses a line that holds one operation. @return false if the line is anything else. */
 bool tmx_operation_parse(const char *line, struct tmx_operation *operation);
 
-/** Tells whether operations of this kind may share a line. */
+/** Returns whether operations of this kind can be grouped in one line. */
 bool tmx_operation_can_group(const struct tmx_operation *operation);
-/** Tells whether two operations may share a line: of one job and attempt, and of one kind of end.
+/**
+ * Returns whether two operations, both of a kind that can be grouped, fit in the same group. They
+ * do if they have the same job, kind and attempt number, and ends also the same reason.
  */
 bool tmx_operation_same_group(const struct tmx_operation *left, const struct tmx_operation *right);
-/** Prints what a group's line begins with, taken from its first operation. @return its length. */
+/** Writes the start of a group's line from the group's first operation. @return bytes written. */
 int tmx_operation_group_head_print(char *out, size_t capacity,
                                    const struct tmx_operation *operation);
-/** Prints what a group's line grows by with one operation. @return its length. */
+/** Writes the text that one operation adds to its group's line. @return bytes written. */
 int tmx_operation_group_item_print(char *out, size_t capacity,
                                    const struct tmx_operation *operation);
 
-/** Receives an operation, which is valid during the call only. */
+/** Receives an operation. The operation is valid only during the call. */
 typedef void (*tmx_operation_cb)(void *context, const struct tmx_operation *operation);
-/** Calls back for each operation that the line tells of, in its order; for none if it is malformed.
+/**
+ * Calls `callback` for each operation in the line, in order. Lines that are malformed or hold no
+ * operations yield no calls; a malformed item of a group is skipped.
  */
-void tmx_log_line_each_operation(const char *line, tmx_operation_cb callback, void *context);
+void tmx_log_line_for_each_operation(const char *line, tmx_operation_cb callback, void *context);
 
-/** Reads `JOB/INDEX`. @return false if it is malformed or the id is too long. */
+/**
+ * Parses `JOB/INDEX`.
+ * @param text the text to parse.
+ * @param job receives the job's id with a terminating zero.
+ * @param capacity size of `job` in bytes.
+ * @param index receives the index of the task within its job.
+ * @return false if the text is malformed or the id does not fit.
+ */
 bool tmx_task_parse(const char *text, char *job, size_t capacity, uint32_t *index);
 #endif
--- a/src/replica/operation_check.c
+++ b/src/replica/operation_check.c
@@ -4,21 +4,23 @@
 
 #include "replica/placement_caps.h"
 
-/* Sums of sizes are not exact: a task fits that exceeds what is free by no more than this. */
+/* Tolerance for rounding errors in sums of resources: a task fits if it exceeds the free capacity
+ * by no more than this. */
 #define RESOURCE_EPSILON 1e-6
 
-/* Ids of checks: those of different replicas in one process differ too. */
-static uint64_t n_checks;
+/* Id of the latest check. All replicas of a process share this counter, so ids are unique. */
+static uint64_t last_check_id;
 
 void tmx_operation_check_begin(struct tmx_operation_check *check, struct tmx_replica *replica) {
   check->replica = replica;
-  check->id = ++n_checks;
-  memcpy(check->usage, replica->team_usage, sizeof check->usage);
+  check->id = ++last_check_id;
+  memcpy(check->team_usage, replica->team_usage, sizeof check->team_usage);
 }
 
-/* Takes the counts from the replica where this check has none of its own yet. */
-static void begin_counts(const struct tmx_operation_check *check, struct tmx_job *job,
-                         struct tmx_machine *machine) {
+/* Sets the check totals of the job and the machine to the replica's totals, unless this check has
+ * already done so. */
+static void init_check_totals(const struct tmx_operation_check *check, struct tmx_job *job,
+                              struct tmx_machine *machine) {
   if (job->check_id != check->id) {
     job->check_id = check->id;
     memcpy(job->check_placed_in_zone, job->placed_in_zone, sizeof job->check_placed_in_zone);
@@ -31,17 +33,17 @@
   }
 }
 
-/* Counts a task on the machine; `sign` is -1 to take it off. */
-static void count_placement(struct tmx_operation_check *check, struct tmx_job *job,
-                            struct tmx_machine *machine, int sign) {
+/* Adds a task on the machine to the check totals, or subtracts it if `sign` is -1. */
+static void add_to_totals(struct tmx_operation_check *check, struct tmx_job *job,
+                          struct tmx_machine *machine, int sign) {
   const struct tmx_job_spec *spec = &job->spec;
   machine->check_cpus += sign * spec->cpus;
   machine->check_gpus += sign * spec->gpus;
   machine->check_mem_gb += sign * spec->mem_gb;
   if (machine->zone >= 0) job->check_placed_in_zone[machine->zone] += (uint32_t)sign;
   if (job->team < 0) return;
-  check->usage[job->team].cpus += sign * spec->cpus;
-  check->usage[job->team].gpus += sign * spec->gpus;
+  check->team_usage[job->team].cpus += sign * spec->cpus;
+  check->team_usage[job->team].gpus += sign * spec->gpus;
 }
 
 static bool machine_is_permitted(const struct tmx_settings *settings,
@@ -53,7 +55,8 @@
   return !spec->zone[0] || tmx_zone_index(settings, spec->zone) == machine->zone;
 }
 
-static bool machine_has_room(const struct tmx_job_spec *spec, const struct tmx_machine *machine) {
+static bool machine_has_capacity(const struct tmx_job_spec *spec,
+                                 const struct tmx_machine *machine) {
   return machine->check_cpus + spec->cpus <= machine->size_cpus + RESOURCE_EPSILON &&
          machine->check_gpus + spec->gpus <= machine->size_gpus + RESOURCE_EPSILON &&
          machine->check_mem_gb + spec->mem_gb <= machine->size_mem_gb + RESOURCE_EPSILON;
@@ -66,7 +69,7 @@
 static bool team_is_within_limits(const struct tmx_operation_check *check,
                                   const struct tmx_job *job) {
   const struct tmx_team_settings *team = &check->replica->settings->teams[job->team];
-  const struct tmx_usage *usage = &check->usage[job->team];
+  const struct tmx_usage *usage = &check->team_usage[job->team];
   return !exceeds_limit(usage->cpus + job->spec.cpus, team->cpus_max) &&
          !exceeds_limit(usage->gpus + job->spec.gpus, team->gpus_max);
 }
@@ -79,7 +82,8 @@
   return true;
 }
 
-/* Whether the machine, as it stands, has as many of the service's tasks as it may; cap 0: any. */
+/* Returns whether the machine already has `cap` tasks of the service; 0: no limit. Counts the tasks
+ * in the replica only, without those that the batch places. */
 static bool service_is_at_cap(const struct tmx_job *job, const struct tmx_machine *machine,
                               uint32_t cap) {
   if (!job->spec.service || !cap) return false;
@@ -92,7 +96,7 @@
                                  const struct tmx_machine *machine, uint32_t machine_cap) {
   const struct tmx_settings *settings = check->replica->settings;
   return job->team >= 0 && machine_is_permitted(settings, &job->spec, machine) &&
-         machine_has_room(&job->spec, machine) && team_is_within_limits(check, job) &&
+         machine_has_capacity(&job->spec, machine) && team_is_within_limits(check, job) &&
          zone_is_permitted(settings, job, machine->zone) &&
          !service_is_at_cap(job, machine, machine_cap);
 }
@@ -103,9 +107,9 @@
   if (!machine || job->outcome || tmx_job_is_blocked(job) || task->state != TMX_TASK_WAITING ||
       operation->attempt != task->attempt + 1)
     return false;
-  begin_counts(check, job, machine);
+  init_check_totals(check, job, machine);
   if (!placement_is_allowed(check, job, machine, operation->machine_cap)) return false;
-  count_placement(check, job, machine, 1);
+  add_to_totals(check, job, machine, 1);
   return true;
 }
 
@@ -117,7 +121,7 @@
   if (operation->kind == TMX_OPERATION_PLACE) return check_placement(check, job, task, operation);
   if (task->state != TMX_TASK_PLACED || task->attempt != operation->attempt) return false;
   if (operation->kind == TMX_OPERATION_STOP) return !task->stop_mode && !job->outcome;
-  begin_counts(check, job, task->machine);
-  count_placement(check, job, task->machine, -1);
+  init_check_totals(check, job, task->machine);
+  add_to_totals(check, job, task->machine, -1);
   return true;
 }
--- a/src/replica/operation_check.h
+++ b/src/replica/operation_check.h
@@ -1,10 +1,11 @@
 /**
  * @file
- * Checks whether operations that were planned on an earlier state are still right. Pure.
+ * Checks whether operations planned on an earlier state are still valid. Does no I/O.
  *
- * A batch is checked operation by operation on the replica as it stands when the batch is sent,
- * each operation after those before it. Counts are kept in fields of the replica's jobs and
- * machines, so one batch is checked at a time, on the thread of the controller's loop.
+ * The operations of a batch are checked in order against the replica as it is when the batch is
+ * sent, with the effects of the operations accepted before them. The running totals are fields of
+ * the replica's jobs and machines, so only one batch can be checked at a time, on the thread of the
+ * controller's event loop.
  */
 #ifndef TMX_OPERATION_CHECK_H
 #define TMX_OPERATION_CHECK_H
@@ -13,16 +14,20 @@
 
 #include "replica/replica.h"
 
-/** The check of one batch. */
+/** State of the check of one batch. */
 struct tmx_operation_check {
-  struct tmx_replica *replica; /**< of the caller; unchanged while the check lasts */
-  uint64_t id; /**< of this check: counts of jobs and machines that carry another are out of date */
-  struct tmx_usage usage[TMX_TEAMS_MAX]; /**< of each team, with the operations checked so far */
+  struct tmx_replica *replica; /**< owned by the caller; must not change during the check */
+  uint64_t id; /**< identifies this check; totals of a job or machine with another id are stale */
+  struct tmx_usage team_usage[TMX_TEAMS_MAX]; /**< resources used by each team, with the operations
+                                                 accepted so far */
 };
 
-/** Begins the check of a batch; the replica must not change before it ends. */
+/** Begins the check of a batch. The replica must not change until the last operation is checked. */
 void tmx_operation_check_begin(struct tmx_operation_check *check, struct tmx_replica *replica);
-/** Checks the next operation. @return true: it is right, and is counted for those after it. */
+/**
+ * Checks the next operation, and adds a valid one to the totals for the operations after it.
+ * @return whether the operation is valid.
+ */
 bool tmx_operation_check_apply(struct tmx_operation_check *check,
                                const struct tmx_operation *operation);
 #endif
--- a/src/replica/ownership.c
+++ b/src/replica/ownership.c
@@ -19,16 +19,21 @@
   return member_at(replica, tmx_member_index(replica, name));
 }
 
-/* FNV-1a, 64 bits. */
+/* 64-bit FNV-1a, except that the initial value lacks the last digit of the standard offset basis.
+ * All controllers must use the same value, or they would disagree about owners. */
+#define HASH_INITIAL 1469598103934665603ull
+#define HASH_PRIME 1099511628211ull
+
 static uint64_t hash_text(uint64_t hash, const char *text) {
-  for (; *text; text++) hash = (hash ^ (uint8_t)*text) * 1099511628211ull;
+  for (; *text; text++) hash = (hash ^ (uint8_t)*text) * HASH_PRIME;
   return hash;
 }
 
-/* The hash of two names, with the last bits of its sum mixed into all others. */
+/* Hashes two names. The last three steps come from MurmurHash3's 64-bit finalizer: without them,
+ * the last bytes of the names would affect only some of the bits. */
 static uint64_t hash_pair(const char *first, const char *second) {
-  uint64_t hash = hash_text(1469598103934665603ull, first);
-  hash = (hash ^ 0xff) * 1099511628211ull; /* no byte of a name: separates the two */
+  uint64_t hash = hash_text(HASH_INITIAL, first);
+  hash = (hash ^ 0xff) * HASH_PRIME; /* separates the names, neither of which contains this byte */
   hash = hash_text(hash, second);
   hash ^= hash >> 33;
   hash *= 0xff51afd7ed558ccdull;
@@ -36,17 +41,17 @@
   return hash;
 }
 
-/* Rendezvous hashing: the member with the highest hash with `name`, so that when a member goes only
- * its own machines and jobs move. Only members of `zone` count; -1: all. */
-static int highest_weight(const struct tmx_replica *replica, const char *name, int zone) {
+/* Rendezvous hashing: returns the member whose hash with `name` is highest. When a member leaves,
+ * only the machines and jobs of that member move. Considers the members in `zone`; -1: all. */
+static int member_with_highest_hash(const struct tmx_replica *replica, const char *name, int zone) {
   int best = -1;
-  uint64_t best_weight = 0;
+  uint64_t best_hash = 0;
   for (size_t i = 0; i < replica->view.n_members; i++) {
     const struct tmx_member *member = &replica->view.members[i];
     if (zone >= 0 && member->zone != zone) continue;
-    const uint64_t weight = hash_pair(member->name, name);
-    if (best < 0 || weight > best_weight) {
-      best_weight = weight;
+    const uint64_t hash = hash_pair(member->name, name);
+    if (best < 0 || hash > best_hash) {
+      best_hash = hash;
       best = (int)i;
     }
   }
@@ -58,8 +63,8 @@
   HASH_FIND_STR(replica->view.overrides_by_machine, machine, override);
   int owner = override ? tmx_member_index(replica, override->node) : -1;
   if (owner < 0 && replica->view.zones_partitioned && zone >= 0)
-    owner = highest_weight(replica, machine, zone);
-  return owner >= 0 ? owner : highest_weight(replica, machine, -1);
+    owner = member_with_highest_hash(replica, machine, zone);
+  return owner >= 0 ? owner : member_with_highest_hash(replica, machine, -1);
 }
 
 const char *tmx_machine_owner(const struct tmx_replica *replica, const char *machine) {
@@ -71,7 +76,7 @@
 }
 
 int tmx_job_planner_index(const struct tmx_replica *replica, const char *job) {
-  return highest_weight(replica, job, -1);
+  return member_with_highest_hash(replica, job, -1);
 }
 
 const char *tmx_job_planner(const struct tmx_replica *replica, const char *job) {
@@ -80,24 +85,24 @@
 }
 
 double tmx_replica_last_batch_at(const struct tmx_replica *replica, const char *node) {
-  for (size_t i = 0; i < replica->n_batch_sightings; i++)
-    if (!strcmp(replica->batch_sightings[i].node, node)) return replica->batch_sightings[i].at;
+  for (size_t i = 0; i < replica->n_last_batches; i++)
+    if (!strcmp(replica->last_batches[i].node, node)) return replica->last_batches[i].seen_at;
   return 0;
 }
 
-void tmx_replica_note_batch_of(struct tmx_replica *replica, const char *name, size_t length) {
+void tmx_replica_record_batch_of(struct tmx_replica *replica, const char *name, size_t length) {
   if (!length || length >= TMX_NAME_MAX) return;
-  struct tmx_batch_sighting *sightings = replica->batch_sightings;
+  struct tmx_last_batch *batches = replica->last_batches;
   size_t i = 0;
-  while (i < replica->n_batch_sightings &&
-         (strncmp(sightings[i].node, name, length) || sightings[i].node[length]))
+  while (i < replica->n_last_batches &&
+         (strncmp(batches[i].node, name, length) || batches[i].node[length]))
     i++;
   if (i == TMX_MEMBERS_MAX) return;
-  if (i == replica->n_batch_sightings) {
-    replica->n_batch_sightings++;
-    snprintf(sightings[i].node, sizeof sightings[i].node, "%.*s", (int)length, name);
+  if (i == replica->n_last_batches) {
+    replica->n_last_batches++;
+    snprintf(batches[i].node, sizeof batches[i].node, "%.*s", (int)length, name);
   }
-  sightings[i].at = replica->now;
+  batches[i].seen_at = replica->now;
 }
 
 static void remove_registered_member(struct tmx_replica *replica, size_t i) {
--- a/src/replica/ownership.h
+++ b/src/replica/ownership.h
@@ -1,8 +1,9 @@
 /**
  * @file
- * Members and owners on the replica: which controller owns a machine and plans a job. Pure.
+ * Members of the view, and the owner of each machine and planner of each job among them.
  *
- * Names that are returned belong to the replica and are valid until its view changes.
+ * Does no I/O. Like the replica, these functions belong to the thread of the controller's event
+ * loop. Returned names are owned by the replica and valid until its view changes.
  */
 #ifndef TMX_OWNERSHIP_H
 #define TMX_OWNERSHIP_H
@@ -10,16 +11,19 @@
 
 struct tmx_replica;
 
-/** Index of the member in the view; -1: it is none, or the name is NULL. */
+/** Index of the member with this name in the view; -1: not a member, or the name is NULL. */
 int tmx_member_index(const struct tmx_replica *replica, const char *name);
-/** The member of this name in the view; NULL: it is none. */
+/** The member with this name in the view; NULL: not a member, or the name is NULL. */
 const struct tmx_member *tmx_member_find(const struct tmx_replica *replica, const char *name);
 /** Name of the member that owns the machine; NULL: there is no view. */
 const char *tmx_machine_owner(const struct tmx_replica *replica, const char *machine);
-/** Name of the member that plans the job first; NULL: there is no view. */
+/**
+ * Name of the job's planner; NULL: there is no view. Other members may plan the job only after
+ * a grace period.
+ */
 const char *tmx_job_planner(const struct tmx_replica *replica, const char *job);
-/** Index of the member that plans the job first; -1: there is no view. */
+/** Index of the job's planner in the view, see tmx_job_planner(); -1: there is no view. */
 int tmx_job_planner_index(const struct tmx_replica *replica, const char *job);
-/** Steady clock, s, at which a batch of this member was last seen; 0: never. */
+/** Monotonic clock, s, when the latest batch of this member was applied; 0: never. */
 double tmx_replica_last_batch_at(const struct tmx_replica *replica, const char *node);
 #endif
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -30,7 +30,7 @@
   tmx_log_keys_clear(&replica->page_keys);
   tmx_view_clear(&replica->view);
   replica->compaction_point = replica->compaction_generation = replica->compaction_version = 0;
-  replica->n_batch_sightings = 0;
+  replica->n_last_batches = 0;
   memset(replica->team_usage, 0, sizeof replica->team_usage);
   if (replica->backlog) tmx_backlog_init(replica->backlog, replica->settings);
   replica->booked_cpus = replica->waiting_cpus = 0;
@@ -49,30 +49,31 @@
   if (replica->on_schedulable_change) replica->on_schedulable_change(replica->observer);
 }
 
-static void keep_key(struct tmx_log_key **table, const char *key, uint64_t version, bool stands) {
-  if (stands)
+static void update_key_table(struct tmx_log_key **table, const char *key, uint64_t version,
+                             bool exists) {
+  if (exists)
     tmx_log_keys_put(table, key, version);
   else
     tmx_log_keys_remove(table, key);
 }
 
-/* Batches up to the compaction point are in the pages. Their keys are reused in any order, so what
- * is left of them no longer tells the whole story. */
+/* Skips batches up to the compaction point: the pages contain them. Their keys are overwritten in
+ * any order, so the batches that remain are not a complete history. */
 static void apply_batch(struct tmx_replica *replica, const char *key, const char *name,
                         uint64_t version, const cbor_item_t *value) {
-  keep_key(&replica->batch_keys, key, version, value != NULL);
+  update_key_table(&replica->batch_keys, key, version, value != NULL);
   if (!value || version <= replica->compaction_point) return;
-  const char *end_of_member = strchr(name, '/');
-  if (end_of_member) tmx_replica_note_batch_of(replica, name, (size_t)(end_of_member - name));
+  const char *member_end = strchr(name, '/');
+  if (member_end) tmx_replica_record_batch_of(replica, name, (size_t)(member_end - name));
   tmx_replica_apply_log_value(replica, value);
 }
 
-/* A complete copy has a page's content already. Pages of a compaction that was given up tell of
- * tasks whose ends may lie before the compaction point in force: of a job that is over, no page of
- * the compaction in force would put that right. */
+/* Skips pages once the replica is loaded, since it already has their content. Also skips pages of
+ * an abandoned compaction: they may show tasks as placed whose ends precede the compaction point in
+ * force. If the job is over, no page of the compaction in force corrects that. */
 static void apply_page(struct tmx_replica *replica, const char *key, const char *name,
                        uint64_t version, const cbor_item_t *value) {
-  keep_key(&replica->page_keys, key, version, value != NULL);
+  update_key_table(&replica->page_keys, key, version, value != NULL);
   if (value && !replica->loaded && strtoull(name, NULL, 16) == replica->compaction_generation)
     tmx_replica_apply_log_value(replica, value);
 }
@@ -95,7 +96,7 @@
   tmx_replica_notify_schedulable(replica);
 }
 
-/* Sets `name` to what follows the prefix; false: the key begins otherwise. */
+/* Sets `name` to the part of the key after the prefix. Returns false if the prefix differs. */
 static bool strip_prefix(const char *key, const char *prefix, const char **name) {
   const size_t length = strlen(prefix);
   if (strncmp(key, prefix, length)) return false;
@@ -126,8 +127,9 @@
   }
 }
 
-/* The compaction comes first, since it tells which batches count; then jobs, since the log speaks
- * of their tasks, and a final state rewrites a job's version. */
+/* Order of loading. The compaction comes first, since it determines which batches and pages apply.
+ * Jobs come next, since the log refers to their tasks; sorting by version alone would not ensure
+ * this, because writing a job's final state gives its key a newer version. */
 enum load_class { LOAD_COMPACTION, LOAD_JOB, LOAD_OTHER };
 
 static enum load_class load_class_of(const char *key) {
@@ -150,8 +152,9 @@
     tmx_replica_apply(replica, entries[i].key, entries[i].version, entries[i].value);
 }
 
-/* Pages count results without telling of them, so every job is counted anew. */
-static void count_jobs_anew(struct tmx_replica *replica) {
+/* Recomputes the totals of waiting work from all jobs: applying a page changes tasks without
+ * updating these totals. Also frees the tasks of jobs that are over. */
+static void recount_jobs(struct tmx_replica *replica) {
   struct tmx_job *job, *next;
   replica->waiting_cpus = 0;
   HASH_ITER(hh, replica->jobs, job, next) {
@@ -167,7 +170,7 @@
   if (replica->loaded || replica->revision < replica->load_revision) return;
   replica->loaded = true;
   tmx_replica_drop_unregistered_machines(replica);
-  count_jobs_anew(replica);
+  recount_jobs(replica);
   tmx_dependencies_replica_loaded(replica);
   tmx_replica_notify_schedulable(replica);
 }
--- a/src/replica/view.c
+++ b/src/replica/view.c
@@ -11,7 +11,8 @@
   memset(view, 0, sizeof *view);
 }
 
-/* Appends the machines of `node` among the overrides from `first` on, and marks them as written. */
+/* Appends the list of machines that have the same owner as the override at `first`, and marks their
+ * overrides as written. Earlier overrides have other owners. */
 static void encode_machines_of_node(struct tmx_buffer *buffer, const struct tmx_view *view,
                                     size_t first, bool *written) {
   struct tmx_buffer ids = {0};
@@ -27,8 +28,9 @@
   tmx_buffer_free(&ids);
 }
 
-/* A list of a node's name, a list of its machines, the next node's name, and so on. A value is
- * small and a partition takes many machines, so each name is written once. */
+/* Appends a flat list: a node's name, the list of its machines, the next node's name, and so on.
+ * Each name is written only once, since the size of a value is limited and a partition can override
+ * the owner of many machines. */
 static void encode_overrides(struct tmx_buffer *buffer, const struct tmx_view *view) {
   size_t n = 0;
   struct tmx_buffer list = {0};
@@ -86,7 +88,7 @@
   size_t n = 0;
   for (size_t i = 1; i < tmx_cbor_list_length(list); i += 2)
     n += tmx_cbor_list_length(tmx_cbor_list_at(list, i));
-  /* one more than needed: a malformed entry is read into the place behind the last */
+  /* one spare entry: decode_override() writes a malformed override behind the last valid one */
   view->overrides = tmx_allocate(n + 1, sizeof *view->overrides);
   for (size_t i = 0; i + 1 < tmx_cbor_list_length(list); i += 2) {
     const cbor_item_t *machines = tmx_cbor_list_at(list, i + 1);
--- a/src/scheduler/round_batch.c
+++ b/src/scheduler/round_batch.c
@@ -133,7 +133,7 @@
 static void add_derived_final_states(struct tmx_scheduler *scheduler,
                                      struct tmx_log_batch *log_batch) {
   struct tmx_replica *replica = scheduler->replica;
-  tmx_replica_prune_unstored(replica);
+  tmx_replica_prune_unstored_outcomes(replica);
   if (!tmx_store_is_leader(scheduler->store) ||
       !tmx_store_has_housekeeping_budget(scheduler->store))
     return;
--- a/src/store/snapshot_writer.c
+++ b/src/store/snapshot_writer.c
@@ -101,7 +101,7 @@
     const struct tmx_machine *machine =
         tmx_machine_find(writer->replica, writer->machines[position->machine++]);
     if (!machine || !machine->registered) continue;
-    tmx_machine_print(item->line, sizeof item->line, writer->replica, machine);
+    tmx_machine_line_print(item->line, sizeof item->line, writer->replica, machine);
     return true;
   }
   return false;
@@ -126,7 +126,7 @@
   while (job->tasks && position->task < job->spec.tasks) {
     int length;
     position->task +=
-        tmx_task_run_print(item->line, sizeof item->line, job, position->task, &length);
+        tmx_task_range_line_print(item->line, sizeof item->line, job, position->task, &length);
     if (length) return true;
   }
   return false;
@@ -141,7 +141,8 @@
     return true;
   }
   if (position->n_types < job->spec.n_types) {
-    tmx_type_print(item->line, sizeof item->line, job->id, job->spec.types[position->n_types++]);
+    tmx_permitted_type_line_print(item->line, sizeof item->line, job->id,
+                                  job->spec.types[position->n_types++]);
     return true;
   }
   if (position->n_dependencies < dependencies->count) {
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -210,7 +210,7 @@
   char line[TMX_LINE_MAX];
   struct tmx_job *job, *next;
   const struct tmx_machine *machine = tmx_machine_find(&h->live.replica, "n-1");
-  tmx_machine_print(line, sizeof line, &h->live.replica, machine);
+  tmx_machine_line_print(line, sizeof line, &h->live.replica, machine);
   add_page_line(&list, &n, line);
   HASH_ITER(hh, h->live.replica.jobs, job, next) {
     if (job->outcome) continue;
@@ -218,7 +218,7 @@
     n_jobs++;
     for (uint32_t at = 0; at < job->spec.tasks;) {
       int len;
-      at += tmx_task_run_print(line, sizeof line, job, at, &len);
+      at += tmx_task_range_line_print(line, sizeof line, job, at, &len);
       if (len) add_page_line(&list, &n, line);
     }
   }
--- a/tests/fake_store_log.c
+++ b/tests/fake_store_log.c
@@ -35,7 +35,7 @@
 static void compare_line(void *argument, const char *line) {
   struct search *search = argument;
   search->found |= !strcmp(line, search->line);
-  tmx_log_line_each_operation(line, compare_operation, search);
+  tmx_log_line_for_each_operation(line, compare_operation, search);
 }
 
 bool fake_log_contains(const char *line) {
@@ -51,7 +51,7 @@
 }
 
 static void count_line(void *argument, const char *line) {
-  tmx_log_line_each_operation(line, count_operation, argument);
+  tmx_log_line_for_each_operation(line, count_operation, argument);
 }
 
 unsigned fake_count_placed(void) {
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -57,7 +57,7 @@
 
 static bool all_outcomes_are_stored(void *arg) {
   struct tmx_controller *controller = arg;
-  tmx_replica_prune_unstored(&controller->replica);
+  tmx_replica_prune_unstored_outcomes(&controller->replica);
   return !controller->replica.n_unstored_outcomes;
 }
 
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -142,7 +142,7 @@
   assert_true(replica.waiting_cpus == 2);
   assert_int_equal(replica.n_unstored_outcomes, 3);
   end("wk-b", TMX_JOB_CANCELLED, 0);
-  tmx_replica_prune_unstored(&replica);
+  tmx_replica_prune_unstored_outcomes(&replica);
   assert_int_equal(replica.n_unstored_outcomes, 2);
   end("wk-d", TMX_JOB_DONE, 160); /* comes too late for the others */
   assert_int_equal(job("wk-e")->outcome, TMX_JOB_CANCELLED);
@@ -353,16 +353,16 @@
 static void a_line_of_several_operations_means_each_of_them(void **state) {
   (void)state;
   char all[512] = "";
-  tmx_log_line_each_operation("P wk-1 2 0:n-1 7:n-2", append_operation, all);
-  tmx_log_line_each_operation("E wk-1 2 d 0 3", append_operation, all);
-  tmx_log_line_each_operation("e wk-1/4 1 l", append_operation, all);
+  tmx_log_line_for_each_operation("P wk-1 2 0:n-1 7:n-2", append_operation, all);
+  tmx_log_line_for_each_operation("E wk-1 2 d 0 3", append_operation, all);
+  tmx_log_line_for_each_operation("e wk-1/4 1 l", append_operation, all);
   assert_string_equal(all, "p wk-1/0 2 n-1;p wk-1/7 2 n-2;e wk-1/0 2 d;e wk-1/3 2 d;e wk-1/4 1 l;");
   all[0] = 0; /* a malformed line holds no operation */
   static const char *const malformed[] = {
       "P wk-1 2",     "P wk-1 2 0",  "P wk-1 x 0:n-1", "PP wk-1 2 0:n-1",
       "E wk-1 2 d x", "P wk-1 2 0:", "E wk-1 2 d 1:n"};
   for (size_t i = 0; i < sizeof malformed / sizeof *malformed; i++)
-    tmx_log_line_each_operation(malformed[i], append_operation, all);
+    tmx_log_line_for_each_operation(malformed[i], append_operation, all);
   assert_string_equal(all, "");
   struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 7, .attempt = 2}, other;
   strcpy(operation.job, "wk-1");
--- a/tests/test_job_record_format.c
+++ b/tests/test_job_record_format.c
@@ -175,7 +175,7 @@
   struct tmx_job_record back = read_record(&recording, &buffer, text, sizeof text);
   assert_same_spec(&back.spec, &part);
   for (size_t i = part.n_types; i < spec.n_types; i++) {
-    tmx_type_print(line, sizeof line, "wk-000006", spec.types[i]);
+    tmx_permitted_type_line_print(line, sizeof line, "wk-000006", spec.types[i]);
     record_line(&recording, "%s", line);
   }
   tmx_job_ids_free(&one);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -223,9 +223,9 @@
   /* and back into lines */
   char line[TMX_LINE_MAX];
   int len;
-  assert_int_equal(tmx_task_run_print(line, sizeof line, job, 0, &len), 4);
+  assert_int_equal(tmx_task_range_line_print(line, sizeof line, job, 0, &len), 4);
   assert_string_equal(line, "t wk-1/0 4 2 d -");
-  assert_int_equal(tmx_task_run_print(line, sizeof line, job, 8, &len), 1);
+  assert_int_equal(tmx_task_range_line_print(line, sizeof line, job, 8, &len), 1);
   assert_int_equal(len, 0);
 }
 
--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -81,7 +81,7 @@
   }
   record_line(recording, "%s", line);
   struct expected_group group = {.ops = ops};
-  tmx_log_line_each_operation(line, next_of_group, &group);
+  tmx_log_line_for_each_operation(line, next_of_group, &group);
   assert_int_equal(group.n, 3);
 }
 
@@ -100,7 +100,8 @@
   record_line(&recording, "lines: %c %c %c %c %c %c %c %c %c %c %c", TMX_OPERATION_PLACE,
               TMX_OPERATION_STOP, TMX_OPERATION_END, TMX_OPERATION_GROUP_PLACE,
               TMX_OPERATION_GROUP_END, TMX_LINE_MACHINE, TMX_LINE_MACHINE_DRAINING,
-              TMX_LINE_MACHINE_REMOVED, TMX_LINE_TASK_RUN, TMX_LINE_TYPE, TMX_LINE_DEPENDENCIES);
+              TMX_LINE_MACHINE_REMOVED, TMX_LINE_TASK_RANGE, TMX_LINE_PERMITTED_TYPE,
+              TMX_LINE_DEPENDENCIES);
   recording_check(&recording, "storage-operations.txt");
 }
 
@@ -125,7 +126,7 @@
   struct tmx_machine *machine, *next_machine;
   struct tmx_job *job, *next_job;
   HASH_ITER(hh, replica.machines, machine, next_machine) {
-    tmx_machine_print(line, sizeof line, &replica, machine);
+    tmx_machine_line_print(line, sizeof line, &replica, machine);
     record_line(recording, "%s", line);
   }
   HASH_ITER(hh, replica.jobs, job, next_job) {
@@ -138,7 +139,7 @@
     }
     for (uint32_t index = 0; job->tasks && index < job->spec.tasks;) {
       int length;
-      index += tmx_task_run_print(line, sizeof line, job, index, &length);
+      index += tmx_task_range_line_print(line, sizeof line, job, index, &length);
       if (length) record_line(recording, "%s", line);
     }
   }
