--- a/src/cloud/deletion_request.c
+++ b/src/cloud/deletion_request.c
@@ -30,7 +30,7 @@
   char line[TMX_LINE_MAX];
   if (!tmx_machine_find(cloud->replica, id)) return;
   snprintf(line, sizeof line, "%c %s", TMX_LINE_MACHINE_REMOVED, id);
-  tmx_scheduler_append_line(cloud->scheduler, line);
+  tmx_scheduler_queue_log_line(cloud->scheduler, line);
 }
 
 /* Lists lag behind, so a deleted instance stays marked until no list has shown it for long, and is
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -14,7 +14,7 @@
   char line[TMX_LINE_MAX];
   snprintf(line, sizeof line, "%c %s %d", TMX_LINE_MACHINE_DRAINING, id, draining);
   tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", id, draining ? "no longer" : "again");
-  tmx_scheduler_append_line(cloud->scheduler, line);
+  tmx_scheduler_queue_log_line(cloud->scheduler, line);
 }
 
 void tmx_cloud_drain_if_idle(struct tmx_cloud *cloud, struct tmx_reclaim_evidence *evidence,
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -16,7 +16,7 @@
   (void)events;
   struct tmx_controller *controller = watcher->data;
   tmx_workers_flush(controller->workers);
-  tmx_scheduler_flush(controller->scheduler);
+  tmx_scheduler_process_submissions(controller->scheduler);
 }
 
 /* A controller that comes back from a network partition hears the others one after the other: the
@@ -60,7 +60,8 @@
   return tmx_workers_collect_completions(controller->workers, operations, max);
 }
 
-static size_t collect_unregistered(void *context, struct tmx_machine_facts *facts, size_t max) {
+static size_t collect_unregistered(void *context, struct tmx_machine_description *facts,
+                                   size_t max) {
   const struct tmx_controller *controller = context;
   return tmx_workers_collect_unregistered(controller->workers, facts, max);
 }
--- a/src/scheduler/delta_collection.c
+++ b/src/scheduler/delta_collection.c
@@ -1,5 +1,5 @@
-/* Collects the delta for the planner: the machines and jobs that changed, and what else a round
- * depends on. */
+/* Tracks changed machines and jobs, and collects them into the delta for the planner together with
+ * the other inputs of a round. */
 #include "scheduler/delta_collection.h"
 
 #include <math.h>
@@ -43,27 +43,29 @@
   scheduler->n_changed_machines = scheduler->n_changed_jobs = 0;
 }
 
-/* While puts are short every member waits for its commit slot, so a job's own planner gets one
- * period of all slots more before another planner may take the job. */
+/* Returns the seconds for which only the member that plans a job may place it. Unless the write
+ * load is low, each member waits for its commit slot, so the grace period includes one cycle of all
+ * slots. */
 static double own_planner_grace(const struct tmx_scheduler *scheduler) {
   if (tmx_store_is_write_load_low(scheduler->store)) return TMX_OWN_PLANNER_GRACE_S;
   return TMX_OWN_PLANNER_GRACE_S + tmx_commit_slot_length(scheduler->settings) *
                                        (double)(scheduler->replica->view.n_members + 1);
 }
 
-/* Machines and tasks that a round may look at, by the processor time that it may take. */
+/* Limits how many machines and tasks a round visits, by the processor time that it may use. */
 static size_t max_visits(const struct tmx_settings *settings) {
   double affordable = settings->core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S;
   return (size_t)fmax(fmin(affordable, TMX_PLAN_VISITS_MAX), TMX_PLAN_VISITS_MIN);
 }
 
-/* Operations that a batch has room for. They share lines where dependencies are in use. */
+/* Estimates how many operations fit into a batch. Operations share lines, and so are shorter, once
+ * dependencies are in use. */
 static size_t max_operations(const struct tmx_scheduler *scheduler) {
   const struct tmx_settings *settings = scheduler->settings;
-  double room = (double)tmx_value_room(settings) * (settings->txn_ops - 1);
+  double value_bytes = (double)tmx_value_room(settings) * (settings->txn_ops - 1);
   double typical_length =
       scheduler->replica->dependencies_in_use ? TMX_ITEM_TYPICAL : TMX_LINE_TYPICAL;
-  return (size_t)(fmin(room, TMX_TRANSACTION_BYTES) / typical_length);
+  return (size_t)(fmin(value_bytes, TMX_TRANSACTION_BYTES) / typical_length);
 }
 
 static void fill_input(const struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
@@ -83,11 +85,11 @@
   input->max_operations = max_operations(scheduler);
 }
 
-/* The completions at hand count as room: they come first in the batch, before what is placed. */
-static void count_completions_as_room(struct tmx_scheduler *scheduler,
-                                      struct tmx_round_input *input) {
+/* Counts the resources of ended attempts as free in this round: the batch lists the ends before the
+ * placements. */
+static void release_ended_attempts(struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
   for (size_t i = 0; i < scheduler->n_completions; i++) {
-    struct tmx_task *task = tmx_operation_task(scheduler->replica, &scheduler->completions[i]);
+    struct tmx_task *task = tmx_operation_find_task(scheduler->replica, &scheduler->completions[i]);
     task->completion_in_batch = true;
     tmx_scheduler_machine_changed(scheduler, task->machine);
     tmx_scheduler_job_changed(scheduler, task->job);
@@ -98,11 +100,11 @@
   }
 }
 
-/* The replica is put back as it was. What the planner was told may not come about, so the machines
- * and jobs remain due for the next delta. */
-static void undo_completions(struct tmx_scheduler *scheduler) {
+/* Reverts the changes that release_ended_attempts() made to the replica. The batch may not be
+ * committed, so the machines and jobs are marked as changed again and go into the next delta. */
+static void restore_ended_attempts(struct tmx_scheduler *scheduler) {
   for (size_t i = 0; i < scheduler->n_completions; i++) {
-    struct tmx_task *task = tmx_operation_task(scheduler->replica, &scheduler->completions[i]);
+    struct tmx_task *task = tmx_operation_find_task(scheduler->replica, &scheduler->completions[i]);
     task->completion_in_batch = false;
     if (task->machine->zone >= 0) task->job->placed_in_zone[task->machine->zone]++;
     tmx_scheduler_machine_changed(scheduler, task->machine);
@@ -112,11 +114,11 @@
 
 void tmx_scheduler_collect_delta(struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
   fill_input(scheduler, input);
-  count_completions_as_room(scheduler, input);
+  release_ended_attempts(scheduler, input);
   for (size_t i = 0; i < scheduler->n_changed_jobs; i++)
     tmx_planner_records_add_job(scheduler, scheduler->changed_jobs[i]);
   for (size_t i = 0; i < scheduler->n_changed_machines; i++)
     tmx_planner_records_add_machine(scheduler, scheduler->changed_machines[i]);
   scheduler->n_changed_jobs = scheduler->n_changed_machines = 0;
-  undo_completions(scheduler);
+  restore_ended_attempts(scheduler);
 }
--- a/src/scheduler/delta_collection.h
+++ b/src/scheduler/delta_collection.h
@@ -1,12 +1,13 @@
 /**
  * @file
- * The delta that the planner gets with a round. Loop's thread only.
+ * Collects the delta that a round sends to the planner. Loop's thread only.
  */
 #ifndef TMX_DELTA_COLLECTION_H
 #define TMX_DELTA_COLLECTION_H
 #include "scheduler/scheduler_internal.h"
 
-/** Fills the scheduler's delta with all machines and jobs that changed since the last one, and
- * `input` with what else the round depends on. The scheduler's completions must be up to date. */
+/** Adds all machines and jobs that changed since the previous round to the scheduler's delta, and
+ * fills `input` with the other inputs of the round. The completions of this round must have been
+ * collected before. */
 void tmx_scheduler_collect_delta(struct tmx_scheduler *scheduler, struct tmx_round_input *input);
 #endif
--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -5,28 +5,28 @@
 
 #include "base/log.h"
 
-/* Operations share lines only where dependencies are in use: the version in production does not
- * read such lines, see docs/design.md. */
+/* Operations share lines only once dependencies are in use: the version in production cannot read
+ * shared lines, see docs/design.md. */
 void tmx_log_batch_begin(struct tmx_log_batch *batch, struct tmx_scheduler *scheduler,
                          int max_writes) {
   memset(batch, 0, sizeof *batch);
   batch->scheduler = scheduler;
   batch->value_json_max = tmx_value_room(scheduler->settings);
-  batch->grouped = scheduler->replica->dependencies_in_use;
+  batch->grouping_enabled = scheduler->replica->dependencies_in_use;
   batch->writes_left = max_writes;
   tmx_transaction_require_version(&batch->transaction, TMX_KEY_HEAD,
                                   scheduler->replica->head_version);
 }
 
 void tmx_log_batch_free_buffers(struct tmx_log_batch *batch) {
-  tmx_buffer_free(&batch->operations);
-  tmx_buffer_free(&batch->jobs);
+  tmx_buffer_free(&batch->lines);
+  tmx_buffer_free(&batch->job_records);
   tmx_buffer_free(&batch->value_buffer);
 }
 
-/* Keys are written again once a compaction has taken their batches into its pages: nothing has to
- * be deleted, which would cost as much as a put. */
-static void next_key(struct tmx_scheduler *scheduler, char *key, size_t capacity) {
+/* Picks the key for the next batch. The keys of batches that a compaction has copied into snapshot
+ * pages are overwritten rather than deleted, since a deletion costs as much as a put. */
+static void next_batch_key(struct tmx_scheduler *scheduler, char *key, size_t capacity) {
   const struct tmx_replica *replica = scheduler->replica;
   const struct tmx_log_key *existing;
   if (scheduler->key_compaction_point != replica->compaction_point) {
@@ -41,8 +41,8 @@
 }
 
 static void append_line(struct tmx_log_batch *batch, const char *line) {
-  if (tmx_log_enabled(TMX_LOG_DEBUG)) tmx_log(TMX_LOG_DEBUG, "op: %s", line);
-  tmx_cbor_put_text(&batch->operations, line);
+  if (tmx_log_enabled(TMX_LOG_DEBUG)) tmx_log(TMX_LOG_DEBUG, "log line: %s", line);
+  tmx_cbor_put_text(&batch->lines, line);
   batch->n_lines++;
 }
 
@@ -55,68 +55,69 @@
 void tmx_log_batch_end_value(struct tmx_log_batch *batch) {
   char key[TMX_KEY_MAX + 1];
   end_group(batch);
-  if (!batch->n_lines && !batch->n_jobs) return;
+  if (!batch->n_lines && !batch->n_job_records) return;
   batch->value_buffer.length = 0;
-  tmx_log_value_encode(&batch->value_buffer, &batch->jobs, batch->n_jobs, &batch->operations,
-                       batch->n_lines);
-  next_key(batch->scheduler, key, sizeof key);
+  tmx_log_value_encode(&batch->value_buffer, &batch->job_records, batch->n_job_records,
+                       &batch->lines, batch->n_lines);
+  next_batch_key(batch->scheduler, key, sizeof key);
   tmx_transaction_put(&batch->transaction, key, &batch->value_buffer, 0);
-  batch->operations.length = batch->jobs.length = 0;
-  batch->n_lines = batch->n_jobs = 0;
+  batch->lines.length = batch->job_records.length = 0;
+  batch->n_lines = batch->n_job_records = 0;
   batch->transaction_json_length += batch->value_json_length + TMX_JSON_FRAME;
   batch->value_json_length = 0;
   batch->writes_left--;
 }
 
-/* A value above the limit would be refused again and again, and hold up the log. */
-bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int more_puts) {
+/* The store rejects a value above the limit on every retry, which would block the log. */
+bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int extra_puts) {
   size_t total = batch->transaction_json_length + batch->value_json_length + length +
                  (size_t)batch->transaction.n_conditions * TMX_JSON_FRAME;
   if (total > TMX_TRANSACTION_BYTES) return false;
   if (batch->value_json_length + length > batch->value_json_max) tmx_log_batch_end_value(batch);
-  return batch->writes_left - more_puts >= 1;
+  return batch->writes_left - extra_puts >= 1;
 }
 
 void tmx_log_batch_add_job(struct tmx_log_batch *batch, const struct tmx_buffer *record,
                            size_t json_length) {
-  tmx_buffer_append(&batch->jobs, record->data, record->length);
+  tmx_buffer_append(&batch->job_records, record->data, record->length);
   batch->value_json_length += json_length;
-  batch->n_jobs++;
+  batch->n_job_records++;
 }
 
-/* Length of the line as JSON, with the comma after it. */
+/* Bytes of the line as JSON, including the comma after it. */
 static size_t line_length(const char *line) { return tmx_json_text_length(line, strlen(line)) + 1; }
 
-bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int more_puts) {
+bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int extra_puts) {
   size_t length = line_length(line);
   end_group(batch);
-  if (!tmx_log_batch_fits(batch, length, more_puts)) return false;
+  if (!tmx_log_batch_fits(batch, length, extra_puts)) return false;
   batch->value_json_length += length;
   append_line(batch, line);
   return true;
 }
 
-/* Adds the operation to the line that grows; false: it must begin another. */
+/* Adds the operation to the shared line. Returns false if the operation cannot join this line. */
 static bool join_group(struct tmx_log_batch *batch, const struct tmx_operation *operation,
-                       const char *item, int more_puts) {
+                       const char *item, int extra_puts) {
   size_t length = tmx_json_text_length(item, strlen(item)), used = strlen(batch->group_line);
   if (!used || !tmx_operation_same_group(&batch->group_first, operation)) return false;
   if (used + strlen(item) >= sizeof batch->group_line) return false;
   if (batch->value_json_length + length > batch->value_json_max) return false;
-  if (!tmx_log_batch_fits(batch, length, more_puts)) return false;
+  if (!tmx_log_batch_fits(batch, length, extra_puts)) return false;
   strcpy(batch->group_line + used, item);
   batch->value_json_length += length;
   return true;
 }
 
+/* Begins a shared line with the operation. Returns false if the batch is full. */
 static bool begin_group(struct tmx_log_batch *batch, const struct tmx_operation *operation,
-                        const char *item, int more_puts) {
+                        const char *item, int extra_puts) {
   char line[TMX_LINE_MAX];
   end_group(batch);
   int head_length = tmx_operation_group_head_print(line, sizeof line, operation);
   snprintf(line + head_length, sizeof line - (size_t)head_length, "%s", item);
   size_t length = line_length(line);
-  if (!tmx_log_batch_fits(batch, length, more_puts)) return false;
+  if (!tmx_log_batch_fits(batch, length, extra_puts)) return false;
   strcpy(batch->group_line, line);
   batch->group_first = *operation;
   batch->value_json_length += length;
@@ -124,15 +125,15 @@
 }
 
 bool tmx_log_batch_add_operation(struct tmx_log_batch *batch, const struct tmx_operation *operation,
-                                 int more_puts) {
+                                 int extra_puts) {
   char text[TMX_LINE_MAX];
-  if (!batch->grouped || !tmx_operation_can_group(operation)) {
+  if (!batch->grouping_enabled || !tmx_operation_can_group(operation)) {
     tmx_operation_print(text, sizeof text, operation);
-    return tmx_log_batch_add_line(batch, text, more_puts);
+    return tmx_log_batch_add_line(batch, text, extra_puts);
   }
   tmx_operation_group_item_print(text, sizeof text, operation);
-  return join_group(batch, operation, text, more_puts) ||
-         begin_group(batch, operation, text, more_puts);
+  return join_group(batch, operation, text, extra_puts) ||
+         begin_group(batch, operation, text, extra_puts);
 }
 
 void tmx_log_batch_put_outcome(struct tmx_log_batch *batch, const struct tmx_job *job, int outcome,
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A log batch under construction: puts whose values hold job records and lines, within the limits
- * of the state service for a value and for a transaction. Loop's thread only.
+ * Builds a batch of the log: puts whose values contain job records and lines. The batch respects
+ * the limits of the store for a value and for a transaction. Loop's thread only.
  */
 #ifndef TMX_LOG_BATCH_H
 #define TMX_LOG_BATCH_H
@@ -10,47 +10,50 @@
 
 /** A batch under construction. */
 struct tmx_log_batch {
-  struct tmx_scheduler *scheduler;    /**< whose replica and settings it goes by; not owned */
-  struct tmx_transaction transaction; /**< the values that are complete */
+  struct tmx_scheduler *scheduler;    /**< provides the replica and the settings; not owned */
+  struct tmx_transaction transaction; /**< conditions, and the puts of complete values */
   /** @name The value under construction
-   * Lengths are counted as JSON, which is how the limits count. */
+   * Lengths are bytes of the equivalent JSON, as the store's limits count them. */
   /** @{ */
-  struct tmx_buffer jobs;       /**< encoded job records */
-  struct tmx_buffer operations; /**< encoded lines */
-  size_t n_jobs,                /**< records in `jobs` */
-      n_lines;                  /**< lines in `operations` */
-  size_t value_json_length,     /**< bytes of the records and lines, with the line that grows */
-      value_json_max;           /**< limit of `value_json_length`, bytes */
+  struct tmx_buffer job_records; /**< encoded job records */
+  struct tmx_buffer lines;       /**< encoded lines */
+  size_t n_job_records,          /**< used entries of `job_records` */
+      n_lines;                   /**< used entries of `lines` */
+  size_t value_json_length,      /**< bytes of the records and lines, including `group_line` */
+      value_json_max;            /**< limit of `value_json_length`, bytes */
   /** @} */
-  size_t transaction_json_length;   /**< bytes of all values that are complete */
-  int writes_left;                  /**< puts that may still be used, the one of head aside */
-  bool grouped;                     /**< operations of one job may share lines */
-  char group_line[TMX_LINE_MAX];    /**< the line that grows; empty: none */
+  size_t transaction_json_length; /**< bytes of all complete values, as JSON */
+  int writes_left;       /**< puts that the batch may still add, besides that of the head key */
+  bool grouping_enabled; /**< operations of one job may share a line */
+  char group_line[TMX_LINE_MAX];    /**< shared line under construction; empty: none */
   struct tmx_operation group_first; /**< first operation of `group_line` */
-  struct tmx_buffer value_buffer;   /**< where values are encoded */
+  struct tmx_buffer value_buffer;   /**< scratch buffer for encoding a value */
 };
 
-/** Begins a batch of at most `max_writes` puts beside the one of head, conditional on the head that
- * the replica holds. */
+/** Begins a batch of at most `max_writes` puts besides the put of the head key. The batch requires
+ * the head key to have the version that the replica contains. */
 void tmx_log_batch_begin(struct tmx_log_batch *batch, struct tmx_scheduler *scheduler,
                          int max_writes);
-/** Frees the buffers; the transaction remains. */
+/** Frees the buffers of the batch; the transaction remains. */
 void tmx_log_batch_free_buffers(struct tmx_log_batch *batch);
-/** Whether `length` more bytes (as JSON) have room, and `more_puts` puts besides. Ends the present
- * value if they need another one. false: the batch is full. */
-bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int more_puts);
-/** Appends a line; false: it has no room. */
-bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int more_puts);
-/** Appends an operation, which may share a line with those before it; false: it has no room. */
+/** Tells whether the batch has room for `length` more bytes (as JSON) and for `extra_puts` separate
+ * puts. Ends the current value if the bytes need a new one. Returns false if the batch is full. */
+bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int extra_puts);
+/** Appends a line. Returns false if the batch has no room for it and for `extra_puts` puts. */
+bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int extra_puts);
+/** Appends an operation, which may share a line with preceding ones. Returns false if the batch has
+ * no room for it and for `extra_puts` puts. */
 bool tmx_log_batch_add_operation(struct tmx_log_batch *batch, const struct tmx_operation *operation,
-                                 int more_puts);
-/** Appends an encoded job record, for which there must be room. */
+                                 int extra_puts);
+/** Appends an encoded job record of `json_length` bytes as JSON. The caller has checked with
+ * tmx_log_batch_fits() that it fits. */
 void tmx_log_batch_add_job(struct tmx_log_batch *batch, const struct tmx_buffer *record,
                            size_t json_length);
-/** Puts the job's final state under the job's own key, on the condition that its record did not
- * change. `ended_at`: time of day, s; 0: not stored. */
+/** Adds a put of the job's final state under the job's own key, and the condition that this key has
+ * not changed. `outcome`: enum tmx_job_outcome; `ended_at`: time of day, s; 0: not stored. Does not
+ * change `writes_left`. */
 void tmx_log_batch_put_outcome(struct tmx_log_batch *batch, const struct tmx_job *job, int outcome,
                                double ended_at);
-/** Ends the value under construction, if anything is in it. */
+/** Ends the value under construction and adds its put, unless the value is empty. */
 void tmx_log_batch_end_value(struct tmx_log_batch *batch);
 #endif
--- a/src/scheduler/pending_lines.c
+++ b/src/scheduler/pending_lines.c
@@ -5,7 +5,7 @@
 
 #include "base/memory.h"
 
-void tmx_scheduler_append_line(struct tmx_scheduler *scheduler, const char *line) {
+void tmx_scheduler_queue_log_line(struct tmx_scheduler *scheduler, const char *line) {
   for (size_t i = 0; i < scheduler->n_pending_lines; i++)
     if (!strcmp(scheduler->pending_lines[i].text, line)) return;
   scheduler->pending_lines =
--- a/src/scheduler/pending_lines.h
+++ b/src/scheduler/pending_lines.h
@@ -1,16 +1,16 @@
 /**
  * @file
- * Lines of the log that are kept until they are committed. Loop's thread only.
+ * Queue of lines for the log; each is kept until it is committed. Loop's thread only.
  */
 #ifndef TMX_PENDING_LINES_H
 #define TMX_PENDING_LINES_H
 #include "scheduler/log_batch.h"
 
-/** Adds the lines to the batch, as many as it has room for. `*full`: the batch takes nothing more;
- * it is set when a line finds no room. */
+/** Adds the queued lines to the batch, the oldest first, until one does not fit, and then sets
+ * `*full`. Adds nothing if `*full` is already set. */
 void tmx_pending_lines_add_to_batch(struct tmx_scheduler *scheduler, struct tmx_log_batch *batch,
                                     bool *full);
-/** The batch with the lines added last was committed: forgets those. Lines that were appended in
- * the meantime stay. */
+/** Removes the lines that were in the batch built last. To be called when this batch is committed.
+ * Lines queued since then stay. */
 void tmx_pending_lines_committed(struct tmx_scheduler *scheduler);
 #endif
--- a/src/scheduler/pending_submission.c
+++ b/src/scheduler/pending_submission.c
@@ -13,15 +13,16 @@
   return true;
 }
 
-/* The record takes one put; lines begin in a value of their own. */
+/* Counts the puts that the submission needs: one for the record, and one for each value
+ * that its lines need. */
 static int count_values(const struct tmx_pending_submission *pending) {
-  size_t room = tmx_value_room(pending->scheduler->settings), used = room;
+  size_t value_bytes = tmx_value_room(pending->scheduler->settings), used = value_bytes;
   int n_values = 1;
   char line[TMX_LINE_MAX];
   uint32_t position = pending->n_dependencies_in_record;
   while (tmx_pending_submission_next_line(pending, &position, line, sizeof line)) {
     size_t length = tmx_json_text_length(line, strlen(line)) + 1;
-    bool begins_value = used + length > room;
+    bool begins_value = used + length > value_bytes;
     n_values += begins_value;
     used = begins_value ? length : used + length;
   }
@@ -59,9 +60,9 @@
 
 bool tmx_pending_submission_is_too_large(const struct tmx_pending_submission *pending) {
   const struct tmx_settings *settings = pending->scheduler->settings;
-  size_t room = tmx_value_room(settings);
-  return pending->record_json_length > room || pending->n_values > settings->txn_ops - 1 ||
-         (size_t)pending->n_values * (room + TMX_JSON_FRAME) > TMX_TRANSACTION_BYTES;
+  size_t value_bytes = tmx_value_room(settings);
+  return pending->record_json_length > value_bytes || pending->n_values > settings->txn_ops - 1 ||
+         (size_t)pending->n_values * (value_bytes + TMX_JSON_FRAME) > TMX_TRANSACTION_BYTES;
 }
 
 void tmx_pending_submission_require_absent(const struct tmx_pending_submission *pending,
--- a/src/scheduler/planner_records.c
+++ b/src/scheduler/planner_records.c
@@ -24,7 +24,7 @@
 static void add_placed_task(struct tmx_plan_machine *record, const struct tmx_task *task) {
   const struct tmx_job_spec *spec = &task->job->spec;
   bool stopping = task->stop_mode || task->job->outcome;
-  if (task->completion_in_batch) { /* its end is in the batch before anything that is placed */
+  if (task->completion_in_batch) { /* the batch lists this end before the placements */
     record->booked_cpus -= spec->cpus;
     record->booked_gpus -= spec->gpus;
     record->booked_mem_gb -= spec->mem_gb;
@@ -63,7 +63,7 @@
     add_placed_task(record, task);
 }
 
-/* The specification never changes, so the planner gets it once. */
+/* Sends the specification to the planner only once, since it never changes. */
 static void add_specification(const struct tmx_settings *settings, struct tmx_plan_job *record,
                               struct tmx_job *job) {
   if (job->known_to_planner) return;
@@ -103,7 +103,7 @@
   memcpy(record->failed_machines, job->failed_machines, sizeof record->failed_machines);
 }
 
-/* The first of the tasks that wait, as many as a round can place. */
+/* Adds the first waiting tasks, at most as many as a round can place. */
 static void add_waiting_tasks(struct tmx_plan_job *record, struct tmx_job *job) {
   uint32_t max = job->spec.tasks - job->n_done - job->n_placed;
   if (max > TMX_PLAN_TASKS) max = TMX_PLAN_TASKS;
--- a/src/scheduler/planner_thread.c
+++ b/src/scheduler/planner_thread.c
@@ -13,7 +13,7 @@
   void *context;
   ev_async result_event;
   pthread_t thread;
-  pthread_mutex_t lock; /* guards all that follows */
+  pthread_mutex_t lock; /* guards the fields below */
   pthread_cond_t work_available;
   struct tmx_planner_delta delta;
   struct tmx_round_input input;
@@ -21,8 +21,8 @@
   bool has_work, has_result, quit;
 };
 
-/* Waits for work and moves it into the parameters; the lock is held. Returns false if the thread is
- * to end. */
+/* Waits for a request and moves it into the parameters. The caller holds the lock. Returns false if
+ * the thread must end. */
 static bool wait_for_work(struct tmx_planner_thread *thread, struct tmx_planner_delta *delta,
                           struct tmx_round_input *input) {
   while (!thread->has_work && !thread->quit)
--- a/src/scheduler/round_timing.c
+++ b/src/scheduler/round_timing.c
@@ -5,12 +5,12 @@
 #include "base/clock.h"
 
 void tmx_scheduler_start_timer(struct tmx_scheduler *scheduler, double within_s) {
-  const double shortest_s = 0.0005;
+  const double min_delay_s = 0.0005;
   if (ev_is_active(&scheduler->round_timer) &&
       ev_timer_remaining(scheduler->loop, &scheduler->round_timer) <= within_s)
     return;
   ev_timer_stop(scheduler->loop, &scheduler->round_timer);
-  ev_timer_set(&scheduler->round_timer, within_s > shortest_s ? within_s : shortest_s, 0);
+  ev_timer_set(&scheduler->round_timer, within_s > min_delay_s ? within_s : min_delay_s, 0);
   ev_timer_start(scheduler->loop, &scheduler->round_timer);
 }
 
@@ -28,7 +28,7 @@
   scheduler->awaited_revision_since = tmx_clock_steady();
 }
 
-bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler) {
+bool tmx_scheduler_has_caught_up(const struct tmx_scheduler *scheduler) {
   return scheduler->awaited_revision <= scheduler->replica->revision ||
          tmx_clock_steady() - scheduler->awaited_revision_since > TMX_STORE_TIMEOUT_S;
 }
@@ -37,10 +37,10 @@
   return TMX_COMMIT_SLOT_WRITES / (settings->write_rps * TMX_WRITE_SHARE);
 }
 
-/* Whoever loses the race for head has spent its puts for nothing, so while puts are short each
- * member keeps to its slot of the time of day; the leader has two, the second of which comes after
- * the slots of all members. A batch that is late finds out by its condition: correctness does not
- * depend on clocks. */
+/* A batch that conflicts on the head key has wasted its puts. Unless the write load is low, each
+ * member therefore begins rounds only in its own commit slot. A cycle has one slot per member, in
+ * the order of the members, and then a second slot for the leader. Correctness does not depend on
+ * the clocks: a batch that is sent outside its slot is still conditional on the head key. */
 double tmx_commit_slot_delay(const struct tmx_scheduler *scheduler) {
   size_t n_members = scheduler->replica->view.n_members;
   int self = tmx_authority_member_index(scheduler->authority);
--- a/src/scheduler/round_timing.h
+++ b/src/scheduler/round_timing.h
@@ -1,20 +1,25 @@
 /**
  * @file
- * When a round may begin and when its batch may be sent. Loop's thread only.
+ * Decides when a round may begin and when its batch may be sent. Loop's thread only.
+ *
+ * A commit slot is a recurring interval of the time of day that is assigned to one member.
  */
 #ifndef TMX_ROUND_TIMING_H
 #define TMX_ROUND_TIMING_H
 #include "scheduler/scheduler_internal.h"
 
-/** Length of one member's commit slot, s of the time of day. */
+/** Length of a commit slot, s. */
 double tmx_commit_slot_length(const struct tmx_settings *settings);
-/** How long until a commit slot of this member begins, s; 0: its batch may be sent now. */
+/** Seconds until the next commit slot of this member begins. Returns 0 if a round may begin now:
+ * during the first TMX_COMMIT_SLOT_START_SHARE of its slot, or when slots are not needed. */
 double tmx_commit_slot_delay(const struct tmx_scheduler *scheduler);
-/** Makes the next step wait until the replica holds this revision, of which a commit told. */
+/** Makes the next step wait until the replica has reached this revision, which the store returned
+ * for a transaction. */
 void tmx_scheduler_await_revision(struct tmx_scheduler *scheduler, uint64_t revision);
-/** Whether the replica holds the latest revision of which a commit told. It is not waited for
- * longer than a request to the store may take. */
-bool tmx_scheduler_caught_up(const struct tmx_scheduler *scheduler);
-/** Has the round timer fire within this many seconds, whatever the spacing of rounds. */
+/** Tells whether the replica has reached the awaited revision. Also returns true after
+ * TMX_STORE_TIMEOUT_S, so that the wait is bounded. */
+bool tmx_scheduler_has_caught_up(const struct tmx_scheduler *scheduler);
+/** Makes the round timer fire within `within_s` seconds, regardless of the minimum spacing of
+ * rounds. */
 void tmx_scheduler_start_timer(struct tmx_scheduler *scheduler, double within_s);
 #endif
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -1,4 +1,4 @@
-/* The course of a round: it begins, is planned, and is committed. */
+/* Runs the phases of a round: start, planning, commit. */
 #include "scheduler/scheduler.h"
 
 #include <math.h>
@@ -13,14 +13,14 @@
 #include "scheduler/round_timing.h"
 #include "scheduler/scheduler_internal.h"
 
-struct tmx_task *tmx_operation_task(const struct tmx_replica *replica,
-                                    const struct tmx_operation *operation) {
+struct tmx_task *tmx_operation_find_task(const struct tmx_replica *replica,
+                                         const struct tmx_operation *operation) {
   const struct tmx_job *job = tmx_job_find(replica, operation->job);
   bool known = job && job->tasks && operation->task < job->spec.tasks;
   return known ? &job->tasks[operation->task] : NULL;
 }
 
-void tmx_scheduler_abandon_round(struct tmx_scheduler *scheduler) {
+void tmx_scheduler_end_round(struct tmx_scheduler *scheduler) {
   scheduler->phase = TMX_SCHEDULER_IDLE;
   free(scheduler->plan.operations);
   memset(&scheduler->plan, 0, sizeof scheduler->plan);
@@ -40,21 +40,22 @@
   if (scheduler->phase != TMX_SCHEDULER_PLANNING) return;
   scheduler->phase = TMX_SCHEDULER_PLANNED;
   if (!may_act(scheduler)) {
-    tmx_scheduler_abandon_round(scheduler);
+    tmx_scheduler_end_round(scheduler);
     tmx_scheduler_trigger_within(scheduler, TMX_STORE_RETRY_S);
     return;
   }
-  if (!scheduler->batch_in_flight && tmx_scheduler_caught_up(scheduler))
+  if (!scheduler->batch_in_flight && tmx_scheduler_has_caught_up(scheduler))
     tmx_scheduler_commit_round(scheduler);
 }
 
-/* Whether the round must wait, and how long, s. Rounds are paced by this member's share of the
- * puts. Submissions draw on it too; a round a second begins in any case, or nothing that was
- * accepted would ever start. */
+/* Tells whether the next round must wait, and for how long in seconds. Rounds are limited by this
+ * member's share of the puts, which submissions use as well. One round per second ignores the
+ * budget: otherwise a steady load of submissions could keep accepted jobs from ever starting. */
 static bool must_wait(const struct tmx_scheduler *scheduler, double now, double *delay_s) {
   double budget = tmx_store_write_budget(scheduler->store);
-  if (budget < scheduler->needed_writes && now - scheduler->round_started_at < 1.0) {
-    *delay_s = fmin(tmx_store_write_budget_delay(scheduler->store, scheduler->needed_writes), 1.0);
+  if (budget < scheduler->min_batch_writes && now - scheduler->round_started_at < 1.0) {
+    *delay_s =
+        fmin(tmx_store_write_budget_delay(scheduler->store, scheduler->min_batch_writes), 1.0);
     return true;
   }
   *delay_s = tmx_commit_slot_delay(scheduler);
@@ -69,7 +70,7 @@
     return;
   }
   scheduler->round_started_at = now;
-  scheduler->resends = 0;
+  scheduler->n_resends = 0;
   scheduler->n_completions = scheduler->source.collect_completions(
       scheduler->source.context, scheduler->completions, TMX_COMPLETIONS_MAX);
   tmx_scheduler_collect_delta(scheduler, &input);
@@ -82,14 +83,15 @@
   (void)revents;
   struct tmx_scheduler *scheduler = timer->data;
   if (scheduler->phase == TMX_SCHEDULER_PLANNING || scheduler->batch_in_flight)
-    return; /* the end of either triggers the next step */
+    return; /* on_planned() or the commit's callback continues the round */
   tmx_scheduler_start_timer(scheduler, TMX_ROUND_IDLE_S);
   if (!may_act(scheduler)) {
-    if (scheduler->phase == TMX_SCHEDULER_PLANNED) tmx_scheduler_abandon_round(scheduler);
+    if (scheduler->phase == TMX_SCHEDULER_PLANNED) tmx_scheduler_end_round(scheduler);
     return;
   }
-  if (!tmx_scheduler_caught_up(scheduler)) {
-    tmx_scheduler_trigger_within(scheduler, 0.05); /* a change of the replica triggers it sooner */
+  if (!tmx_scheduler_has_caught_up(scheduler)) {
+    /* a change of the replica triggers the next step sooner */
+    tmx_scheduler_trigger_within(scheduler, 0.05);
     return;
   }
   if (scheduler->phase == TMX_SCHEDULER_PLANNED)
@@ -108,7 +110,7 @@
   scheduler->catalog = dependencies->catalog;
   scheduler->admission = dependencies->admission;
   scheduler->source = dependencies->source;
-  scheduler->needed_writes = TMX_ROUND_WRITES;
+  scheduler->min_batch_writes = TMX_ROUND_WRITES;
   ev_timer_init(&scheduler->round_timer, on_timer, 0, 0);
   scheduler->round_timer.data = scheduler;
   scheduler->planner_thread = tmx_planner_thread_new(scheduler->loop, on_planned, scheduler);
--- a/src/scheduler/service_level_objectives.c
+++ b/src/scheduler/service_level_objectives.c
@@ -5,8 +5,8 @@
 
 #include "tmx/constants.h"
 
-/* s from the job's release to its deadline, or to that of a job that depends on it; below 0: there
- * is none. */
+/* Returns the seconds from the job's release until it must end for its own deadline and those of
+ * its dependents, at least 0. Negative: there is no deadline. */
 static double deadline_after_release(const struct tmx_job *job) {
   return isfinite(job->urgency.due_at) ? fmax(job->urgency.due_at - job->released_at, 0) : -1;
 }
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -12,11 +12,12 @@
   if (scheduler->n_submissions == TMX_PENDING_SUBMISSIONS_MAX) return TMX_SUBMIT_QUEUE_FULL;
   for (size_t i = 0; i < scheduler->n_submissions; i++)
     if (!strcmp(scheduler->submissions[i]->id, submission->id))
-      return TMX_SUBMIT_QUEUE_FULL; /* it is on its way already */
+      return TMX_SUBMIT_QUEUE_FULL; /* already queued or in flight */
   struct tmx_pending_submission *pending = tmx_pending_submission_new(scheduler, submission);
   if (tmx_pending_submission_is_too_large(pending)) {
     tmx_log(TMX_LOG_INFO,
-            "job: %s refused: %zu bytes and %u awaited jobs take more than a transaction",
+            "job: %s rejected: a record of %zu bytes and %u dependencies exceed the limits of a "
+            "transaction",
             submission->id, pending->record_json_length, submission->dependencies.count);
     tmx_pending_submission_free(pending);
     return TMX_SUBMIT_TOO_LARGE;
@@ -33,24 +34,24 @@
     case TMX_TRANSACTION_COMMITTED:
       return TMX_SUBMISSION_COMMITTED;
     case TMX_TRANSACTION_CONFLICT:
-      return TMX_SUBMISSION_KNOWN;
+      return TMX_SUBMISSION_ALREADY_COMMITTED;
     case TMX_TRANSACTION_NOT_EXECUTED:
       return TMX_SUBMISSION_NOT_COMMITTED;
     case TMX_TRANSACTION_UNKNOWN:
       break;
   }
-  return TMX_SUBMISSION_UNDECIDED;
+  return TMX_SUBMISSION_OUTCOME_UNKNOWN;
 }
 
-/* Answers the submission at this index, if that was not done, and takes it out of the queue;
- * returns false if it remains there because its own transaction is in flight, whose answer takes it
- * out. */
-static bool settle_at(struct tmx_scheduler *scheduler, size_t index,
-                      enum tmx_submission_outcome outcome) {
+/* Answers the submission at this index, unless that was done before, and removes it from the queue.
+ * Returns false if the submission stays queued because its single transaction is in flight; the
+ * result of that transaction then removes it. */
+static bool answer_and_remove(struct tmx_scheduler *scheduler, size_t index,
+                              enum tmx_submission_outcome outcome) {
   struct tmx_pending_submission *pending = scheduler->submissions[index];
   if (!pending->answered) pending->callback(pending->callback_arg, outcome);
   pending->answered = true;
-  if (pending->state == TMX_PENDING_SUBMISSION_SINGLE) return false;
+  if (pending->state == TMX_PENDING_SUBMISSION_SENT_SINGLY) return false;
   if (pending->state == TMX_PENDING_SUBMISSION_IN_BATCH)
     tmx_admission_control_release(scheduler->admission, &pending->admission_request);
   scheduler->submissions[index] = scheduler->submissions[--scheduler->n_submissions];
@@ -58,29 +59,30 @@
   return true;
 }
 
-/* Where the answer to a commit is slow, the replica may tell sooner that the job is in the log. */
-static bool is_known(const struct tmx_scheduler *scheduler,
-                     const struct tmx_pending_submission *pending, double now) {
+/* Tells whether the replica contains the job of an unanswered submission. Ignores a submission
+ * in flight until its response is slow, since only then may the replica show the commit earlier. */
+static bool is_already_committed(const struct tmx_scheduler *scheduler,
+                                 const struct tmx_pending_submission *pending, double now) {
   bool in_flight = pending->state != TMX_PENDING_SUBMISSION_QUEUED;
   if (pending->answered || (in_flight && now - pending->sent_at <= TMX_STORE_SLOW_S)) return false;
   return tmx_job_find(scheduler->replica, pending->id);
 }
 
-void tmx_submission_queue_settle_decided(struct tmx_scheduler *scheduler) {
+void tmx_submission_queue_answer_resolved(struct tmx_scheduler *scheduler) {
   double now = tmx_clock_steady();
   for (size_t i = 0; i < scheduler->n_submissions;) {
     const struct tmx_pending_submission *pending = scheduler->submissions[i];
     bool removed = false;
-    if (is_known(scheduler, pending, now))
-      removed = settle_at(scheduler, i, TMX_SUBMISSION_KNOWN);
+    if (is_already_committed(scheduler, pending, now))
+      removed = answer_and_remove(scheduler, i, TMX_SUBMISSION_ALREADY_COMMITTED);
     else if (pending->state == TMX_PENDING_SUBMISSION_QUEUED && now > pending->deadline)
-      removed = settle_at(scheduler, i, TMX_SUBMISSION_NOT_COMMITTED);
+      removed = answer_and_remove(scheduler, i, TMX_SUBMISSION_NOT_COMMITTED);
     if (!removed) i++;
   }
 }
 
-void tmx_submission_queue_settle(struct tmx_scheduler *scheduler,
-                                 enum tmx_transaction_result result) {
+void tmx_submission_queue_handle_batch_result(struct tmx_scheduler *scheduler,
+                                              enum tmx_transaction_result result) {
   for (size_t i = 0; i < scheduler->n_submissions;) {
     struct tmx_pending_submission *pending = scheduler->submissions[i];
     bool sent = pending->state == TMX_PENDING_SUBMISSION_IN_BATCH, removed = false;
@@ -89,22 +91,23 @@
       tmx_admission_control_release(scheduler->admission, &pending->admission_request);
     }
     if (sent && result != TMX_TRANSACTION_CONFLICT)
-      removed = settle_at(scheduler, i, outcome_of(result));
+      removed = answer_and_remove(scheduler, i, outcome_of(result));
     if (!removed) i++;
   }
 }
 
-void tmx_submission_queue_settle_single(struct tmx_scheduler *scheduler,
-                                        const struct tmx_pending_submission *pending,
-                                        enum tmx_transaction_result result) {
+void tmx_submission_queue_handle_single_result(struct tmx_scheduler *scheduler,
+                                               const struct tmx_pending_submission *pending,
+                                               enum tmx_transaction_result result) {
   for (size_t i = 0; i < scheduler->n_submissions; i++)
     if (scheduler->submissions[i] == pending) {
-      settle_at(scheduler, i, outcome_of(result));
+      answer_and_remove(scheduler, i, outcome_of(result));
       return;
     }
 }
 
-/* The decision that counts: on the replica whose head is the commit's condition. */
+/* Makes the authoritative admission decision: the replica that it uses has the head version that
+ * the commit requires. */
 static bool is_admitted(const struct tmx_scheduler *scheduler,
                         struct tmx_pending_submission *pending) {
   return tmx_admission_control_decide(scheduler->admission, &pending->admission_request,
@@ -112,21 +115,22 @@
              .result == TMX_ADMITTED;
 }
 
-static void refuse_overload(struct tmx_scheduler *scheduler) {
+static void reject_not_admitted(struct tmx_scheduler *scheduler) {
   for (size_t i = 0; i < scheduler->n_submissions;) {
     struct tmx_pending_submission *pending = scheduler->submissions[i];
     bool waits = pending->state == TMX_PENDING_SUBMISSION_QUEUED && !pending->answered;
     bool removed = waits && !is_admitted(scheduler, pending) &&
-                   settle_at(scheduler, i, TMX_SUBMISSION_OVERLOAD);
+                   answer_and_remove(scheduler, i, TMX_SUBMISSION_NOT_ADMITTED);
     if (!removed) i++;
   }
 }
 
-/* A submission goes into one transaction or into none: no reader takes a part for the whole. One
- * that needs several values comes first in its batch, which is made as large as it needs. */
+/* A submission is always committed in a single transaction, so that no reader sees only a part of
+ * it. A submission that needs several values must be the first in its batch, and raises the put
+ * limit of the batch to what it needs. */
 static bool has_room(struct tmx_log_batch *batch, const struct tmx_pending_submission *pending) {
   if (pending->n_values > 1) {
-    if (batch->n_lines || batch->n_jobs || batch->transaction.n_operations) return false;
+    if (batch->n_lines || batch->n_job_records || batch->transaction.n_operations) return false;
     if (batch->writes_left < pending->n_values) batch->writes_left = pending->n_values;
   }
   return tmx_log_batch_fits(batch, pending->record_json_length, 0);
@@ -142,17 +146,18 @@
     tmx_log_batch_add_line(batch, line, 0);
 }
 
-/* Those for which admission has no room beside the others wait for the next batch, for which it
- * decides anew. The protocol allows four conditions a put; jobs that finish need some of them. */
+/* A submission that is not admitted besides those already in the batch waits for the next batch,
+ * when admission decides again. The protocol allows four conditions per put; submissions use at
+ * most three of them, since the final states of jobs need conditions as well. */
 void tmx_submission_queue_add_to_batch(struct tmx_scheduler *scheduler,
                                        struct tmx_log_batch *batch) {
   bool full = false;
   int max_conditions = scheduler->settings->txn_ops * 3;
-  tmx_submission_queue_settle_decided(scheduler);
-  refuse_overload(scheduler);
+  tmx_submission_queue_answer_resolved(scheduler);
+  reject_not_admitted(scheduler);
   for (size_t i = 0; i < scheduler->n_submissions; i++) {
     struct tmx_pending_submission *pending = scheduler->submissions[i];
-    if (pending->state == TMX_PENDING_SUBMISSION_SINGLE || pending->answered) continue;
+    if (pending->state == TMX_PENDING_SUBMISSION_SENT_SINGLY || pending->answered) continue;
     full = full || batch->transaction.n_conditions >= max_conditions || !has_room(batch, pending);
     bool sent = !full && is_admitted(scheduler, pending);
     pending->state = sent ? TMX_PENDING_SUBMISSION_IN_BATCH : TMX_PENDING_SUBMISSION_QUEUED;
--- a/src/user/submissions.c
+++ b/src/user/submissions.c
@@ -53,18 +53,18 @@
     case TMX_SUBMISSION_COMMITTED:
       reply_accepted(request);
       break;
-    case TMX_SUBMISSION_OVERLOAD:
+    case TMX_SUBMISSION_NOT_ADMITTED:
       if (read_state_before_refusal(request)) return;
       tmx_user_request_reply_overload(request);
       break;
     case TMX_SUBMISSION_NOT_COMMITTED:
       tmx_user_reply_unavailable(request->http, "not committed in time");
       break;
-    case TMX_SUBMISSION_KNOWN:
+    case TMX_SUBMISSION_ALREADY_COMMITTED:
       if (read_state_of_known_job(request)) return;
       tmx_user_reply_unavailable(request->http, "not known whether committed");
       break;
-    case TMX_SUBMISSION_UNDECIDED:
+    case TMX_SUBMISSION_OUTCOME_UNKNOWN:
       tmx_user_reply_unavailable(request->http, "not known whether committed");
       break;
   }
--- a/src/worker/reconciliation.c
+++ b/src/worker/reconciliation.c
@@ -136,7 +136,7 @@
 }
 
 size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
-                                        struct tmx_machine_facts *facts, size_t max) {
+                                        struct tmx_machine_description *facts, size_t max) {
   size_t count = 0;
   double since = tmx_clock_steady() - 2 * workers->settings->report_s;
   struct tmx_worker *worker, *next;
--- a/src/worker/report_intake.c
+++ b/src/worker/report_intake.c
@@ -15,7 +15,7 @@
 
 /* A report as it was sent, but for its tasks. */
 struct parsed_report {
-  struct tmx_machine_facts facts;
+  struct tmx_machine_description facts;
   uint64_t session;
   uint64_t sequence;
   uint64_t highest_token;
@@ -29,7 +29,7 @@
 }
 
 static bool parse_report(const cbor_item_t *map, struct parsed_report *report) {
-  struct tmx_machine_facts *facts = &report->facts;
+  struct tmx_machine_description *facts = &report->facts;
   double notice_s = -1;
   memset(report, 0, sizeof *report);
   report->tasks = tmx_cbor_get(map, W_TASKS);
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -67,7 +67,7 @@
                                        struct tmx_operation *operations, size_t max);
 /** Machines that report and are not in the log, at most `max`; returns how many. */
 size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
-                                        struct tmx_machine_facts *facts, size_t max);
+                                        struct tmx_machine_description *facts, size_t max);
 
 /** Calls back for each machine of this controller with which something is wrong. */
 void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg);
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -34,11 +34,11 @@
 struct tmx_worker_report {
   uint64_t session;  /**< incarnation of the worker's set of tasks; 0: no report came yet */
   uint64_t sequence; /**< of the report, within the session */
-  struct tmx_machine_facts facts;  /**< what the worker says of its machine */
-  bool spot_notice;                /**< the cloud is about to take the machine back */
-  struct tmx_reported_task *tasks; /**< owned by the record */
-  size_t n_tasks;                  /**< length of `tasks` */
-  uint32_t number;                 /**< this process's count of reports, never 0 once one came */
+  struct tmx_machine_description facts; /**< what the worker says of its machine */
+  bool spot_notice;                     /**< the cloud is about to take the machine back */
+  struct tmx_reported_task *tasks;      /**< owned by the record */
+  size_t n_tasks;                       /**< length of `tasks` */
+  uint32_t number; /**< this process's count of reports, never 0 once one came */
 };
 
 /** Signs of life, each a time of the steady clock in s. Written by report_intake.c, and by
