--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -67,13 +67,13 @@
 
 static void each_suspicion(void *context, tmx_suspicion_cb callback, void *arg) {
   const struct tmx_controller *controller = context;
-  tmx_workers_each_suspicion(controller->workers, callback, arg);
+  tmx_workers_for_each_suspicion(controller->workers, callback, arg);
 }
 
 static void take_suspicion(void *context, const char *node, uint64_t term,
                            const struct tmx_suspicion *suspicion) {
   const struct tmx_controller *controller = context;
-  tmx_workers_take_suspicion(controller->workers, node, term, suspicion);
+  tmx_workers_record_suspicion(controller->workers, node, term, suspicion);
 }
 
 static const struct tmx_zone_liveness *zone_liveness(const void *context) {
--- a/src/worker/commands.c
+++ b/src/worker/commands.c
@@ -8,88 +8,90 @@
 #include "worker/report_intake.h"
 #include "worker/worker_connection.h"
 
-/* Value of tmx_task.stop_mode. */
+/* Value of tmx_task.stop_mode: stop after a checkpoint has been saved. */
 enum { STOP_AFTER_SAVING = 2 };
-/* A command that has no grace. */
+/* The grace period of a command that has none. */
 static const double NO_GRACE = -1;
 
-/* An attempt, as commands name it. */
-struct attempt_name {
+/* Identifies an attempt in a command. */
+struct attempt_id {
   const char *job;
   uint32_t task;
   uint32_t attempt;
 };
 
-static struct attempt_name name_of_task(const struct tmx_task *task) {
-  return (struct attempt_name){task->job->id, tmx_task_index(task), task->attempt};
+static struct attempt_id identify_task(const struct tmx_task *task) {
+  return (struct attempt_id){task->job->id, tmx_task_index(task), task->attempt};
 }
 
-static struct attempt_name name_of_reported(const struct tmx_reported_task *reported) {
-  return (struct attempt_name){reported->job, reported->task, reported->attempt};
+static struct attempt_id identify_reported_task(const struct tmx_reported_task *reported) {
+  return (struct attempt_id){reported->job, reported->task, reported->attempt};
 }
 
 static void append_command(struct tmx_command_list *list, const char *operation,
-                           struct attempt_name name, double grace_s) {
+                           struct attempt_id attempt, double grace_s) {
   struct tmx_buffer *buffer = &list->encoded;
   char task[TMX_ID_MAX + 16];
-  snprintf(task, sizeof task, "%s/%u", name.job, name.task);
+  snprintf(task, sizeof task, "%s/%u", attempt.job, attempt.task);
   tmx_cbor_put_map(buffer, grace_s >= 0 ? 4 : 3);
   tmx_cbor_put_text_field(buffer, W_OP, operation);
   tmx_cbor_put_text_field(buffer, W_TASK, task);
-  tmx_cbor_put_u64_field(buffer, W_ATTEMPT, name.attempt);
+  tmx_cbor_put_u64_field(buffer, W_ATTEMPT, attempt.attempt);
   if (grace_s >= 0) tmx_cbor_put_number_field(buffer, W_GRACE, grace_s);
   list->count++;
 }
 
-/* Attempts that the log places there and that must end. */
+/* Stops the reported attempts that the log places on the machine and that must end. */
 static void append_stops(const struct tmx_worker *worker, struct tmx_command_list *list) {
   for (const struct tmx_task *task = worker->machine->tasks; task && list->count < TMX_COMMANDS_MAX;
        task = task->next) {
-    if (!tmx_worker_reports(worker, task) || task->reported_state == TMX_REPORTED_EXITED ||
-        !tmx_task_is_leaving(task))
+    if (!tmx_worker_reports_task(worker, task) || task->reported_state == TMX_REPORTED_EXITED ||
+        !tmx_task_must_end(task))
       continue;
     bool saves = task->stop_mode == STOP_AFTER_SAVING && !task->job->outcome;
     if (saves && task->reported_state == TMX_REPORTED_SAVING) continue;
-    append_command(list, WV_STOP, name_of_task(task),
+    append_command(list, WV_STOP, identify_task(task),
                    saves ? task->job->spec.checkpoint_save_s + 1.0 : 0.0);
   }
 }
 
-/* Attempts of the report that the log does not place there. The log has settled them: one that has
- * exited may be forgotten. One that still runs must not, it is stopped. */
-static void append_settled(const struct tmx_worker *worker, enum tmx_command_scope scope,
-                           struct tmx_command_list *list) {
+/* Handles reported attempts that the log does not place on the machine. The log needs no report of
+ * their ends. The worker may forget the attempts that have exited; it must not forget those that
+ * still run, and is told to stop them. */
+static void append_commands_for_unplaced(const struct tmx_worker *worker,
+                                         enum tmx_command_scope scope,
+                                         struct tmx_command_list *list) {
   const struct tmx_worker_report *report = &worker->report;
   for (size_t i = 0; i < report->n_tasks && list->count < TMX_COMMANDS_MAX; i++) {
     const struct tmx_reported_task *reported = &report->tasks[i];
     if (reported->in_log) continue;
     if (reported->state != TMX_REPORTED_EXITED)
-      append_command(list, WV_STOP, name_of_reported(reported), 0.0);
+      append_command(list, WV_STOP, identify_reported_task(reported), 0.0);
     else if (scope == TMX_COMMANDS_ALL)
-      append_command(list, WV_FORGET, name_of_reported(reported), NO_GRACE);
+      append_command(list, WV_FORGET, identify_reported_task(reported), NO_GRACE);
   }
 }
 
-/* Attempts that the log places there and the report lacks. */
+/* Starts the attempts that the log places on the machine and that are missing from the report. */
 static void append_starts(const struct tmx_worker *worker, struct tmx_command_list *list) {
   for (const struct tmx_task *task = worker->machine->tasks; task && list->count < TMX_COMMANDS_MAX;
        task = task->next) {
-    if (tmx_task_is_leaving(task) || tmx_worker_reports(worker, task)) continue;
-    append_command(list, WV_START, name_of_task(task), NO_GRACE);
+    if (tmx_task_must_end(task) || tmx_worker_reports_task(worker, task)) continue;
+    append_command(list, WV_START, identify_task(task), NO_GRACE);
     list->has_starts = true;
   }
 }
 
 void tmx_worker_derive_commands(struct tmx_worker *worker, enum tmx_command_scope scope,
                                 struct tmx_command_list *list) {
-  /* On an old copy of the state nothing is started: somebody may have cancelled the job
-   * (test_cancellation: nothing_starts_on_a_stale_replica). */
+  /* Nothing is started while the replica is stale, as the job may have been cancelled in the
+   * meantime (test_cancellation: nothing_starts_on_a_stale_replica). */
   bool may_start =
       scope == TMX_COMMANDS_ALL && tmx_authority_may_start_tasks(worker->workers->authority);
   if (!worker->machine || !worker->machine->registered) return;
   tmx_worker_reconcile(worker);
-  append_stops(worker, list); /* stops come first: they make the room that starts need */
-  append_settled(worker, scope, list);
+  append_stops(worker, list); /* before starts, which may need the capacity that they free */
+  append_commands_for_unplaced(worker, scope, list);
   if (may_start) append_starts(worker, list);
 }
 
@@ -100,7 +102,7 @@
     const struct tmx_reported_task *reported = &report->tasks[i];
     const struct tmx_job *job = tmx_job_find(worker->workers->replica, reported->job);
     if (reported->state == TMX_REPORTED_EXITED || !job || !job->outcome) continue;
-    append_command(list, WV_STOP, name_of_reported(reported), 0.0);
+    append_command(list, WV_STOP, identify_reported_task(reported), 0.0);
   }
 }
 
@@ -140,13 +142,13 @@
   tmx_command_list_free(&list);
 }
 
-/* 409: the worker refused the token or the session, and says what it has. */
+/* With status 409 the worker rejects the token or the session, and responds with its report. */
 static void on_command_response(void *arg, int status, const uint8_t *body, size_t length) {
   struct tmx_worker *worker = arg;
   worker->commands.in_flight = false;
   bool has_report =
-      (status == 200 || status == 409) && tmx_worker_take_answer(worker, body, length);
-  /* Refused as malformed, or nobody accepted the connection. */
+      (status == 200 || status == 409) && tmx_worker_ingest_response(worker, body, length);
+  /* 400: rejected as malformed; -1: the connection was not accepted. */
   bool was_not_executed = status == 400 || status == -1;
   if (!has_report && !was_not_executed) {
     tmx_worker_fence_unanswered_command(worker);
--- a/src/worker/fencing.c
+++ b/src/worker/fencing.c
@@ -26,31 +26,31 @@
   if (ownership->token_sequence < TMX_TOKEN_SEQUENCE_MAX) ownership->token_sequence++;
 }
 
-/* Commands of the owner before may still be under way: until the worker has seen a token of this
- * owner, absence proves nothing (test_fencing: late_commands_of_the_former_owner_are_fenced). That
- * a session is over proves nothing either to a successor, which does not know for which session
- * those commands were. */
+/* Commands of the former owner may still be in flight. Until the worker has seen a token of the new
+ * owner, the absence of an attempt proves nothing (test_fencing:
+ * late_commands_of_the_former_owner_are_fenced). The end of a session proves nothing either,
+ * because the new owner does not know for which session those commands were sent. */
 static void become_owner(struct tmx_worker *worker, uint64_t term) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
-  /* By the same view as before, when the copy of the state was read anew: an answer with starts may
-   * be under way with the very token that the worker has seen (test_leader_change:
-   * tokens_stay_valid_when_the_same_view_is_read_again). */
+  /* The term is the same if the replica was cleared and read again. A heartbeat response with
+   * starts may then be in flight with the same token that the worker has seen, so a higher token is
+   * needed (test_leader_change: tokens_stay_valid_when_the_same_view_is_read_again). */
   if (term == ownership->as_of_term) raise_token(ownership);
   ownership->required_token = tmx_worker_token(worker);
-  ownership->is_inherited = true;
+  ownership->report_may_predate_ownership = true;
   ownership->required_since = tmx_clock_steady();
   ownership->required_session = UINT64_MAX;
   worker->commands.starts_unconfirmed = false;
   worker->commands.is_unanswered = false;
   ownership->since = tmx_clock_steady();
-  worker->probing.lost = 0;
+  worker->probing.consecutive_lost = 0;
 }
 
 bool tmx_worker_update_ownership(struct tmx_worker *worker) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
   bool is_owner = is_owner_by_view(worker);
   uint64_t term = worker->workers->replica->view.term;
-  /* A view that was not seen may have given the machine to another controller and back. */
+  /* A missed view may have given the machine to another controller, and a later one back. */
   bool views_were_missed = term > ownership->as_of_term + 1;
   if (is_owner && (!ownership->is_owner || views_were_missed)) become_owner(worker, term);
   ownership->is_owner = is_owner;
@@ -58,22 +58,25 @@
   return is_owner;
 }
 
-/* The command may still be executed, minutes later: a higher token goes out first
- * (test_task_lifecycle: an_unanswered_command_raises_the_token). The session is the latest one: an
- * earlier command may have been for an earlier session, and the end of that one says nothing of
- * this one (test_late_messages: a_late_command_of_a_later_session_proves_no_end). */
+/* The command may still be executed minutes later, so the worker must see a higher token first
+ * (test_task_lifecycle: an_unanswered_command_raises_the_token). required_session is set to the
+ * latest session each time: if an earlier unanswered command was sent for an earlier session, the
+ * end of that session does not void this command (test_late_messages:
+ * a_late_command_of_a_later_session_proves_no_end). */
 void tmx_worker_fence_unanswered_command(struct tmx_worker *worker) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
-  if (tmx_worker_is_acknowledged(worker)) ownership->required_since = tmx_clock_steady();
+  if (tmx_worker_acknowledges_owner(worker)) ownership->required_since = tmx_clock_steady();
   worker->commands.is_unanswered = true;
   raise_token(ownership);
   ownership->required_token = tmx_worker_token(worker);
-  if (!ownership->is_inherited) ownership->required_session = worker->report.session;
+  if (!ownership->report_may_predate_ownership)
+    ownership->required_session = worker->report.session;
 }
 
-/* A token of the present view that is above the current one: this owner's record of the machine was
- * dropped and made again. Nobody else gives tokens of this view for the machine, so it goes on from
- * there; else it would send the worker away for as long as the view stands. */
+/* If the worker shows a token of the current view that is above the current token, this owner's
+ * record of the machine was freed and created again. Only this owner issues tokens of this view for
+ * the machine, so its sequence continues from the token shown. Otherwise the worker would seem to
+ * have a newer owner and be redirected until the view changes. */
 static void adopt_token_sequence(struct tmx_worker *worker) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
   uint64_t first = tmx_authority_fencing_token(worker->workers->authority, 0);
@@ -89,13 +92,13 @@
   return ownership->highest_token >= ownership->required_token;
 }
 
-/* Commands from before the required token can no longer be executed. */
+/* Whether commands with a token below the required one can no longer be executed. */
 static bool earlier_commands_are_void(const struct tmx_worker *worker) {
   return required_token_was_seen(&worker->ownership) ||
          worker->report.session > worker->ownership.required_session;
 }
 
-void tmx_worker_take_token(struct tmx_worker *worker, uint64_t highest_token, double now) {
+void tmx_worker_record_token(struct tmx_worker *worker, uint64_t highest_token, double now) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
   if (highest_token > ownership->highest_token) {
     ownership->highest_token = highest_token;
@@ -103,30 +106,31 @@
       worker->liveness.acknowledged_at = now;
     adopt_token_sequence(worker);
   }
-  /* What counts is the token of this very report, and what is required now. */
+  /* Compares the token of this report, rather than the highest one seen, with the requirement,
+   * which adopt_token_sequence() may just have raised. */
   if (ownership->is_owner && highest_token >= ownership->required_token)
-    ownership->is_inherited = false;
+    ownership->report_may_predate_ownership = false;
   if (worker->commands.is_unanswered && earlier_commands_are_void(worker))
     worker->commands.is_unanswered = false;
 }
 
-bool tmx_worker_is_acknowledged(const struct tmx_worker *worker) {
+bool tmx_worker_acknowledges_owner(const struct tmx_worker *worker) {
   return required_token_was_seen(&worker->ownership) && !worker->commands.is_unanswered;
 }
 
-/* Besides commands from before the required token (test_fencing:
- * late_commands_of_the_former_owner_are_fenced), a start of this owner may be on its way to the
- * worker: by a direct command, or in an answer to a heartbeat (test_late_messages:
+/* The attempt may still be started by a command with a token below the required one (test_fencing:
+ * late_commands_of_the_former_owner_are_fenced), or by a start of this owner that is in flight: in
+ * a direct command, or in a heartbeat response (test_late_messages:
  * a_probe_that_overtakes_an_answer_changes_nothing). */
 bool tmx_worker_absence_proves_end(const struct tmx_worker *worker) {
   return earlier_commands_are_void(worker) && !worker->commands.in_flight &&
          !worker->commands.is_unanswered && !worker->commands.starts_unconfirmed;
 }
 
-/* To a successor any copy of a report looks new, also one of an earlier session: the attempt may
- * have been forgotten with that session, and started once more (test_late_messages:
- * a_late_report_of_an_earlier_session_proves_no_end). Only a result stays what it is, since the
- * worker keeps it. */
+/* A new owner cannot tell a late copy of a report from a new report, even if the copy is of an
+ * earlier session. The worker may have forgotten the attempt with that session and started it again
+ * (test_late_messages: a_late_report_of_an_earlier_session_proves_no_end). Only a completed attempt
+ * stays completed, because the worker keeps its result. */
 bool tmx_worker_end_is_proven(const struct tmx_worker *worker, char end_reason) {
-  return end_reason == TMX_END_DONE || !worker->ownership.is_inherited;
+  return end_reason == TMX_END_DONE || !worker->ownership.report_may_predate_ownership;
 }
--- a/src/worker/fencing.h
+++ b/src/worker/fencing.h
@@ -1,31 +1,34 @@
 /**
  * @file
- * Ownership of machines and the fencing tokens by which a worker tells commands of its present
- * owner from those of an earlier one: what the tokens that a worker has seen prove of commands that
- * may still be under way. Loop's thread only.
+ * Ownership of machines, and fencing tokens. A worker tells commands of its current owner from
+ * those of a former one by their tokens. The highest token that a worker has seen proves which
+ * earlier commands it can no longer execute. Loop's thread only.
  */
 #ifndef TMX_WORKER_FENCING_H
 #define TMX_WORKER_FENCING_H
 #include "worker/workers_internal.h"
 
-/** Compares ownership with the view; whether this controller is the owner. To be called before
- * anything is done as an owner: on becoming one, a new token is required. */
+/** Updates the recorded ownership from the view, and returns whether this controller owns the
+ * machine. Must be called before anything is done as the owner: a controller that becomes the owner
+ * requires the worker to see a new token first. */
 bool tmx_worker_update_ownership(struct tmx_worker *worker);
-/** The current token of this controller for the machine. */
+/** This controller's current fencing token for the machine. */
 uint64_t tmx_worker_token(const struct tmx_worker *worker);
-/** Whether the worker has seen a higher token than the current one: a newer owner was there. */
+/** Whether the worker has seen a token above the current one, so that it had a newer owner. */
 bool tmx_worker_has_newer_owner(const struct tmx_worker *worker);
-/** Raises the token because a command got no answer; until the worker has seen the new one, or has
- * begun a later session, absence of an attempt proves nothing. */
+/** Raises the token after a command got no response. Until the worker has seen the new token or has
+ * begun a later session, the absence of an attempt from its reports proves nothing. */
 void tmx_worker_fence_unanswered_command(struct tmx_worker *worker);
-/** Takes in the highest token that a new report shows; report.session is that of the report. */
-void tmx_worker_take_token(struct tmx_worker *worker, uint64_t highest_token, double now);
+/** Records the highest token that a new report shows; report.session must already be that of the
+ * new report. `now` is in seconds on the steady clock. */
+void tmx_worker_record_token(struct tmx_worker *worker, uint64_t highest_token, double now);
 
-/** Whether the worker receives what this owner sends: only a token of this owner in a report shows
- * it. */
-bool tmx_worker_is_acknowledged(const struct tmx_worker *worker);
-/** Whether an attempt that the latest report lacks is gone for good. */
+/** Whether the worker is known to receive what this owner sends: its reports show the required
+ * token, and no command is left without a response. */
+bool tmx_worker_acknowledges_owner(const struct tmx_worker *worker);
+/** Whether an attempt that is missing from the latest report is certain never to run again. */
 bool tmx_worker_absence_proves_end(const struct tmx_worker *worker);
-/** Whether the end (TMX_END_*) that the latest report names is that of the attempt in the log. */
+/** Whether the end (TMX_END_*) in the latest report is certain to be that of the attempt in the
+ * log, rather than of an earlier start of the same attempt. */
 bool tmx_worker_end_is_proven(const struct tmx_worker *worker, char end_reason);
 #endif
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -11,7 +11,7 @@
 #include "worker/reconciliation.h"
 #include "worker/report_intake.h"
 
-/* owner: where the worker finds its owner; NULL: it asks another controller. */
+/* Redirects the worker to `owner`; NULL: the worker chooses another controller itself. */
 static void reply_redirect(struct tmx_http_request *request, const char *owner) {
   struct tmx_buffer body = {0};
   tmx_cbor_put_map(&body, owner ? 1 : 0);
@@ -20,9 +20,9 @@
   tmx_buffer_free(&body);
 }
 
-/* Renews the lease. */
-static void reply_commands(struct tmx_http_request *request, uint64_t token,
-                           const struct tmx_command_list *list) {
+/* Renews the lease and sends the commands. */
+static void reply_with_commands(struct tmx_http_request *request, uint64_t token,
+                                const struct tmx_command_list *list) {
   struct tmx_buffer body = {0};
   tmx_cbor_put_map(&body, 2);
   tmx_cbor_put_u64_field(&body, W_TOKEN, token);
@@ -33,46 +33,50 @@
   tmx_buffer_free(&body);
 }
 
-/* is_older: the answer to a probe has overtaken the heartbeat, which its worker still waits for
- * (test_late_messages: a_probe_that_overtakes_a_report_proves_no_end); or it is a late copy, and
- * nobody waits. The worker counts its lease from when it sent the heartbeat, in either case. */
+/* Responds as the owner: renews the lease, unless the worker has a newer owner. A stale heartbeat
+ * was overtaken by the response to a probe, and its worker still awaits a response
+ * (test_late_messages: a_probe_that_overtakes_a_report_proves_no_end); or it is a late copy, to
+ * which no worker awaits a response. Renewing the lease is safe in both cases, because the worker
+ * counts its lease from the time at which it sent the heartbeat. */
 static void reply_as_owner(struct tmx_worker *worker, struct tmx_http_request *request,
-                           bool is_older) {
+                           bool is_stale) {
   worker->redirection.redirected_at = 0;
-  /* A newer owner was there, whose lease this controller must not renew (test_fencing:
+  /* The worker has a newer owner, whose lease this controller must not renew (test_fencing:
    * a_higher_token_is_not_answered_with_200). */
   if (tmx_worker_has_newer_owner(worker)) {
     reply_redirect(request, NULL);
     return;
   }
-  /* While a direct command is under way its effect is not known: nothing is started. An answer that
-   * renews a lease always stops what is cancelled, though. */
-  bool stops_only = is_older || worker->commands.in_flight;
+  /* The effect of a direct command in flight is not known, so nothing is started. Stops are sent in
+   * any case: a response that renews a lease must always stop cancelled tasks. */
+  bool stops_only = is_stale || worker->commands.in_flight;
   struct tmx_command_list list = {0};
   tmx_worker_derive_commands(worker, stops_only ? TMX_COMMANDS_STOPS_ONLY : TMX_COMMANDS_ALL,
                              &list);
   if (list.has_starts) worker->commands.starts_unconfirmed = true;
-  reply_commands(request, tmx_worker_token(worker), &list);
+  reply_with_commands(request, tmx_worker_token(worker), &list);
   tmx_command_list_free(&list);
 }
 
-/* A command of the owner that starts a task may still be under way, and the task's job is over by
- * now. A controller that renews the lease on behalf of the owner raises no token, so the command is
- * not ruled out, and the task would go on until the lease ends: it must not be renewed beyond the
- * time of the cancellation (test_cancellation: no_lease_is_kept_for_a_delayed_start). */
+/* Whether the owner may have sent a start that is still in flight, for a task whose job has ended
+ * since. A controller that renews the lease on behalf of the owner does not raise the token, so
+ * that the start can still be executed and the task runs until the lease ends. The lease must
+ * therefore not be renewed beyond the time limit of a cancellation (test_cancellation:
+ * no_lease_is_kept_for_a_delayed_start). */
 static bool is_late_start_possible(const struct tmx_worker *worker, double now) {
   const struct tmx_settings *settings = worker->workers->settings;
   for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
        task = task->next)
-    if (task->job->outcome && !tmx_worker_reports(worker, task) &&
+    if (task->job->outcome && !tmx_worker_reports_task(worker, task) &&
         now - task->job->outcome_after > tmx_fresh_bound(settings))
       return true;
   return false;
 }
 
-/* While the state service is out of reach no view can give the machine to another controller, and
- * its owner does not receive its heartbeats: any member whose copy is fresh renews the lease, so
- * that running work is not killed (test_fencing: a_lease_is_renewed_for_an_unreachable_owner). */
+/* While the store is unreachable, no view can give the machine to another controller. If the worker
+ * cannot reach the owner either, any member whose replica is fresh enough to act renews the lease,
+ * so that running tasks are not killed (test_fencing:
+ * a_lease_is_renewed_for_an_unreachable_owner). */
 static bool may_renew_lease_for_owner(const struct tmx_worker *worker, const char *owner,
                                       double now) {
   const struct tmx_workers *workers = worker->workers;
@@ -80,7 +84,7 @@
   if (!tmx_store_is_member(workers->store) ||
       now - tmx_store_fresh_as_of(workers->store) < TMX_STORE_LOST_S)
     return false;
-  /* Where an owner by a newer view was there, that one sees to the lease. */
+  /* An owner of a newer view has been in contact with the worker, and renews the lease itself. */
   if (worker->ownership.highest_token >
       tmx_authority_fencing_token(workers->authority, TMX_TOKEN_SEQUENCE_MAX))
     return false;
@@ -89,17 +93,20 @@
          (redirected_at && now - redirected_at >= TMX_FAILOVER_AFTER_S);
 }
 
-/* On behalf of the owner, with the token that the worker has seen, and with no commands but one
- * kind: a job that is over stays over, and its tasks must not outlast the time that a cancellation
- * has (test_fencing: a_lease_is_renewed_for_an_unreachable_owner). */
-static void reply_for_owner(const struct tmx_worker *worker, struct tmx_http_request *request) {
+/* Renews the lease on behalf of the owner, with the highest token that the worker has seen. The
+ * only commands are stops of tasks whose jobs have ended: such a job never resumes, and its tasks
+ * must end within the time limit of a cancellation (test_fencing:
+ * a_lease_is_renewed_for_an_unreachable_owner). */
+static void renew_lease_for_owner(const struct tmx_worker *worker,
+                                  struct tmx_http_request *request) {
   struct tmx_command_list list = {0};
   tmx_worker_derive_stops_of_ended_jobs(worker, &list);
-  reply_commands(request, worker->ownership.highest_token, &list);
+  reply_with_commands(request, worker->ownership.highest_token, &list);
   tmx_command_list_free(&list);
 }
 
-/* A worker that was sent to its owner and is back, or that its owner has lost, cannot reach it. */
+/* Whether the worker seems unable to reach its owner: it was redirected there and came back, or the
+ * owner reports that the worker is silent and that probes of it are lost. */
 static bool is_cut_off_from_owner(const struct tmx_worker *worker, const char *owner, double now) {
   const struct tmx_workers *workers = worker->workers;
   double redirected_at = worker->redirection.redirected_at;
@@ -117,13 +124,13 @@
 static void park_request(struct tmx_worker *worker, struct tmx_http_request *request, double now) {
   worker->redirection.parked_request = request;
   worker->redirection.parked_at = now;
-  worker->workers->n_parked++;
+  worker->workers->n_parked_requests++;
 }
 
-/* The caller answers what is returned; NULL: no heartbeat waits. */
+/* Returns the parked heartbeat, to which the caller must respond; NULL if there is none. */
 static struct tmx_http_request *unpark_request(struct tmx_worker *worker) {
   struct tmx_http_request *request = worker->redirection.parked_request;
-  if (request) worker->workers->n_parked--;
+  if (request) worker->workers->n_parked_requests--;
   worker->redirection.parked_request = NULL;
   return request;
 }
@@ -134,7 +141,7 @@
 }
 
 void tmx_workers_answer_parked_requests(struct tmx_workers *workers) {
-  if (!workers->n_parked) return;
+  if (!workers->n_parked_requests) return;
   const char *machines[TMX_FAILOVER_MACHINES_MAX];
   size_t n_machines = 0;
   struct tmx_worker *worker, *next;
@@ -152,25 +159,25 @@
   if (n_machines) tmx_view_manager_take_over(workers->view_manager, machines, n_machines);
 }
 
-/* The owner by the view; NULL: there is none, or it is this controller, whose present run is not in
- * the view yet. */
+/* Name of the owner by the view; NULL if there is none, or if it is this controller, whose current
+ * incarnation is not a member of the view yet. */
 static const char *find_other_owner(const struct tmx_worker *worker) {
   const struct tmx_workers *workers = worker->workers;
   const char *owner = tmx_machine_owner(workers->replica, worker->id);
   return owner && strcmp(owner, workers->settings->node_name) ? owner : NULL;
 }
 
-static void reply_as_other(struct tmx_worker *worker, struct tmx_http_request *request,
-                           bool is_older) {
+static void reply_as_non_owner(struct tmx_worker *worker, struct tmx_http_request *request,
+                               bool is_stale) {
   struct tmx_worker_redirection *redirection = &worker->redirection;
   const char *owner = find_other_owner(worker);
   double now = tmx_clock_steady();
-  if (!owner || is_older) {
+  if (!owner || is_stale) {
     reply_redirect(request, owner);
     return;
   }
   if (may_renew_lease_for_owner(worker, owner, now)) {
-    reply_for_owner(worker, request);
+    renew_lease_for_owner(worker, request);
     return;
   }
   if (!redirection->parked_request && tmx_store_is_member(worker->workers->store) &&
@@ -182,48 +189,49 @@
   reply_redirect(request, owner);
 }
 
-static struct tmx_intake take_heartbeat(struct tmx_workers *workers,
-                                        const struct tmx_http_request *request) {
-  struct tmx_intake intake = {.result = TMX_INTAKE_REFUSED};
+static struct tmx_report_ingest take_heartbeat(struct tmx_workers *workers,
+                                               const struct tmx_http_request *request) {
+  struct tmx_report_ingest ingest = {.status = TMX_INGEST_REJECTED};
   cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
-  if (map) intake = tmx_workers_take_report(workers, map, TMX_REPORT_FROM_HEARTBEAT);
+  if (map) ingest = tmx_workers_ingest_report(workers, map, TMX_REPORT_FROM_HEARTBEAT);
   tmx_cbor_free(map);
-  return intake;
+  return ingest;
 }
 
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request) {
-  struct tmx_intake intake = take_heartbeat(workers, request);
-  struct tmx_worker *worker = intake.worker;
-  bool is_older = intake.result == TMX_INTAKE_OLDER;
-  if (intake.result == TMX_INTAKE_REFUSED) {
+  struct tmx_report_ingest ingest = take_heartbeat(workers, request);
+  struct tmx_worker *worker = ingest.worker;
+  bool is_stale = ingest.status == TMX_INGEST_STALE;
+  if (ingest.status == TMX_INGEST_REJECTED) {
     tmx_http_reply(request, 400, NULL, 0);
     return;
   }
-  if (intake.result == TMX_INTAKE_MACHINE_REMOVED) {
+  if (ingest.status == TMX_INGEST_MACHINE_REMOVED) {
     reply_redirect(request, NULL);
     return;
   }
-  /* A controller that is cut off must not renew leases for longer than a cancellation elsewhere
-   * allows (test_cancellation: a_cancellation_holds_while_the_store_is_cut_off; test_cancellation:
+  /* A controller that cannot reach the store does not learn of cancellations elsewhere, so it may
+   * renew leases only within the time limit of a cancellation (test_cancellation:
+   * a_cancellation_holds_while_the_store_is_cut_off; test_cancellation:
    * no_lease_outlasts_a_cancellation_in_a_store_outage). */
   if (!tmx_authority_may_act(workers->authority)) {
     tmx_http_reply(request, 503, NULL, 1);
     return;
   }
-  /* Others still have the state service: they serve its machines. */
+  /* Other controllers still reach the store and serve the machines of this one. */
   if (tmx_peers_lost_store_alone(workers->peers)) {
     reply_redirect(request, NULL);
     return;
   }
   if (!tmx_worker_update_ownership(worker)) {
-    reply_as_other(worker, request, is_older);
+    reply_as_non_owner(worker, request, is_stale);
     return;
   }
-  /* A late copy of an earlier session: nobody waits for its answer (test_late_messages:
+  /* A late copy of an earlier session: no worker awaits its response (test_late_messages:
    * a_probe_that_overtakes_a_report_proves_no_end). */
-  if (intake.session < worker->report.session) {
+  if (ingest.session < worker->report.session) {
     reply_redirect(request, NULL);
     return;
   }
-  reply_as_owner(worker, request, is_older);
+  reply_as_owner(worker, request, is_stale);
 }
--- a/src/worker/lease_renewal.h
+++ b/src/worker/lease_renewal.h
@@ -1,15 +1,17 @@
 /**
  * @file
- * Answers to heartbeats. An answer with status 200 renews the lease of the worker, by which its
- * tasks go on; a redirection (421) sends the worker to another controller. Loop's thread only.
+ * Responses to heartbeats. A response with status 200 renews the worker's lease, without which its
+ * tasks do not go on running. A redirect (421) sends the worker to another controller. Loop's
+ * thread only.
  */
 #ifndef TMX_WORKER_LEASE_RENEWAL_H
 #define TMX_WORKER_LEASE_RENEWAL_H
 #include "worker/workers_internal.h"
 
-/** Answers the heartbeats that wait: as the owner, or once they have waited long enough. The
- * machines of the others are taken over by this controller. */
+/** Responds to the parked heartbeats of machines that this controller owns by now, and redirects
+ * those that are parked for longer than TMX_FAILOVER_PARK_S or whose connections are closed.
+ * Requests a takeover of the machines that remain. */
 void tmx_workers_answer_parked_requests(struct tmx_workers *workers);
-/** Redirects the worker's heartbeat that waits, if there is one. */
+/** Redirects the worker's parked heartbeat, if there is one. */
 void tmx_worker_redirect_parked_request(struct tmx_worker *worker);
 #endif
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -1,5 +1,5 @@
-/* The health of machines: which of them are usable, what their zones tell, and whether this
- * controller reaches its own. */
+/* Health of machines: which of them are usable, how many of each zone are alive, and whether this
+ * controller reaches those that it owns. */
 #include "worker/machine_health.h"
 
 #include <math.h>
@@ -27,45 +27,46 @@
   return now - fmax(last_sign_of_life(worker), worker->ownership.since);
 }
 
-/* One pass over all machines. */
+/* State of one pass over all machines. */
 struct health_check {
   double now;
-  double probe_rate; /* per s */
-  bool is_member;    /* this controller may act for its machines */
-  int self;          /* member index of this controller */
+  double probe_rate; /* probes per second */
+  bool is_member;    /* this controller is a member and may act */
+  int self;          /* member index of this controller; -1: none */
   struct tmx_reachability reachability;
-  unsigned unreported; /* two heartbeats are missing: it may reach no controller */
+  /* Machines whose last two heartbeats or more are missing: they may reach no controller. */
+  unsigned without_heartbeats;
 };
 
 static void count_zone_liveness(const struct tmx_worker *worker, double now) {
   if (worker->machine->zone < 0) return;
   struct tmx_zone_liveness *zone = &worker->workers->zone_liveness[worker->machine->zone];
   zone->machines++;
-  zone->lost += worker->probing.lost >= TMX_PROBES_LOST - 1;
+  zone->lost += worker->probing.consecutive_lost >= TMX_PROBES_LOST - 1;
   zone->alive += now - last_sign_of_life(worker) < TMX_ALIVE_S;
 }
 
-/* In TMX_ALIVE_S only some of those that live can give a sign, as they are asked in turn: each that
- * did stands for so many. */
+/* Heartbeats are periodic and probes go round-robin, so only a share of the live machines can give
+ * a sign of life within TMX_ALIVE_S. The counts of live machines are divided by that share. */
 static void extrapolate_zone_liveness(struct tmx_workers *workers, double probe_rate) {
   const struct tmx_settings *settings = workers->settings;
-  double lost = 0, others = 0;
+  double lost = 0, not_lost = 0;
   for (size_t z = 0; z < settings->n_zones; z++) {
     lost += workers->zone_liveness[z].lost;
-    others += workers->zone_liveness[z].machines - workers->zone_liveness[z].lost;
+    not_lost += workers->zone_liveness[z].machines - workers->zone_liveness[z].lost;
   }
   if (lost > 0) probe_rate *= 1 - TMX_SUSPECT_PROBES_SHARE;
-  double share = fmin(1, TMX_ALIVE_S * (probe_rate / fmax(others, 1) + 1 / settings->report_s));
+  double share = fmin(1, TMX_ALIVE_S * (probe_rate / fmax(not_lost, 1) + 1 / settings->report_s));
   for (size_t z = 0; z < settings->n_zones; z++) {
     struct tmx_zone_liveness *zone = &workers->zone_liveness[z];
     zone->alive = (unsigned)fmin(zone->alive / share, zone->machines - zone->lost);
   }
 }
 
-/* A machine that this controller owns; whether it is usable. One that answers and sends no
- * heartbeats is not (test_machine_failure: a_machine_that_cannot_report_is_replaced), nor is one
- * whose heartbeats come while it does not answer (test_machine_failure:
- * a_machine_that_is_heard_and_not_reached_is_replaced). */
+/* Checks a machine that this controller owns and returns whether it is usable. A machine that
+ * responds and sends no heartbeats is not usable (test_machine_failure:
+ * a_machine_that_cannot_report_is_replaced). Neither is one that sends heartbeats and does not
+ * respond (test_machine_failure: a_machine_that_is_heard_and_not_reached_is_replaced). */
 static bool check_own_machine(struct tmx_worker *worker, struct health_check *check) {
   const struct tmx_settings *settings = worker->workers->settings;
   struct tmx_reachability *reachability = &check->reachability;
@@ -73,13 +74,14 @@
   tmx_worker_update_ownership(worker);
   count_zone_liveness(worker, check->now);
   reachability->owned++;
-  double since_answer =
+  double since_acknowledged =
       check->now - fmax(worker->liveness.acknowledged_at, worker->ownership.since);
-  reachability->reached += since_answer < 3 * fmax(1, reachability->owned / check->probe_rate) + 2;
+  reachability->reached +=
+      since_acknowledged < 3 * fmax(1, reachability->owned / check->probe_rate) + 2;
   bool sends_heartbeats = tmx_worker_heartbeat_age(worker, check->now) < limit + settings->report_s;
-  check->unreported += !sends_heartbeats;
-  return worker->report.session && tmx_worker_is_acknowledged(worker) && !worker->probing.lost &&
-         !worker->report.spot_notice && sends_heartbeats &&
+  check->without_heartbeats += !sends_heartbeats;
+  return worker->report.session && tmx_worker_acknowledges_owner(worker) &&
+         !worker->probing.consecutive_lost && !worker->report.spot_notice && sends_heartbeats &&
          tmx_worker_silence(worker, check->now) < limit;
 }
 
@@ -98,14 +100,14 @@
     return;
   }
   struct tmx_worker *worker = machine->worker;
-  if (!worker) worker = tmx_worker_create(workers, machine->id);
+  if (!worker) worker = tmx_worker_find_or_create(workers, machine->id);
   if (worker) set_usable(workers, machine, check_own_machine(worker, check));
 }
 
 void tmx_workers_tick(struct tmx_workers *workers) {
-  double now = tmx_clock_steady(), elapsed = now - workers->checked_at;
+  double now = tmx_clock_steady(), elapsed = now - workers->health_checked_at;
   if (elapsed < TMX_RECLAIM_PERIOD_S) return;
-  workers->checked_at = now;
+  workers->health_checked_at = now;
   struct health_check check = {
       .now = now,
       .probe_rate = tmx_workers_probe_rate(workers->settings),
@@ -122,11 +124,11 @@
   }
   extrapolate_zone_liveness(workers, check.probe_rate);
   if (check.is_member)
-    tmx_workers_probe_own(workers, check.reachability.owned, now);
+    tmx_workers_probe_owned(workers, check.reachability.owned, now);
   else
     tmx_workers_probe_sample(workers, &check.reachability, now);
   workers->reachability = check.reachability;
-  workers->most_are_unreported = check.unreported * 2 > check.reachability.owned;
+  workers->most_send_no_heartbeats = check.without_heartbeats * 2 > check.reachability.owned;
   tmx_workers_close_idle_connections(workers);
 }
 
--- a/src/worker/machine_health.h
+++ b/src/worker/machine_health.h
@@ -1,15 +1,17 @@
 /**
  * @file
- * How long workers were silent, and whether their machines are usable. Loop's thread only.
+ * How long workers have been silent, and whether their machines are usable. Loop's thread only.
  */
 #ifndef TMX_MACHINE_HEALTH_H
 #define TMX_MACHINE_HEALTH_H
 #include "worker/workers_internal.h"
 
-/** s of silence after which a heartbeat is missing. */
+/** Seconds of silence after which a heartbeat counts as missing. */
 double tmx_worker_silence_limit(const struct tmx_settings *settings);
-/** s since a heartbeat came to this owner: only heartbeats renew its lease. */
+/** Seconds since the latest heartbeat that arrived here, or since this controller became the owner
+ * if that is later. Only heartbeats renew the worker's lease. */
 double tmx_worker_heartbeat_age(const struct tmx_worker *worker, double now);
-/** s since any sign of life: a heartbeat, or an answer. */
+/** Seconds since the latest sign of life (a heartbeat, or proof that the worker receives what this
+ * controller sends), or since this controller became the owner if that is later. */
 double tmx_worker_silence(const struct tmx_worker *worker, double now);
 #endif
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -10,7 +10,8 @@
 #include "worker/report_intake.h"
 #include "worker/worker_connection.h"
 
-/* A share of this controller's processor. */
+/* The rate at which probes use TMX_PROBE_SHARE of this controller's processor time, but at least 4
+ * per second. */
 double tmx_workers_probe_rate(const struct tmx_settings *settings) {
   return fmax(settings->core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
 }
@@ -21,19 +22,19 @@
   *available = fmin(*available + rate * elapsed_s, rate * 2 * TMX_RECLAIM_PERIOD_S);
 }
 
-/* An answer may lie in a buffer while this controller stands still or is behind with its own work:
- * then a probe that timed out says nothing of the machine. */
+/* While the event loop is stalled or late, responses may wait in socket buffers. A probe that timed
+ * out in that time is no evidence against the machine, and is not counted. */
 static void count_lost_probe(struct tmx_worker *worker) {
   if (tmx_loop_monitor_on_time_since(worker->workers->loop_monitor, worker->probing.sent_at,
                                      tmx_clock_steady()))
-    worker->probing.lost++;
+    worker->probing.consecutive_lost++;
 }
 
 static void on_status_response(void *arg, int status, const uint8_t *body, size_t length) {
   struct tmx_worker *worker = arg;
   worker->probing.in_flight = false;
-  if (status == 200 && tmx_worker_take_answer(worker, body, length))
-    worker->probing.lost = 0;
+  if (status == 200 && tmx_worker_ingest_response(worker, body, length))
+    worker->probing.consecutive_lost = 0;
   else
     count_lost_probe(worker);
 }
@@ -41,14 +42,14 @@
 static void on_empty_command_response(void *arg, int status, const uint8_t *body, size_t length) {
   struct tmx_worker *worker = arg;
   worker->commands.in_flight = false;
-  if ((status == 200 || status == 409) && tmx_worker_take_answer(worker, body, length))
-    worker->probing.lost = 0;
+  if ((status == 200 || status == 409) && tmx_worker_ingest_response(worker, body, length))
+    worker->probing.consecutive_lost = 0;
   else
     count_lost_probe(worker);
 }
 
-/* A probe in the form of a command without content: its answer shows the token of this owner, which
- * a heartbeat would show only later. That it may be executed late does no harm. */
+/* Probes with an empty list of commands, so that the response shows the token of this owner earlier
+ * than the next heartbeat would. Late execution of an empty list is harmless. */
 static bool probe_with_token(struct tmx_worker *worker) {
   if (tmx_worker_has_newer_owner(worker)) return false;
   tmx_worker_post_commands(worker, &(struct tmx_command_list){0}, TMX_PROBE_TIMEOUT_S,
@@ -56,74 +57,78 @@
   return worker->commands.in_flight;
 }
 
-static void probe(struct tmx_worker *worker, double now) {
+static void send_probe(struct tmx_worker *worker, double now) {
   struct tmx_probe_budget *budget = &worker->workers->probe_budget;
   struct tmx_worker_probing *probing = &worker->probing;
   if (probing->in_flight || worker->commands.in_flight || budget->available < 1) return;
   if (!tmx_worker_connect(worker, worker->machine->addr)) return;
   budget->available -= 1;
   probing->sent_at = now;
-  /* In turns with a plain request: a machine that answers only that is up, and does not take
-   * commands. */
-  bool owes_token =
-      worker->ownership.is_owner && worker->report.session && !tmx_worker_is_acknowledged(worker);
-  if (owes_token && probing->lost % 2 == 0 && probe_with_token(worker)) return;
+  /* After each odd number of lost probes a status request is sent instead of commands: a machine
+   * that responds only to that is up and does not accept commands. */
+  bool awaits_token = worker->ownership.is_owner && worker->report.session &&
+                      !tmx_worker_acknowledges_owner(worker);
+  if (awaits_token && probing->consecutive_lost % 2 == 0 && probe_with_token(worker)) return;
   probing->in_flight = tmx_http_client_call(worker->connection.client, "GET", WP_STATUS, NULL,
                                             TMX_PROBE_TIMEOUT_S, on_status_response, worker);
 }
 
-/* One turn of probes, from where the last one ended, while there are probes to spend. */
-struct probe_turn {
+/* One round-robin pass of probes. It begins where the last pass ended, and ends when the budget is
+ * spent down to `reserve`. */
+struct probe_pass {
   double now;
-  double period_s; /* after which a machine without doubt is asked again */
-  double reserve;  /* probes that the turn leaves */
+  double period_s; /* seconds between regular probes of a machine */
+  double reserve;  /* probes that the pass must not use */
 };
 
-typedef bool (*probe_is_due)(const struct tmx_worker *worker, const struct probe_turn *turn);
+typedef bool (*probe_is_due)(const struct tmx_worker *worker, const struct probe_pass *pass);
 
-static double last_contact(const struct tmx_worker *worker) {
+static double last_contact_or_probe(const struct tmx_worker *worker) {
   return fmax(worker->liveness.acknowledged_at, worker->probing.sent_at);
 }
 
-static bool regular_probe_is_due(const struct tmx_worker *worker, const struct probe_turn *turn) {
-  return !worker->probing.lost && turn->now - last_contact(worker) >= turn->period_s;
+static bool regular_probe_is_due(const struct tmx_worker *worker, const struct probe_pass *pass) {
+  return !worker->probing.consecutive_lost &&
+         pass->now - last_contact_or_probe(worker) >= pass->period_s;
 }
 
-/* A machine in doubt that stays lost is asked ever less often: a whole zone of them must not use up
- * what the others need. */
-static bool suspect_probe_is_due(const struct tmx_worker *worker, const struct probe_turn *turn) {
+/* A suspect machine has lost probes, or does not acknowledge its owner. The interval between its
+ * probes doubles with each lost probe from TMX_PROBES_LOST on, up to TMX_PROBE_DOUBLINGS times, so
+ * that a failed zone does not use up the budget for the other machines. */
+static bool suspect_probe_is_due(const struct tmx_worker *worker, const struct probe_pass *pass) {
   const struct tmx_worker_probing *probing = &worker->probing;
-  if (!probing->lost && tmx_worker_is_acknowledged(worker)) return false;
-  int doublings = probing->lost - TMX_PROBES_LOST;
+  if (!probing->consecutive_lost && tmx_worker_acknowledges_owner(worker)) return false;
+  int doublings = probing->consecutive_lost - TMX_PROBES_LOST;
   if (doublings < 0) doublings = 0;
   if (doublings > TMX_PROBE_DOUBLINGS) doublings = TMX_PROBE_DOUBLINGS;
-  return turn->now - probing->sent_at >= TMX_PROBE_TIMEOUT_S * (1 << doublings);
+  return pass->now - probing->sent_at >= TMX_PROBE_TIMEOUT_S * (1 << doublings);
 }
 
-/* Returns where the next turn begins. */
-static struct tmx_worker *probe_in_turn(struct tmx_workers *workers, struct tmx_worker *from,
-                                        probe_is_due is_due, const struct probe_turn *turn) {
-  size_t left = HASH_COUNT(workers->all);
+/* Returns the worker at which the next pass begins. */
+static struct tmx_worker *probe_round_robin(struct tmx_workers *workers, struct tmx_worker *from,
+                                            probe_is_due is_due, const struct probe_pass *pass) {
+  size_t remaining = HASH_COUNT(workers->all);
   struct tmx_worker *worker = from ? from : workers->all;
-  for (; worker && left-- && workers->probe_budget.available >= 1 + turn->reserve;
+  for (; worker && remaining-- && workers->probe_budget.available >= 1 + pass->reserve;
        worker = worker->hh.next ? worker->hh.next : workers->all) {
     if (!worker->machine || !worker->machine->registered || !worker->ownership.is_owner) continue;
-    if (is_due(worker, turn)) probe(worker, turn->now);
+    if (is_due(worker, pass)) send_probe(worker, pass->now);
   }
   return worker;
 }
 
-void tmx_workers_probe_own(struct tmx_workers *workers, unsigned owned, double now) {
+void tmx_workers_probe_owned(struct tmx_workers *workers, unsigned owned, double now) {
   struct tmx_probe_budget *budget = &workers->probe_budget;
   double rate = tmx_workers_probe_rate(workers->settings);
-  struct probe_turn turn = {
+  struct probe_pass pass = {
       .now = now,
       .period_s = fmax(TMX_PROBE_AFTER_S, owned / rate),
       .reserve = budget->available * (1 - TMX_SUSPECT_PROBES_SHARE),
   };
-  budget->next_suspect = probe_in_turn(workers, budget->next_suspect, suspect_probe_is_due, &turn);
-  turn.reserve = 0;
-  budget->next = probe_in_turn(workers, budget->next, regular_probe_is_due, &turn);
+  budget->next_suspect =
+      probe_round_robin(workers, budget->next_suspect, suspect_probe_is_due, &pass);
+  pass.reserve = 0;
+  budget->next = probe_round_robin(workers, budget->next, regular_probe_is_due, &pass);
 }
 
 void tmx_workers_probe_sample(struct tmx_workers *workers, struct tmx_reachability *reachability,
@@ -134,6 +139,6 @@
     if (reachability->owned >= TMX_REACHABILITY_MACHINES_MIN) return;
     reachability->owned++;
     reachability->reached += now - worker->liveness.acknowledged_at < 3;
-    if (now - last_contact(worker) >= 1) probe(worker, now);
+    if (now - last_contact_or_probe(worker) >= 1) send_probe(worker, now);
   }
 }
--- a/src/worker/reconciliation.c
+++ b/src/worker/reconciliation.c
@@ -8,7 +8,8 @@
 #include "worker/fencing.h"
 #include "worker/worker_table.h"
 
-/* The task of the log that is this very attempt on this machine; NULL: there is none. */
+/* The task in the log whose current attempt on this machine is the reported one; NULL if there is
+ * none. */
 static struct tmx_task *find_in_log(const struct tmx_worker *worker,
                                     const struct tmx_reported_task *reported) {
   const struct tmx_job *job = tmx_job_find(worker->workers->replica, reported->job);
@@ -23,10 +24,10 @@
   struct tmx_worker_reconciliation *last = &worker->reconciliation;
   const struct tmx_worker_report *report = &worker->report;
   if (!worker->machine || (last->report_number == report->number &&
-                           last->machine_changes == worker->machine->change_count))
+                           last->machine_change_count == worker->machine->change_count))
     return;
   last->report_number = report->number;
-  last->machine_changes = worker->machine->change_count;
+  last->machine_change_count = worker->machine->change_count;
   for (size_t i = 0; i < report->n_tasks; i++) {
     struct tmx_reported_task *reported = &report->tasks[i];
     struct tmx_task *task = find_in_log(worker, reported);
@@ -38,51 +39,51 @@
   }
 }
 
-bool tmx_worker_reports(const struct tmx_worker *worker, const struct tmx_task *task) {
+bool tmx_worker_reports_task(const struct tmx_worker *worker, const struct tmx_task *task) {
   return task->reported_in == worker->report.number;
 }
 
-bool tmx_task_is_leaving(const struct tmx_task *task) {
+bool tmx_task_must_end(const struct tmx_task *task) {
   return task->stop_mode || task->job->outcome;
 }
 
-static void note_running(const struct tmx_worker *worker, struct tmx_task *task) {
+static void record_running(const struct tmx_worker *worker, struct tmx_task *task) {
   if (task->running_since) return;
   task->running_since = (float)tmx_clock_steady();
   if (tmx_log_enabled(TMX_LOG_DEBUG))
-    tmx_log(TMX_LOG_DEBUG, "task: %s/%u %u runs on %s, image %s, placed %.2f s ago", task->job->id,
-            tmx_task_index(task), task->attempt, worker->id, task->job->spec.image,
+    tmx_log(TMX_LOG_DEBUG, "task: %s/%u attempt %u is running on %s, image %s, placed %.2f s ago",
+            task->job->id, tmx_task_index(task), task->attempt, worker->id, task->job->spec.image,
             tmx_clock_steady() - task->placed_at);
 }
 
-void tmx_worker_note_report(struct tmx_worker *worker) {
+void tmx_worker_process_report(struct tmx_worker *worker) {
   struct tmx_scheduler *scheduler = worker->workers->scheduler;
   tmx_worker_reconcile(worker);
   for (struct tmx_task *task = worker->machine->tasks; task; task = task->next) {
-    bool is_reported = tmx_worker_reports(worker, task);
+    bool is_reported = tmx_worker_reports_task(worker, task);
     bool has_exited = is_reported && task->reported_state == TMX_REPORTED_EXITED;
-    if (is_reported && task->reported_state == TMX_REPORTED_RUNNING) note_running(worker, task);
-    if (!has_exited && !tmx_task_is_leaving(task)) continue;
-    tmx_worker_enqueue_completion(worker);
-    if (has_exited && task->stop_mode)
-      tmx_scheduler_trigger(
-          scheduler); /* it was stopped for other work, which waits for the room */
+    if (is_reported && task->reported_state == TMX_REPORTED_RUNNING) record_running(worker, task);
+    if (!has_exited && !tmx_task_must_end(task)) continue;
+    tmx_worker_enqueue_for_completions(worker);
+    if (has_exited && task->stop_mode) /* stopped for other work, which awaits the capacity */
+      tmx_scheduler_trigger(scheduler);
     else
       tmx_scheduler_trigger_within(scheduler, TMX_COMPLETIONS_DELAY_S);
   }
 }
 
-/* The end (TMX_END_*) that report and log together prove; 0: none. */
+/* The end (TMX_END_*) of the attempt that the report proves; 0 if it proves none. */
 static char proven_end(const struct tmx_worker *worker, const struct tmx_task *task) {
-  if (!tmx_worker_reports(worker, task))
-    return tmx_task_is_leaving(task) && tmx_worker_absence_proves_end(worker) ? TMX_END_STOPPED : 0;
+  if (!tmx_worker_reports_task(worker, task))
+    return tmx_task_must_end(task) && tmx_worker_absence_proves_end(worker) ? TMX_END_STOPPED : 0;
   if (task->reported_state != TMX_REPORTED_EXITED ||
       !tmx_worker_end_is_proven(worker, task->reported_end))
     return 0;
   return task->reported_end;
 }
 
-static void put_end(struct tmx_operation *operation, const struct tmx_task *task, char end_reason) {
+static void write_end_operation(struct tmx_operation *operation, const struct tmx_task *task,
+                                char end_reason) {
   memset(operation, 0, sizeof *operation);
   operation->kind = TMX_OPERATION_END;
   operation->task = tmx_task_index(task);
@@ -91,21 +92,21 @@
   snprintf(operation->job, sizeof operation->job, "%s", task->job->id);
 }
 
-/* Returns how many; *is_pending: the worker must be looked at again, as an end may follow or is not
- * committed yet. */
+/* Returns the number of operations written. Sets *is_pending if the worker must be checked again,
+ * because an end found is not committed yet or another is expected. */
 static size_t collect_from_worker(struct tmx_worker *worker, struct tmx_operation *operations,
                                   size_t max, bool *is_pending) {
   size_t count = 0;
   *is_pending = false;
   if (!worker->machine || !worker->machine->registered || !worker->machine->tasks ||
       !worker->report.session || !tmx_worker_update_ownership(worker))
-    return 0; /* it is queued again by whatever changes this */
+    return 0; /* any event that changes one of these queues the worker again */
   tmx_worker_reconcile(worker);
   for (const struct tmx_task *task = worker->machine->tasks; task && count < max;
        task = task->next) {
     char end_reason = proven_end(worker, task);
-    if (end_reason) put_end(&operations[count++], task, end_reason);
-    if (end_reason || tmx_task_is_leaving(task)) *is_pending = true;
+    if (end_reason) write_end_operation(&operations[count++], task, end_reason);
+    if (end_reason || tmx_task_must_end(task)) *is_pending = true;
   }
   return count;
 }
@@ -127,12 +128,12 @@
   return count;
 }
 
-/* A machine is registered only once its worker shows a token of this controller: a late copy of a
- * report of a machine that was returned never does. */
+/* A machine is registered only after its worker has shown a token of this controller. A late copy
+ * of a report from a machine that was returned to the cloud provider never shows one. */
 static bool may_be_registered(struct tmx_worker *worker, double since) {
   if ((worker->machine && worker->machine->registered) || !worker->report.session) return false;
   if (!worker->liveness.heartbeat_at || worker->liveness.heartbeat_at < since) return false;
-  return tmx_worker_update_ownership(worker) && tmx_worker_is_acknowledged(worker);
+  return tmx_worker_update_ownership(worker) && tmx_worker_acknowledges_owner(worker);
 }
 
 size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
--- a/src/worker/reconciliation.h
+++ b/src/worker/reconciliation.h
@@ -1,19 +1,21 @@
 /**
  * @file
- * Reconciliation of workers' reports with the log: what each says of the other, and which attempts'
- * end is proven by it. Loop's thread only.
+ * Reconciliation of workers' reports with the log: matches the attempts of both, and determines
+ * which attempts are proven to have ended. Loop's thread only.
  */
 #ifndef TMX_WORKER_RECONCILIATION_H
 #define TMX_WORKER_RECONCILIATION_H
 #include "worker/workers_internal.h"
 
-/** Compares the latest report with the log, unless neither changed since the last time: each
- * attempt of either is marked with what the other says. */
+/** Compares the latest report with the log and marks each attempt of one with what the other says
+ * of it. Does nothing if neither has changed since the last comparison. */
 void tmx_worker_reconcile(struct tmx_worker *worker);
-/** Whether the latest report has the attempt that the log places there; after reconciliation. */
-bool tmx_worker_reports(const struct tmx_worker *worker, const struct tmx_task *task);
-/** Whether the log says that the attempt must end. */
-bool tmx_task_is_leaving(const struct tmx_task *task);
-/** Reconciles a new report of a registered machine, and triggers rounds for what it tells. */
-void tmx_worker_note_report(struct tmx_worker *worker);
+/** Whether the latest report contains the attempt that the log places on the machine. Valid after
+ * tmx_worker_reconcile(). */
+bool tmx_worker_reports_task(const struct tmx_worker *worker, const struct tmx_task *task);
+/** Whether the log requires the attempt to end: it is being stopped, or its job has ended. */
+bool tmx_task_must_end(const struct tmx_task *task);
+/** Reconciles a new report of a registered machine, and triggers scheduling rounds for the ends
+ * that it shows. */
+void tmx_worker_process_report(struct tmx_worker *worker);
 #endif
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -1,5 +1,5 @@
-/* Suspicions: what the owner of a machine tells the other controllers is wrong with it, and what
- * they tell of theirs. */
+/* Suspicions: faults of its machines that this controller reports to the other controllers, and
+ * those of their machines that they report to it. */
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
@@ -9,56 +9,60 @@
 #include "worker/machine_health.h"
 #include "worker/worker_table.h"
 
-/* s for which nothing has shown that the worker receives what this owner sends; 0: it does. */
-static double unacknowledged_time(const struct tmx_worker *worker, double now) {
+/* Seconds without proof that the worker receives what this owner sends; 0: nothing is missing. */
+static double unacknowledged_seconds(const struct tmx_worker *worker, double now) {
   const struct tmx_settings *settings = worker->workers->settings;
   const struct tmx_worker_ownership *ownership = &worker->ownership;
-  double time = 0;
-  if (!tmx_worker_is_acknowledged(worker))
-    time = now - fmax(ownership->since, ownership->required_since);
-  if (worker->probing.lost)
-    time = fmax(time, now - fmax(worker->liveness.acknowledged_at, ownership->since));
-  /* One that was cut off and gives signs again has not had the time yet to show more. */
+  double unacknowledged_s = 0;
+  if (!tmx_worker_acknowledges_owner(worker))
+    unacknowledged_s = now - fmax(ownership->since, ownership->required_since);
+  if (worker->probing.consecutive_lost)
+    unacknowledged_s =
+        fmax(unacknowledged_s, now - fmax(worker->liveness.acknowledged_at, ownership->since));
+  /* A worker that was cut off and has just recovered needs time to acknowledge this owner, so at
+   * most the time since the recovery counts. */
   double since_recovery = now - worker->liveness.recovered_at;
   if (since_recovery < settings->lease_s * TMX_RECOVERY_LEASES)
-    time = fmin(time, since_recovery + 0.001);
-  /* It answers and cannot report: direct commands renew no lease, so by now all that ran is over,
-   * and would be again a lease later. When most machines are so, it is this controller that is not
-   * reached (test_machine_failure: a_machine_that_cannot_report_is_replaced). */
+    unacknowledged_s = fmin(unacknowledged_s, since_recovery + 0.001);
+  /* The worker may respond and yet be unable to send heartbeats. Direct commands do not renew its
+   * lease, so its tasks have been killed by now, and new ones would be killed a lease later. If
+   * most machines send no heartbeats, it is this controller that is unreachable
+   * (test_machine_failure: a_machine_that_cannot_report_is_replaced). */
   double heartbeat_age = tmx_worker_heartbeat_age(worker, now);
-  if (heartbeat_age > settings->lease_s && !worker->workers->most_are_unreported)
-    time = fmax(time, heartbeat_age);
-  return time;
+  if (heartbeat_age > settings->lease_s && !worker->workers->most_send_no_heartbeats)
+    unacknowledged_s = fmax(unacknowledged_s, heartbeat_age);
+  return unacknowledged_s;
 }
 
-/* false: nothing is wrong with the machine. */
-static bool suspect_own_machine(const struct tmx_worker *worker, double now,
-                                struct tmx_suspicion *suspicion) {
+/* Fills in the suspicion. Returns false if nothing is wrong with the machine. */
+static bool get_own_suspicion(const struct tmx_worker *worker, double now,
+                              struct tmx_suspicion *suspicion) {
   suspicion->silence_s = tmx_worker_silence(worker, now);
-  suspicion->probes_lost = worker->probing.lost;
-  suspicion->unacknowledged_s = unacknowledged_time(worker, now);
+  suspicion->probes_lost = worker->probing.consecutive_lost;
+  suspicion->unacknowledged_s = unacknowledged_seconds(worker, now);
   suspicion->spot_notice = worker->report.spot_notice;
   memcpy(suspicion->id, worker->id, sizeof suspicion->id);
   return suspicion->probes_lost || suspicion->unacknowledged_s > 0 || suspicion->spot_notice ||
          suspicion->silence_s > tmx_worker_silence_limit(worker->workers->settings);
 }
 
-void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg) {
+void tmx_workers_for_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback,
+                                    void *arg) {
   double now = tmx_clock_steady();
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
     struct tmx_suspicion suspicion;
     if (worker->ownership.is_owner && worker->machine && worker->machine->registered &&
-        suspect_own_machine(worker, now, &suspicion))
+        get_own_suspicion(worker, now, &suspicion))
       callback(arg, &suspicion);
   }
 }
 
-void tmx_workers_take_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
-                                const struct tmx_suspicion *suspicion) {
+void tmx_workers_record_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
+                                  const struct tmx_suspicion *suspicion) {
   struct tmx_worker *worker = tmx_worker_find(workers, suspicion->id);
   if (!worker && !tmx_machine_find(workers->replica, suspicion->id)) return;
-  if (!worker) worker = tmx_worker_create(workers, suspicion->id);
+  if (!worker) worker = tmx_worker_find_or_create(workers, suspicion->id);
   if (!worker) return;
   struct tmx_worker_owner_suspicion *record = &worker->owner_suspicion;
   record->suspicion = *suspicion;
@@ -67,12 +71,12 @@
   snprintf(record->reporter, sizeof record->reporter, "%s", node);
 }
 
-/* Said in the owner's latest heartbeat, or not at all, and by the view that stands: a controller
- * that was cut off still tells of what it owned before, none of which it could reach
- * (test_machine_failure: suspicions_of_an_older_view_are_ignored). */
-static bool owner_suspicion_stands(const struct tmx_workers *workers,
-                                   const struct tmx_worker_owner_suspicion *record,
-                                   const char *owner, double now) {
+/* Whether the suspicion came with the owner's latest heartbeat and by the current view. A
+ * controller that was partitioned still reports the machines of its former view, none of which it
+ * could reach (test_machine_failure: suspicions_of_an_older_view_are_ignored). */
+static bool owner_suspicion_is_current(const struct tmx_workers *workers,
+                                       const struct tmx_worker_owner_suspicion *record,
+                                       const char *owner, double now) {
   double age = now - record->received_at;
   return record->received_at && record->term >= workers->replica->view.term &&
          !strcmp(record->reporter, owner) &&
@@ -86,10 +90,10 @@
   double now = tmx_clock_steady();
   if (!worker || machine->owner < 0) return false;
   if (machine->owner == tmx_authority_member_index(workers->authority))
-    return suspect_own_machine(worker, now, out);
+    return get_own_suspicion(worker, now, out);
   const struct tmx_worker_owner_suspicion *record = &worker->owner_suspicion;
   const char *owner = workers->replica->view.members[machine->owner].name;
-  if (!owner_suspicion_stands(workers, record, owner, now)) return false;
+  if (!owner_suspicion_is_current(workers, record, owner, now)) return false;
   *out = record->suspicion;
   out->silence_s += now - record->received_at;
   return true;
--- a/src/worker/worker_table.c
+++ b/src/worker/worker_table.c
@@ -15,7 +15,7 @@
   return worker;
 }
 
-/* Machines that a controller's memory allows for: far more than it is run for. */
+/* Number of workers for which the controller's memory suffices, far beyond the intended load. */
 static size_t max_workers(const struct tmx_workers *workers) {
   return (size_t)(workers->settings->ram_mb * TMX_BYTES_PER_MB * TMX_WORKERS_MEMORY_SHARE /
                   TMX_WORKER_BYTES);
@@ -26,28 +26,30 @@
          !worker->probing.in_flight;
 }
 
-static double last_mention(const struct tmx_worker *worker) {
+static double last_heartbeat_or_suspicion(const struct tmx_worker *worker) {
   return fmax(worker->liveness.heartbeat_at, worker->owner_suspicion.received_at);
 }
 
-/* The table is full. Of the machines that sent a heartbeat once and were never registered, the one
- * that was silent longest is forgotten: over months there are many of those. */
-static bool evict_one(struct tmx_workers *workers) {
+/* Makes room in a full table. Among the workers whose machines are not in the replica, frees the
+ * one with the oldest last heartbeat or suspicion. Over months, many machines send a heartbeat and
+ * are never registered. */
+static bool evict_least_recent(struct tmx_workers *workers) {
   struct tmx_worker *worker, *next, *oldest = NULL;
   HASH_ITER(hh, workers->all, worker, next) {
     if (!is_evictable(worker)) continue;
-    if (!oldest || last_mention(worker) < last_mention(oldest)) oldest = worker;
+    if (!oldest || last_heartbeat_or_suspicion(worker) < last_heartbeat_or_suspicion(oldest))
+      oldest = worker;
   }
   if (oldest) tmx_worker_free(oldest);
   return oldest != NULL;
 }
 
-struct tmx_worker *tmx_worker_create(struct tmx_workers *workers, const char *id) {
+struct tmx_worker *tmx_worker_find_or_create(struct tmx_workers *workers, const char *id) {
   struct tmx_worker *worker = tmx_worker_find(workers, id);
   if (worker) return worker;
-  if (HASH_COUNT(workers->all) >= max_workers(workers) && !evict_one(workers)) {
-    tmx_log(TMX_LOG_ERROR, "worker: %s is refused: memory is kept for %zu machines", id,
-            max_workers(workers));
+  if (HASH_COUNT(workers->all) >= max_workers(workers) && !evict_least_recent(workers)) {
+    tmx_log(TMX_LOG_ERROR, "worker: %s rejected: table of workers is full (ram_mb allows for %zu)",
+            id, max_workers(workers));
     return NULL;
   }
   worker = tmx_allocate(1, sizeof *worker);
@@ -64,7 +66,7 @@
   queue->items[queue->length++] = worker;
 }
 
-/* Leaves a gap: the queue may be walked by a caller further up. */
+/* Leaves a gap, as a caller may be iterating over the queue. */
 static void queue_clear_entry(struct tmx_worker_queue *queue, const struct tmx_worker *worker) {
   for (size_t i = 0; i < queue->length; i++)
     if (queue->items[i] == worker) queue->items[i] = NULL;
@@ -85,13 +87,13 @@
   free(worker);
 }
 
-void tmx_worker_enqueue_command(struct tmx_worker *worker) {
+void tmx_worker_enqueue_for_commands(struct tmx_worker *worker) {
   if (worker->commands.is_queued) return;
   worker->commands.is_queued = true;
   queue_append(&worker->workers->command_queue, worker);
 }
 
-void tmx_worker_enqueue_completion(struct tmx_worker *worker) {
+void tmx_worker_enqueue_for_completions(struct tmx_worker *worker) {
   if (worker->reconciliation.is_queued) return;
   worker->reconciliation.is_queued = true;
   queue_append(&worker->workers->completion_queue, worker);
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -1,4 +1,4 @@
-/* The module as a whole: its life, and what the replica and the view tell it. */
+/* Creation and destruction of the module, and handlers for changes of the replica and the view. */
 #include "worker/workers.h"
 
 #include <stdlib.h>
@@ -47,8 +47,8 @@
     worker->machine = machine;
   }
   worker->commands.are_due = true;
-  tmx_worker_enqueue_completion(worker);
-  tmx_worker_enqueue_command(worker);
+  tmx_worker_enqueue_for_completions(worker);
+  tmx_worker_enqueue_for_commands(worker);
 }
 
 void tmx_workers_machine_removed(struct tmx_workers *workers, struct tmx_machine *machine) {
@@ -65,8 +65,8 @@
   HASH_ITER(hh, workers->all, worker, next) worker->machine = NULL;
 }
 
-/* At every view, one by one: what is between two views that give a machine to this controller
- * tells whether another controller owned it in the meantime. */
+/* Ownership is updated at each view in turn. If another controller owned a machine between two
+ * views that give it to this controller, only the views in between show it. */
 void tmx_workers_view_changed(struct tmx_workers *workers) {
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) tmx_worker_update_ownership(worker);
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -1,12 +1,13 @@
 /**
  * @file
- * The machines' workers: their heartbeats and leases, the commands that they get, reconciliation of
- * their reports with the log, and probes of machines that are in doubt. Loop's thread only.
+ * Workers, the agents on the machines: their heartbeats and leases, commands to them,
+ * reconciliation of their reports with the log, and probes of their machines. Loop's thread only.
  *
- * One file for each: worker_table.c (records of workers), report_intake.c (heartbeats and answers),
- * fencing.c (ownership and tokens), reconciliation.c (proven ends), commands.c (what a machine
- * should do), lease_renewal.c (answers to heartbeats, failover), probes.c, machine_health.c,
- * suspicions.c (health as told to and by other controllers), worker_connection.c.
+ * Each concern has a file: worker_table.c (records of workers), report_intake.c (parsing of
+ * reports), fencing.c (ownership and fencing tokens), reconciliation.c (attempts proven to have
+ * ended), commands.c (commands to workers), lease_renewal.c (responses to heartbeats, failover),
+ * probes.c, machine_health.c, suspicions.c (health reports exchanged with other controllers),
+ * worker_connection.c.
  */
 #ifndef TMX_WORKERS_H
 #define TMX_WORKERS_H
@@ -23,75 +24,85 @@
 #include "scheduler/scheduler.h"
 #include "store/store.h"
 
-/** The module: the workers that one controller knows. */
+/** The module: the workers known to one controller. */
 struct tmx_workers;
 
-/** What the module works on; all of it must outlive it. */
+/** Dependencies of the module; all of them must outlive it. */
 struct tmx_workers_dependencies {
-  struct ev_loop *loop;                        /**< runs the timers and connections */
-  const struct tmx_settings *settings;         /**< read only */
-  struct tmx_replica *replica;                 /**< what the log wants of the machines */
-  struct tmx_store *store;                     /**< tells membership and freshness of the replica */
-  const struct tmx_authority *authority;       /**< what this controller is entitled to do */
+  struct ev_loop *loop;                /**< runs the timers and connections */
+  const struct tmx_settings *settings; /**< read only */
+  struct tmx_replica *replica;         /**< desired state of the machines, from the log */
+  struct tmx_store *store; /**< membership of this controller, and freshness of the replica */
+  const struct tmx_authority *authority;       /**< what this controller may do */
   struct tmx_view_manager *view_manager;       /**< takes machines over */
-  const struct tmx_loop_monitor *loop_monitor; /**< tells when the event loop stalled */
-  struct tmx_peers *peers;                     /**< the other controllers and their silence */
-  struct tmx_scheduler *scheduler;             /**< its rounds are triggered by reports */
+  const struct tmx_loop_monitor *loop_monitor; /**< detects stalls of the event loop */
+  struct tmx_peers *peers;         /**< the other controllers and the age of their heartbeats */
+  struct tmx_scheduler *scheduler; /**< reports trigger its rounds */
 };
 
-/** Makes the module; the caller owns it. */
+/** Creates the module; the caller owns it and frees it with tmx_workers_free(). */
 struct tmx_workers *tmx_workers_new(const struct tmx_workers_dependencies *dependencies);
-/** Redirects the heartbeats that wait, and closes the connections to workers. */
+/** Redirects the parked heartbeats, closes the connections to workers, and frees the module. */
 void tmx_workers_free(struct tmx_workers *workers);
 
-/** Answers a worker's heartbeat: at once, or, while this controller takes the machine over from an
- * owner that its worker does not reach, within TMX_FAILOVER_PARK_S. */
+/** Responds to a worker's heartbeat. The response is sent at once, unless the worker cannot reach
+ * the owner of its machine: then the heartbeat is parked for up to about TMX_FAILOVER_PARK_S while
+ * this controller takes the machine over. */
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request);
-/** Sends the commands that the latest events made due, and answers heartbeats that waited. To be
- * called after each turn of the loop, when its events were applied and not within. */
+/** Sends the commands that the latest events made due, and responds to parked heartbeats. Must be
+ * called after each turn of the event loop, once all its events have been applied, and not from
+ * their callbacks. */
 void tmx_workers_flush(struct tmx_workers *workers);
-/** Probes machines and judges their health; does nothing before TMX_RECLAIM_PERIOD_S are over. */
+/** Checks the health of machines and sends probes. Does nothing if the last check was less than
+ * TMX_RECLAIM_PERIOD_S ago. */
 void tmx_workers_tick(struct tmx_workers *workers);
 
-/** The machine's tasks, their stops, or its owner changed in the replica. */
+/** Must be called when the machine's tasks, their stop requests or the machine's owner changed in
+ * the replica. */
 void tmx_workers_machine_changed(struct tmx_workers *workers, struct tmx_machine *machine);
-/** The machine is about to be freed. */
+/** Must be called before the machine is freed; frees its worker. */
 void tmx_workers_machine_removed(struct tmx_workers *workers, struct tmx_machine *machine);
-/** Owners of machines may differ. */
+/** Must be called after each new view, which may change the owners of machines. */
 void tmx_workers_view_changed(struct tmx_workers *workers);
-/** The replica is being cleared and will be read anew. */
+/** Must be called when the replica is cleared, before it is read again. */
 void tmx_workers_replica_cleared(struct tmx_workers *workers);
 
-/** Attempts whose end the reports prove, at most `max`; returns how many. */
+/** Writes an operation for each attempt whose end the reports prove, at most `max`, and returns
+ * their number. */
 size_t tmx_workers_collect_completions(struct tmx_workers *workers,
                                        struct tmx_operation *operations, size_t max);
-/** Machines that report and are not in the log, at most `max`; returns how many. */
+/** Writes the facts of machines that send heartbeats and are not registered in the log, at most
+ * `max`, and returns their number. */
 size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
                                         struct tmx_machine_facts *facts, size_t max);
 
-/** Calls back for each machine of this controller with which something is wrong. */
-void tmx_workers_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback, void *arg);
-/** Takes what another owner says of one of its machines, by the view of this term. */
-void tmx_workers_take_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
-                                const struct tmx_suspicion *suspicion);
-/** What the machine's owner says of it; false: nothing is wrong, or no recent
- * heartbeat of the owner says so. */
+/** Calls back for each machine of this controller that is suspected of a fault. */
+void tmx_workers_for_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback,
+                                    void *arg);
+/** Records the suspicion that the owner `node` reports of one of its machines. `term` is the term
+ * of the view by which it owns the machine. */
+void tmx_workers_record_suspicion(struct tmx_workers *workers, const char *node, uint64_t term,
+                                  const struct tmx_suspicion *suspicion);
+/** Gets the suspicion that the machine's owner has of it. Returns false if there is none, or if no
+ * recent heartbeat of the owner carries it. */
 bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
                                 const struct tmx_machine *machine, struct tmx_suspicion *out);
 
-/** How many of its machines this controller reaches; while it may not act as a member, how many of
- * a sample of any machines. */
+/** How many of its machines this controller reaches. While it may not act as a member, the counts
+ * refer to a sample of machines of any owner. */
 struct tmx_reachability {
-  unsigned owned;      /**< machines that this controller owns, or the sample */
-  unsigned reached;    /**< of `owned`, those that answered lately */
-  double report_age_s; /**< since any worker's report came here; 1e9: never */
+  unsigned owned;      /**< machines that this controller owns, or size of the sample */
+  unsigned reached;    /**< of `owned`, those that responded recently */
+  double report_age_s; /**< s since the latest heartbeat of any worker; 1e9: never */
 };
-/** The counts of the latest check, which tmx_workers_tick() makes. */
+/** The counts of the latest health check, as made by tmx_workers_tick(). */
 struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers);
-/** Whether this controller reaches hardly any of its machines: others should drive them. */
+/** Whether this controller reaches less than a quarter of its machines, or of the sample, so that
+ * others should drive its machines. Always false for fewer than TMX_REACHABILITY_MACHINES_MIN. */
 bool tmx_workers_are_unreachable(const struct tmx_workers *workers);
-/** Signs of life of this controller's machines, one entry for each zone of the settings. */
+/** Liveness of this controller's machines, one entry for each zone of the settings. Owned by the
+ * module. */
 const struct tmx_zone_liveness *tmx_workers_zone_liveness(const struct tmx_workers *workers);
-/** Probes that one controller may send in a second. */
+/** Number of probes that one controller may send per second. */
 double tmx_workers_probe_rate(const struct tmx_settings *settings);
 #endif
--- a/tests/test_machine_failure.c
+++ b/tests/test_machine_failure.c
@@ -180,9 +180,9 @@
   struct tmx_suspicion says = {.silence_s = 60, .probes_lost = 9}, suspicion;
   snprintf(says.id, sizeof says.id, "%s", worker.id);
   uint64_t term = other->replica.view.term;
-  tmx_workers_take_suspicion(other->workers, owner, term - 1, &says);
+  tmx_workers_record_suspicion(other->workers, owner, term - 1, &says);
   assert_false(tmx_workers_find_suspicion(other->workers, machine, &suspicion));
-  tmx_workers_take_suspicion(other->workers, owner, term, &says);
+  tmx_workers_record_suspicion(other->workers, owner, term, &says);
   assert_true(tmx_workers_find_suspicion(other->workers, machine, &suspicion));
 }
 
