--- a/src/membership/authority.h
+++ b/src/membership/authority.h
@@ -1,8 +1,12 @@
 /**
  * @file
- * What this controller is entitled to do. Every command to a worker and every placement asks here
- * first: an old leader or a controller that was cut off the store is fenced by these functions and
- * by the fencing tokens that its commands carry. Loop's thread only.
+ * Checks what this controller is currently authorized to do.
+ *
+ * The caller checks its authority before each command to a worker and before each placement. These
+ * checks, and the fencing tokens in the commands, stop a former leader and a controller that has
+ * lost its connection to the store.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_AUTHORITY_H
 #define TMX_AUTHORITY_H
@@ -13,31 +17,41 @@
 #include "replica/replica.h"
 #include "store/store.h"
 
-/** What entitlement depends on; all owned by the controller. */
+/** The state that determines the authority. The controller owns all three objects. */
 struct tmx_authority {
-  const struct tmx_settings
-      *settings;                     /**< this controller's name, and bounds of the replica's age */
-  const struct tmx_replica *replica; /**< holds the view and its term */
-  const struct tmx_store *store;     /**< tells how fresh the replica is */
+  const struct tmx_settings *settings; /**< this controller's name and the limits of replica age */
+  const struct tmx_replica *replica;   /**< contains the view and its term */
+  const struct tmx_store *store;       /**< reports how fresh the replica is */
 };
 
 /**
- * Whether this controller may renew workers' leases and plan: its replica was complete so lately
- * that no cancellation can have come and run out of time meanwhile.
+ * Returns whether this controller may renew workers' leases and plan.
+ *
+ * The replica must be loaded and younger than tmx_fresh_bound(). A lease that is renewed under this
+ * condition expires before the deadline of any cancellation that the replica does not contain yet.
  */
 bool tmx_authority_may_act(const struct tmx_authority *authority);
+
 /**
- * Whether it may have tasks begin. Tasks that run go on without the store for as long as a
- * cancellation allows; a start needs a fresher replica, since another controller may have cancelled
- * the job and told its user.
+ * Returns whether this controller may start tasks.
+ *
+ * Starting a task requires a replica younger than TMX_START_FRESH_S in addition to
+ * tmx_authority_may_act(), because another controller may have cancelled the job and confirmed the
+ * cancellation to its user. Running tasks tolerate an older replica: they continue for as long as
+ * the deadline of a cancellation permits.
  */
 bool tmx_authority_may_start_tasks(const struct tmx_authority *authority);
-/** Index of this controller among the members of the view; -1: not a member. */
+
+/** Returns this controller's index among the members of the view; -1: it is not a member. */
 int tmx_authority_member_index(const struct tmx_authority *authority);
+
 /**
- * The fencing token of this view's term, with a sequence number of one machine. A worker drops
- * whatever carries a lower token than the highest it has seen, so tokens of an earlier term are
- * void once a worker has heard from a later one.
+ * Returns the fencing token that consists of the current view's term and a sequence number.
+ *
+ * A worker ignores commands whose token is lower than the highest token it has received. Tokens of
+ * an earlier term are therefore invalid once the worker has received one of a later term.
+ * @param authority  provides the term
+ * @param sequence   the machine's sequence number within the term, at most TMX_TOKEN_SEQUENCE_MAX
  */
 uint64_t tmx_authority_fencing_token(const struct tmx_authority *authority, uint32_t sequence);
 #endif
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,7 +1,10 @@
 /**
  * @file
- * The failure detector: what a controller concludes about other controllers, and about the network
- * between zones, from what it has heard. Pure functions of their arguments.
+ * The failure detector: decides from the heartbeats and probes that a controller has received
+ * whether other controllers have failed and whether the network between zones is partitioned.
+ *
+ * The functions depend only on their arguments, have no side effects and may be called on any
+ * thread.
  */
 #ifndef TMX_FAILURE_DETECTOR_H
 #define TMX_FAILURE_DETECTOR_H
@@ -11,56 +14,64 @@
 
 #include "tmx/constants.h"
 
-/** Counts of the registered controllers other than this one; "heard" are those whose heartbeats
- * arrive. */
+/** Numbers of registered controllers, without this one. A controller is heard if this controller
+ * has recently received a heartbeat from it. */
 struct tmx_peer_census {
-  size_t others;            /**< registered controllers other than this one */
-  size_t heard;             /**< of `others`, those that are heard */
-  size_t same_zone;         /**< in this controller's zone */
-  size_t same_zone_heard;   /**< of `same_zone`, those that are heard */
-  size_t other_zones;       /**< in any other zone */
-  size_t other_zones_heard; /**< of `other_zones`, those that are heard */
+  size_t others;            /**< all other registered controllers */
+  size_t heard;             /**< those of `others` that are heard */
+  size_t same_zone;         /**< those of `others` in this controller's zone */
+  size_t same_zone_heard;   /**< those of `same_zone` that are heard */
+  size_t other_zones;       /**< those of `others` in any other zone */
+  size_t other_zones_heard; /**< those of `other_zones` that are heard */
 };
 
-/** What this controller knows of one other controller. */
+/** What this controller knows about one other controller. */
 struct tmx_peer_evidence {
-  bool refuses_connections; /**< its host answers, and nothing listens on its port */
-  bool reports_no_workers;  /**< it reports that it reaches hardly any of its workers */
-  double silence_s;         /**< s since its last heartbeat */
-  double last_batch_age_s;  /**< s since its last batch in the log */
-  double observed_for_s;    /**< s that this controller has been in a position to hear it */
+  bool refuses_connections; /**< its host responds, but no process listens on its port */
+  bool reports_no_workers;  /**< it reports that it reaches almost none of its workers */
+  double silence_s;         /**< seconds since its last heartbeat */
+  double last_batch_age_s;  /**< seconds since its last batch in the log */
+  double observed_for_s;    /**< seconds for which this controller has been able to receive its
+                               heartbeats */
 };
 
-/** Whether the zones seem to be partitioned from each other: no controller of another zone is
- * heard, and every one of this zone is. Each zone must then drive its own machines. */
+/** Returns whether the zones appear to be partitioned from each other: this controller hears all
+ * others in its zone, of which there is at least one, and none in the other zones, of which there
+ * are at least two. Each zone must then manage its own machines. */
 bool tmx_zones_are_partitioned(const struct tmx_peer_census *census);
 
-/** Whether the controller is suspected of having failed, so that others should do its work. A false
- * suspicion is safe, as terms order the fencing tokens, but it puts the work of a healthy
- * controller on the others. */
+/**
+ * Returns whether the controller is suspected to have failed, so that other controllers should take
+ * over its work.
+ *
+ * A false suspicion is safe because the term orders the fencing tokens, but it moves the work of a
+ * healthy controller to the others.
+ */
 bool tmx_peer_is_suspected(const struct tmx_peer_census *census,
                            const struct tmx_peer_evidence *evidence);
 
-/** Liveness of the machines of one zone, as their owners report it. */
+/** Liveness of the machines of one zone, as the controllers that own them report it. */
 struct tmx_zone_liveness {
   unsigned machines; /**< machines in the zone */
-  unsigned lost;     /**< several probes in a row were lost */
-  unsigned alive;    /**< estimate, from signs of life within TMX_ALIVE_S */
+  unsigned lost;     /**< machines that left several consecutive probes unanswered */
+  unsigned alive;    /**< estimated number of machines that are alive, extrapolated from those that
+                        showed a sign of life within TMX_ALIVE_S */
 };
 
-/** Whether the zone seems to be partitioned from the owners of its machines, rather than its
- * machines dead. */
+/** Returns whether the zone appears to be partitioned from the owners of its machines. The lost
+ * machines are then probably not dead. */
 bool tmx_zone_is_partitioned(const struct tmx_zone_liveness *zone);
 
-/** What the owner of a machine reports when something is wrong with the machine. */
+/** A report by the owner of a machine that something is wrong with the machine. */
 struct tmx_suspicion {
-  char id[TMX_ID_MAX];     /**< of the machine */
-  double silence_s;        /**< s since its last sign of life */
-  int probes_lost;         /**< in a row */
-  double unacknowledged_s; /**< s that nothing has shown that it hears its owner; 0: it does */
-  bool spot_notice;        /**< the cloud is about to take it back */
+  char id[TMX_ID_MAX];     /**< ID of the machine */
+  double silence_s;        /**< seconds since the machine's last sign of life */
+  int probes_lost;         /**< number of consecutive probes without an answer */
+  double unacknowledged_s; /**< seconds without evidence that the machine's worker receives the
+                              owner's messages; 0: it receives them */
+  bool spot_notice;        /**< the cloud has announced that it will reclaim the machine */
 };
 
-/** Receives one suspicion, which is valid during the call only. */
+/** Receives one suspicion, which is valid only during the call. */
 typedef void (*tmx_suspicion_cb)(void *arg, const struct tmx_suspicion *suspicion);
 #endif
--- a/src/membership/view_manager.h
+++ b/src/membership/view_manager.h
@@ -1,9 +1,13 @@
 /**
  * @file
- * Changes of the view: the members, their term and the machines that a member took over. The leader
- * keeps the members equal to the registered controllers without those that the failure detector
- * suspects; any member may take over machines whose owner cannot be reached. Each change raises the
- * term, and with it all fencing tokens. Loop's thread only.
+ * The view manager: commits new views, which list the members, their term and the overrides of
+ * machine ownership.
+ *
+ * The leader keeps the members equal to the registered controllers that the failure detector does
+ * not suspect. Any member may take over machines whose workers cannot reach their owner. Each new
+ * view has a higher term and thus higher fencing tokens.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_VIEW_MANAGER_H
 #define TMX_VIEW_MANAGER_H
@@ -17,31 +21,55 @@
 /** The view manager of one controller. */
 struct tmx_view_manager;
 
-/** What the failure detector says of a registered controller. `since`: this controller has been in
- * a position to judge others since then, monotonic clock, s. */
+/** Functions through which the view manager consults the failure detector. */
 struct tmx_view_observer {
   void *context; /**< passed to both functions; not owned */
-  /** Counts the registered controllers, and those of them that are heard. */
+  /** Counts the other registered controllers and those of them that are heard. */
   struct tmx_peer_census (*observe_peers)(const void *context);
-  /** Whether the controller with this name is suspected of having failed. */
+  /**
+   * Returns whether a controller is suspected to have failed.
+   * @param context  the observer's `context`
+   * @param node     node name of the controller
+   * @param census   result of observe_peers()
+   * @param since    start of the period in which this controller could observe its peers, steady
+   *                 clock, s
+   */
   bool (*is_suspected)(const void *context, const char *node, const struct tmx_peer_census *census,
                        double since);
 };
 
-/** Creates the manager, which the caller owns. Settings, replica and store must outlive it; the
- * observer is copied. */
+/**
+ * Creates the view manager.
+ * @param settings  not copied; must outlive the manager
+ * @param replica   provides the current view; must outlive the manager
+ * @param store     commits new views; see tmx_view_manager_free() for its lifetime
+ * @param observer  copied
+ * @return the manager; the caller owns it and frees it with tmx_view_manager_free()
+ */
 struct tmx_view_manager *tmx_view_manager_new(const struct tmx_settings *settings,
                                               const struct tmx_replica *replica,
                                               struct tmx_store *store,
                                               const struct tmx_view_observer *observer);
-/** Frees the manager. While a view is being committed, the store has to be freed before or in the
- * same turn of the loop, since its callback uses the manager. */
+
+/** Frees the manager. If the commit of a view is outstanding, the caller must free the store before
+ * the manager or in the same iteration of the event loop, because the commit's callback uses the
+ * manager. */
 void tmx_view_manager_free(struct tmx_view_manager *manager);
-/** To be called at every tick: as the leader, commits a new view when the members should differ. */
+
+/** Commits a new view if this controller is the leader and the members, or whether the zones are
+ * partitioned, have changed. The owner must call it at every tick. */
 void tmx_view_manager_tick(struct tmx_view_manager *manager);
+
 /**
- * Failover: makes this controller the owner of these machines, whose workers cannot reach their
- * owner. Does nothing while another view is being committed; the caller tries again.
+ * Fails machines over to this controller: commits a view in which it owns the machines, whose
+ * workers cannot reach their current owner.
+ *
+ * The function does nothing if this controller is not a member, if the commit of another view is
+ * outstanding, or if the last attempt was less than TMX_VIEW_SPACING_S ago. The caller then tries
+ * again later.
+ * @param manager     the view manager of this controller
+ * @param machines    IDs of the machines
+ * @param n_machines  number of entries in `machines`
  */
 void tmx_view_manager_take_over(struct tmx_view_manager *manager, const char *const *machines,
                                 size_t n_machines);
--- a/src/store/compaction.c
+++ b/src/store/compaction.c
@@ -1,5 +1,5 @@
-/* Compaction is housekeeping: it takes its steps only while puts are to spare. Once the compaction
- * point has moved, batches up to it no longer count, and their keys are used again. */
+/* A compaction has low priority: it performs a step only if the write budget has spare puts. Once
+ * the compaction point has moved, batches up to it are obsolete and their keys are reused. */
 #include "store/compaction.h"
 
 #include <stdio.h>
@@ -15,7 +15,7 @@
   COMPACTION_IDLE,
   COMPACTION_WRITING_PAGES,
   COMPACTION_MOVING_POINT,
-  COMPACTION_DELETING_PAGES, /* those of earlier compactions */
+  COMPACTION_DELETING_PAGES, /* deletes the pages of all other compactions */
 };
 
 struct tmx_compaction {
@@ -25,10 +25,11 @@
   struct tmx_snapshot_writer *writer;
   enum compaction_state state;
   bool transaction_in_flight;
-  size_t key_threshold;
-  double checked_at;
-  uint64_t point;         /* batches up to this revision are in the snapshot */
-  uint64_t point_version; /* version of the key that holds the present compaction point */
+  size_t key_threshold;   /* a compaction starts above this number of batch keys */
+  double checked_at;      /* time of the latest check of the threshold, steady clock, s */
+  uint64_t point;         /* the new compaction point: the snapshot covers all batches up to this
+                             revision */
+  uint64_t point_version; /* version of the compaction key when the compaction started; 0: no key */
 };
 
 struct tmx_compaction *tmx_compaction_new(const struct tmx_settings *settings,
@@ -51,31 +52,32 @@
   compaction->key_threshold = keys;
 }
 
-/* Puts that one transaction of the compaction may use now. */
+/* Returns the maximum number of puts in the next transaction; may be negative. */
 static int max_puts(const struct tmx_compaction *compaction) {
   int budget = (int)tmx_store_write_budget(compaction->store);
   return budget > compaction->settings->txn_ops ? compaction->settings->txn_ops : budget;
 }
 
-static void send(struct tmx_compaction *compaction, struct tmx_transaction *transaction,
-                 tmx_transaction_cb on_answer) {
+static void send_transaction(struct tmx_compaction *compaction, struct tmx_transaction *transaction,
+                             tmx_transaction_cb on_response) {
   compaction->transaction_in_flight =
-      tmx_store_commit(compaction->store, transaction, true, on_answer, compaction);
+      tmx_store_commit(compaction->store, transaction, true, on_response, compaction);
 }
 
-static size_t count_batch_keys(const struct tmx_replica *replica) {
+/* Counts the batches that are newer than the compaction point. */
+static size_t count_batches(const struct tmx_replica *replica) {
   const struct tmx_log_key *key, *next_key;
   size_t n = 0;
   HASH_ITER(hh, replica->batch_keys, key, next_key) n += key->version > replica->compaction_point;
   return n;
 }
 
-/* Looks once a second whether there are enough batches to begin. */
+/* Checks once per second whether there are enough batches to start a compaction. */
 static void begin_if_due(struct tmx_compaction *compaction) {
   double now = tmx_clock_steady();
   if (now - compaction->checked_at < 1) return;
   compaction->checked_at = now;
-  size_t n_batches = count_batch_keys(compaction->replica);
+  size_t n_batches = count_batches(compaction->replica);
   if (n_batches <= compaction->key_threshold) return;
   tmx_snapshot_writer_begin(compaction->writer);
   compaction->point = tmx_snapshot_writer_generation(compaction->writer);
@@ -86,25 +88,27 @@
           tmx_snapshot_writer_job_count(compaction->writer), n_batches);
 }
 
-static void on_pages_answered(void *arg, enum tmx_transaction_result result, uint64_t revision) {
+static void on_pages_response(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_compaction *compaction = arg;
   (void)revision;
   compaction->transaction_in_flight = false;
-  if (result == TMX_TRANSACTION_COMMITTED) tmx_snapshot_writer_pages_committed(compaction->writer);
+  if (result == TMX_TRANSACTION_COMMITTED)
+    tmx_snapshot_writer_mark_pages_committed(compaction->writer);
 }
 
 static void write_pages(struct tmx_compaction *compaction) {
   struct tmx_transaction transaction = {0};
   switch (tmx_snapshot_writer_add_pages(compaction->writer, &transaction, max_puts(compaction))) {
     case TMX_SNAPSHOT_PAGES_ADDED:
-      send(compaction, &transaction, on_pages_answered);
+      send_transaction(compaction, &transaction, on_pages_response);
       return;
     case TMX_SNAPSHOT_COMPLETE:
       compaction->state = COMPACTION_MOVING_POINT;
       break;
     case TMX_SNAPSHOT_ITEM_TOO_LARGE:
-      tmx_log(TMX_LOG_ERROR, "compaction: abandoned, %s exceeds a value",
-              tmx_snapshot_writer_next_job(compaction->writer));
+      tmx_log(TMX_LOG_ERROR,
+              "compaction: abandoned at job %s: the next item exceeds the maximum size of a value",
+              tmx_snapshot_writer_next_job_id(compaction->writer));
       compaction->state = COMPACTION_IDLE;
       break;
     case TMX_SNAPSHOT_NO_BUDGET:
@@ -114,9 +118,9 @@
   tmx_buffer_free(&transaction.operations);
 }
 
-/* Where another leader moved the point, or the answer does not tell, the next compaction begins
- * anew. */
-static void on_point_answered(void *arg, enum tmx_transaction_result result, uint64_t revision) {
+/* If another leader has moved the compaction point, or if the result is unknown, this compaction
+ * ends and the next one starts with a new snapshot. */
+static void on_point_response(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_compaction *compaction = arg;
   (void)revision;
   compaction->transaction_in_flight = false;
@@ -133,37 +137,40 @@
   tmx_cbor_put_u64_field(&value, "gen", compaction->point);
   tmx_transaction_put(&transaction, TMX_KEY_COMPACTION, &value, 0);
   tmx_buffer_free(&value);
-  send(compaction, &transaction, on_point_answered);
+  send_transaction(compaction, &transaction, on_point_response);
 }
 
-static void on_deletion_answered(void *arg, enum tmx_transaction_result result, uint64_t revision) {
+static void on_deletion_response(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_compaction *compaction = arg;
   (void)result;
   (void)revision;
   compaction->transaction_in_flight = false;
 }
 
-static bool is_old_page(const struct tmx_replica *replica, const struct tmx_log_key *key) {
+/* Returns whether the page belongs to another compaction than the one that is in force. */
+static bool is_obsolete_page(const struct tmx_replica *replica, const struct tmx_log_key *key) {
   unsigned long long generation;
   return sscanf(key->key + strlen(TMX_KEY_PAGE), "%llx", &generation) == 1 &&
          generation != replica->compaction_generation;
 }
 
-/* Deletes pages on the condition that the compaction point did not move again, or they might be
- * the newer ones. The state ends when none is left. */
+/* Deletes obsolete pages, and ends the compaction if none remains. The condition on the compaction
+ * key ensures that the point has not moved again; otherwise the pages might belong to the
+ * compaction that is now in force. */
 static void delete_pages(struct tmx_compaction *compaction) {
   struct tmx_transaction transaction = {0};
   const struct tmx_replica *replica = compaction->replica;
   const struct tmx_log_key *key, *next_key;
-  if (replica->compaction_generation != compaction->point) return; /* not yet in the replica */
-  int max = max_puts(compaction);
+  if (replica->compaction_generation != compaction->point)
+    return; /* the replica does not contain the new point yet */
+  int max_deletions = max_puts(compaction);
   tmx_transaction_require_version(&transaction, TMX_KEY_COMPACTION, replica->compaction_version);
   HASH_ITER(hh, replica->page_keys, key, next_key) {
-    if (transaction.n_operations < max && is_old_page(replica, key))
+    if (transaction.n_operations < max_deletions && is_obsolete_page(replica, key))
       tmx_transaction_delete(&transaction, key->key);
   }
   if (transaction.n_operations) {
-    send(compaction, &transaction, on_deletion_answered);
+    send_transaction(compaction, &transaction, on_deletion_response);
     return;
   }
   tmx_buffer_free(&transaction.conditions);
--- a/src/store/snapshot_writer.c
+++ b/src/store/snapshot_writer.c
@@ -6,38 +6,39 @@
 
 #include "base/memory.h"
 
-/* What is to be written next. Of the job: whether its record is written, how many of its machine
- * types and dependencies, and how many of its tasks. */
+/* Position in a snapshot. Everything before it is written. */
 struct position {
-  size_t machine, job;
-  bool record_written;
-  size_t n_types;
-  uint32_t n_dependencies;
-  uint32_t task;
+  size_t machine;          /* index of the next machine in the writer's `machines` */
+  size_t job;              /* index of the current job in the writer's `jobs` */
+  bool record_written;     /* whether the record of the current job is written */
+  size_t n_types;          /* number of machine types of the current job that are written */
+  uint32_t n_dependencies; /* number of dependencies of the current job that are written */
+  uint32_t task;           /* index of the next task of the current job */
 };
 
 struct tmx_snapshot_writer {
   const struct tmx_settings *settings;
   struct tmx_replica *replica;
   uint64_t generation;
-  unsigned next_page;
-  char (*machines)[TMX_ID_MAX], (*jobs)[TMX_ID_MAX]; /* ids of what is to be written */
+  unsigned next_page; /* number of the next page, part of its key */
+  /* IDs of the machines and jobs to be written */
+  char (*machines)[TMX_ID_MAX], (*jobs)[TMX_ID_MAX];
   size_t n_machines, n_jobs;
-  struct position committed; /* after the pages that were committed */
-  struct position added;     /* after the pages that were added last */
+  struct position committed; /* end of the committed pages */
+  struct position added;     /* end of the pages that were added by the latest call */
 };
 
-/* One item of a page: a line or an encoded job record. */
+/* An item of a page: either a line or an encoded job record. */
 struct item {
   char line[TMX_LINE_MAX];
-  struct tmx_buffer record; /* empty: it is the line */
+  struct tmx_buffer record; /* empty: the item is the line */
 };
 
 /* A page under construction. */
 struct page {
-  struct tmx_buffer jobs, lines;
+  struct tmx_buffer jobs, lines; /* encoded job records and encoded lines */
   size_t n_jobs, n_lines;
-  size_t json_length;
+  size_t json_length; /* size of all items, encoded as JSON, in bytes */
 };
 
 struct tmx_snapshot_writer *tmx_snapshot_writer_new(const struct tmx_settings *settings,
@@ -66,12 +67,14 @@
   return writer->n_jobs;
 }
 
-const char *tmx_snapshot_writer_next_job(const struct tmx_snapshot_writer *writer) {
+const char *tmx_snapshot_writer_next_job_id(const struct tmx_snapshot_writer *writer) {
   return writer->added.job < writer->n_jobs ? writer->jobs[writer->added.job] : "";
 }
 
-/* A job that is over needs no page, unless its outcome was derived and is stored nowhere. */
-static bool needs_page(const struct tmx_job *job) {
+/* Returns whether a snapshot has to include the job. A job without tasks in the replica has ended
+ * and left all machines. It is included only if its final state was derived from that of another
+ * job and is not stored under its own key yet. */
+static bool belongs_in_snapshot(const struct tmx_job *job) {
   return job->tasks || (job->outcome && !job->outcome_stored);
 }
 
@@ -88,13 +91,14 @@
     memcpy(writer->machines[writer->n_machines++], machine->id, TMX_ID_MAX);
   }
   HASH_ITER(hh, replica->jobs, job, next_job) {
-    if (needs_page(job)) memcpy(writer->jobs[writer->n_jobs++], job->id, TMX_ID_MAX);
+    if (belongs_in_snapshot(job)) memcpy(writer->jobs[writer->n_jobs++], job->id, TMX_ID_MAX);
   }
   writer->committed = (struct position){0};
   writer->generation = replica->revision;
   writer->next_page = 0;
 }
 
+/* Produces the line of the next registered machine. Returns false if there is none. */
 static bool next_machine_item(const struct tmx_snapshot_writer *writer, struct position *position,
                               struct item *item) {
   while (position->machine < writer->n_machines) {
@@ -107,20 +111,24 @@
   return false;
 }
 
-/* A record that was accepted under larger limits may exceed the present ones: types and
- * dependencies that have no room in it follow in lines. */
+/* Encodes the job's record. A record that was accepted under larger size limits may exceed the
+ * current limit. Machine types and dependencies that do not fit are written as lines after the
+ * record. */
 static void encode_record(const struct tmx_settings *settings, const struct tmx_job *job,
                           struct position *position, struct tmx_buffer *record) {
   const struct tmx_job_ids *dependencies = &job->dependencies.named;
-  size_t room = tmx_value_room(settings);
+  size_t max_length = tmx_value_room(settings);
   struct tmx_job_spec spec = job->spec;
-  spec.n_types = tmx_job_types_within(job->id, &job->spec, job->submitted_at, dependencies, room);
+  spec.n_types =
+      tmx_job_types_within(job->id, &job->spec, job->submitted_at, dependencies, max_length);
   position->n_types = spec.n_types;
   position->n_dependencies =
-      tmx_job_encode_open(record, job->id, &spec, job->submitted_at, dependencies, room);
+      tmx_job_encode_open(record, job->id, &spec, job->submitted_at, dependencies, max_length);
   position->record_written = true;
 }
 
+/* Produces the line of the next tasks of the job that have the same state. Tasks that were never
+ * placed need no line. Returns false if no line remains. */
 static bool next_task_item(const struct tmx_job *job, struct position *position,
                            struct item *item) {
   while (job->tasks && position->task < job->spec.tasks) {
@@ -132,7 +140,7 @@
   return false;
 }
 
-/* The next item of this job; false: all of it is written. */
+/* Produces the next item of the job. Returns false if the whole job is written. */
 static bool next_item_of_job(const struct tmx_settings *settings, const struct tmx_job *job,
                              struct position *position, struct item *item) {
   const struct tmx_job_ids *dependencies = &job->dependencies.named;
@@ -152,18 +160,20 @@
   return next_task_item(job, position, item);
 }
 
+/* Produces the next item of the current job, or of the next job that has one. Returns false if all
+ * jobs are written. */
 static bool next_job_item(const struct tmx_snapshot_writer *writer, struct position *position,
                           struct item *item) {
   while (position->job < writer->n_jobs) {
     const struct tmx_job *job = tmx_job_find(writer->replica, writer->jobs[position->job]);
-    if (job && needs_page(job) && next_item_of_job(writer->settings, job, position, item))
+    if (job && belongs_in_snapshot(job) && next_item_of_job(writer->settings, job, position, item))
       return true;
     *position = (struct position){.machine = position->machine, .job = position->job + 1};
   }
   return false;
 }
 
-/* false: nothing is left to be written. */
+/* Produces the next item of the snapshot. Returns false if the snapshot is complete. */
 static bool next_item(const struct tmx_snapshot_writer *writer, struct position *position,
                       struct item *item) {
   item->record.length = 0;
@@ -186,8 +196,8 @@
   }
 }
 
-/* Fills the page from this position on. Returns whether items are left, of which the first begins
- * the next page. */
+/* Fills the page with the items from `position` on and advances the position. Returns whether items
+ * remain; if so, the next page starts with the first of them. */
 static bool fill_page(const struct tmx_snapshot_writer *writer, struct page *page,
                       struct position *position) {
   size_t max_length = tmx_value_room(writer->settings);
@@ -196,12 +206,12 @@
   page->jobs.length = page->lines.length = 0;
   page->n_jobs = page->n_lines = page->json_length = 0;
   for (;;) {
-    struct position before = *position;
+    struct position item_start = *position;
     more = next_item(writer, position, &item);
     if (!more) break;
     size_t length = item_json_length(&item);
     if (page->json_length + length > max_length) {
-      *position = before;
+      *position = item_start;
       break;
     }
     add_item(page, &item, length);
@@ -224,15 +234,16 @@
 enum tmx_snapshot_result tmx_snapshot_writer_add_pages(struct tmx_snapshot_writer *writer,
                                                        struct tmx_transaction *transaction,
                                                        int max_puts) {
-  size_t max_page = tmx_value_room(writer->settings) + TMX_JSON_FRAME, total = 0;
+  size_t max_page_length = tmx_value_room(writer->settings) + TMX_JSON_FRAME, total_length = 0;
   struct position position = writer->committed;
   struct page page = {.n_jobs = 0};
   bool more = true;
   tmx_transaction_require_version(transaction, TMX_KEY_HEAD, writer->replica->head_version);
-  while (more && transaction->n_operations < max_puts && total + max_page < TMX_TRANSACTION_BYTES) {
+  while (more && transaction->n_operations < max_puts &&
+         total_length + max_page_length < TMX_TRANSACTION_BYTES) {
     more = fill_page(writer, &page, &position);
     if (!page.n_lines && !page.n_jobs) break;
-    total += page.json_length + TMX_JSON_FRAME;
+    total_length += page.json_length + TMX_JSON_FRAME;
     put_page(writer, transaction, &page);
   }
   writer->added = position;
@@ -243,6 +254,6 @@
   return max_puts > 0 ? TMX_SNAPSHOT_ITEM_TOO_LARGE : TMX_SNAPSHOT_NO_BUDGET;
 }
 
-void tmx_snapshot_writer_pages_committed(struct tmx_snapshot_writer *writer) {
+void tmx_snapshot_writer_mark_pages_committed(struct tmx_snapshot_writer *writer) {
   writer->committed = writer->added;
 }
--- a/src/store/snapshot_writer.h
+++ b/src/store/snapshot_writer.h
@@ -1,9 +1,13 @@
 /**
  * @file
- * Writes a snapshot of the replica into pages: machines, the jobs that are open, and the states of
- * their tasks. Each page is put on the condition that head is what the replica saw, so it holds
- * exactly the state at its own version. Keys are loaded in the order of their versions, so what a
- * page says replaces what earlier batches said. Loop's thread only.
+ * Writes a snapshot of the replica into pages: the machines, the open jobs and the states of their
+ * tasks.
+ *
+ * A page is committed only if the version of the head key is the one in the replica. The page
+ * therefore contains exactly the state at its own version. Controllers load pages and batches in
+ * the order of their versions, so the content of a page replaces that of earlier batches.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_SNAPSHOT_WRITER_H
 #define TMX_SNAPSHOT_WRITER_H
@@ -11,38 +15,60 @@
 #include "replica/replica.h"
 #include "store/store.h"
 
-/** A snapshot that is being written, and the position in it. */
+/** A writer with the snapshot in progress and the position up to which it is written. */
 struct tmx_snapshot_writer;
 
-/** What tmx_snapshot_writer_add_pages() did. */
+/** Result of tmx_snapshot_writer_add_pages(). */
 enum tmx_snapshot_result {
-  TMX_SNAPSHOT_PAGES_ADDED,   /**< the transaction holds pages and their condition */
-  TMX_SNAPSHOT_COMPLETE,      /**< all pages were committed: there is nothing to add */
-  TMX_SNAPSHOT_NO_BUDGET,     /**< no put may be used now */
-  TMX_SNAPSHOT_ITEM_TOO_LARGE /**< a record or line exceeds a page: the snapshot is impossible */
+  TMX_SNAPSHOT_PAGES_ADDED,   /**< the transaction contains pages and their condition */
+  TMX_SNAPSHOT_COMPLETE,      /**< all pages are committed; no page was added */
+  TMX_SNAPSHOT_NO_BUDGET,     /**< `max_puts` is not positive; no page was added */
+  TMX_SNAPSHOT_ITEM_TOO_LARGE /**< the next record or line exceeds the size of a page, so the
+                                   snapshot cannot be completed; no page was added */
 };
 
-/** Creates a writer, which the caller owns. Settings and replica must outlive it. */
+/**
+ * Creates a writer.
+ * @param settings  not copied; must outlive the writer
+ * @param replica   the state that snapshots contain; must outlive the writer
+ * @return the writer; the caller owns it and frees it with tmx_snapshot_writer_free()
+ */
 struct tmx_snapshot_writer *tmx_snapshot_writer_new(const struct tmx_settings *settings,
                                                     struct tmx_replica *replica);
-/** Frees the writer. Pages that were committed stay in the store. */
+
+/** Frees the writer. Committed pages remain in the store. */
 void tmx_snapshot_writer_free(struct tmx_snapshot_writer *writer);
-/** Begins a snapshot of the machines and jobs that the replica holds now. The generation, by which
- * the keys of its pages are named, is the replica's revision. */
+
+/** Starts a snapshot of the machines and jobs that the replica currently contains. The replica's
+ * revision becomes the snapshot's generation, which is part of the key of each page. */
 void tmx_snapshot_writer_begin(struct tmx_snapshot_writer *writer);
-/** Revision at which the snapshot began. */
+
+/** Returns the generation: the replica's revision at the start of the snapshot. */
 uint64_t tmx_snapshot_writer_generation(const struct tmx_snapshot_writer *writer);
-/** Number of machines in the snapshot. */
+
+/** Returns the number of machines that the replica contained at the start of the snapshot. */
 size_t tmx_snapshot_writer_machine_count(const struct tmx_snapshot_writer *writer);
-/** Number of jobs in the snapshot. */
+
+/** Returns the number of jobs selected for the snapshot at its start. */
 size_t tmx_snapshot_writer_job_count(const struct tmx_snapshot_writer *writer);
-/** Adds the next pages to the transaction, until it has `max_puts` operations or is full, and their
- * condition. */
+
+/**
+ * Adds the next pages and their condition to a transaction.
+ * @param writer       the snapshot in progress
+ * @param transaction  receives the condition in any case, and the pages
+ * @param max_puts     maximum number of operations in the transaction; it contains fewer if it
+ *                     reaches its maximum size before
+ * @return whether pages were added, and if not, why
+ */
 enum tmx_snapshot_result tmx_snapshot_writer_add_pages(struct tmx_snapshot_writer *writer,
                                                        struct tmx_transaction *transaction,
                                                        int max_puts);
-/** The pages added last were committed. Otherwise the next call adds the same content again. */
-void tmx_snapshot_writer_pages_committed(struct tmx_snapshot_writer *writer);
-/** Id of the job that was next when the pages were added last; "" if none was. */
-const char *tmx_snapshot_writer_next_job(const struct tmx_snapshot_writer *writer);
+
+/** Records that the pages added by the latest call were committed. Without this call, the next call
+ * of tmx_snapshot_writer_add_pages() starts at the same position again. */
+void tmx_snapshot_writer_mark_pages_committed(struct tmx_snapshot_writer *writer);
+
+/** Returns the ID of the job at the position that the latest call of
+ * tmx_snapshot_writer_add_pages() reached; "" if no job remained. */
+const char *tmx_snapshot_writer_next_job_id(const struct tmx_snapshot_writer *writer);
 #endif
