--- a/src/admission/admission_control.c
+++ b/src/admission/admission_control.c
@@ -64,8 +64,8 @@
     const struct tmx_admission_control *admission, const struct tmx_job_spec *spec, int team) {
   struct tmx_admission_request request = {.team = team};
   if (!admission || team < 0) return request;
-  request.account = tmx_backlog_account(&admission->backlog, spec->class);
-  request.load = tmx_load_of(spec, spec->tasks);
+  request.account = tmx_backlog_account_index(&admission->backlog, spec->class);
+  request.load = tmx_job_load(spec, spec->tasks);
   return request;
 }
 
@@ -107,7 +107,7 @@
   if (!admission || request->team < 0) return;
   struct tmx_account *account = &admission->in_flight.accounts[request->team][request->account];
   tmx_load_add(&account->load, &request->load, sign);
-  account->jobs += (uint32_t)sign;
+  account->n_open_jobs += (uint32_t)sign;
 }
 
 void tmx_admission_control_reserve(struct tmx_admission_control *admission,
--- a/src/admission/admission_policy.c
+++ b/src/admission/admission_policy.c
@@ -54,7 +54,7 @@
   double used[TMX_TEAMS_MAX];
   const struct tmx_admission_settings *settings = &context->settings->operators.admission;
   size_t n_teams = context->backlog->n_teams;
-  size_t n_accounts = tmx_backlog_accounts(context->backlog);
+  size_t n_accounts = tmx_backlog_account_count(context->backlog);
   for (size_t team = 0; team < n_teams; team++)
     used[team] = used_seconds(context, team, 0, n_accounts);
   struct tmx_division division = {.bound = settings->backlog_s,
@@ -69,10 +69,10 @@
 /* Within the team's ceiling: each listed class is a party, and all others together are one. */
 static struct tmx_admission_decision decide_by_class(const struct decision_context *context,
                                                      double team_ceiling) {
-  double used[TMX_LISTED_MAX + 1];
+  double used[TMX_LISTED_CLASSES_MAX + 1];
   size_t team = (size_t)context->request->team, account = context->request->account;
   size_t n_listed = context->backlog->n_listed;
-  size_t n_accounts = tmx_backlog_accounts(context->backlog);
+  size_t n_accounts = tmx_backlog_account_count(context->backlog);
   for (size_t i = 0; i < n_listed; i++) used[i] = used_seconds(context, team, i, i + 1);
   used[n_listed] = used_seconds(context, team, n_listed, n_accounts);
   struct tmx_division division = {.bound = team_ceiling,
@@ -103,8 +103,8 @@
 
 static bool has_empty_account(const struct decision_context *context) {
   size_t team = (size_t)context->request->team, account = context->request->account;
-  uint32_t jobs = context->backlog->accounts[team][account].jobs;
-  if (context->in_flight) jobs += context->in_flight->accounts[team][account].jobs;
+  uint32_t jobs = context->backlog->accounts[team][account].n_open_jobs;
+  if (context->in_flight) jobs += context->in_flight->accounts[team][account].n_open_jobs;
   return !jobs;
 }
 
--- a/src/admission/admission_rates.c
+++ b/src/admission/admission_rates.c
@@ -31,10 +31,11 @@
   double held_bytes = settings->ram_mb * TMX_BYTES_PER_MB * TMX_HELD_SHARE;
   rates.per_s[TMX_ADMISSION_CPU] = cpus * TMX_MILLI;
   rates.per_s[TMX_ADMISSION_GPU] = gpus * TMX_MILLI;
-  rates.per_s[TMX_ADMISSION_MEMORY] = mem_gb * TMX_MB_PER_GB;
+  rates.per_s[TMX_ADMISSION_MACHINE_MEMORY] = mem_gb * TMX_MB_PER_GB;
   rates.per_s[TMX_ADMISSION_LOG] = puts * TMX_LINES_SHARE * (double)tmx_value_room(settings);
   rates.per_s[TMX_ADMISSION_PUTS] = puts * TMX_FINALS_SHARE;
-  rates.per_s[TMX_ADMISSION_HELD] = held_bytes / settings->operators.admission.backlog_s;
+  rates.per_s[TMX_ADMISSION_CONTROLLER_MEMORY] =
+      held_bytes / settings->operators.admission.backlog_s;
   return rates;
 }
 
@@ -48,7 +49,7 @@
 double tmx_team_seconds(const struct tmx_backlog *backlog, size_t team,
                         const struct tmx_rates *rates) {
   struct tmx_load sum = {{0}};
-  for (size_t i = 0; i < tmx_backlog_accounts(backlog); i++)
+  for (size_t i = 0; i < tmx_backlog_account_count(backlog); i++)
     tmx_load_add(&sum, &backlog->accounts[team][i].load, 1);
   return tmx_load_seconds(&sum, rates);
 }
--- a/src/admission/admission_report.c
+++ b/src/admission/admission_report.c
@@ -36,15 +36,15 @@
   const struct tmx_account *account = &admission->backlog.accounts[team][i];
   struct tmx_account_figures figures = tmx_statistics_figures(admission->statistics, team, i);
   char name[TMX_NAME_MAX];
-  if (!account->jobs && !figures.admitted && !figures.refused_team && !figures.refused_class &&
-      !figures.starts)
+  if (!account->n_open_jobs && !figures.admitted && !figures.refused_team &&
+      !figures.refused_class && !figures.starts)
     return;
   print_account_name(&admission->backlog, i, name, sizeof name);
   tmx_log(TMX_LOG_INFO,
           "admission: %s %s: %u jobs, backlog %.1f s, oldest waits %.0f s; admitted %lu, refused "
           "%lu by team, %lu by class; %lu began, after %.1f s (median), %.1f s (99%%), %.1f s "
           "(most)",
-          admission->settings->teams[team].name, name, account->jobs,
+          admission->settings->teams[team].name, name, account->n_open_jobs,
           tmx_load_seconds(&account->load, rates), oldest_s, figures.admitted, figures.refused_team,
           figures.refused_class, figures.starts, figures.start_median_s, figures.start_p99_s,
           figures.start_max_s);
@@ -60,7 +60,7 @@
           admission->settings->operators.admission.backlog_s,
           rates.per_s[TMX_ADMISSION_CPU] / TMX_MILLI);
   for (size_t team = 0; team < admission->backlog.n_teams; team++)
-    for (size_t i = 0; i < tmx_backlog_accounts(&admission->backlog); i++)
+    for (size_t i = 0; i < tmx_backlog_account_count(&admission->backlog); i++)
       report_account(admission, team, i, oldest->wait_s[team][i], &rates);
   free(oldest);
 }
--- a/src/replica/apply_log.c
+++ b/src/replica/apply_log.c
@@ -16,12 +16,12 @@
  * pages: the job counts as blocked until all have been read. */
 static void read_dependencies(struct tmx_replica *replica, struct tmx_job *job,
                               const struct tmx_job_record *record) {
-  if (!record->n_awaits || job->outcome) return;
+  if (!record->n_prerequisites || job->outcome) return;
   replica->dependencies_in_use = true;
-  tmx_dependencies_declare(job, (uint32_t)record->n_awaits);
-  const size_t length = cbor_string_length(record->awaits);
+  tmx_dependencies_declare(job, (uint32_t)record->n_prerequisites);
+  const size_t length = cbor_string_length(record->prerequisite_ids);
   char *text = tmx_allocate(length + 1, sizeof *text);
-  tmx_cbor_as_text(record->awaits, text, length + 1);
+  tmx_cbor_as_text(record->prerequisite_ids, text, length + 1);
   tmx_dependencies_parse_ids(job, 0, text);
   free(text);
   tmx_dependencies_resolve(replica, job);
@@ -49,7 +49,7 @@
     tmx_dependencies_job_ended(replica, job);
   }
   read_dependencies(replica, job, &record);
-  tmx_replica_job_changed(replica, job);
+  tmx_replica_job_updated_schedulable(replica, job);
 }
 
 /* Ends the line behind its third field, and returns what follows. */
--- a/src/replica/apply_operation.c
+++ b/src/replica/apply_operation.c
@@ -64,7 +64,7 @@
 static void note_start(struct tmx_replica *replica, struct tmx_job *job) {
   if (!replica->backlog || !replica->loaded || job->team < 0) return;
   if (job->in_account)
-    replica->backlog->accounts[job->team][job->account].started_at = replica->now;
+    replica->backlog->accounts[job->team][job->account].last_start_at = replica->now;
   if (!job->started && replica->on_job_started) replica->on_job_started(replica->observer, job);
   job->started = true;
 }
--- a/src/replica/job.h
+++ b/src/replica/job.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * Jobs and their tasks as the replica keeps them.
+ * Jobs and their tasks, as stored in the replica.
  *
- * The records belong to the replica and live until it is cleared; only the thread of the
- * controller's loop may touch them. Other modules keep values of their own in some of the fields,
- * as said there.
+ * The records belong to the replica and live until it is cleared. Only the thread of the
+ * controller's event loop may access them. Some fields hold values of other modules: user requests,
+ * the scheduler, the planner, the worker module and the operation check.
  */
 #ifndef TMX_JOB_H
 #define TMX_JOB_H
@@ -23,93 +23,95 @@
 enum tmx_job_outcome {
   TMX_JOB_OPEN,     /**< no final state yet */
   TMX_JOB_DONE,     /**< all tasks completed */
-  TMX_JOB_CANCELLED /**< cancelled by a user, or because a job that it needs was */
+  TMX_JOB_CANCELLED /**< cancelled by a user, or because a prerequisite was cancelled */
 };
 /** States of a task. */
 enum tmx_task_state {
-  TMX_TASK_WAITING, /**< on no machine; to be placed */
+  TMX_TASK_WAITING, /**< not on any machine; to be placed */
   TMX_TASK_PLACED,  /**< an attempt is assigned to a machine */
   TMX_TASK_DONE     /**< completed */
 };
-/** How an attempt is asked to stop. In lines of the log the value stands as a digit. */
+/** How an attempt is asked to stop. Log lines contain the value as a digit. */
 enum tmx_stop_mode {
   TMX_STOP_NONE,        /**< not asked to stop */
-  TMX_STOP_AT_ONCE,     /**< without saving a checkpoint */
-  TMX_STOP_AFTER_SAVING /**< once a checkpoint has been saved */
+  TMX_STOP_AT_ONCE,     /**< stop without saving a checkpoint */
+  TMX_STOP_AFTER_SAVING /**< stop after saving a checkpoint */
 };
 
-/** Limits of a job's record in memory. */
+/** Limits of a job in memory. */
 enum {
-  TMX_FAILED_MACHINES_KEPT = 4 /**< machines on which a job failed that are remembered */
+  TMX_FAILED_MACHINES_KEPT = 4 /**< most recent failed machines remembered per job */
 };
 
-/** One task of a job. */
+/** A task of a job. */
 struct tmx_task {
   struct tmx_job *job;         /**< the job that owns this task */
-  struct tmx_machine *machine; /**< where it is placed; NULL: nowhere */
+  struct tmx_machine *machine; /**< machine that it is placed on; NULL: none */
   struct tmx_task *prev,       /**< previous task on the machine's list */
       *next;                   /**< next task on the machine's list */
-  uint32_t attempt;            /**< number of its latest attempt; only grows; 0: none yet */
+  uint32_t attempt;            /**< number of its latest attempt; never decreases; 0: none yet */
   uint8_t state;               /**< enum tmx_task_state */
   uint8_t stop_mode;           /**< enum tmx_stop_mode */
-  float placed_at;             /**< steady clock, s: when this process first saw it placed */
-  float running_since;         /**< steady clock, s: its worker reported it running; 0: not yet */
-  bool completion_in_batch;    /**< its end is in the batch being made */
-  /** @name What the worker's latest report says of this attempt
-   * Valid while `reported_in` equals the number of the worker's latest report. */
+  float placed_at;     /**< when this process applied its placement, monotonic clock, seconds */
+  float running_since; /**< when its worker first reported it running, monotonic clock, seconds; 0:
+                          not yet */
+  bool completion_in_batch; /**< the batch being built contains its completion */
+  /** @name The attempt in the worker's latest report
+   * Valid while `last_report_number` equals the number of the worker's latest report. */
   /** @{ */
-  uint32_t reported_in;   /**< number of the report that named the attempt last */
-  uint8_t reported_state; /**< the attempt's state on its worker: TMX_REPORTED_* */
-  char reported_end;      /**< how it ended, if it has exited: enum tmx_end_reason */
+  uint32_t last_report_number; /**< number of the last report that contained the attempt */
+  uint8_t reported_state;      /**< the attempt's state on its worker: TMX_REPORTED_* */
+  char reported_end;           /**< how it ended if it has exited: enum tmx_end_reason */
   /** @} */
 };
 
-/** A job that was submitted. */
+/** A submitted job. */
 struct tmx_job {
-  char id[TMX_ID_MAX]; /**< the job's id, as its owner submitted it */
-  uint64_t version;    /**< of its key, which is written with its final state; 0: there is none */
-  struct tmx_job_spec spec; /**< what its owner asked for */
-  double submitted_at;      /**< time of day, s */
-  double released_at;  /**< time of day, s: submitted, or the last job that it needs was done */
-  double ended_at;     /**< time of day, s: its final state was written; 0: not known */
-  bool outcome_stored; /**< its final state is in its own key, rather than derived from another's */
-  struct tmx_dependencies dependencies; /**< jobs that it needs, and that need it */
-  struct tmx_urgency urgency;           /**< priority and due time that the planner uses */
-  double loaded_at;                     /**< steady clock, s */
-  int outcome;                          /**< enum tmx_job_outcome */
-  int team; /**< index among the settings' teams; negative: not one of them */
-  struct tmx_task
-      *tasks;      /**< `spec.tasks` of them; NULL once it is over and has left all machines */
-  uint32_t n_done, /**< tasks that are done */
-      n_placed;    /**< tasks that are placed */
-  uint32_t first_waiting;                 /**< no task before this index waits */
-  uint32_t placed_in_zone[TMX_ZONES_MAX]; /**< tasks placed, by zone */
-  double
-      outcome_after; /**< steady clock, s: its final state was committed after this; 0: unknown */
-  double
-      unplaced_since;  /**< steady clock, s: tasks wait and none was placed since; 0: none waits */
-  double waiting_cpus; /**< CPUs of its tasks that wait, as counted in the replica's sum */
-  struct tmx_load remaining_load;  /**< what is left of it, as counted in its account */
-  int account;                     /**< of its class within the team; valid while `in_account` */
-  bool in_account;                 /**< it counts as open in its account */
-  bool started;                    /**< a task of it was seen placed here */
-  double answered_at;              /**< steady clock, s: a user was last told of it here */
-  double longest_run_s;            /**< the longest run of a task that was seen to its end, s */
-  uint32_t consecutive_failures;   /**< attempts in a row that ended with an error */
-  double retry_at;                 /**< steady clock, s: the backoff after failures ends */
-  uint32_t n_completions_in_batch; /**< of the batch being made: tasks that end as done */
-  int planner_slot;                /**< its place in the planner's tables */
-  bool planner_update_due;         /**< the planner is to be told of it */
-  bool known_to_planner;           /**< the planner has its specification */
+  char id[TMX_ID_MAX];      /**< the job's id, chosen by its owner */
+  uint64_t version;         /**< version of the job's own key; 0: there is none */
+  struct tmx_job_spec spec; /**< specification from the submission */
+  double submitted_at;      /**< when it was submitted, wall clock, seconds */
+  double released_at;  /**< when it was submitted or its last prerequisite was done, whichever is
+                          later; wall clock, seconds */
+  double ended_at;     /**< when its final state was written, wall clock, seconds; 0: unknown */
+  bool outcome_stored; /**< its final state is stored in its own key, not only derived */
+  struct tmx_dependencies dependencies; /**< its prerequisites and dependents */
+  struct tmx_urgency urgency;           /**< priority and due time used by the planner */
+  double loaded_at; /**< when this process added the record, monotonic clock, seconds */
+  int outcome;      /**< enum tmx_job_outcome */
+  int team;         /**< index of its team in the settings; negative: the settings do not name it */
+  struct tmx_task *tasks; /**< `spec.tasks` entries; NULL once it has ended and none is placed */
+  uint32_t n_done,        /**< number of tasks that are done */
+      n_placed;           /**< number of tasks that are placed */
+  uint32_t first_waiting; /**< all tasks before this index are placed or done */
+  uint32_t placed_in_zone[TMX_ZONES_MAX]; /**< number of placed tasks, by zone */
+  double outcome_committed_after; /**< its final state was committed after this time, monotonic
+                                     clock, seconds; 0: unknown */
+  double unplaced_since; /**< since when tasks have waited without any placement, monotonic clock,
+                            seconds; 0: no task waits */
+  double waiting_cpus;   /**< CPUs of its waiting tasks, as included in tmx_replica::waiting_cpus */
+  struct tmx_load remaining_load; /**< remaining work, as included in its account */
+  int account;     /**< index of its account within the team; valid while `in_account` */
+  bool in_account; /**< its account counts it as an open job */
+  bool started;    /**< since loading, this process has applied a placement of one of its tasks */
+  double answered_at;   /**< when this controller last sent its state to a user, monotonic clock,
+                           seconds */
+  double longest_run_s; /**< longest observed run of a completed task, seconds */
+  uint32_t consecutive_failures; /**< attempts that ended with an error since the last success */
+  double retry_at; /**< when the backoff after failures ends, monotonic clock, seconds */
+  uint32_t n_completions_in_batch; /**< tasks that the batch being built completes */
+  int planner_slot;                /**< its index in the planner's table of jobs */
+  bool planner_update_due;         /**< the next planner delta must include the job */
+  bool known_to_planner; /**< the planner's tables contain the job and its specification */
   /** @name Counts of the batch being checked, see operation_check.h */
   /** @{ */
-  uint64_t check_id; /**< the check that these counts belong to */
-  uint32_t
-      check_placed_in_zone[TMX_ZONES_MAX]; /**< tasks placed, by zone, with those of the batch */
+  uint64_t check_id;                            /**< id of the check that these counts belong to */
+  uint32_t check_placed_in_zone[TMX_ZONES_MAX]; /**< number of placed tasks, by zone, including
+                                                   operations checked so far */
   /** @} */
-  char failed_machines[TMX_FAILED_MACHINES_KEPT][TMX_ID_MAX]; /**< where it failed lately */
-  unsigned next_failed_machine; /**< counts up; modulo the size, the next entry to be replaced */
-  UT_hash_handle hh;            /**< in the replica's `jobs`, by id */
+  char failed_machines[TMX_FAILED_MACHINES_KEPT][TMX_ID_MAX]; /**< machines of recent failures */
+  unsigned next_failed_machine; /**< counter; modulo the array size: the next entry to replace */
+  UT_hash_handle hh;            /**< entry in tmx_replica::jobs, keyed by id */
 };
 
 /** The task's index within its job. */
--- a/src/replica/job_dependencies.c
+++ b/src/replica/job_dependencies.c
@@ -14,28 +14,28 @@
 #include "tmx/wire.h"
 
 void tmx_dependencies_free(struct tmx_job *job) {
-  tmx_job_ids_free(&job->dependencies.named);
-  free(job->dependencies.needs);
+  tmx_job_ids_free(&job->dependencies.prerequisite_ids);
+  free(job->dependencies.prerequisites);
   free(job->dependencies.dependents);
   memset(&job->dependencies, 0, sizeof job->dependencies);
 }
 
 bool tmx_job_is_blocked(const struct tmx_job *job) {
-  return job->dependencies.named.count &&
-         (!job->dependencies.needs || job->dependencies.n_unfinished);
+  return job->dependencies.prerequisite_ids.count &&
+         (!job->dependencies.prerequisites || job->dependencies.n_unfinished);
 }
 
 void tmx_dependencies_declare(struct tmx_job *job, uint32_t total) {
-  struct tmx_job_ids *named = &job->dependencies.named;
-  if (named->count || !total) return;
-  named->ids = tmx_allocate(total, sizeof *named->ids);
-  named->count = total;
+  struct tmx_job_ids *ids = &job->dependencies.prerequisite_ids;
+  if (ids->count || !total) return;
+  ids->ids = tmx_allocate(total, sizeof *ids->ids);
+  ids->count = total;
 }
 
 void tmx_dependencies_set_id(struct tmx_job *job, uint32_t position, const char *id) {
-  const struct tmx_job_ids *named = &job->dependencies.named;
-  if (position >= named->count || named->ids[position][0] || strlen(id) >= TMX_ID_MAX) return;
-  strcpy(named->ids[position], id);
+  const struct tmx_job_ids *ids = &job->dependencies.prerequisite_ids;
+  if (position >= ids->count || ids->ids[position][0] || strlen(id) >= TMX_ID_MAX) return;
+  strcpy(ids->ids[position], id);
   job->dependencies.n_read++;
 }
 
@@ -52,16 +52,16 @@
   }
 }
 
-/* A job is released when the last job that it needs was done, by the time of day that the final
- * states tell. */
+/* Makes the job schedulable. Its release time is when its last prerequisite was done, according to
+ * the stored final states. */
 static void release_job(struct tmx_replica *replica, struct tmx_job *job) {
   job->released_at = job->submitted_at;
-  for (uint32_t i = 0; i < job->dependencies.named.count; i++)
-    job->released_at = fmax(job->released_at, job->dependencies.needs[i]->ended_at);
+  for (uint32_t i = 0; i < job->dependencies.prerequisite_ids.count; i++)
+    job->released_at = fmax(job->released_at, job->dependencies.prerequisites[i]->ended_at);
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "job: %s %s released, priority %d, due in %.0f s", job->id,
             job->spec.class, job->urgency.priority, job->urgency.due_at - job->released_at);
-  tmx_replica_job_changed(replica, job);
+  tmx_replica_job_updated_schedulable(replica, job);
 }
 
 static void cancel_job(struct tmx_replica *replica, struct tmx_job *job,
@@ -73,7 +73,8 @@
   tmx_job_work_list_push(ended, job);
 }
 
-/* Takes the end of a job to those that name it; those that are cancelled by it join the list. */
+/* Applies the final state of a job to its direct dependents: cancels them, or releases those that
+ * have no unfinished prerequisite left. Cancelled dependents are added to the list. */
 static void propagate_to_dependents(struct tmx_replica *replica, struct tmx_job *job,
                                     struct tmx_job_work_list *ended) {
   struct tmx_dependencies *dependencies = &job->dependencies;
@@ -90,75 +91,78 @@
   dependencies->n_dependents = dependencies->cap_dependents = 0;
 }
 
-/* Takes the ends in the list to the jobs after them, to the end of every chain, and empties it. */
-static void propagate_ends(struct tmx_replica *replica, struct tmx_job_work_list *ended) {
-  struct tmx_job_work_list lost_dependent = {0};
+/* Applies the final states of the listed jobs to all their direct and indirect dependents, and
+ * empties the list. Prerequisites of cancelled jobs get a new urgency. */
+static void propagate_outcomes(struct tmx_replica *replica, struct tmx_job_work_list *ended) {
+  struct tmx_job_work_list to_recompute = {0};
   while (ended->n) {
     struct tmx_job *job = tmx_job_work_list_pop(ended);
     propagate_to_dependents(replica, job, ended);
-    if (job->outcome == TMX_JOB_CANCELLED) tmx_urgency_push_needs(&lost_dependent, job);
+    if (job->outcome == TMX_JOB_CANCELLED) tmx_urgency_push_prerequisites(&to_recompute, job);
   }
-  tmx_urgency_recompute(replica, &lost_dependent);
-  free(lost_dependent.jobs);
+  tmx_urgency_recompute(replica, &to_recompute);
+  free(to_recompute.jobs);
 }
 
 void tmx_dependencies_job_ended(struct tmx_replica *replica, struct tmx_job *job) {
   if (!replica->loaded || !job->outcome) return;
   struct tmx_job_work_list ended = {0};
   tmx_job_work_list_push(&ended, job);
-  propagate_ends(replica, &ended);
+  propagate_outcomes(replica, &ended);
   free(ended.jobs);
 }
 
-static void add_dependent(struct tmx_job *need, struct tmx_job *job) {
-  struct tmx_dependencies *dependencies = &need->dependencies;
+static void add_dependent(struct tmx_job *prerequisite, struct tmx_job *job) {
+  struct tmx_dependencies *dependencies = &prerequisite->dependencies;
   dependencies->dependents = tmx_grow(dependencies->dependents, &dependencies->cap_dependents,
                                       dependencies->n_dependents + 1, sizeof(struct tmx_job *));
   dependencies->dependents[dependencies->n_dependents++] = job;
 }
 
-/* false: one of the jobs named is not known, and the job stays blocked */
-static bool find_needs(const struct tmx_replica *replica, struct tmx_job *job) {
-  const struct tmx_job_ids *named = &job->dependencies.named;
-  struct tmx_job **needs = tmx_allocate(named->count, sizeof(struct tmx_job *));
-  for (uint32_t i = 0; i < named->count; i++) {
-    needs[i] = tmx_job_find(replica, named->ids[i]);
-    if (needs[i]) continue;
-    tmx_log(TMX_LOG_ERROR, "state: %s awaits %s, which is not known", job->id, named->ids[i]);
-    free(needs);
+/* Returns false if the replica does not have one of the prerequisites; the job stays blocked. */
+static bool find_prerequisites(const struct tmx_replica *replica, struct tmx_job *job) {
+  const struct tmx_job_ids *ids = &job->dependencies.prerequisite_ids;
+  struct tmx_job **prerequisites = tmx_allocate(ids->count, sizeof(struct tmx_job *));
+  for (uint32_t i = 0; i < ids->count; i++) {
+    prerequisites[i] = tmx_job_find(replica, ids->ids[i]);
+    if (prerequisites[i]) continue;
+    tmx_log(TMX_LOG_ERROR, "state: job %s stays blocked: its prerequisite %s does not exist",
+            job->id, ids->ids[i]);
+    free(prerequisites);
     return false;
   }
-  job->dependencies.needs = needs;
+  job->dependencies.prerequisites = prerequisites;
   return true;
 }
 
-/* true: one of the jobs that it needs was cancelled */
-static bool link_to_needs(struct tmx_job *job) {
+/* Adds the job to the dependents of its prerequisites. Returns true if one of them is cancelled. */
+static bool link_to_prerequisites(struct tmx_job *job) {
   struct tmx_dependencies *dependencies = &job->dependencies;
-  bool need_cancelled = false;
-  for (uint32_t i = 0; i < dependencies->named.count; i++) {
-    struct tmx_job *need = dependencies->needs[i];
-    need_cancelled |= need->outcome == TMX_JOB_CANCELLED;
-    dependencies->n_unfinished += need->outcome != TMX_JOB_DONE;
-    if (!need->outcome) add_dependent(need, job);
+  bool prerequisite_cancelled = false;
+  for (uint32_t i = 0; i < dependencies->prerequisite_ids.count; i++) {
+    struct tmx_job *prerequisite = dependencies->prerequisites[i];
+    prerequisite_cancelled |= prerequisite->outcome == TMX_JOB_CANCELLED;
+    dependencies->n_unfinished += prerequisite->outcome != TMX_JOB_DONE;
+    if (!prerequisite->outcome) add_dependent(prerequisite, job);
   }
-  return need_cancelled;
+  return prerequisite_cancelled;
 }
 
 void tmx_dependencies_resolve(struct tmx_replica *replica, struct tmx_job *job) {
   const struct tmx_dependencies *dependencies = &job->dependencies;
-  if (!replica->loaded || job->outcome || dependencies->needs || !dependencies->named.count ||
-      dependencies->n_read < dependencies->named.count)
+  if (!replica->loaded || job->outcome || dependencies->prerequisites ||
+      !dependencies->prerequisite_ids.count ||
+      dependencies->n_read < dependencies->prerequisite_ids.count)
     return;
-  if (!find_needs(replica, job)) return;
-  if (link_to_needs(job)) {
+  if (!find_prerequisites(replica, job)) return;
+  if (link_to_prerequisites(job)) {
     struct tmx_job_work_list ended = {0};
     cancel_job(replica, job, &ended);
-    propagate_ends(replica, &ended);
+    propagate_outcomes(replica, &ended);
     free(ended.jobs);
     return;
   }
-  tmx_urgency_raise_needs(replica, job);
+  tmx_urgency_raise_prerequisites(replica, job);
   if (!dependencies->n_unfinished) release_job(replica, job);
 }
 
--- a/src/replica/job_dependencies.h
+++ b/src/replica/job_dependencies.h
@@ -1,10 +1,11 @@
 /**
  * @file
- * Dependencies between jobs, derived from the log as each replica applies it. Pure.
+ * Dependencies between jobs, which each replica derives from the log.
  *
- * A job that names others is blocked until all of them are done. One that names a cancelled job,
- * directly or through others, is cancelled at the same revision. Only the thread of the
- * controller's loop may call these functions.
+ * A submission may name other jobs as prerequisites. The job is blocked until all its prerequisites
+ * are done. When a job is cancelled, all its direct and indirect dependents are cancelled at the
+ * same revision. The functions do no I/O. Only the thread of the controller's event loop may call
+ * them.
  */
 #ifndef TMX_JOB_DEPENDENCIES_H
 #define TMX_JOB_DEPENDENCIES_H
@@ -17,39 +18,46 @@
 struct tmx_job;
 struct tmx_replica;
 
-/** A job's place in the graph of dependencies. */
+/** The edges of one job in the dependency graph. */
 struct tmx_dependencies {
-  struct tmx_job_ids named;    /**< by position; an empty id has not been read yet */
-  uint32_t n_read;             /**< how many of these ids have been read */
-  struct tmx_job **needs;      /**< the jobs named; NULL until every id is read and known */
-  uint32_t n_unfinished;       /**< how many of `needs` are not done */
-  struct tmx_job **dependents; /**< open jobs that name this one */
-  size_t n_dependents,         /**< used entries of `dependents` */
-      cap_dependents;          /**< allocated entries of `dependents` */
-  bool in_work_list;           /**< on the work list of the function that is under way */
+  struct tmx_job_ids prerequisite_ids; /**< ids of its prerequisites; empty ids are not read yet */
+  uint32_t n_read;                     /**< number of these ids that have been read */
+  struct tmx_job **prerequisites; /**< the prerequisites, in the order of their ids; NULL until all
+                                     ids are read and resolved */
+  uint32_t n_unfinished;          /**< number of prerequisites that are not done */
+  struct tmx_job **dependents;    /**< open jobs that have this job as a prerequisite */
+  size_t n_dependents,            /**< entries of `dependents` in use */
+      cap_dependents;             /**< entries of `dependents` allocated */
+  bool in_work_list;              /**< in a tmx_job_work_list */
 };
 
-/** What the planner goes by: the job's own values, until a dependent asks for more. */
+/** Priority and due time used by the planner: the job's own values, tightened by those of its open
+ * dependents. */
 struct tmx_urgency {
-  int priority;  /**< the highest of its own and of those that need it */
-  double due_at; /**< time of day, s: its latest end for every deadline after it; INFINITY: none */
+  int priority;  /**< highest priority of the job and its open direct and indirect dependents */
+  double due_at; /**< latest end that lets the job and its dependents meet their deadlines, wall
+                    clock, seconds; INFINITY: no deadline */
 };
 
-/** Announces that the job names `total` others, whose ids follow. */
+/** Sets the number of prerequisites of the job; their ids follow. Later calls change nothing. */
 void tmx_dependencies_declare(struct tmx_job *job, uint32_t total);
-/** Sets one of these ids; one that is known already, or lies beyond the total, changes nothing. */
+/** Sets the id of one prerequisite. Does nothing if that id is already set, the position is out of
+ * range or the id is too long. */
 void tmx_dependencies_set_id(struct tmx_job *job, uint32_t position, const char *id);
-/** Sets ids from a text as tmx_job_ids_to_text() writes it, the first at this position. */
+/** Parses ids in the format of tmx_job_ids_to_text() and sets them from the given position on. */
 void tmx_dependencies_parse_ids(struct tmx_job *job, uint32_t position, const char *text);
-/** Links the job to those it names, once all ids are read and the replica is loaded. */
+/** Links the job to its prerequisites if all their ids are read and the replica is loaded. Cancels
+ * the job if a prerequisite is cancelled, and releases it if all are done. */
 void tmx_dependencies_resolve(struct tmx_replica *replica, struct tmx_job *job);
-/** To be called when the job's final state becomes known to a loaded replica. */
+/** Propagates the job's final state to its dependents. Must be called when a loaded replica reads
+ * that state; does nothing before the replica is loaded. */
 void tmx_dependencies_job_ended(struct tmx_replica *replica, struct tmx_job *job);
-/** To be called once when the replica is loaded: links all jobs, and derives what follows. */
+/** Resolves the dependencies of all jobs. Must be called once when loading is complete. */
 void tmx_dependencies_replica_loaded(struct tmx_replica *replica);
-/** Releases what the job's dependencies hold. */
+/** Releases the memory of the job's dependencies and resets them. */
 void tmx_dependencies_free(struct tmx_job *job);
 
-/** Tells whether the job still waits for others: it takes part in nothing until then. */
+/** Tells whether the job has prerequisites that are unknown or not done. A blocked job is not
+ * planned or placed. */
 bool tmx_job_is_blocked(const struct tmx_job *job);
 #endif
--- a/src/replica/job_ids.h
+++ b/src/replica/job_ids.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Job ids, and the set of ids that a submission names as its dependencies.
+ * Job ids, and the set of ids that a submission names as prerequisites.
  *
  * Pure functions without shared state: any thread may call them.
  */
@@ -13,30 +13,34 @@
 #include "net/cbor.h"
 #include "tmx/constants.h"
 
-/** Ids of jobs, sorted and each present once. The array is owned: see tmx_job_ids_free(). */
+/** A sorted set of job ids without duplicates. It owns its array: see tmx_job_ids_free(). */
 struct tmx_job_ids {
-  char (*ids)[TMX_ID_MAX]; /**< `count` ids, each terminated by zero; NULL: none */
+  char (*ids)[TMX_ID_MAX]; /**< `count` ids, each zero-terminated; NULL: none */
   uint32_t count;          /**< number of ids */
 };
 
-/** Releases the array and leaves an empty set. */
+/** Releases the array and makes the set empty. */
 void tmx_job_ids_free(struct tmx_job_ids *ids);
 
-/** Tells whether the text is a well-formed job id: the common prefix and permitted characters. */
+/** Tells whether the text is a valid job id: the common prefix, then at least one character, all of
+ * them permitted. */
 bool tmx_job_id_is_valid(const char *id);
 
 /**
- * Reads the ids that a submission names; one without the field yields an empty set.
- * @return false if the field is malformed; `ids` is empty then.
+ * Parses the ids of the prerequisites from a submission.
+ * @param map the submission, as a CBOR map.
+ * @param ids receives the ids; empty if the submission lacks the field. The caller releases it.
+ * @return false if the field is malformed; `ids` is empty in that case.
  */
 bool tmx_job_ids_parse(const cbor_item_t *map, struct tmx_job_ids *ids);
 
 /**
- * Writes ids as they stand in a record or a line: without their common prefix, separated by spaces.
- * @param out receives the text with a terminating zero.
+ * Writes ids in the format of job records and log lines: without their common prefix, separated by
+ * spaces.
+ * @param out receives the zero-terminated text.
  * @param capacity size of `out` in bytes.
  * @param ids the ids to write.
- * @param from position of the first id to write; moves behind the last one that fitted.
+ * @param from position of the first id to write; receives the position after the last id written.
  * @return bytes written, without the terminating zero.
  */
 size_t tmx_job_ids_to_text(char *out, size_t capacity, const struct tmx_job_ids *ids,
--- a/src/replica/job_record.c
+++ b/src/replica/job_record.c
@@ -5,8 +5,8 @@
 
 #include "base/memory.h"
 
-/* Positions in a record. The version in production reads the first RECORD_FIELDS entries and
- * passes over the rest. */
+/* Positions of the fields in a record. The release in production reads only the first RECORD_FIELDS
+ * entries and ignores the rest. */
 enum {
   RECORD_ID,
   RECORD_CLASS,
@@ -27,10 +27,10 @@
   RECORD_DEADLINE,
   RECORD_SUBMITTED,
   RECORD_OUTCOME,
-  RECORD_FIELDS,                 /* of a record without dependencies */
-  RECORD_AWAITS = RECORD_FIELDS, /* text: the first of the ids that the job names */
-  RECORD_N_AWAITS,               /* how many it names */
-  RECORD_ENDED,                  /* time of day, s; 0: not known */
+  RECORD_FIELDS,                           /* number of fields of a record without dependencies */
+  RECORD_PREREQUISITE_IDS = RECORD_FIELDS, /* text: the first ids of the job's prerequisites */
+  RECORD_N_PREREQUISITES,                  /* number of its prerequisites */
+  RECORD_ENDED, /* when its final state was written, wall clock, seconds; 0: unknown */
   RECORD_FIELDS_ALL
 };
 
@@ -42,7 +42,8 @@
          (spec->spread ? FLAG_SPREAD : 0u) | (spec->spot_allowed ? FLAG_SPOT_ALLOWED : 0u);
 }
 
-/* Whole numbers take a byte or two as integers, and most are whole. */
+/* Encodes a small whole number as an integer. Most numbers are whole, and take only a byte or two
+ * this way. */
 static void put_compact_number(struct tmx_buffer *buffer, double value) {
   if (value >= 0 && value < 4e9 && value == (double)(uint64_t)value)
     tmx_cbor_put_u64(buffer, (uint64_t)value);
@@ -50,7 +51,7 @@
     tmx_cbor_put_number(buffer, value);
 }
 
-/* Appends the first RECORD_FIELDS entries of a list of `fields` entries. */
+/* Appends the head of a list of `fields` entries, and its first RECORD_FIELDS entries. */
 static void encode_basic_fields(struct tmx_buffer *buffer, size_t fields, const char *id,
                                 const struct tmx_job_spec *spec, double submitted, int outcome) {
   tmx_cbor_put_list(buffer, fields);
@@ -83,14 +84,14 @@
 
 static void encode_with_dependencies(struct tmx_buffer *buffer, const char *id,
                                      const struct tmx_job_spec *spec, double submitted,
-                                     uint32_t n_awaits, const char *awaits) {
+                                     uint32_t n_prerequisites, const char *prerequisite_ids) {
   encode_basic_fields(buffer, RECORD_FIELDS_ALL, id, spec, submitted, TMX_JOB_OPEN);
-  tmx_cbor_put_text(buffer, awaits);
-  tmx_cbor_put_u64(buffer, n_awaits);
+  tmx_cbor_put_text(buffer, prerequisite_ids);
+  tmx_cbor_put_u64(buffer, n_prerequisites);
   tmx_cbor_put_u64(buffer, 0); /* RECORD_ENDED */
 }
 
-/* Appends an open job's record with the number of ids that it names, and none of them. */
+/* Appends an open job's record with the number of its prerequisites but none of their ids. */
 static void encode_open_without_ids(struct tmx_buffer *buffer, const char *id,
                                     const struct tmx_job_spec *spec, double submitted,
                                     const struct tmx_job_ids *ids) {
@@ -100,14 +101,15 @@
     tmx_job_encode(buffer, id, spec, submitted, TMX_JOB_OPEN);
 }
 
-size_t tmx_job_types_within(const char *id, const struct tmx_job_spec *spec, double submitted,
-                            const struct tmx_job_ids *ids, size_t room) {
+size_t tmx_job_count_types_that_fit(const char *id, const struct tmx_job_spec *spec,
+                                    double submitted, const struct tmx_job_ids *ids,
+                                    size_t max_json_bytes) {
   struct tmx_job_spec shortened = *spec;
   struct tmx_buffer record = {0};
   for (; shortened.n_types > 1; shortened.n_types--) {
     record.length = 0;
     encode_open_without_ids(&record, id, &shortened, submitted, ids);
-    if (tmx_json_length(&record) <= room) break;
+    if (tmx_json_length(&record) <= max_json_bytes) break;
   }
   tmx_buffer_free(&record);
   return shortened.n_types;
@@ -115,20 +117,20 @@
 
 uint32_t tmx_job_encode_open(struct tmx_buffer *buffer, const char *id,
                              const struct tmx_job_spec *spec, double submitted,
-                             const struct tmx_job_ids *ids, size_t room) {
+                             const struct tmx_job_ids *ids, size_t max_json_bytes) {
   if (!ids->count) {
     tmx_job_encode(buffer, id, spec, submitted, TMX_JOB_OPEN);
     return 0;
   }
-  struct tmx_buffer bare = {0};
-  encode_open_without_ids(&bare, id, spec, submitted, ids);
-  const size_t used = tmx_json_length(&bare);
-  const size_t left = room > used ? room - used : 0;
+  struct tmx_buffer without_ids = {0};
+  encode_open_without_ids(&without_ids, id, spec, submitted, ids);
+  const size_t used = tmx_json_length(&without_ids);
+  const size_t left = max_json_bytes > used ? max_json_bytes - used : 0;
   uint32_t written = 0;
   char *text = tmx_allocate(left + 1, sizeof *text);
   tmx_job_ids_to_text(text, left + 1, ids, &written);
   encode_with_dependencies(buffer, id, spec, submitted, ids->count, text);
-  tmx_buffer_free(&bare);
+  tmx_buffer_free(&without_ids);
   free(text);
   return written;
 }
@@ -139,20 +141,22 @@
   encode_basic_fields(buffer, end_known ? RECORD_FIELDS_ALL : RECORD_FIELDS, job->id, spec,
                       job->submitted_at, outcome);
   if (!end_known) return;
-  tmx_cbor_put_text(buffer, ""); /* RECORD_AWAITS */
-  tmx_cbor_put_u64(buffer, 0);   /* RECORD_N_AWAITS */
+  tmx_cbor_put_text(buffer, ""); /* RECORD_PREREQUISITE_IDS */
+  tmx_cbor_put_u64(buffer, 0);   /* RECORD_N_PREREQUISITES */
   tmx_cbor_put_number(buffer, ended);
 }
 
-/* What a job that is over has left on machines counts by its size and team. The rest of what its
- * owner said is of no use any more and gives way to a limit that was lowered meanwhile. */
+/* The size and team of an ended job are always kept: its tasks that are still on machines count
+ * towards resource usage. The class, image, zone and machine types are no longer used. They are
+ * left out if the record exceeds the size limit, which may have been lowered since the submission.
+ */
 void tmx_job_encode_final(struct tmx_buffer *buffer, const struct tmx_job *job, int outcome,
-                          double ended, size_t room) {
+                          double ended, size_t max_json_bytes) {
   const size_t start = buffer->length;
   encode_final(buffer, job, &job->spec, outcome, ended);
   const struct tmx_buffer written = {.data = buffer->data + start,
                                      .length = buffer->length - start};
-  if (tmx_json_length(&written) <= room) return;
+  if (tmx_json_length(&written) <= max_json_bytes) return;
   struct tmx_job_spec shortened = job->spec;
   shortened.n_types = 0;
   shortened.class[0] = shortened.image[0] = shortened.zone[0] = 0;
@@ -216,9 +220,11 @@
 
 static bool decode_dependencies(const cbor_item_t *list, struct tmx_job_record *record) {
   if (tmx_cbor_list_length(list) < RECORD_FIELDS_ALL) return true;
-  record->awaits = tmx_cbor_list_at(list, RECORD_AWAITS);
-  return cbor_isa_string(record->awaits) && decode_u64(list, RECORD_N_AWAITS, &record->n_awaits) &&
-         record->n_awaits <= TMX_BODY_MAX && decode_number(list, RECORD_ENDED, &record->ended_at);
+  record->prerequisite_ids = tmx_cbor_list_at(list, RECORD_PREREQUISITE_IDS);
+  return cbor_isa_string(record->prerequisite_ids) &&
+         decode_u64(list, RECORD_N_PREREQUISITES, &record->n_prerequisites) &&
+         record->n_prerequisites <= TMX_BODY_MAX &&
+         decode_number(list, RECORD_ENDED, &record->ended_at);
 }
 
 bool tmx_job_decode(const cbor_item_t *list, struct tmx_job_record *record) {
--- a/src/replica/job_record.h
+++ b/src/replica/job_record.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * The record of a job: its stored form, in batches, pages and the job's own key.
+ * The record of a job: its stored form in batches, snapshot pages and the job's own key.
  *
- * A record is a CBOR list in a fixed order, since values are small and many jobs may come at once.
- * Readers pass over entries behind those that they know. Pure functions without shared state: any
- * thread may call them.
+ * A record is a CBOR list of fields in a fixed order. It has no field names, because the size of
+ * stored values is limited and many jobs may be submitted at once. Readers ignore entries after
+ * those that they know. Pure functions without shared state: any thread may call them.
  */
 #ifndef TMX_JOB_RECORD_H
 #define TMX_JOB_RECORD_H
@@ -15,56 +15,60 @@
 #include "net/cbor.h"
 #include "replica/job.h"
 
-/** A job as its record tells of it. */
+/** A decoded job record. */
 struct tmx_job_record {
-  char id[TMX_ID_MAX];       /**< the job's id */
-  struct tmx_job_spec spec;  /**< what its owner asked for */
-  double submitted_at;       /**< time of day, s */
-  double ended_at;           /**< time of day, s; 0: not known */
-  uint64_t outcome;          /**< enum tmx_job_outcome */
-  uint64_t n_awaits;         /**< how many other jobs it names */
-  const cbor_item_t *awaits; /**< text: the first of their ids; NULL: none; part of the item read */
+  char id[TMX_ID_MAX];      /**< the job's id */
+  struct tmx_job_spec spec; /**< specification from the submission */
+  double submitted_at;      /**< when it was submitted, wall clock, seconds */
+  double ended_at;  /**< when its final state was written, wall clock, seconds; 0: unknown */
+  uint64_t outcome; /**< enum tmx_job_outcome */
+  uint64_t n_prerequisites;            /**< number of its prerequisites */
+  const cbor_item_t *prerequisite_ids; /**< text with the first of their ids; NULL: none; owned by
+                                          the decoded item */
 };
 
-/** Appends a job's record without dependencies, in the form that every version reads. */
+/** Appends a job's record without dependency fields, which every release can read. `submitted` is
+ * in seconds of the wall clock, `outcome` an enum tmx_job_outcome. */
 void tmx_job_encode(struct tmx_buffer *buffer, const char *id, const struct tmx_job_spec *spec,
                     double submitted, int outcome);
 
 /**
- * Appends the record of an open job with as many of the ids that it names as `room` leaves. The
- * other ids follow in lines, see tmx_dependency_line_print().
+ * Appends the record of an open job with as many ids of its prerequisites as the size limit allows.
+ * The caller writes the other ids as log lines, see tmx_dependency_line_print().
  * @param buffer receives the record at its end; owned by the caller.
  * @param id the job's id.
  * @param spec the job's specification.
- * @param submitted time of day, s.
- * @param ids the jobs that it names.
- * @param room bytes as JSON that the record may take.
- * @return how many ids were written.
+ * @param submitted when it was submitted, wall clock, seconds.
+ * @param ids the ids of its prerequisites.
+ * @param max_json_bytes maximum size of the record in JSON form, bytes.
+ * @return number of ids written.
  */
 uint32_t tmx_job_encode_open(struct tmx_buffer *buffer, const char *id,
                              const struct tmx_job_spec *spec, double submitted,
-                             const struct tmx_job_ids *ids, size_t room);
+                             const struct tmx_job_ids *ids, size_t max_json_bytes);
 
 /**
- * How many of its machine types a record in `room` bytes as JSON can name, at least one. The other
- * types follow in lines, see tmx_type_print(); a version that passes over these takes the job for
- * one that permits fewer types.
+ * Number of the job's machine types that fit into a record of at most `max_json_bytes` bytes in
+ * JSON form. If the job names types, at least one is always counted. The caller writes the other
+ * types as log lines, see tmx_type_print(). An older release that ignores these lines treats the
+ * job as one that permits fewer types.
  */
-size_t tmx_job_types_within(const char *id, const struct tmx_job_spec *spec, double submitted,
-                            const struct tmx_job_ids *ids, size_t room);
+size_t tmx_job_count_types_that_fit(const char *id, const struct tmx_job_spec *spec,
+                                    double submitted, const struct tmx_job_ids *ids,
+                                    size_t max_json_bytes);
 
 /**
- * Appends the record of a job that is over. If it exceeds `room` bytes as JSON, only what still
- * counts is kept.
+ * Appends the record of a job with a final state. If the record would exceed the size limit, fields
+ * that are no longer used are left empty.
  * @param buffer receives the record at its end; owned by the caller.
  * @param job the job.
  * @param outcome its final state: enum tmx_job_outcome.
- * @param ended time of day, s; 0 leaves it out.
- * @param room bytes as JSON that the record may take.
+ * @param ended when the final state was written, wall clock, seconds; 0 omits the field.
+ * @param max_json_bytes maximum size of the record in JSON form, bytes.
  */
 void tmx_job_encode_final(struct tmx_buffer *buffer, const struct tmx_job *job, int outcome,
-                          double ended, size_t room);
+                          double ended, size_t max_json_bytes);
 
-/** Reads a record. @return false if it is malformed. */
+/** Decodes a record. @return false if it is malformed. */
 bool tmx_job_decode(const cbor_item_t *list, struct tmx_job_record *record);
 #endif
--- a/src/replica/job_spec.c
+++ b/src/replica/job_spec.c
@@ -56,7 +56,7 @@
   return true;
 }
 
-/* Only what may be null may be left out: a zone may, the flags may not. */
+/* The zone may be null or absent. The flags are required. */
 static bool parse_placement(const cbor_item_t *map, struct tmx_job_spec *spec) {
   if (tmx_cbor_get(map, W_ZONE) && !tmx_cbor_get_text(map, W_ZONE, spec->zone, sizeof spec->zone))
     return false;
--- a/src/replica/job_spec.h
+++ b/src/replica/job_spec.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What a submission asks for: the specification of a job.
+ * The specification of a job, as described by its submission.
  *
  * Pure functions without shared state: any thread may call them.
  */
@@ -13,7 +13,7 @@
 #include "net/cbor.h"
 #include "tmx/constants.h"
 
-/** Priorities of jobs, in rising order. The values are stored in job records. */
+/** Priorities of jobs, in ascending order. The values are stored in job records. */
 enum tmx_job_priority {
   TMX_PRIORITY_IDLE,   /**< `idle`, the lowest */
   TMX_PRIORITY_NORMAL, /**< `normal` */
@@ -21,40 +21,40 @@
   TMX_PRIORITY_PROD    /**< `prod`, the highest */
 };
 
-/** A job as its owner described it. Sizes are those of one task. */
+/** A job as described by its owner. Resource amounts are per task. */
 struct tmx_job_spec {
-  char class[TMX_NAME_MAX];              /**< job class, by which objectives are set */
-  char team[TMX_NAME_MAX];               /**< team that the job is accounted to */
-  char image[TMX_NAME_MAX];              /**< name of the image that its tasks run */
-  char zone[TMX_NAME_MAX];               /**< empty: any zone */
-  char types[TMX_TYPES_MAX][TMX_ID_MAX]; /**< machine types that the job may run on */
-  size_t n_types;                        /**< 0: any type */
-  bool service;                          /**< a service; otherwise a job array */
-  bool same_zone,                        /**< all tasks must be in one zone */
-      spread,               /**< at most half of the tasks may be in one zone, see tmx_zone_cap() */
-      spot_allowed;         /**< tasks may run on spot instances */
-  int priority;             /**< enum tmx_job_priority */
-  uint32_t tasks;           /**< number of tasks */
-  double cpus,              /**< CPUs of one task */
-      gpus,                 /**< GPUs of one task */
-      mem_gb;               /**< memory of one task, GB */
-  double image_gb;          /**< size of the image, GB */
-  double estimate_s;        /**< run time of a task as its owner expects it, s */
-  double checkpoint_s;      /**< time between two checkpoints, s; 0: none are made */
-  double checkpoint_save_s; /**< time that saving a checkpoint takes, s */
-  double deadline_s;        /**< after submission, s; negative: none */
-  double fetch_tolerance_s; /**< a fetch of the image that takes this long weighs as much as a full
-                               machine, s; derived from the objectives */
-  int image_id;             /**< number of the image's name, set by the replica; 0: none */
+  char class[TMX_NAME_MAX]; /**< job class, which selects the service-level objectives */
+  char team[TMX_NAME_MAX];  /**< team whose quota and share the job counts towards */
+  char image[TMX_NAME_MAX]; /**< name of the image of its tasks */
+  char zone[TMX_NAME_MAX];  /**< empty: any zone */
+  char types[TMX_TYPES_MAX][TMX_ID_MAX]; /**< permitted machine types */
+  size_t n_types;                        /**< entries of `types` in use; 0: any type */
+  bool service;                          /**< true: a service; false: a job array */
+  bool same_zone,                        /**< all tasks must be placed in one zone */
+      spread,        /**< at most half of the tasks may be placed in one zone, see tmx_zone_cap() */
+      spot_allowed;  /**< tasks may run on spot instances */
+  int priority;      /**< enum tmx_job_priority */
+  uint32_t tasks;    /**< number of tasks */
+  double cpus,       /**< CPUs of one task */
+      gpus,          /**< GPUs of one task */
+      mem_gb;        /**< memory of one task, GB */
+  double image_gb;   /**< size of the image, GB */
+  double estimate_s; /**< the owner's estimate of a task's run time, seconds */
+  double checkpoint_s;      /**< interval between checkpoints, seconds; 0: no checkpoints */
+  double checkpoint_save_s; /**< time to save a checkpoint, seconds */
+  double deadline_s;        /**< deadline, seconds after submission; negative: none */
+  double fetch_tolerance_s; /**< an image fetch of this many seconds costs as much as a full machine
+                               in placement; derived from the objectives */
+  int image_id;             /**< numeric id of the image name, set by the replica; 0: none */
 };
 
 /**
- * Reads a submission.
+ * Parses a submission.
  * @param map the submission, as a CBOR map.
  * @param spec receives the specification.
- * @param id receives the job's id, of at most `id_capacity` bytes with its terminating zero.
+ * @param id receives the zero-terminated id of the job.
  * @param id_capacity size of `id` in bytes.
- * @return false if a field that may not be left out is missing, or any field is malformed.
+ * @return false if a required field is missing or any field is malformed.
  */
 bool tmx_job_spec_parse(const cbor_item_t *map, struct tmx_job_spec *spec, char *id,
                         size_t id_capacity);
--- a/src/replica/job_urgency.h
+++ b/src/replica/job_urgency.h
@@ -1,17 +1,17 @@
 /**
  * @file
- * Urgency that jobs inherit from those that need them: for the files of the replica only.
+ * Priority and due time that jobs inherit from their dependents. Internal to src/replica.
  */
 #ifndef TMX_JOB_URGENCY_H
 #define TMX_JOB_URGENCY_H
 #include "replica/job_work_list.h"
 #include "replica/replica.h"
 
-/** Raises the urgency of all jobs before a new dependent, to the end of every chain. */
-void tmx_urgency_raise_needs(struct tmx_replica *replica, struct tmx_job *dependent);
-/** Adds the open jobs that the job needs to the list. */
-void tmx_urgency_push_needs(struct tmx_job_work_list *list, const struct tmx_job *job);
-/** Computes the urgency of the listed jobs, and of all before them, from the dependents that they
- * have left. Empties the list. */
+/** Raises the urgency of all direct and indirect prerequisites of a newly linked job. */
+void tmx_urgency_raise_prerequisites(struct tmx_replica *replica, struct tmx_job *dependent);
+/** Adds the job's open direct prerequisites to the list. */
+void tmx_urgency_push_prerequisites(struct tmx_job_work_list *list, const struct tmx_job *job);
+/** Recomputes the urgency of the listed jobs, and of their direct and indirect prerequisites, from
+ * their open dependents. Empties the list. */
 void tmx_urgency_recompute(struct tmx_replica *replica, struct tmx_job_work_list *list);
 #endif
--- a/src/replica/machine.h
+++ b/src/replica/machine.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Machines as the replica keeps them.
+ * Machines, as stored in the replica.
  *
  * The records belong to the replica and live until the machine is removed or the replica is
- * cleared; only the thread of the controller's loop may touch them.
+ * cleared. Only the thread of the controller's event loop may access them.
  */
 #ifndef TMX_MACHINE_H
 #define TMX_MACHINE_H
@@ -17,51 +17,52 @@
 struct tmx_task;
 struct tmx_worker;
 
-/** Images that a machine is taken to have in its cache, at most. */
+/** Maximum number of images that a machine's cache is assumed to hold. */
 #define TMX_IMAGES_KEPT 12
 
-/** An image on a machine. */
+/** An image in a machine's cache. */
 struct tmx_image {
-  int id;                  /**< number of its name, see tmx_job_spec::image_id */
-  double fetch_started_at; /**< steady clock, s: when its fetch began; long ago, if read at start */
+  int id;                  /**< numeric id of its name, see tmx_job_spec::image_id */
+  double fetch_started_at; /**< when its fetch began, monotonic clock, seconds; far in the past if
+                              the placement was read while loading */
 };
 
-/** A machine that was registered, or on which a task was placed. */
+/** A machine that was registered or that a task was placed on. */
 struct tmx_machine {
-  char id[TMX_ID_MAX];         /**< the machine's id, which is never used again */
-  char addr[TMX_NAME_MAX];     /**< address of its worker, as registered */
-  char type[TMX_ID_MAX];       /**< name of its machine type */
-  int zone;                    /**< index among the settings' zones; -1: unknown */
-  bool spot;                   /**< a spot instance, which may be taken away */
-  bool registered;             /**< a line registered it, and none has removed it */
-  bool draining;               /**< to be returned: it takes no more tasks */
-  struct tmx_task *tasks;      /**< tasks that are placed on it */
-  uint32_t n_tasks;            /**< number of tasks in `tasks` */
-  uint32_t change_count;       /**< counts the changes that observers were told of */
-  int owner;                   /**< index of the member that owns it; -1: there is no view */
-  double booked_cpus,          /**< CPUs of all tasks placed on it */
-      booked_gpus,             /**< GPUs of all tasks placed on it */
-      booked_mem_gb;           /**< memory of all tasks placed on it, GB */
-  double service_cpus;         /**< of these CPUs, those of services */
-  uint32_t consecutive_errors; /**< attempts in a row that ended with an error */
-  char error_job[TMX_ID_MAX];  /**< the job of the latest of them */
-  bool errors_of_several_jobs; /**< they were of more than one job */
-  struct tmx_image images[TMX_IMAGES_KEPT]; /**< the one used latest first, as the log tells */
-  size_t n_images;                          /**< used entries of `images` */
-  double size_cpus,          /**< CPUs of its type, set by the controller; 0: unknown */
-      size_gpus,             /**< GPUs of its type, set by the controller */
-      size_mem_gb;           /**< memory of its type, GB, set by the controller; 0: unknown */
-  bool usable;               /**< the planner may use it, set by the controller */
-  bool planner_update_due;   /**< the planner is to be told of it */
-  int planner_slot;          /**< its place in the planner's tables */
-  struct tmx_worker *worker; /**< its agent, kept by src/worker */
+  char id[TMX_ID_MAX];     /**< the machine's id, which is never reused */
+  char addr[TMX_NAME_MAX]; /**< registered address of its worker */
+  char type[TMX_ID_MAX];   /**< name of its machine type */
+  int zone;                /**< index of its zone in the settings; -1: unknown */
+  bool spot;               /**< a spot instance, which the provider may reclaim */
+  bool registered;         /**< a log line registered it, and none has removed it since */
+  bool draining;           /**< to be returned to the provider; no more tasks are placed on it */
+  struct tmx_task *tasks;  /**< list of the tasks placed on it */
+  uint32_t n_tasks;        /**< number of tasks in `tasks` */
+  uint32_t change_count;   /**< number of changes reported to the observer */
+  int owner;               /**< index of the member that owns it; -1: there is no view */
+  double booked_cpus,      /**< CPUs of all tasks placed on it */
+      booked_gpus,         /**< GPUs of all tasks placed on it */
+      booked_mem_gb;       /**< memory of all tasks placed on it, GB */
+  double service_cpus;     /**< part of `booked_cpus` that belongs to services */
+  uint32_t consecutive_errors; /**< attempts that ended with an error since the last success */
+  char error_job[TMX_ID_MAX];  /**< id of the job of the latest failed attempt */
+  bool errors_of_several_jobs; /**< the errors since the last success are of more than one job */
+  struct tmx_image images[TMX_IMAGES_KEPT]; /**< most recently placed first, according to the log */
+  size_t n_images;                          /**< entries of `images` in use */
+  double capacity_cpus, /**< CPUs of its machine type, set by the scheduler; 0: unknown */
+      capacity_gpus,    /**< GPUs of its machine type, set by the scheduler */
+      capacity_mem_gb;  /**< memory of its machine type, GB, set by the scheduler; 0: unknown */
+  bool usable; /**< healthy enough for the planner to place tasks on it, set by src/worker */
+  bool planner_update_due;   /**< the next planner delta must include the machine */
+  int planner_slot;          /**< its index in the planner's table of machines */
+  struct tmx_worker *worker; /**< record of its worker, set by src/worker; NULL: none */
   /** @name Sums of the batch being checked, see operation_check.h */
   /** @{ */
-  uint64_t check_id; /**< the check that these sums belong to */
-  double check_cpus, /**< CPUs booked, with those of the batch */
-      check_gpus,    /**< GPUs booked, with those of the batch */
-      check_mem_gb;  /**< memory booked, GB, with that of the batch */
+  uint64_t check_id; /**< id of the check that these sums belong to */
+  double check_cpus, /**< booked CPUs, including operations checked so far */
+      check_gpus,    /**< booked GPUs, including operations checked so far */
+      check_mem_gb;  /**< booked memory, GB, including operations checked so far */
   /** @} */
-  UT_hash_handle hh; /**< in the replica's `machines`, by id */
+  UT_hash_handle hh; /**< entry in tmx_replica::machines, keyed by id */
 };
 #endif
--- a/src/replica/machine_table.c
+++ b/src/replica/machine_table.c
@@ -9,12 +9,12 @@
 #include "replica/job_table.h"
 #include "replica/replica_internal.h"
 
-/* Fields of lines on machines. */
+/* Positions of the fields in log lines about machines. */
 enum {
   LINE_KIND,
   LINE_ID,
   LINE_ADDRESS,
-  LINE_DRAINING_ONLY = LINE_ADDRESS, /* of TMX_LINE_MACHINE_DRAINING */
+  LINE_DRAINING_ONLY = LINE_ADDRESS, /* in TMX_LINE_MACHINE_DRAINING */
   LINE_TYPE,
   LINE_ZONE,
   LINE_SPOT,
@@ -38,7 +38,7 @@
   machine = tmx_allocate(1, sizeof *machine);
   snprintf(machine->id, sizeof machine->id, "%s", id);
   machine->zone = -1;
-  machine->planner_slot = tmx_slot_pool_take(&replica->machine_slots);
+  machine->planner_slot = tmx_slot_pool_acquire(&replica->machine_slots);
   machine->owner = tmx_replica_owner_index(replica, id, -1);
   HASH_ADD_STR(replica->machines, id, machine);
   return machine;
@@ -55,7 +55,7 @@
   replica->n_type_counts = 0;
 }
 
-/* Takes a machine that is gone, and all tasks on it, out of the replica. */
+/* Removes a machine from the replica. Its tasks wait again. */
 static void drop_machine(struct tmx_replica *replica, struct tmx_machine *machine) {
   while (machine->tasks) {
     struct tmx_job *job = machine->tasks->job;
@@ -63,7 +63,7 @@
     tmx_replica_release_tasks(replica, job);
   }
   if (replica->on_machine_removed) replica->on_machine_removed(replica->observer, machine);
-  tmx_slot_pool_give_back(&replica->machine_slots, machine->planner_slot);
+  tmx_slot_pool_release(&replica->machine_slots, machine->planner_slot);
   HASH_DEL(replica->machines, machine);
   free(machine);
 }
@@ -75,7 +75,9 @@
   }
 }
 
-/* Tasks that a page or an early batch placed on it are counted in its zone from now on. */
+/* Sets the machine's zone, and moves its tasks to the counters of that zone. A machine can have
+ * tasks before its zone is known: a snapshot page or an early batch may place them before the line
+ * that registers the machine is read. */
 static void set_zone(struct tmx_machine *machine, int zone) {
   if (machine->zone == zone) return;
   for (const struct tmx_task *task = machine->tasks; task; task = task->next) {
@@ -85,8 +87,8 @@
   machine->zone = zone;
 }
 
-/* Counts a machine among those of its type; `sign` is -1 to take it out. Types beyond the bound
- * are not counted. */
+/* Adds a machine to the count of its type, or subtracts it if `sign` is -1. Types beyond the first
+ * TMX_TYPES_MAX are not counted. */
 static void count_type(struct tmx_replica *replica, const struct tmx_machine *machine, int sign) {
   size_t i = 0;
   while (i < replica->n_type_counts && strcmp(replica->type_counts[i].type, machine->type)) i++;
@@ -123,7 +125,8 @@
   tmx_replica_notify_schedulable(replica);
 }
 
-/* The oldest name makes room for a new one where memory asks for it. */
+/* Remembers the id of a removed machine. If the ids fill their share of the controller's memory,
+ * the oldest id is forgotten. */
 static void remember_removed(struct tmx_replica *replica, const char *id) {
   const double bytes =
       replica->settings->ram_mb * TMX_BYTES_PER_MB * TMX_REMOVED_MACHINES_MEMORY_SHARE;
@@ -139,7 +142,7 @@
   if (!machine) return;
   if (machine->registered) count_type(replica, machine, -1);
   machine->registered = false;
-  if (!replica->loaded) return; /* what was on it is settled once loading is complete */
+  if (!replica->loaded) return; /* dropped by tmx_replica_drop_unregistered_machines() */
   drop_machine(replica, machine);
   tmx_replica_notify_schedulable(replica);
 }
--- a/src/replica/operation_check.c
+++ b/src/replica/operation_check.c
@@ -54,9 +54,9 @@
 }
 
 static bool machine_has_room(const struct tmx_job_spec *spec, const struct tmx_machine *machine) {
-  return machine->check_cpus + spec->cpus <= machine->size_cpus + RESOURCE_EPSILON &&
-         machine->check_gpus + spec->gpus <= machine->size_gpus + RESOURCE_EPSILON &&
-         machine->check_mem_gb + spec->mem_gb <= machine->size_mem_gb + RESOURCE_EPSILON;
+  return machine->check_cpus + spec->cpus <= machine->capacity_cpus + RESOURCE_EPSILON &&
+         machine->check_gpus + spec->gpus <= machine->capacity_gpus + RESOURCE_EPSILON &&
+         machine->check_mem_gb + spec->mem_gb <= machine->capacity_mem_gb + RESOURCE_EPSILON;
 }
 
 static bool exceeds_limit(double used, double limit) {
--- a/src/replica/planner_slots.c
+++ b/src/replica/planner_slots.c
@@ -5,11 +5,11 @@
 
 #include "base/memory.h"
 
-int tmx_slot_pool_take(struct tmx_slot_pool *pool) {
-  return pool->n_free ? pool->free[--pool->n_free] : pool->n_given++;
+int tmx_slot_pool_acquire(struct tmx_slot_pool *pool) {
+  return pool->n_free ? pool->free[--pool->n_free] : pool->n_created++;
 }
 
-void tmx_slot_pool_give_back(struct tmx_slot_pool *pool, int slot) {
+void tmx_slot_pool_release(struct tmx_slot_pool *pool, int slot) {
   pool->free = tmx_grow(pool->free, &pool->capacity, pool->n_free + 1, sizeof *pool->free);
   pool->free[pool->n_free++] = slot;
 }
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -156,7 +156,7 @@
   replica->waiting_cpus = 0;
   HASH_ITER(hh, replica->jobs, job, next) {
     job->waiting_cpus = 0;
-    tmx_replica_count_waiting_cpus(replica, job);
+    tmx_replica_update_waiting_cpus(replica, job);
     if (replica->backlog) tmx_backlog_update(replica->backlog, job);
     tmx_replica_release_tasks(replica, job);
   }
--- a/src/replica/run_estimate.c
+++ b/src/replica/run_estimate.c
@@ -6,7 +6,7 @@
 
 #include "replica/replica.h"
 
-/* Index of the class among those learned; their number if it is none of them. */
+/* Index of the class in `run_estimates`; `n_run_estimates` if it has no entry. */
 static size_t class_index(const struct tmx_replica *replica, const char *name) {
   size_t i = 0;
   while (i < replica->n_run_estimates && strcmp(replica->run_estimates[i].name, name)) i++;
@@ -33,7 +33,7 @@
     memset(estimate, 0, sizeof *estimate);
     snprintf(estimate->name, sizeof estimate->name, "%s", spec->class);
   }
-  /* the bound keeps a machine that hangs from counting as the class's run time */
+  /* The bound limits the effect of a task whose machine hung on the ratio of its class. */
   const double sample = fmax(-TMX_RUN_ESTIMATE_LOG_BOUND,
                              fmin(TMX_RUN_ESTIMATE_LOG_BOUND, log(ran / spec->estimate_s)));
   if (estimate->samples < TMX_RUN_ESTIMATE_SAMPLES_MAX) estimate->samples++;
--- a/src/replica/run_estimate.h
+++ b/src/replica/run_estimate.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * How long the tasks of a class run, against what their owners estimate. Pure.
+ * Learns, per job class, the ratio of actual run times to the owners' estimates. No I/O. Only the
+ * thread of the controller's event loop may call these functions.
  */
 #ifndef TMX_RUN_ESTIMATE_H
 #define TMX_RUN_ESTIMATE_H
@@ -9,22 +10,22 @@
 
 struct tmx_replica;
 
-/** What was learned of the run times of one class. */
+/** The ratio of run times to estimates of one class. */
 struct tmx_run_estimate {
-  char name[TMX_NAME_MAX]; /**< of the class */
-  double log_ratio;        /**< average of the logarithm of run time over the owner's estimate */
-  unsigned samples;        /**< tasks seen, up to a bound */
+  char name[TMX_NAME_MAX]; /**< name of the class */
+  double log_ratio;        /**< moving average of ln(run time / owner's estimate) */
+  unsigned samples;        /**< observed tasks, at most TMX_RUN_ESTIMATE_SAMPLES_MAX */
 };
 
-/** How long a task of the job is expected to run, s: the owner's estimate, corrected by how far
- * estimates of the class have been off lately. */
+/** Expected run time of a task of the job, seconds: the owner's estimate, corrected by the learned
+ * ratio of the class once TMX_RUN_ESTIMATE_SAMPLES_MIN tasks were observed. */
 double tmx_run_estimate_expected(const struct tmx_replica *replica,
                                  const struct tmx_job_spec *spec);
 /**
- * Learns from a task that was done.
+ * Updates the ratio of a class with a completed task.
  * @param replica the replica that keeps the estimates.
  * @param spec specification of the task's job.
- * @param ran its run time, s; 0 or less: not known.
+ * @param ran its run time, seconds; 0 or less: unknown, the task is ignored.
  */
 void tmx_run_estimate_observe(struct tmx_replica *replica, const struct tmx_job_spec *spec,
                               double ran);
--- a/src/scheduler/planner_records.c
+++ b/src/scheduler/planner_records.c
@@ -15,9 +15,9 @@
 
 static void copy_type(struct tmx_plan_machine *record, struct tmx_machine *machine,
                       const struct tmx_machine_type *type) {
-  machine->size_cpus = record->cpus = type->cpus;
-  machine->size_gpus = record->gpus = type->gpus;
-  machine->size_mem_gb = record->mem_gb = type->mem_gb;
+  machine->capacity_cpus = record->cpus = type->cpus;
+  machine->capacity_gpus = record->gpus = type->gpus;
+  machine->capacity_mem_gb = record->mem_gb = type->mem_gb;
   record->fetch_gb_per_s = type->fetch_gb_per_s;
 }
 
--- a/src/store/snapshot_writer.c
+++ b/src/store/snapshot_writer.c
@@ -111,10 +111,11 @@
  * dependencies that have no room in it follow in lines. */
 static void encode_record(const struct tmx_settings *settings, const struct tmx_job *job,
                           struct position *position, struct tmx_buffer *record) {
-  const struct tmx_job_ids *dependencies = &job->dependencies.named;
+  const struct tmx_job_ids *dependencies = &job->dependencies.prerequisite_ids;
   size_t room = tmx_value_room(settings);
   struct tmx_job_spec spec = job->spec;
-  spec.n_types = tmx_job_types_within(job->id, &job->spec, job->submitted_at, dependencies, room);
+  spec.n_types =
+      tmx_job_count_types_that_fit(job->id, &job->spec, job->submitted_at, dependencies, room);
   position->n_types = spec.n_types;
   position->n_dependencies =
       tmx_job_encode_open(record, job->id, &spec, job->submitted_at, dependencies, room);
@@ -135,7 +136,7 @@
 /* The next item of this job; false: all of it is written. */
 static bool next_item_of_job(const struct tmx_settings *settings, const struct tmx_job *job,
                              struct position *position, struct item *item) {
-  const struct tmx_job_ids *dependencies = &job->dependencies.named;
+  const struct tmx_job_ids *dependencies = &job->dependencies.prerequisite_ids;
   if (!position->record_written) {
     encode_record(settings, job, position, &item->record);
     return true;
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -65,7 +65,7 @@
   for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
        task = task->next)
     if (task->job->outcome && !tmx_worker_reports(worker, task) &&
-        now - task->job->outcome_after > tmx_fresh_bound(settings))
+        now - task->job->outcome_committed_after > tmx_fresh_bound(settings))
       return true;
   return false;
 }
--- a/src/worker/reconciliation.c
+++ b/src/worker/reconciliation.c
@@ -32,14 +32,14 @@
     struct tmx_task *task = find_in_log(worker, reported);
     reported->in_log = task != NULL;
     if (!task) continue;
-    task->reported_in = report->number;
+    task->last_report_number = report->number;
     task->reported_state = reported->state;
     task->reported_end = reported->end_reason;
   }
 }
 
 bool tmx_worker_reports(const struct tmx_worker *worker, const struct tmx_task *task) {
-  return task->reported_in == worker->report.number;
+  return task->last_report_number == worker->report.number;
 }
 
 bool tmx_task_is_leaving(const struct tmx_task *task) {
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -87,12 +87,13 @@
 }
 
 static void judge(struct history *h, const struct tmx_job_spec *spec, const char *id) {
-  struct tmx_admission_request x = {.team = tmx_team_index(&h->settings, spec->team),
-                                    .account = tmx_backlog_account(&h->live.backlog, spec->class),
-                                    .load = tmx_load_of(spec, spec->tasks)};
+  struct tmx_admission_request x = {
+      .team = tmx_team_index(&h->settings, spec->team),
+      .account = tmx_backlog_account_index(&h->live.backlog, spec->class),
+      .load = tmx_job_load(spec, spec->tasks)};
   struct tmx_admission_decision decision =
       tmx_admission_decide(&h->settings, &h->live.backlog, NULL, &h->rates, &x);
-  bool newcomer = !h->live.backlog.accounts[x.team][x.account].jobs;
+  bool newcomer = !h->live.backlog.accounts[x.team][x.account].n_open_jobs;
   double charge = tmx_load_seconds(&x.load, &h->rates);
   h->report.submitted++;
   if (decision.result != TMX_ADMITTED) {
@@ -168,7 +169,8 @@
     for (size_t i = 0; i < TMX_ACCOUNTS_MAX; i++) {
       const struct tmx_account *one = &x->backlog.accounts[team][i];
       const struct tmx_account *other = &y->backlog.accounts[team][i];
-      if (one->jobs != other->jobs || memcmp(&one->load, &other->load, sizeof one->load))
+      if (one->n_open_jobs != other->n_open_jobs ||
+          memcmp(&one->load, &other->load, sizeof one->load))
         return false;
     }
   return true;
--- a/tests/test_admission_control.c
+++ b/tests/test_admission_control.c
@@ -132,7 +132,7 @@
               1); /* refused as soon as it is known, not when time is up */
   run_loop_for(0.2);
   assert_in_range(x.accepted, 5, 30);
-  assert_int_equal(first_controller->replica.backlog->accounts[0][0].jobs, x.accepted);
+  assert_int_equal(first_controller->replica.backlog->accounts[0][0].n_open_jobs, x.accepted);
   unsigned alone = x.accepted;
   for (unsigned i = 0; i < AT_ONCE; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
@@ -152,8 +152,8 @@
   fake_free_watches();
   run_loop_for(3);
   assert_int_equal(submit_some(second_controller, "t", "c"), 503);
-  assert_int_equal(first_controller->replica.backlog->accounts[0][0].jobs, n);
-  assert_int_equal(second_controller->replica.backlog->accounts[0][0].jobs, n);
+  assert_int_equal(first_controller->replica.backlog->accounts[0][0].n_open_jobs, n);
+  assert_int_equal(second_controller->replica.backlog->accounts[0][0].n_open_jobs, n);
 }
 
 static void retries_polls_and_cancellations_are_always_admitted(void **state) {
--- a/tests/test_admission_policy.c
+++ b/tests/test_admission_policy.c
@@ -41,12 +41,12 @@
   size_t n = 0;
   tmx_backlog_init(&b, &s);
   assert_int_equal(b.n_listed, 2);
-  assert_int_equal(tmx_backlog_account(&b, "c"), 0);
-  assert_int_equal(tmx_backlog_account(&b, "d"), 1);
+  assert_int_equal(tmx_backlog_account_index(&b, "c"), 0);
+  assert_int_equal(tmx_backlog_account_index(&b, "d"), 1);
   for (int i = 0; i < 5000; i++) {
     snprintf(name, sizeof name, "invented-%d", i);
-    size_t account = tmx_backlog_account(&b, name);
-    assert_in_range(account, 2, tmx_backlog_accounts(&b) - 1);
+    size_t account = tmx_backlog_account_index(&b, name);
+    assert_in_range(account, 2, tmx_backlog_account_count(&b) - 1);
     n += !seen[account];
     seen[account] = true;
   }
@@ -58,7 +58,7 @@
   struct tmx_job_spec huge = {.cpus = 1e300, .gpus = 1e308, .mem_gb = 1e308, .estimate_s = 1e308};
   struct tmx_load sum = {{0}};
   huge.tasks = TMX_TASKS_MAX;
-  struct tmx_load one = tmx_load_of(&huge, huge.tasks);
+  struct tmx_load one = tmx_job_load(&huge, huge.tasks);
   for (int i = 0; i < 1000000; i++) tmx_load_add(&sum, &one, 1);
   for (int i = 0; i < TMX_ADMISSION_RESOURCES; i++) assert_true(sum.amount[i] > 0);
   for (int i = 0; i < 1000000; i++) tmx_load_add(&sum, &one, -1);
@@ -81,15 +81,15 @@
   service.n_placed = 4;
   tmx_backlog_update(&b, &service);
   assert_int_equal(load->amount[TMX_ADMISSION_CPU], 0);
-  assert_int_equal(b.accounts[0][0].jobs, 1);
+  assert_int_equal(b.accounts[0][0].n_open_jobs, 1);
 }
 
 static struct tmx_admission_request candidate(const struct tmx_backlog *b, int team,
                                               const char *class_name, uint32_t tasks) {
   struct tmx_job_spec spec = {.cpus = 1, .mem_gb = 1, .estimate_s = 10, .tasks = tasks};
   return (struct tmx_admission_request){.team = team,
-                                        .account = tmx_backlog_account(b, class_name),
-                                        .load = tmx_load_of(&spec, tasks)};
+                                        .account = tmx_backlog_account_index(b, class_name),
+                                        .load = tmx_job_load(&spec, tasks)};
 }
 
 static unsigned admit_until_refused(const struct tmx_settings *settings, struct tmx_backlog *b,
@@ -105,7 +105,7 @@
       continue;
     }
     tmx_load_add(&b->accounts[team][x.account].load, &x.load, 1);
-    b->accounts[team][x.account].jobs++;
+    b->accounts[team][x.account].n_open_jobs++;
     n++;
   }
   assert_true(refused > 0);
@@ -182,7 +182,7 @@
     struct tmx_admission_request x = candidate(&b, 0, "c", 500);
     assert_int_equal(tmx_admission_decide(&s, &b, NULL, &unknown, &x).result, TMX_ADMITTED);
     tmx_load_add(&b.accounts[0][x.account].load, &x.load, 1);
-    b.accounts[0][x.account].jobs++;
+    b.accounts[0][x.account].n_open_jobs++;
   }
   s.operators.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
   struct tmx_rates expected = tmx_admission_rates(&s, &none, &one);
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -198,8 +198,9 @@
   tmx_cbor_put_null(&list);
   assert_int_equal(submit_with_list(&list), 201);
   assert_accepted("wk-000003", "wk-000001 wk-000001 wk-000001");
-  assert_int_equal(tmx_job_find(&first_controller->replica, "wk-000003")->dependencies.named.count,
-                   1);
+  assert_int_equal(
+      tmx_job_find(&first_controller->replica, "wk-000003")->dependencies.prerequisite_ids.count,
+      1);
   /* what is known is answered before anything is judged */
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000003", "job-1").status, 200);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000003", "wk-000777").status,
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -104,7 +104,7 @@
   strcpy(operation.machine, "n-1");
   put_lines("m n-1 127.0.0.1:1 big a 0 0");
   struct tmx_machine *machine = tmx_machine_find(&replica, "n-1");
-  machine->size_cpus = machine->size_mem_gb = 64;
+  machine->capacity_cpus = machine->capacity_mem_gb = 64;
   tmx_operation_check_begin(&check, &replica);
   return tmx_operation_check_apply(&check, &operation);
 }
@@ -235,7 +235,7 @@
   tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &second);
   while (written < awaits.count) {
     assert_true(tmx_job_is_blocked(job("wk-last")));
-    assert_null(job("wk-last")->dependencies.needs);
+    assert_null(job("wk-last")->dependencies.prerequisites);
     tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &written);
     assert_true(strlen(line) < TMX_LINE_MAX);
     put_lines(line);
--- a/tests/test_job_record_format.c
+++ b/tests/test_job_record_format.c
@@ -83,8 +83,8 @@
   assert_non_null(value);
   assert_true(tmx_job_decode(value, &out));
   awaits[0] = 0;
-  if (out.awaits) assert_true(tmx_cbor_as_text(out.awaits, awaits, cap));
-  out.awaits = NULL; /* freed with the value */
+  if (out.prerequisite_ids) assert_true(tmx_cbor_as_text(out.prerequisite_ids, awaits, cap));
+  out.prerequisite_ids = NULL; /* freed with the value */
   tmx_cbor_free(value);
   return out;
 }
@@ -100,7 +100,7 @@
   assert_same_spec(&back.spec, spec);
   assert_true(back.submitted_at == sample_submitted_at);
   assert_int_equal(back.outcome, TMX_JOB_OPEN);
-  assert_int_equal(back.n_awaits, 0);
+  assert_int_equal(back.n_prerequisites, 0);
   tmx_buffer_free(&buffer);
 }
 
@@ -137,7 +137,7 @@
       tmx_job_encode_open(&buffer, "wk-000005", &spec, sample_submitted_at, &ids, room);
   struct tmx_job_record back = read_record(recording, &buffer, text, sizeof text);
   assert_same_spec(&back.spec, &spec);
-  assert_int_equal(back.n_awaits, count);
+  assert_int_equal(back.n_prerequisites, count);
   assert_true(back.ended_at == 0);
   while (written < count) {
     tmx_dependency_line_print(line, sizeof line, "wk-000005", &ids, &written);
@@ -166,11 +166,11 @@
     snprintf(spec.types[spec.n_types], TMX_ID_MAX, "type %zu", spec.n_types);
   sample_awaits(&one, 1);
   record_line(&recording, "types in 200 bytes: %zu, beside awaited jobs: %zu, in none: %zu",
-              tmx_job_types_within("wk-000006", &spec, sample_submitted_at, &none, 200),
-              tmx_job_types_within("wk-000006", &spec, sample_submitted_at, &one, 200),
-              tmx_job_types_within("wk-000006", &spec, sample_submitted_at, &none, 1));
+              tmx_job_count_types_that_fit("wk-000006", &spec, sample_submitted_at, &none, 200),
+              tmx_job_count_types_that_fit("wk-000006", &spec, sample_submitted_at, &one, 200),
+              tmx_job_count_types_that_fit("wk-000006", &spec, sample_submitted_at, &none, 1));
   struct tmx_job_spec part = spec;
-  part.n_types = tmx_job_types_within("wk-000006", &spec, sample_submitted_at, &none, 200);
+  part.n_types = tmx_job_count_types_that_fit("wk-000006", &spec, sample_submitted_at, &none, 200);
   tmx_job_encode_open(&buffer, "wk-000006", &part, sample_submitted_at, &none, 200);
   struct tmx_job_record back = read_record(&recording, &buffer, text, sizeof text);
   assert_same_spec(&back.spec, &part);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -292,8 +292,8 @@
   replica.loaded = true;
   put_job(1, 0);
   put_machine(2);
-  tmx_machine_find(&replica, "n-1")->size_cpus = 4;
-  tmx_machine_find(&replica, "n-1")->size_mem_gb = 16;
+  tmx_machine_find(&replica, "n-1")->capacity_cpus = 4;
+  tmx_machine_find(&replica, "n-1")->capacity_mem_gb = 16;
   settings.teams[0].cpus_max = 100;
   struct tmx_operation place_first = operation_of(TMX_OPERATION_PLACE, 0, 1, "n-1", 0),
                        place_second = operation_of(TMX_OPERATION_PLACE, 1, 1, "n-1", 0),
@@ -319,7 +319,7 @@
   settings.teams[0].cpus_max = 4;
   tmx_operation_check_begin(&check, &replica);
   assert_true(tmx_operation_check_apply(&check, &place_second));
-  tmx_machine_find(&replica, "n-1")->size_cpus = 64;
+  tmx_machine_find(&replica, "n-1")->capacity_cpus = 64;
   assert_false(tmx_operation_check_apply(&check, &place_third)); /* its team's limit */
   put_batch("2", 4, "d n-1 1");
   tmx_operation_check_begin(&check, &replica);
--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -131,9 +131,10 @@
   HASH_ITER(hh, replica.jobs, job, next_job) {
     record_line(recording, "%s state %d types %zu done %u placed %u", job->id, job->outcome,
                 job->spec.n_types, job->n_done, job->n_placed);
-    for (uint32_t index = 0;
-         job->dependencies.named.count && index < job->dependencies.named.count;) {
-      tmx_dependency_line_print(line, sizeof line, job->id, &job->dependencies.named, &index);
+    for (uint32_t index = 0; job->dependencies.prerequisite_ids.count &&
+                             index < job->dependencies.prerequisite_ids.count;) {
+      tmx_dependency_line_print(line, sizeof line, job->id, &job->dependencies.prerequisite_ids,
+                                &index);
       record_line(recording, "%s", line);
     }
     for (uint32_t index = 0; job->tasks && index < job->spec.tasks;) {
