--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -15,7 +15,7 @@
 
 /* Room that is there or on its way, and the CPUs of all machines that count. */
 struct capacity {
-  struct tmx_coming *rooms;
+  struct tmx_provisioned_machine *rooms;
   size_t count;
   double cpus;
 };
@@ -29,12 +29,12 @@
     if (machine->usable && type->cpus > machine->booked_cpus &&
         type->mem_gb > machine->booked_mem_gb)
       capacity->rooms[capacity->count++] =
-          (struct tmx_coming){.type = type,
-                              .zone = machine->zone,
-                              .spot = machine->spot,
-                              .cpus = type->cpus - machine->booked_cpus,
-                              .gpus = type->gpus - machine->booked_gpus,
-                              .mem = type->mem_gb - machine->booked_mem_gb};
+          (struct tmx_provisioned_machine){.type = type,
+                                           .zone = machine->zone,
+                                           .spot = machine->spot,
+                                           .cpus = type->cpus - machine->booked_cpus,
+                                           .gpus = type->gpus - machine->booked_gpus,
+                                           .mem_gb = type->mem_gb - machine->booked_mem_gb};
   }
 }
 
@@ -47,12 +47,12 @@
         (machine && machine->registered))
       continue;
     capacity->cpus += type->cpus;
-    capacity->rooms[capacity->count++] = (struct tmx_coming){.type = type,
-                                                             .zone = instance->zone,
-                                                             .spot = instance->spot,
-                                                             .cpus = type->cpus,
-                                                             .gpus = type->gpus,
-                                                             .mem = type->mem_gb};
+    capacity->rooms[capacity->count++] = (struct tmx_provisioned_machine){.type = type,
+                                                                          .zone = instance->zone,
+                                                                          .spot = instance->spot,
+                                                                          .cpus = type->cpus,
+                                                                          .gpus = type->gpus,
+                                                                          .mem_gb = type->mem_gb};
   }
 }
 
@@ -100,13 +100,13 @@
   struct tmx_scale_out scale_outs[SCALE_OUTS_MAX];
   struct capacity capacity = collect_capacity(cloud);
   collect_offers(cloud, now, &list);
-  struct tmx_scale_out_situation situation = {.demands = demand->demands,
-                                              .n_demands = demand->count,
-                                              .offers = list.offers,
-                                              .n_offers = list.count,
-                                              .coming = capacity.rooms,
-                                              .n_coming = capacity.count,
-                                              .have_cpus = capacity.cpus};
+  struct tmx_scale_out_input situation = {.demands = demand->demands,
+                                          .n_demands = demand->count,
+                                          .offers = list.offers,
+                                          .n_offers = list.count,
+                                          .provisioned = capacity.rooms,
+                                          .n_provisioned = capacity.count,
+                                          .provisioned_cpus = capacity.cpus};
   size_t count = tmx_plan_scale_out(&situation, scale_outs, SCALE_OUTS_MAX);
   sort_largest_first(scale_outs, count, list.offers);
   for (size_t i = 0; i < count; i++) {
--- a/src/planner/candidate_heap.h
+++ b/src/planner/candidate_heap.h
@@ -1,34 +1,37 @@
 /**
  * @file
- * Heaps of the machines that may take a job's next task, by cost: internal to src/planner.
+ * Binary heaps of candidate machines for a job's next task, ordered by cost. Internal to
+ * src/planner.
  */
 #ifndef TMX_CANDIDATE_HEAP_H
 #define TMX_CANDIDATE_HEAP_H
 #include <stddef.h>
 
-/** A machine that may take a task. */
+/** A machine on which a task may be placed. */
 struct candidate {
   double cost; /**< lower is better, see placement_cost.h */
-  int machine; /**< slot */
+  int machine; /**< slot of the machine */
 };
 
-/** A binary heap with the lowest cost first; zeroed: empty. */
+/** A binary heap with the lowest cost first. A zeroed struct is an empty heap. */
 struct candidate_heap {
-  struct candidate *candidates; /**< allocated; released with free() */
-  size_t count,                 /**< candidates in the heap */
-      capacity;                 /**< candidates allocated */
+  struct candidate *candidates; /**< allocated; the owner of the heap releases it with free() */
+  size_t count,                 /**< entries in use */
+      capacity;                 /**< entries allocated */
 };
 
-/** Adds a candidate without regard to the order; tmx_candidate_heap_build() must follow. */
+/** Appends a candidate without restoring the heap order. tmx_candidate_heap_build() must be called
+ * before the heap is read. */
 void tmx_candidate_heap_append(struct candidate_heap *heap, double cost, int machine);
 
-/** Establishes the heap order over all that was appended. */
+/** Establishes the heap order over all candidates. */
 void tmx_candidate_heap_build(struct candidate_heap *heap);
 
-/** Removes the first candidate; there must be one. */
+/** Removes the first candidate and restores the heap order. The heap must not be empty. */
 void tmx_candidate_heap_remove_first(struct candidate_heap *heap);
 
-/** Gives the first candidate a higher cost and moves it to its place. */
+/** Raises the cost of the first candidate and restores the heap order. The heap must not be empty,
+ * and `cost` must not be below the old cost. */
 void tmx_candidate_heap_raise_first(struct candidate_heap *heap, double cost);
 
 #endif
--- a/src/planner/candidates.c
+++ b/src/planner/candidates.c
@@ -4,13 +4,16 @@
 #include "planner/placement_cost.h"
 #include "planner/preemption.h"
 
-/* s of lost work that make up one booked share, in candidates for preemption. So large that even a
- * whole machine of victims costs less than COLD_IMAGE_COST. */
+/* s of lost work that cost as much as one booked share, in the pool of preemptible machines. The
+ * value is so large that stopping all tasks of a machine still costs less than COLD_IMAGE_COST. */
 #define PREEMPTION_COST_SCALE_S 1e6
 
-/* Booked shares for each replica that a service has in a zone: zones are filled evenly first. */
+/* Booked shares: added for each replica of a service that is placed in a zone. It spreads the
+ * replicas evenly over the zones before other costs count. */
 #define ZONE_BALANCE_COST 4.0
 
+/* Tells whether one more task fits into the machine's free capacity. In POOL_RELEASING, capacity
+ * that stopping tasks hold counts as free. */
 static bool has_room(const struct planner_machine *machine, const struct tmx_job_spec *spec,
                      enum candidate_pool pool) {
   const struct tmx_plan_machine *record = &machine->record;
@@ -28,8 +31,9 @@
   return count;
 }
 
-/* The cost in the pool of preemptible machines: the lost work decides, warm machines come first. */
-static bool consider_preemption(struct round *round, const struct planner_job *job,
+/* Computes the cost in POOL_PREEMPTIBLE. Machines with a warm image come first, and then machines
+ * with less lost work. Returns false if the machine is not a candidate. */
+static bool evaluate_preemption(struct round *round, const struct planner_job *job,
                                 struct planner_machine *machine, double placement_cost,
                                 double *cost) {
   if (placement_cost >= FAILED_MACHINE_COST) {
@@ -43,8 +47,9 @@
   return true;
 }
 
-/* Whether the job's next task may go to the machine, and at which cost. */
-static bool consider_machine(struct round *round, const struct planner_job *job,
+/* Tells whether the job's next task may be placed on the machine, and computes the cost. Checks
+ * neither the zone nor the group of the machine. */
+static bool evaluate_machine(struct round *round, const struct planner_job *job,
                              struct planner_machine *machine, enum candidate_pool pool,
                              double *cost) {
   if (!machine->record.usable || machine->record.draining) return false;
@@ -55,14 +60,15 @@
     return false;
   }
   *cost = tmx_placement_cost(round, job, machine);
-  return pool != POOL_PREEMPTIBLE || consider_preemption(round, job, machine, *cost, cost);
+  return pool != POOL_PREEMPTIBLE || evaluate_preemption(round, job, machine, *cost, cost);
 }
 
-/* Adds the machine if the job's next task may go there; returns how many were added. */
+/* Adds the machine if the job's next task may be placed on it. Returns the number of added
+ * machines. */
 static size_t add_candidate(struct round *round, const struct planner_job *job,
                             struct planner_machine *machine, enum candidate_pool pool) {
   double cost;
-  if (!consider_machine(round, job, machine, pool, &cost)) return 0;
+  if (!evaluate_machine(round, job, machine, pool, &cost)) return 0;
   struct candidate_set *set = &round->candidate_sets[pool];
   tmx_candidate_heap_append(&set->zone_heaps[machine->record.zone], cost, machine->record.slot);
   return 1;
@@ -72,8 +78,8 @@
   return job->record.required_zone < 0 || zone == job->record.required_zone;
 }
 
-static size_t add_machines_of_groups(struct round *round, const struct planner_job *job,
-                                     enum candidate_pool pool) {
+static size_t add_machines_of_eligible_groups(struct round *round, const struct planner_job *job,
+                                              enum candidate_pool pool) {
   const struct tmx_planner *planner = round->planner;
   size_t added = 0;
   for (size_t i = 0; i < planner->n_groups; i++) {
@@ -108,26 +114,27 @@
   struct candidate_set *set = &round->candidate_sets[pool];
   set->built = true;
   for (size_t zone = 0; zone < TMX_ZONES_MAX; zone++) set->zone_heaps[zone].count = 0;
-  set->empty = tmx_failed_fits_cover(round, job, pool);
+  set->empty = tmx_failed_fits_rule_out(round, job, pool);
   if (set->empty) return;
   round->job_specific_rejection = false;
   size_t added = pool == POOL_RELEASING ? add_releasing_machines(round, job)
-                                        : add_machines_of_groups(round, job, pool);
+                                        : add_machines_of_eligible_groups(round, job, pool);
   for (size_t zone = 0; zone < round->input->n_zones; zone++)
     tmx_candidate_heap_build(&set->zone_heaps[zone]);
   set->empty = !added;
   if (!added && !round->job_specific_rejection) tmx_failed_fits_add(round, job, pool);
 }
 
-/* Brings the first candidate of the heap up to date: what the round did since the heap was built
- * may have filled the machine or raised its cost. A cost that fell keeps its place. */
+/* Updates the heap until its first candidate has a current cost. Placements since the heap was
+ * built may have filled the machine or raised its cost. A candidate whose cost fell keeps its
+ * position. */
 static void refresh_first(struct round *round, const struct planner_job *job,
                           enum candidate_pool pool, struct candidate_heap *heap) {
   while (heap->count) {
     struct planner_machine *machine = round->planner->machines[heap->candidates[0].machine];
     double cost;
     round->visited++;
-    if (!consider_machine(round, job, machine, pool, &cost))
+    if (!evaluate_machine(round, job, machine, pool, &cost))
       tmx_candidate_heap_remove_first(heap);
     else if (cost > heap->candidates[0].cost + RESOURCE_EPSILON)
       tmx_candidate_heap_raise_first(heap, cost);
--- a/src/planner/failed_fits.c
+++ b/src/planner/failed_fits.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Whether every machine that could take a task of `larger` could take one of `smaller`. */
+/* Tells whether every machine that could run a task of `larger` could also run one of `smaller`. */
 static bool is_at_least_as_demanding(const struct tmx_job_spec *larger,
                                      const struct tmx_job_spec *smaller) {
   if (!tmx_resources_fit(tmx_resources_of_task(smaller), tmx_resources_of_task(larger)))
@@ -13,10 +13,11 @@
          !memcmp(larger->types, smaller->types, sizeof larger->types[0] * larger->n_types);
 }
 
-/* Whether both jobs see the same machines in the pool, apart from their size. A shard is that of
- * the member which plans the job; what may be preempted depends on team, priority and guarantee. */
-static bool share_pool(const struct planner_job *left, const struct planner_job *right,
-                       enum candidate_pool pool) {
+/* Tells whether the pool has the same machines for both jobs if the sizes of their tasks are
+ * ignored. The own shard depends on the member that plans the job. The tasks that a job may preempt
+ * depend on its team, its priority and whether it is guaranteed. */
+static bool have_same_pool(const struct planner_job *left, const struct planner_job *right,
+                           enum candidate_pool pool) {
   switch (pool) {
     case POOL_OWN_SHARD:
       return left->record.planning_member == right->record.planning_member;
@@ -32,11 +33,11 @@
   return true;
 }
 
-bool tmx_failed_fits_cover(const struct round *round, const struct planner_job *job,
-                           enum candidate_pool pool) {
+bool tmx_failed_fits_rule_out(const struct round *round, const struct planner_job *job,
+                              enum candidate_pool pool) {
   for (size_t i = 0; i < round->n_failed_fits; i++) {
     const struct failed_fit *failed = &round->failed_fits[i];
-    if (failed->pool == pool && share_pool(failed->job, job, pool) &&
+    if (failed->pool == pool && have_same_pool(failed->job, job, pool) &&
         is_at_least_as_demanding(job->record.spec, failed->job->record.spec))
       return true;
   }
@@ -48,9 +49,9 @@
   size_t i;
   for (i = 0; i < round->n_failed_fits; i++) {
     const struct failed_fit *failed = &round->failed_fits[i];
-    if (failed->pool == pool && share_pool(failed->job, job, pool) &&
+    if (failed->pool == pool && have_same_pool(failed->job, job, pool) &&
         is_at_least_as_demanding(failed->job->record.spec, job->record.spec))
-      break; /* the new one is as small and says more */
+      break; /* the new entry rules out at least as many jobs: it replaces this one */
   }
   if (i == FAILED_FITS_MAX) return;
   round->failed_fits[i] = (struct failed_fit){job, pool};
--- a/src/planner/placement.c
+++ b/src/planner/placement.c
@@ -5,21 +5,21 @@
 
 #include <string.h>
 
-/* What became of a job's next waiting task. */
+/* Result of planning a job's next waiting task. */
 enum placement_result {
-  TASK_PLACED,       /* a placement was emitted */
-  TASK_HOLDS_ROOM,   /* room is held for it, nothing was emitted */
-  TASK_WITHOUT_ROOM, /* there is none, neither for it nor for the job's other tasks */
-  TASK_LEFT_TO_OWNER /* the job's own planner is to place it, and counts it as unplaced */
+  TASK_PLACED,                 /* a placement was emitted */
+  TASK_CAPACITY_RESERVED,      /* capacity is reserved for it; no placement was emitted */
+  TASK_NO_CAPACITY,            /* there is none for this task or the job's other tasks */
+  TASK_LEFT_TO_PLANNING_MEMBER /* the planning member places it, or counts it as unplaced */
 };
 
-/* A job that is being placed, and this controller's part in it. */
+/* A job that is being placed, and this controller's role in it. */
 struct job_placement {
   struct round *round;
   struct planner_job *job;
   enum precedence precedence;
-  bool own;      /* this controller plans the job */
-  bool in_grace; /* the member that plans the job may still get to it */
+  bool planned_here; /* this controller is the member that plans the job */
+  bool in_grace;     /* unplaced_since is at most own_planner_grace_s ago */
 };
 
 static int best_machine(const struct job_placement *placement, enum candidate_pool pool,
@@ -27,11 +27,12 @@
   return tmx_candidates_best(placement->round, placement->job, pool, image);
 }
 
-/* Holds room that the job's own planner is about to use. */
-static enum placement_result hold_room(const struct job_placement *placement, int machine) {
+/* Reserves capacity that the member that plans the job is about to use. */
+static enum placement_result reserve_for_planning_member(const struct job_placement *placement,
+                                                         int machine) {
   tmx_round_reserve(placement->round, placement->job, machine, RESERVATION_FOR_PLACEMENT);
   placement->job->next_waiting++;
-  return TASK_HOLDS_ROOM;
+  return TASK_CAPACITY_RESERVED;
 }
 
 static enum placement_result place_on(const struct job_placement *placement, int machine) {
@@ -47,17 +48,18 @@
   return TASK_PLACED;
 }
 
-static bool wait_for_releasing_room(const struct job_placement *placement,
-                                    enum image_requirement image) {
+/* Reserves capacity that stopping tasks hold. */
+static bool reserve_releasing_capacity(const struct job_placement *placement,
+                                       enum image_requirement image) {
   int machine = best_machine(placement, POOL_RELEASING, image);
   if (machine < 0) return false;
   tmx_round_reserve(placement->round, placement->job, machine, RESERVATION_UNTIL_RELEASE);
   return true;
 }
 
-/* Stops tasks of other jobs; the room is held until they are gone. */
-static bool wait_for_preempted_room(const struct job_placement *placement,
-                                    enum image_requirement image) {
+/* Stops tasks of other jobs and reserves the capacity that they hold. */
+static bool reserve_preempted_capacity(const struct job_placement *placement,
+                                       enum image_requirement image) {
   struct round *round = placement->round;
   if (placement->precedence == PRECEDENCE_ORDINARY) return false;
   int machine = best_machine(placement, POOL_PREEMPTIBLE, image);
@@ -67,19 +69,23 @@
   return true;
 }
 
-/* Holds room that is not free yet for the next task, which the leader alone does. */
-static bool wait_for_room(const struct job_placement *placement, enum image_requirement image) {
+/* Reserves capacity for the next task that is not free yet: stopping tasks hold it, or tasks that
+ * are preempted now. Only the leader does this. */
+static bool reserve_future_capacity(const struct job_placement *placement,
+                                    enum image_requirement image) {
   if (!placement->round->input->leading) return false;
-  if (!wait_for_releasing_room(placement, image) && !wait_for_preempted_room(placement, image))
+  if (!reserve_releasing_capacity(placement, image) &&
+      !reserve_preempted_capacity(placement, image))
     return false;
   placement->job->next_waiting++;
   placement->round->output->unplaced++;
   return true;
 }
 
-/* A member that does not lead holds room on paper for a job that another one plans and that stands
- * before its own arrays: else what the leader frees for that job would be filled again at once. */
-static enum placement_result hold_room_for_other_member(const struct job_placement *placement) {
+/* Reserves capacity, in this round only, for a job of higher precedence that another member plans.
+ * A member that does not lead calls this. Otherwise it would at once place its own job arrays in
+ * the capacity that the leader frees for that job. */
+static enum placement_result reserve_for_other_member(const struct job_placement *placement) {
   static const struct {
     enum candidate_pool pool;
     enum image_requirement image;
@@ -88,14 +94,15 @@
                      {POOL_ANY_SHARD, IMAGE_ANY_STATE}, {POOL_RELEASING, IMAGE_ANY_STATE}};
   for (size_t i = 0; i < sizeof preferences / sizeof preferences[0]; i++) {
     int machine = best_machine(placement, preferences[i].pool, preferences[i].image);
-    if (machine >= 0) return hold_room(placement, machine);
+    if (machine >= 0) return reserve_for_planning_member(placement, machine);
   }
-  return TASK_LEFT_TO_OWNER;
+  return TASK_LEFT_TO_PLANNING_MEMBER;
 }
 
-/* Another member's job that it may still get to: room in its shard is held, since that member is
- * about to use it. Work of production precedence is left to it only where the image is warm. */
-static int machine_for_own_planner(const struct job_placement *placement, int warm_machine) {
+/* Returns the machine on which to reserve capacity for a job that another member plans and still
+ * has precedence for; -1: none. It is in the shard of that member, which is about to use it. A job
+ * of production precedence is left to that member only if the image is warm on the machine. */
+static int machine_for_planning_member(const struct job_placement *placement, int warm_machine) {
   if (warm_machine >= 0 || placement->precedence == PRECEDENCE_PRODUCTION) return warm_machine;
   return best_machine(placement, POOL_OWN_SHARD, IMAGE_ANY_STATE);
 }
@@ -103,22 +110,24 @@
 static enum placement_result place_next_task(const struct job_placement *placement) {
   bool leading = placement->round->input->leading;
   int machine = best_machine(placement, POOL_OWN_SHARD, IMAGE_WARM);
-  if (!placement->own && placement->in_grace) {
-    machine = machine_for_own_planner(placement, machine);
-    if (machine >= 0) return hold_room(placement, machine);
+  if (!placement->planned_here && placement->in_grace) {
+    machine = machine_for_planning_member(placement, machine);
+    if (machine >= 0) return reserve_for_planning_member(placement, machine);
   }
-  /* Too large for its shard: the draft lets the leader look in every shard. */
+  /* A task may be too large for its shard. As in the draft, the leader then searches all shards. */
   if (machine < 0 && leading) machine = best_machine(placement, POOL_ANY_SHARD, IMAGE_WARM);
   if (machine < 0 && placement->precedence == PRECEDENCE_PRODUCTION) {
-    /* Free room is only where a fetch would make the start late: room that is to be free where the
-     * image is warm comes first, and the leader has a while to make it. */
-    if (wait_for_room(placement, IMAGE_WARM)) return TASK_HOLDS_ROOM;
-    if (!leading && placement->in_grace) return TASK_WITHOUT_ROOM;
+    /* On all machines with enough free capacity, fetching the image would make the start late.
+     * Machines with a warm image whose capacity can be freed are preferred. During the grace period
+     * the planning member leaves the leader time to free such capacity. */
+    if (reserve_future_capacity(placement, IMAGE_WARM)) return TASK_CAPACITY_RESERVED;
+    if (!leading && placement->in_grace) return TASK_NO_CAPACITY;
   }
   if (machine < 0) machine = best_machine(placement, POOL_OWN_SHARD, IMAGE_ANY_STATE);
   if (machine < 0 && leading) machine = best_machine(placement, POOL_ANY_SHARD, IMAGE_ANY_STATE);
   if (machine >= 0) return place_on(placement, machine);
-  return wait_for_room(placement, IMAGE_ANY_STATE) ? TASK_HOLDS_ROOM : TASK_WITHOUT_ROOM;
+  return reserve_future_capacity(placement, IMAGE_ANY_STATE) ? TASK_CAPACITY_RESERVED
+                                                             : TASK_NO_CAPACITY;
 }
 
 static bool may_place_now(const struct round *round, const struct planner_job *job) {
@@ -126,33 +135,34 @@
          job->record.retry_at <= round->input->now_steady;
 }
 
-static bool reached_bound(const struct round *round) {
+static bool reached_limit(const struct round *round) {
   return round->output->n_operations >= round->input->max_operations ||
          round->visited > round->visit_limit;
 }
 
-/* Places tasks until `max` are placed, none is left or no more room is found. Returns whether the
- * tasks that are left count as unplaced. */
+/* Places tasks until `max` are placed, none waits, no machine has capacity or a limit is reached.
+ * Returns whether the remaining tasks count as unplaced. */
 static bool place_tasks(const struct job_placement *placement, uint32_t max, uint32_t *placed) {
   struct round *round = placement->round;
   struct planner_job *job = placement->job;
-  bool for_other_member = !placement->own && !round->input->leading;
+  bool for_other_member = !placement->planned_here && !round->input->leading;
   while (job->next_waiting < job->record.n_waiting && *placed < max) {
-    if (reached_bound(round)) {
+    if (reached_limit(round)) {
       round->output->truncated = true;
       return true;
     }
-    /* It waits for its own team: more machines would not help. */
+    /* The job waits for its team's quota. More machines would not help, so its tasks do not count
+     * as unplaced. */
     if (!tmx_fit_within_quota(round, job)) return false;
-    switch (for_other_member ? hold_room_for_other_member(placement) : place_next_task(placement)) {
+    switch (for_other_member ? reserve_for_other_member(placement) : place_next_task(placement)) {
       case TASK_PLACED:
         (*placed)++;
         break;
-      case TASK_HOLDS_ROOM:
+      case TASK_CAPACITY_RESERVED:
         break;
-      case TASK_WITHOUT_ROOM:
+      case TASK_NO_CAPACITY:
         return true;
-      case TASK_LEFT_TO_OWNER:
+      case TASK_LEFT_TO_PLANNING_MEMBER:
         return false;
     }
   }
@@ -165,11 +175,13 @@
       .round = round,
       .job = job,
       .precedence = tmx_job_precedence(job),
-      .own = job->record.planning_member == input->self_member,
+      .planned_here = job->record.planning_member == input->self_member,
       .in_grace = input->now_steady - job->record.unplaced_since <= input->own_planner_grace_s};
   if (!may_place_now(round, job)) return 0;
-  /* Another member's job concerns the leader, and others only if it stands before their arrays. */
-  if (!placement.own && !input->leading && placement.precedence == PRECEDENCE_ORDINARY) return 0;
+  /* The leader handles all jobs. The other members handle jobs that they do not plan only if the
+   * precedence is above ordinary, see reserve_for_other_member(). */
+  if (!placement.planned_here && !input->leading && placement.precedence == PRECEDENCE_ORDINARY)
+    return 0;
   uint32_t placed = 0;
   tmx_candidates_begin_job(round, job);
   if (place_tasks(&placement, max, &placed))
@@ -177,7 +189,7 @@
   return placed;
 }
 
-/* Index of the job of this slot; 0 if it is not among them. */
+/* Returns the index of the job with this slot; 0 if there is none. */
 static size_t index_of_slot(struct planner_job *const *jobs, size_t count, int slot) {
   for (size_t i = 0; i < count && slot >= 0; i++)
     if (jobs[i]->record.slot == slot) return i;
--- a/src/planner/placement_cost.c
+++ b/src/planner/placement_cost.c
@@ -4,14 +4,16 @@
 #include <math.h>
 #include <string.h>
 
-/* Booked shares: a fetch counts as this much at most, so that however long it takes it does not
- * reach the costs of placement_cost.h, which stand for graver reasons. */
+/* Booked shares: limit on the cost of a fetch. However long a fetch takes, it costs less than
+ * COLD_IMAGE_COST and FAILED_MACHINE_COST, which stand for more serious reasons. */
 #define FETCH_COST_MAX 3.0
 
-/* Share of the time that a start may take: a fetch that needs more of it makes the start late. */
+/* Share of the time that the start of the job may take, tmx_job_spec::fetch_tolerance_s. A fetch
+ * that takes longer makes the start late. */
 #define LATE_FETCH_SHARE 0.6
 
-/* s until the image is there; one that is being fetched is not there yet. */
+/* Returns the time until the image is on the machine, s. For an image that is being fetched, it is
+ * the rest of the fetch time. */
 static double remaining_fetch_s(const struct tmx_plan_machine *machine,
                                 const struct tmx_job_spec *spec, double now) {
   double whole = machine->fetch_gb_per_s > 0 ? spec->image_gb / machine->fetch_gb_per_s : 0;
@@ -23,15 +25,17 @@
 
 static double share_of(double part, double whole) { return whole > 0 ? part / whole : 0; }
 
-/* The booked share of the resource of which a task asks for the largest part. */
-static double booked_share_of_most_asked(const struct tmx_plan_machine *machine,
-                                         const struct tmx_job_spec *spec) {
-  const double asked[] = {share_of(spec->cpus, machine->cpus), share_of(spec->gpus, machine->gpus),
-                          share_of(spec->mem_gb, machine->mem_gb)};
-  int most_asked = 0;
+/* Returns the booked share of the dominant resource: the one of which a task requests the largest
+ * share of the machine. */
+static double booked_share_of_dominant_resource(const struct tmx_plan_machine *machine,
+                                                const struct tmx_job_spec *spec) {
+  const double requested[] = {share_of(spec->cpus, machine->cpus),
+                              share_of(spec->gpus, machine->gpus),
+                              share_of(spec->mem_gb, machine->mem_gb)};
+  int dominant = 0;
   for (int i = 1; i < 3; i++)
-    if (asked[i] > asked[most_asked]) most_asked = i;
-  switch (most_asked) {
+    if (requested[i] > requested[dominant]) dominant = i;
+  switch (dominant) {
     case 0:
       return share_of(machine->booked_cpus, machine->cpus);
     case 1:
@@ -41,34 +45,38 @@
   }
 }
 
-/* An image that must still be fetched counts as booked room: the more of it, the less time the
- * job's class has to start. */
-static double share_with_fetch(const struct tmx_plan_machine *machine,
-                               const struct tmx_job_spec *spec, double fetch_s) {
-  return booked_share_of_most_asked(machine, spec) +
+/* Returns the cost without penalties. The remaining fetch time counts as booked capacity; it weighs
+ * more if the class of the job has less time to start. */
+static double cost_with_fetch(const struct tmx_plan_machine *machine,
+                              const struct tmx_job_spec *spec, double fetch_s) {
+  return booked_share_of_dominant_resource(machine, spec) +
          fmin(fetch_s / spec->fetch_tolerance_s, FETCH_COST_MAX);
 }
 
 double tmx_base_placement_cost(const struct tmx_plan_machine *machine,
                                const struct tmx_job_spec *spec, double now) {
-  return share_with_fetch(machine, spec, remaining_fetch_s(machine, spec, now));
+  return cost_with_fetch(machine, spec, remaining_fetch_s(machine, spec, now));
 }
 
-/* Spot machines are taken back, and what runs there is lost. A task whose loss could not be made
- * good before its job's next objective goes to other machines first; all other tasks of arrays go
- * to spot machines first, and leave the others to it and to services. */
-static bool is_second_choice(const struct round *round, const struct planner_job *job, bool spot) {
+/* Tells whether the job prefers the other kind of machine, spot or on demand. The provider reclaims
+ * spot machines, and their tasks lose work. If a task could not repeat the lost work before the
+ * job's next completion target, it prefers machines on demand. All other tasks of job arrays prefer
+ * spot machines and leave machines on demand to such tasks and to services. Services and jobs that
+ * do not allow spot machines have no preference. */
+static bool is_unpreferred_kind(const struct round *round, const struct planner_job *job,
+                                bool spot) {
   const struct tmx_job_spec *spec = job->record.spec;
   const struct tmx_plan_job *record = &job->record;
   if (spec->service || !spec->spot_allowed) return false;
-  double left_s = record->next_completion_target_s - (round->input->now_wall - record->released_at);
+  double remaining_s =
+      record->next_completion_target_s - (round->input->now_wall - record->released_at);
   double lost_s = spec->checkpoint_s > 0 ? fmin(spec->checkpoint_s, record->expected_run_s)
                                          : record->expected_run_s;
-  bool loss_would_be_late = left_s < record->expected_run_s + lost_s + TMX_FETCH_TOLERANCE_S;
+  bool loss_would_be_late = remaining_s < record->expected_run_s + lost_s + TMX_FETCH_TOLERANCE_S;
   return spot == loss_would_be_late;
 }
 
-static bool failed_here_lately(const struct planner_job *job,
+static bool failed_recently_on(const struct planner_job *job,
                                const struct planner_machine *machine) {
   const size_t count = sizeof job->record.failed_machines / sizeof job->record.failed_machines[0];
   for (size_t i = 0; i < count; i++) {
@@ -82,9 +90,9 @@
                           const struct planner_machine *machine) {
   const struct tmx_job_spec *spec = job->record.spec;
   double fetch_s = remaining_fetch_s(&machine->record, spec, round->input->now_steady);
-  double cost = share_with_fetch(&machine->record, spec, fetch_s);
-  if (is_second_choice(round, job, machine->record.spot)) cost += SECOND_CHOICE_COST;
+  double cost = cost_with_fetch(&machine->record, spec, fetch_s);
+  if (is_unpreferred_kind(round, job, machine->record.spot)) cost += SPOT_PREFERENCE_COST;
   if (fetch_s > spec->fetch_tolerance_s * LATE_FETCH_SHARE) cost += COLD_IMAGE_COST;
-  if (failed_here_lately(job, machine)) cost += FAILED_MACHINE_COST;
+  if (failed_recently_on(job, machine)) cost += FAILED_MACHINE_COST;
   return cost;
 }
--- a/src/planner/placement_cost.h
+++ b/src/planner/placement_cost.h
@@ -1,28 +1,30 @@
 /**
  * @file
- * What it costs to place a task on a machine: internal to src/planner.
+ * The cost of placing a task on a machine. Internal to src/planner.
  *
- * The unit is the booked share of a machine: 0 is empty with the image at hand, 1 is full. The
- * draft orders machines within a zone by their use; the additions below are ours, see
- * docs/design.md, and are spaced so that the graver reason always outweighs the lesser.
+ * The unit is the booked share of a machine: an empty machine that has the image costs 0, a full
+ * one costs 1. The draft orders the machines of a zone by their booked share. The penalties below
+ * are additions to the draft, see docs/design.md. They are spaced so that a more serious reason
+ * always outweighs the less serious ones.
  */
 #ifndef TMX_PLACEMENT_COST_H
 #define TMX_PLACEMENT_COST_H
 #include "planner/round.h"
 
-/** Booked shares: added for a machine of the kind (spot or not) that comes second for the job. It
- * counts as one that is booked in full, so that the first kind is filled before. */
-#define SECOND_CHOICE_COST 1.0
+/** Booked shares: added if the job prefers spot machines and this is not one, or the reverse. The
+ * value is the booked share of a full machine, so that the preferred kind is filled first. */
+#define SPOT_PREFERENCE_COST 1.0
 
-/** Booked shares: added where fetching the image would make the start late. It exceeds anything
- * that a machine can cost without it: 1 booked, 3 for the fetch, 1 for the second choice. */
+/** Booked shares: added if fetching the image would make the start late. It exceeds the highest
+ * cost without penalties for a cold image and failures: 1 for the booked share, 3 for the fetch and
+ * SPOT_PREFERENCE_COST. */
 #define COLD_IMAGE_COST 10.0
 
-/** Booked shares: added where the job failed lately. It exceeds every other cost, so that such a
- * machine is taken only where there is no other. */
+/** Booked shares: added if a task of the job failed recently on the machine. It exceeds the sum of
+ * all other costs, so that such a machine is used only if there is no other. */
 #define FAILED_MACHINE_COST 100.0
 
-/** The cost of placing the next task of the job on the machine. */
+/** Returns the cost of placing the job's next task on the machine, in booked shares. */
 double tmx_placement_cost(const struct round *round, const struct planner_job *job,
                           const struct planner_machine *machine);
 
--- a/src/planner/preemption.c
+++ b/src/planner/preemption.c
@@ -4,27 +4,29 @@
 
 #include <stdlib.h>
 
-/* s of lost work that stopping one more task counts as: fewer tasks are stopped rather than many */
+/* s of lost work: surcharge for each victim, so that stopping few tasks is preferred to many */
 #define VICTIM_COST_S 1
-/* s of lost work for each step of the victim's priority */
+/* s of lost work: surcharge for each level of the victim's priority */
 #define VICTIM_PRIORITY_COST_S 20.0
 
 enum preemption_mode { PREEMPTION_ESTIMATE, PREEMPTION_EXECUTE };
 
-/* A task that may be stopped for another job. */
+/* A task that may be preempted. */
 struct victim {
-  size_t task; /* index among the machine's tasks */
-  const struct planner_job *job;
-  double lost_s; /* work that is lost */
+  size_t task;                   /* index among the machine's tasks */
+  const struct planner_job *job; /* job of the task; NULL: no task was found */
+  double lost_s;                 /* s: work that is lost if the task is stopped */
 };
 
+/* Returns the job of the task; NULL: unknown. */
 static const struct planner_job *job_of_task(const struct round *round,
                                              const struct tmx_plan_task *task) {
   if (task->job < 0 || (size_t)task->job >= round->planner->cap_jobs) return NULL;
   return round->planner->jobs[task->job];
 }
 
-/* Whether the team keeps what it is guaranteed when one task of the job stops. */
+/* Tells whether the job's team still uses its guaranteed quota after one task of the job is
+ * stopped. */
 static bool keeps_guarantee_without(const struct round *round, const struct planner_job *job) {
   const struct tmx_job_spec *spec = job->record.spec;
   const struct tmx_team_settings *team = &round->input->teams[job->record.team];
@@ -33,9 +35,10 @@
          usage->gpus - spec->gpus >= team->gpus - RESOURCE_EPSILON;
 }
 
-/* Only work of lower precedence is stopped: any other would be placed again in the very room that
- * was made, and stopped again. Work outside of a guarantee waits for room; stopping others for it
- * would cost more than it gains. */
+/* Tells whether the job may preempt the task. Only tasks of lower precedence are stopped: a task of
+ * the same or a higher precedence would be placed again in the freed capacity and stopped again.
+ * Jobs of ordinary precedence wait for free capacity; preempting other tasks for them would cost
+ * more than it gains. */
 static bool may_preempt(const struct round *round, const struct planner_job *job,
                         const struct tmx_plan_task *task) {
   const struct planner_job *other = job_of_task(round, task);
@@ -48,22 +51,25 @@
   return keeps_guarantee_without(round, other);
 }
 
+/* Returns the work that is lost if the task is stopped, s. */
 static double lost_work_s(const struct round *round, const struct planner_job *job,
                           const struct tmx_plan_task *task) {
   const struct tmx_job_spec *spec = job->record.spec;
-  if (spec->checkpoint_s > 0) return spec->checkpoint_save_s + 1; /* it saves before it stops */
+  if (spec->checkpoint_s > 0)
+    return spec->checkpoint_save_s + 1; /* it saves a checkpoint before it stops */
   return round->input->now_steady - task->placed_at;
 }
 
-/* Lower priority first, then the least lost work; among equals the earlier one. */
+/* Orders victims by lower priority, then by less lost work. Among equals, the one that was found
+ * first is kept. */
 static bool is_better_victim(const struct victim *left, const struct victim *right) {
   if (left->job->record.priority != right->job->record.priority)
     return left->job->record.priority < right->job->record.priority;
   return left->lost_s < right->lost_s;
 }
 
-/* The best victim on the machine that is not chosen yet; its job is NULL if there is none. `chosen`
- * NULL: none is chosen. */
+/* Returns the best victim among the machine's tasks that are not chosen yet; its job is NULL if
+ * there is none. `chosen` has one entry for each task; NULL: no task is chosen. */
 static struct victim find_victim(const struct round *round, const struct planner_job *job,
                                  const struct planner_machine *machine, const bool *chosen) {
   struct victim best = {0};
@@ -77,12 +83,13 @@
   return best;
 }
 
+/* Emits the stop of the victim and counts its resources as being released. */
 static void stop_victim(struct round *round, const struct planner_job *job,
                         struct planner_machine *machine, const struct victim *victim) {
   struct tmx_plan_machine *record = &machine->record;
   const struct tmx_plan_task *task = &record->tasks[victim->task];
   const struct tmx_job_spec *spec = victim->job->record.spec;
-  /* A service does not wait until the victim has saved its progress. */
+  /* A service does not wait until the victim has saved a checkpoint. */
   bool may_save = spec->checkpoint_s > 0 && !job->record.spec->service;
   tmx_round_emit(round, TMX_OPERATION_STOP, victim->job, task->task, task->attempt)->reason =
       may_save ? STOP_AFTER_CHECKPOINT : STOP_AT_ONCE;
@@ -92,18 +99,19 @@
       record, tmx_resources_add(tmx_resources_releasing(record), tmx_resources_of_task(spec)));
 }
 
-/* Chooses victims until a task of the job fits. Returns their cost; below 0: it cannot be. */
+/* Chooses victims until a task of the job fits, and stops them if the mode is PREEMPTION_EXECUTE.
+ * Returns their cost; negative as for tmx_preemption_cost(). */
 static double choose_victims(struct round *round, const struct planner_job *job,
                              struct planner_machine *machine, enum preemption_mode mode) {
   const struct tmx_plan_machine *record = &machine->record;
-  const struct tmx_resources asked = tmx_resources_of_task(job->record.spec);
+  const struct tmx_resources requested = tmx_resources_of_task(job->record.spec);
   struct tmx_resources available = tmx_resources_add(
       tmx_resources_subtract(tmx_resources_of_machine(record), tmx_resources_booked(record)),
       tmx_resources_releasing(record));
   bool *chosen = NULL;
   double cost = 0;
   round->visited += record->n_tasks;
-  while (!tmx_resources_fit(asked, available)) {
+  while (!tmx_resources_fit(requested, available)) {
     struct victim victim = find_victim(round, job, machine, chosen);
     if (!victim.job) {
       free(chosen);
--- a/src/planner/scale_out_plan.h
+++ b/src/planner/scale_out_plan.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * How many machines to rent, and of which kind.
+ * Plans scale-out: which machines to rent, and how many.
  *
- * Pure functions of their arguments, which they only read: they may be called from any thread. In a
- * controller the leader's loop calls them.
+ * tmx_plan_scale_out() is a pure function and may be called from any thread. In a controller the
+ * leader's event loop calls it.
  */
 #ifndef TMX_SCALE_OUT_PLAN_H
 #define TMX_SCALE_OUT_PLAN_H
@@ -11,59 +11,60 @@
 #include "planner/planner.h"
 #include "replica/replica.h"
 
-/** Waiting tasks that found no room: of one job, or of several that ask for the same. */
+/** Waiting tasks that found no free capacity, of one job or of several jobs with equal requests. */
 struct tmx_demand {
-  const struct tmx_job_spec *spec; /**< what one task asks for; borrowed */
-  uint32_t tasks;                  /**< how many wait */
-  int zone;                        /**< index of the only zone that helps; -1: any */
-  double run_s;                    /**< s: how long one task is expected to run */
+  const struct tmx_job_spec *spec; /**< resources that one task requests; borrowed */
+  uint32_t tasks;                  /**< number of waiting tasks */
+  int zone;                        /**< index of the only allowed zone; -1: any zone */
+  double run_s;                    /**< expected run time of one task, s */
 };
 
-/** One type, zone and kind of machine that may be rented now. */
+/** Machines of one type and zone, spot or on demand, that may be rented now. */
 struct tmx_offer {
-  const struct tmx_machine_type *type; /**< borrowed from the catalogue */
+  const struct tmx_machine_type *type; /**< borrowed from the catalog */
   int zone;                            /**< index of the zone */
   bool spot;                           /**< spot, else on demand */
-  double price; /**< of a machine; offers are compared, so the unit does not matter */
+  double price;                        /**< price of one machine; all offers use the same unit */
 };
 
-/** Room of a machine that is up, or rented and on its way. */
-struct tmx_coming {
-  const struct tmx_machine_type *type; /**< borrowed from the catalogue */
-  int zone;                            /**< index of the zone; -1: not known */
+/** Free capacity of a machine that is up, or that is rented and not up yet. */
+struct tmx_provisioned_machine {
+  const struct tmx_machine_type *type; /**< borrowed from the catalog */
+  int zone;                            /**< index of the zone; -1: unknown */
   bool spot;                           /**< spot, else on demand */
   double cpus,                         /**< free CPUs */
       gpus,                            /**< free GPUs */
-      mem;                             /**< free memory, GB */
+      mem_gb;                          /**< free memory, GB */
 };
 
-/** Machines to rent of one offer. */
+/** The machines to rent of one offer. */
 struct tmx_scale_out {
-  int offer;      /**< its index among the offers */
-  uint32_t count; /**< machines to rent */
+  int offer;      /**< index of the offer in tmx_scale_out_input::offers */
+  uint32_t count; /**< number of machines to rent */
 };
 
-/** What a decision to scale out depends on; the arrays belong to the caller. */
-struct tmx_scale_out_situation {
-  const struct tmx_demand *demands; /**< waiting tasks */
-  size_t n_demands;                 /**< entries of `demands` */
-  const struct tmx_offer *offers;   /**< what may be rented now */
-  size_t n_offers;                  /**< entries of `offers` */
-  const struct tmx_coming *coming;  /**< machines that are up or on their way */
-  size_t n_coming;                  /**< entries of `coming` */
-  double have_cpus;                 /**< CPUs of the machines that are up */
+/** The input of tmx_plan_scale_out(). The caller owns the arrays; they are only read. */
+struct tmx_scale_out_input {
+  const struct tmx_demand *demands;                  /**< waiting tasks */
+  size_t n_demands;                                  /**< entries of `demands` */
+  const struct tmx_offer *offers;                    /**< machines that may be rented now */
+  size_t n_offers;                                   /**< entries of `offers` */
+  const struct tmx_provisioned_machine *provisioned; /**< machines with free capacity */
+  size_t n_provisioned;                              /**< entries of `provisioned` */
+  double provisioned_cpus; /**< total CPUs, free or not, of all machines that are up or rented */
 };
 
 /**
- * Packs the demands into the room that is coming, and what is left into machines of the offers with
- * the lowest price for a task's room.
+ * Packs the demands into the free capacity of the provisioned machines. Tasks that do not fit are
+ * packed into new machines, each of the offer with the lowest price per task, weighted by the boot
+ * time.
  *
- * @param situation read only
- * @param out filled with at most `max` entries, one for each offer of which machines are wanted
- * @param max length of `out`
- * @return the number of entries
+ * @param input demands, offers and provisioned machines
+ * @param out receives at most `max` entries, one for each offer of which to rent machines
+ * @param max capacity of `out`, entries
+ * @return the number of entries in use
  */
-size_t tmx_plan_scale_out(const struct tmx_scale_out_situation *situation,
-                          struct tmx_scale_out *out, size_t max);
+size_t tmx_plan_scale_out(const struct tmx_scale_out_input *input, struct tmx_scale_out *out,
+                          size_t max);
 
 #endif
--- a/src/planner/service_migration.c
+++ b/src/planner/service_migration.c
@@ -2,31 +2,32 @@
 #include "planner/candidates.h"
 #include "tmx/constants.h"
 
-/* The job of a service's replica; NULL: the task is none. */
+/* Returns the job of the task if it is a service; otherwise NULL. */
 static struct planner_job *service_of_task(const struct tmx_planner *planner,
                                            const struct tmx_plan_task *task) {
   struct planner_job *job = task->job >= 0 ? planner->jobs[task->job] : NULL;
   return job && job->record.spec->service ? job : NULL;
 }
 
-/* Replicas that may be on the move at a time, and in `moving` those that are already. */
-static size_t count_moves(const struct tmx_planner *planner, size_t *moving) {
+/* Returns the limit on the replicas that migrate at a time. Sets `migrating` to the number that
+ * migrate already: those that are stopping on draining machines. */
+static size_t migration_limit(const struct tmx_planner *planner, size_t *migrating) {
   size_t replicas = 0;
-  *moving = 0;
+  *migrating = 0;
   for (size_t i = 0; i < planner->cap_machines; i++) {
     const struct planner_machine *machine = planner->machines[i];
     for (size_t k = 0; machine && k < machine->record.n_tasks; k++) {
       const struct tmx_plan_task *task = &machine->record.tasks[k];
       if (!service_of_task(planner, task)) continue;
       replicas++;
-      *moving += machine->record.draining && task->stopping;
+      *migrating += machine->record.draining && task->stopping;
     }
   }
   return TMX_MOVES_MIN + (size_t)(TMX_MOVES_SHARE * (double)replicas);
 }
 
-/* Finds warm room for the replica elsewhere, as if it were gone from its zone; -1: there is none.
- */
+/* Returns the slot of a machine with free capacity and a warm image for the replica; -1: none. The
+ * replica to be stopped does not count for the zone cap and zone balance. */
 static int find_new_machine(struct round *round, struct planner_job *job, int zone) {
   tmx_candidates_begin_job(round, job);
   tmx_round_snapshot_job(round, job);
@@ -36,7 +37,7 @@
   return machine;
 }
 
-/* Returns whether the replica was stopped. */
+/* Stops the replica if there is a machine for its next attempt. Returns whether it was stopped. */
 static bool migrate(struct round *round, struct planner_job *job,
                     const struct planner_machine *machine, size_t task_index) {
   int new_machine = find_new_machine(round, job, machine->record.zone);
@@ -49,7 +50,7 @@
 
 void tmx_migrate_services(struct round *round) {
   const struct tmx_planner *planner = round->planner;
-  size_t moving, max_moving = count_moves(planner, &moving);
+  size_t migrating, max_migrating = migration_limit(planner, &migrating);
   for (size_t i = 0; i < planner->cap_machines; i++) {
     const struct planner_machine *machine = planner->machines[i];
     if (!machine || !machine->record.draining || machine->record.zone < 0) continue;
@@ -58,8 +59,8 @@
       const struct tmx_plan_task *task = &machine->record.tasks[k];
       struct planner_job *job = service_of_task(planner, task);
       if (!job || task->stopping || !job->record.open) continue;
-      if (moving >= max_moving) return;
-      moving += migrate(round, job, machine, k);
+      if (migrating >= max_migrating) return;
+      migrating += migrate(round, job, machine, k);
     }
   }
 }
--- a/tests/test_scale_out_plan.c
+++ b/tests/test_scale_out_plan.c
@@ -18,19 +18,19 @@
   struct tmx_demand demand = {&spec, 1, -1, 0};
   struct tmx_offer offers[2] = {{&small, 0, false, 0.2}, {&big, 0, false, 1.0}};
   struct tmx_scale_out choices[4];
-  struct tmx_scale_out_situation situation = {
-      .demands = &demand, .n_demands = 1, .offers = offers, .n_offers = 2, .have_cpus = 10};
+  struct tmx_scale_out_input situation = {
+      .demands = &demand, .n_demands = 1, .offers = offers, .n_offers = 2, .provisioned_cpus = 10};
   assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 1);
   assert_int_equal(choices[0].offer, 0);
   assert_int_equal(choices[0].count, 1);
   /* what is on its way is counted */
-  struct tmx_coming coming = {&small, 0, false, 4, 0, 16};
-  situation.coming = &coming;
-  situation.n_coming = 1;
+  struct tmx_provisioned_machine coming = {&small, 0, false, 4, 0, 16};
+  situation.provisioned = &coming;
+  situation.n_provisioned = 1;
   assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 0);
   /* a service never gets a spot machine */
   struct tmx_offer spot = {&small, 0, true, 0.05};
-  situation.n_coming = 0;
+  situation.n_provisioned = 0;
   situation.offers = &spot;
   situation.n_offers = 1;
   assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 0);
