--- a/include/tmx/constants.h
+++ b/include/tmx/constants.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Every constant of the program, with its unit and the reason for its value. What depends on a
- * deployment is derived from its settings instead.
+ * The limits, periods and shares that the program uses, each with its unit and the reason for its
+ * value. Values that depend on a deployment are derived from its settings instead. A share is a
+ * fraction from 0 to 1. "At most" is implied by names that end in MAX.
  */
 #ifndef TMX_CONSTANTS_H
 #define TMX_CONSTANTS_H
@@ -9,436 +10,578 @@
 
 /** @name Sizes of messages and tables */
 /** @{ */
-/** Bytes of a request's body: the limit of PROTOCOL. */
-#define TMX_BODY_MAX 65536
-/** Bytes of a response. A watch has no limit of its own, memory has. */
-#define TMX_REPLY_MAX (24u << 20)
-/** Levels of nesting; no message of PROTOCOL nests deeper than 5. */
-#define TMX_CBOR_DEPTH 16
-/** Bytes of a request's path; a key of the store has at most 200. */
-#define TMX_PATH_MAX 512
-/** Bytes of the name of a controller, zone, team, class or image. */
-#define TMX_NAME_MAX 64
-/** Bytes of a job's id or a machine's name. */
-#define TMX_ID_MAX 32
-/** Tasks of one job: the limit of PROTOCOL. */
-#define TMX_TASKS_MAX 100000
-/** Zones; each job has a counter for each of them. */
+/** Bytes of a request's body; the limit is set by PROTOCOL. */
+#define TMX_REQUEST_BODY_BYTES_MAX 65536
+/**
+ * Bytes of a response's body. A watch's response has no limit in PROTOCOL; this one bounds the
+ * memory that it takes.
+ */
+#define TMX_RESPONSE_BODY_BYTES_MAX (24u << 20)
+/** Levels of nesting in a CBOR item; no message of PROTOCOL nests deeper than 5. */
+#define TMX_CBOR_DEPTH_MAX 16
+/** Bytes of a buffer for a request's path with its query; a key of the store has at most 200. */
+#define TMX_PATH_BYTES 512
+/** Bytes of a buffer for the name of a controller, zone, team, class or image. */
+#define TMX_NAME_BYTES 64
+/** Bytes of a buffer for the id of a job or the name of a machine or machine type. */
+#define TMX_ID_BYTES 32
+/** Tasks of one job; the limit is set by PROTOCOL. */
+#define TMX_JOB_TASKS_MAX 100000
+/** Zones in the settings; each job has a counter for each of them. */
 #define TMX_ZONES_MAX 16
 /** Machine types in the catalogue; further ones are ignored. */
-#define TMX_TYPES_MAX 32
+#define TMX_MACHINE_TYPES_MAX 32
 /** Controllers in one view. */
 #define TMX_MEMBERS_MAX 16
-/** Sockets for store, cloud, peers in both directions and listening; at most half of all. */
-#define TMX_OWN_SOCKETS 120
-/** Share of the other sockets for connections to workers; the rest is for incoming ones. */
-#define TMX_WORKER_CONNS 0.23
-/** s; an unused incoming connection is closed after this, but see TMX_IDLE_REPORTS. */
-#define TMX_IDLE_CLOSE_S 60.0
-/** Report periods; a worker's connection is not closed before it missed so many. */
-#define TMX_IDLE_REPORTS 4.0
-/** s; when all sockets are taken, a connection unused for this long makes room. */
-#define TMX_IDLE_LEAST_S 1.0
-/** s; a request must arrive whole within this. */
-#define TMX_PARTIAL_S 15.0
+/**
+ * Sockets reserved for listening and for connections to the store, to the cloud and, in both
+ * directions, to peers; at most half of all sockets are reserved.
+ */
+#define TMX_RESERVED_SOCKETS 120
+/**
+ * Share of the unreserved sockets that is for connections to workers; the rest is for incoming
+ * connections.
+ */
+#define TMX_WORKER_SOCKETS_SHARE 0.23
+/**
+ * Seconds before an idle incoming connection is closed, unless TMX_IDLE_CONNECTION_REPORT_PERIODS
+ * is longer.
+ */
+#define TMX_IDLE_CONNECTION_TIMEOUT_S 60.0
+/**
+ * Report periods before an idle incoming connection is closed, so that a worker's connection stays
+ * open until it has missed this many reports.
+ */
+#define TMX_IDLE_CONNECTION_REPORT_PERIODS 4.0
+/**
+ * Seconds that a connection must have been idle to be closed in favour of a new one when all
+ * sockets are in use.
+ */
+#define TMX_IDLE_CONNECTION_EVICTION_MIN_S 1.0
+/** Seconds within which a request must arrive completely. */
+#define TMX_REQUEST_RECEIVE_TIMEOUT_S 15.0
 /** @} */
 
 /** @name Key-value store */
 /** @{ */
 /**
- * s; writes are saved up for this long, so that all members together stay within the service's
- * burst of one second.
+ * Seconds of a member's write rate that its token bucket holds, so that the bursts of all members
+ * together stay within the store's burst of one second.
  */
 #define TMX_WRITE_BURST_S 1.0
-/** Writes; a batch with two values, head and a job's final state. */
+/**
+ * Writes that a member's token bucket holds at least: a batch with two values, head and the final
+ * state of a job.
+ */
 #define TMX_WRITE_BURST_MIN 4.5
-/** s; time constant of the average of all members' writes. */
-#define TMX_RECENT_WRITES_S 3.0
-/** Share of the write rate; while less is written, no member waits for its commit slot. */
+/** Seconds; time constant of the moving average of all members' writes. */
+#define TMX_RECENT_WRITES_DECAY_S 3.0
+/**
+ * Share of the store's write rate below which the write load is low: no member then waits for its
+ * commit slot.
+ */
 #define TMX_LOW_WRITE_LOAD_SHARE 0.35
-/** Share of the service's burst that is left to the other members under low load. */
-#define TMX_SHARED_WRITES_KEPT_SHARE 0.4
-/** Share of the service's burst; what it holds above this counts as unused by all. */
-#define TMX_SHARED_WRITES_UNUSED_SHARE 0.5
-/** Writes of a usual batch: they set the length of a commit slot. */
+/** Share of the store's burst that a member leaves to the other members under low load. */
+#define TMX_STORE_BURST_RESERVED_SHARE 0.4
+/** Share of the store's burst; tokens above it count as unused by all members. */
+#define TMX_STORE_BURST_UNUSED_ABOVE_SHARE 0.5
+/** Writes of a typical batch, which set the length of a commit slot. */
 #define TMX_COMMIT_SLOT_WRITES 2.4
 /**
- * Share of a commit slot within which a round begins; the rest is for planning, sending and clocks
- * that differ.
+ * Share of a commit slot within which a round may begin; the rest allows for planning, sending and
+ * clock differences.
  */
 #define TMX_COMMIT_SLOT_START_SHARE 0.45
-/** Submissions that wait for the log; further ones are refused at once. */
+/** Submissions that wait to be committed; further ones are refused at once. */
 #define TMX_PENDING_SUBMISSIONS_MAX 400
-/** Waiting submissions; up to so many are committed one by one rather than with a batch. */
+/** Waiting submissions up to which each is committed on its own rather than with a batch. */
 #define TMX_SINGLE_SUBMISSIONS_MAX 2
-/** Commits of a single submission that lost against a batch; after that it goes with one. */
-#define TMX_SINGLE_SUBMISSION_TRIES 4
-/** ms; life of a member's lease. A peer that refuses connections is noticed sooner. */
+/**
+ * Conflicts of a submission that is committed on its own; after this many it is committed with a
+ * batch.
+ */
+#define TMX_SINGLE_SUBMISSION_CONFLICTS_MAX 4
+/**
+ * Milliseconds before a member's lease expires. A peer that refuses connections is detected sooner.
+ */
 #define TMX_LEASE_TTL_MS 6000
-/** s between renewals: five tries in the life of a lease. */
-#define TMX_LEASE_RENEW_S 1.2
-/** s; a response that takes longer is one of the slow ones. */
-#define TMX_STORE_SLOW_S 0.05
-/** s; responses usually take 10 ms, at times a few hundred. */
+/** Seconds between renewals of the lease, which allows five attempts before it expires. */
+#define TMX_LEASE_RENEWAL_PERIOD_S 1.2
+/** Seconds after which the response to a commit counts as slow. */
+#define TMX_STORE_SLOW_RESPONSE_S 0.05
+/**
+ * Seconds to wait for a response of the store; responses usually take 10 ms and at times a few
+ * hundred.
+ */
 #define TMX_STORE_TIMEOUT_S 2.0
-/** ms that a watch stays open; long, since an idle watch costs nothing. */
+/** Milliseconds that a watch stays open; long, since an idle watch costs nothing. */
 #define TMX_WATCH_WAIT_MS 15000
-/** Share of the request rate for opening watches. */
-#define TMX_WATCH_SHARE 0.45
-/** s for which requests for watches are saved up. */
+/** Share of the store's request rate for opening watches. */
+#define TMX_WATCH_REQUEST_RATE_SHARE 0.45
+/** Seconds of the rate of opening watches that the token bucket holds. */
 #define TMX_WATCH_BURST_S 0.4
-/** Share of the request rate for revision reads; all waiting requests share one read. */
-#define TMX_READ_INDEX_SHARE 0.3
-/** s; a revision is read at least this often, to know how fresh the replica is. */
-#define TMX_READ_INDEX_IDLE_S 1.0
-/** s; a watch that stays this long behind a revision read is opened anew. */
-#define TMX_WATCH_LAG_S 0.7
-/** s to wait after an error of the store. */
-#define TMX_STORE_RETRY_S 0.3
-/** Bytes of a transaction counted as JSON; PROTOCOL allows 64 KiB. */
-#define TMX_TRANSACTION_BYTES 49152
-/** Share of the largest value, counted as JSON, that is used. */
-#define TMX_VALUE_SHARE 0.9
-/** Bytes of JSON around a list, a value or a condition. */
-#define TMX_JSON_FRAME 64
-/** Share by which the monotonic clocks of different machines drift apart at most. */
-#define TMX_CLOCK_DRIFT 0.0005
-/**
- * s taken off cancel_s - lease_s. A lease counts from when the report was sent, which is before it
- * is answered, so only the drift of clocks is left to allow for; more is taken off where cancel_s
- * is so long that the drift needs it.
- */
-#define TMX_FRESH_MARGIN_S 1.0
-/**
- * s; settings that leave less for freshness are refused: revisions are read once a second, and
- * some reads are slow.
- */
-#define TMX_FRESH_MIN_S 2.0
-/**
- * s; with an older replica no task is started, as another controller may have cancelled its job.
- */
-#define TMX_START_FRESH_S 2.5
-/** Batch keys since the last compaction: about 1 MB, read within a second at the start. */
-#define TMX_COMPACTION_KEYS 1500
-/** Share of the write budget that must be free for a step of a compaction. */
-#define TMX_COMPACTION_SPARE_SHARE 0.5
-/** s without a revision read; then the peers' heartbeats tell whether the store answers them. */
-#define TMX_STORE_LOST_S 3.5
+/** Share of the store's request rate for revision reads; all waiting requests share one read. */
+#define TMX_READ_INDEX_REQUEST_RATE_SHARE 0.3
+/** Seconds between revision reads at most, so that the age of the replica is known. */
+#define TMX_READ_INDEX_PERIOD_MAX_S 1.0
+/** Seconds that a watch may lag behind a revision read before it is reopened. */
+#define TMX_WATCH_LAG_MAX_S 0.7
+/** Seconds to wait after an error of the store. */
+#define TMX_STORE_RETRY_DELAY_S 0.3
+/** Bytes of a transaction, counted as JSON; PROTOCOL allows 64 KiB. */
+#define TMX_TRANSACTION_JSON_BYTES_MAX 49152
+/** Share of the largest allowed value, counted as JSON, that is used. */
+#define TMX_VALUE_USED_SHARE 0.9
+/** Bytes of JSON syntax around a list, a value or a condition. */
+#define TMX_JSON_OVERHEAD_BYTES 64
+/** Share by which the rates of the monotonic clocks of different machines differ at most. */
+#define TMX_CLOCK_DRIFT_SHARE_MAX 0.0005
+/**
+ * Seconds deducted from cancel_s - lease_s. A lease counts from the time at which the report was
+ * sent, which is before the response, so only clock drift has to be allowed for. More is deducted
+ * if cancel_s is so long that clock drift requires it.
+ */
+#define TMX_FRESHNESS_MARGIN_S 1.0
+/**
+ * Seconds; settings that leave a smaller bound on the age of the replica are refused, since
+ * revisions are read once a second and some reads are slow.
+ */
+#define TMX_FRESHNESS_BOUND_MIN_S 2.0
+/**
+ * Seconds; no task is started while the replica is older, since another controller may have
+ * cancelled its job.
+ */
+#define TMX_START_REPLICA_AGE_MAX_S 2.5
+/**
+ * Batch keys since the last compaction that trigger the next one: about 1 MB, which a starting
+ * controller reads within a second.
+ */
+#define TMX_COMPACTION_BATCH_KEYS 1500
+/** Share of a member's write burst that must be available for a step of a compaction. */
+#define TMX_COMPACTION_FREE_BUDGET_SHARE 0.5
+/**
+ * Seconds without a revision read, after which the heartbeats of the peers tell whether the store
+ * answers them.
+ */
+#define TMX_STORE_UNREACHABLE_S 3.5
 /** @} */
 
 /** @name Scheduling rounds */
 /** @{ */
-/** Bytes of a line of the log: four names at most. */
-#define TMX_LINE_MAX 256
-/** Bytes of a placement; bounds what is planned at once. */
-#define TMX_LINE_TYPICAL 26
-/** Bytes of a placement that shares its line with others of the job. */
-#define TMX_ITEM_TYPICAL 13
-/** s between two rounds of one controller at least. */
-#define TMX_ROUND_SPACING_S 0.03
-/** s until the next round after one that was truncated and had nothing to send. */
-#define TMX_ROUND_EMPTY_S 0.1
-/** Writes of the smallest batch: one value and head. */
-#define TMX_ROUND_WRITES 2.05
+/** Bytes of a buffer for a line of the log, which has at most four names. */
+#define TMX_LOG_LINE_BYTES 256
+/**
+ * Bytes of a typical placement that has its own line; they limit how many operations are planned in
+ * one round.
+ */
+#define TMX_PLACEMENT_LINE_TYPICAL_BYTES 26
+/** Bytes of a typical placement that shares a line with others of the same job. */
+#define TMX_PLACEMENT_ITEM_TYPICAL_BYTES 13
+/** Seconds between two rounds of one controller at least. */
+#define TMX_ROUND_SPACING_MIN_S 0.03
+/** Seconds before the next round if a round was truncated and had nothing to commit. */
+#define TMX_EMPTY_ROUND_RETRY_DELAY_S 0.1
+/** Writes of the smallest batch: slightly more than the two of one value and head. */
+#define TMX_BATCH_WRITES_MIN 2.05
 /** Jobs whose final state is written in one batch. */
-#define TMX_FINISHED_MAX 64
-/** Times that a batch is sent again after it lost the race for head; then it is planned anew. */
-#define TMX_RESENDS_MAX 6
+#define TMX_BATCH_FINISHED_JOBS_MAX 64
+/**
+ * Times that a batch is sent again after a conflict on head; then the round ends and a new one is
+ * planned.
+ */
+#define TMX_BATCH_RESENDS_MAX 6
 /** Machines registered in one batch. */
-#define TMX_REGISTER_MAX 256
-/** Bytes of the planner thread's stack; memory is short, and nothing recurses in a round. */
-#define TMX_PLANNER_STACK ((size_t)512 << 10)
-/** s of a controller's share of the processor that a round may take. */
-#define TMX_PLAN_BUSY_S 0.1
-/** s of a processor that a machine or task takes to be looked at, measured. */
-#define TMX_PLAN_VISIT_S 5e-8
-/** Machines and tasks that a round looks at, at most: about 20 ms of a core. */
-#define TMX_PLAN_VISITS_MAX 400000
-/** The same, at least: with a small share of a core a single job still finds its machine. */
-#define TMX_PLAN_VISITS_MIN 20000
-/** s; a job that waited this long gets a first task, so that the largest begin within 4 minutes. */
-#define TMX_AGED_JOB_S 150.0
+#define TMX_BATCH_REGISTRATIONS_MAX 256
+/**
+ * Bytes of the planner thread's stack; small, since memory is limited and a round does not recurse.
+ */
+#define TMX_PLANNER_STACK_BYTES ((size_t)512 << 10)
+/** Seconds that a round may plan, at the controller's share of a core. */
+#define TMX_ROUND_PLANNING_S 0.1
+/** Seconds of processor time in which a round examines one machine or task. */
+#define TMX_PLANNER_VISIT_CPU_S 5e-8
+/** Machines and tasks that a round examines at most: about 20 ms of a core. */
+#define TMX_ROUND_VISITS_MAX 400000
+/**
+ * Machines and tasks that a round may examine at least, so that a single job finds its machine even
+ * if the controller has a small share of a core.
+ */
+#define TMX_ROUND_VISITS_MIN 20000
+/**
+ * Seconds that a job waits before it is aged and gets a first task, so that the largest jobs begin
+ * within 4 minutes.
+ */
+#define TMX_AGED_JOB_WAIT_S 150.0
 /** Share of the placed tasks that goes to aged jobs. */
 #define TMX_AGED_JOB_SHARE 0.1
-/** Replicas of services that may be down at a time because machines are drained. */
-#define TMX_MOVES_MIN 2
-/** The same as a share of all replicas; the larger of both holds. */
-#define TMX_MOVES_SHARE 0.006
-/** s; a round without an event: the period of the paper's draft. */
-#define TMX_ROUND_IDLE_S 2.0
-/** s that completions wait so that several share a batch. */
+/**
+ * Replicas of services that may be down at a time because machines are drained, in addition to
+ * TMX_SERVICE_MOVES_SHARE.
+ */
+#define TMX_SERVICE_MOVES_BASE 2
+/**
+ * Share of all replicas that may be down at a time because machines are drained, in addition to
+ * TMX_SERVICE_MOVES_BASE.
+ */
+#define TMX_SERVICE_MOVES_SHARE 0.006
+/**
+ * Seconds after which a round runs even without an event: the round period in the draft of the
+ * paper.
+ */
+#define TMX_ROUND_PERIOD_MAX_S 2.0
+/** Seconds that completions wait so that several share a batch. */
 #define TMX_COMPLETIONS_DELAY_S 0.25
-/** s that a job's own controller goes first, besides one cycle of commit slots. */
+/**
+ * Seconds for which only a job's own controller places its tasks, in addition to one cycle of
+ * commit slots.
+ */
 #define TMX_OWN_PLANNER_GRACE_S 0.2
-/** Share of the write rate for batches; some is left for lost races. */
-#define TMX_WRITE_SHARE 0.8
-/** Share of the write rate for submissions that are committed one by one. */
-#define TMX_SINGLE_SUBMISSION_SHARE 0.08
-/** Such submissions at once. */
+/**
+ * Share of the store's write rate for batches; the rest allows for the writes of batches that
+ * conflict.
+ */
+#define TMX_BATCH_WRITE_RATE_SHARE 0.8
+/** Share of the store's write rate for submissions that are committed on their own. */
+#define TMX_SINGLE_SUBMISSION_WRITE_RATE_SHARE 0.08
+/** Submissions that one member may commit on their own in a burst. */
 #define TMX_SINGLE_SUBMISSION_BURST 3.0
-/** s; for a class without a start objective, a fetch this long weighs as much as a full machine. */
+/**
+ * Seconds; for a class without a start objective, an image fetch of this length weighs as much as a
+ * full machine.
+ */
 #define TMX_FETCH_TOLERANCE_S 10.0
-/** s after which a job of a class without an objective counts as late. */
-#define TMX_NO_OBJECTIVE_S 600.0
-/** Ended attempts taken into one round. */
-#define TMX_COMPLETIONS_MAX 512
+/**
+ * Seconds after which a job counts as late if its class has no objective and it has no deadline.
+ */
+#define TMX_DEFAULT_OBJECTIVE_S 600.0
+/** Ended attempts that one round commits. */
+#define TMX_ROUND_COMPLETIONS_MAX 512
 /** Classes whose run times are estimated. */
 #define TMX_RUN_ESTIMATES_MAX 32
-/** Tasks observed before the owners' estimates are corrected. */
+/** Tasks of a class that must have ended before the users' estimates are corrected. */
 #define TMX_RUN_ESTIMATE_SAMPLES_MIN 8
 /** Tasks over which the correction is averaged. */
 #define TMX_RUN_ESTIMATE_SAMPLES_MAX 200
-/** Bound of the logarithm: one task counts as 7 times off at most. */
+/**
+ * Natural logarithm; bounds the ratio of run time to estimate of one task to a factor of about 7.
+ */
 #define TMX_RUN_ESTIMATE_LOG_BOUND 2.0
 /** Tasks of one job that are planned in one round. */
-#define TMX_PLAN_TASKS 400
+#define TMX_ROUND_JOB_TASKS_MAX 400
 /** @} */
 
 /** @name Event loop */
 /** @{ */
-/** s between ticks, for what has no event of its own. */
-#define TMX_TICK_S 0.1
-/** s; after a tick this late, timeouts here say nothing of other machines. */
+/** Seconds between ticks, which run work that no event triggers. */
+#define TMX_TICK_PERIOD_S 0.1
+/**
+ * Seconds; after a tick that is later than this, timeouts of this controller are no evidence of
+ * failures of other machines.
+ */
 #define TMX_LOOP_LATE_S 0.2
 /** @} */
 
 /** @name Workers */
 /** @{ */
-/** Bits of a fencing token below the view's term: the sequence of one machine. */
+/** Bits of a fencing token below the view's term; they hold the sequence number of one machine. */
 #define TMX_TOKEN_SEQUENCE_BITS 24
-/** Largest sequence number of a machine's token in one term. */
+/** Largest sequence number of a machine's fencing token in one term. */
 #define TMX_TOKEN_SEQUENCE_MAX ((1u << TMX_TOKEN_SEQUENCE_BITS) - 1)
-/** s; a command unanswered for this long raises the machine's token. */
+/** Seconds without a response to a command, after which the machine's fencing token is raised. */
 #define TMX_COMMAND_TIMEOUT_S 1.5
-/** Bytes. */
+/** Bytes in one megabyte. */
 #define TMX_BYTES_PER_MB 1e6
-/** Share of a controller's memory for machines that are known at a time. */
+/** Share of a controller's memory for the machines that it knows at a time. */
 #define TMX_WORKERS_MEMORY_SHARE 0.4
-/** Bytes of a machine with its tasks, images and buffers; measured, 12 MB for 2,187. */
+/**
+ * Bytes of a machine with its tasks, images and buffers; a measurement gave 12 MB for 2,187
+ * machines.
+ */
 #define TMX_WORKER_BYTES 2500
 /**
- * Share of a controller's memory for names of removed machines, whose late reports must not bring
- * them back.
+ * Share of a controller's memory for names of removed machines, so that late reports do not
+ * register them again.
  */
 #define TMX_REMOVED_MACHINES_MEMORY_SHARE 0.05
-/** Bytes of such a name in its table. */
+/** Bytes of the table entry for the name of a removed machine. */
 #define TMX_REMOVED_MACHINE_BYTES 160
-/** Commands in one response. */
-#define TMX_COMMANDS_MAX 400
+/** Commands in one message to a worker. */
+#define TMX_MESSAGE_COMMANDS_MAX 400
+/**
+ * Seconds; a worker that returns this long after a redirect cannot reach its owner, since it waits
+ * 4 s for a response. Another controller takes it over.
+ */
+#define TMX_FAILOVER_REDIRECT_AGE_MIN_S 3.5
 /**
- * s; a worker that is back this long after a redirect cannot reach its owner (it waits 4 s for a
- * response): another controller takes it over.
+ * Seconds after a redirect within which the worker's return shows that it cannot reach its owner.
  */
-#define TMX_FAILOVER_AFTER_S 3.5
-/** s after the redirect within which its return counts as a sign of that. */
-#define TMX_FAILOVER_WITHIN_S 20.0
-/** s; a worker that its owner has not heard for this long is taken over at once. */
-#define TMX_FAILOVER_SILENT_S 2.0
+#define TMX_FAILOVER_REDIRECT_AGE_MAX_S 20.0
+/**
+ * Seconds without contact between a worker and its owner, after which the worker is taken over
+ * without waiting for TMX_FAILOVER_REDIRECT_AGE_MIN_S.
+ */
+#define TMX_FAILOVER_SILENCE_S 2.0
 /** Machines taken over in one view. */
 #define TMX_FAILOVER_MACHINES_MAX 200
-/** s that a report waits for the view that takes its worker over. */
-#define TMX_FAILOVER_PARK_S 0.6
-/** s between two views of one controller. */
-#define TMX_VIEW_SPACING_S 0.15
-/** s past report_s and a quarter; then a report is missing. */
-#define TMX_REPORT_LATE_S 1.0
-/** s without proof that a machine is reached; then it is probed. */
+/** Seconds that a report waits for the view that takes its worker over. */
+#define TMX_FAILOVER_REPORT_WAIT_S 0.6
+/** Seconds between two views of one controller at least. */
+#define TMX_VIEW_SPACING_MIN_S 0.15
+/** Seconds beyond 1.25 times report_s after which a report is missing. */
+#define TMX_REPORT_LATE_MARGIN_S 1.0
+/** Seconds without proof that a machine can be reached, after which it is probed. */
 #define TMX_PROBE_AFTER_S 0.6
-/** Share of the processor for probes. */
-#define TMX_PROBE_SHARE 0.12
-/** s of a processor for one probe, measured. */
-#define TMX_PROBE_COST_S 0.00025
-/** s to wait for a probe's response, and between probes of a suspect. */
+/** Share of the controller's processor time for probes. */
+#define TMX_PROBE_CPU_SHARE 0.12
+/** Seconds of processor time for one probe. */
+#define TMX_PROBE_CPU_S 0.00025
+/** Seconds to wait for the response to a probe, and between probes of a suspect. */
 #define TMX_PROBE_TIMEOUT_S 0.5
-/** s after the last sign of it that a zone still counts as partitioned. */
-#define TMX_ZONE_PARTITION_S 4.0
 /**
- * s; a machine that was silent for this long before this controller led was spared by its
- * predecessor.
+ * Seconds after the last sign of a zone partition for which a leader that reclaims machines treats
+ * the zone as partitioned.
+ */
+#define TMX_RECLAIM_PARTITION_HOLD_S 4.0
+/**
+ * Seconds; if a machine had been silent for this long when this controller became leader, the
+ * previous leader spared it.
  */
 #define TMX_INHERITED_SILENCE_S 8.0
-/** Lost probes in a row after which a machine is given up. */
-#define TMX_PROBES_LOST 3
-/** s without any other sign of life that this takes besides. */
+/** Consecutive lost probes after which a machine can be given up. */
+#define TMX_PROBES_LOST_MIN 3
+/** Seconds without any other sign of life that are also required before a machine is given up. */
 #define TMX_MACHINE_SILENCE_S 1.5
-/** s; age of a sign of life that counts: shorter than it takes to lose a machine. */
-#define TMX_ALIVE_S 1.2
-/** Share of the probes for suspects; the others are probed on. */
+/**
+ * Seconds; a machine counts as alive if its last sign of life is more recent. The window is shorter
+ * than the time that it takes to lose a machine.
+ */
+#define TMX_LIVENESS_WINDOW_S 1.2
+/** Share of the probes for suspects, so that the other machines are still probed. */
 #define TMX_SUSPECT_PROBES_SHARE 0.6
-/** Times that the period of probes of a lost machine doubles. */
-#define TMX_PROBE_DOUBLINGS 3
-/** Leases; a machine that is heard again may be unacknowledged for this long. */
-#define TMX_RECOVERY_LEASES 0.2
-/** Machines; fewer say nothing of a controller's own connection. */
+/** Times that the probe period of a lost machine doubles. */
+#define TMX_PROBE_PERIOD_DOUBLINGS_MAX 3
+/** Leases for which a machine may remain unacknowledged after contact with it is restored. */
+#define TMX_RECOVERY_GRACE_LEASES 0.2
+/**
+ * Machines that a controller must own at least before their silence shows that its own connection
+ * has failed.
+ */
 #define TMX_REACHABILITY_MACHINES_MIN 4
-/** s between two inspections of all machines. */
+/** Seconds between two inspections of all machines. */
 #define TMX_RECLAIM_PERIOD_S 0.25
-/** s in which a new leader first hears its peers and the workers. */
+/**
+ * Seconds in which a new leader establishes contact with its peers and the workers, before it
+ * deletes or drains machines.
+ */
 #define TMX_LEADER_SETTLE_S 3.0
-/** Errors in a row, of two jobs or more, that make a machine faulty. */
+/** Consecutive errors, of two jobs or more, that make a machine faulty. */
 #define TMX_FAULTY_MACHINE_ERRORS 4
-/** s; first backoff of a job whose tasks fail. It doubles with each failure. */
-#define TMX_RETRY_BASE_S 0.5
-/** s; longest backoff. */
-#define TMX_RETRY_MAX_S 30.0
+/**
+ * Seconds of the first backoff of a job whose tasks fail. It doubles with each consecutive failure.
+ */
+#define TMX_JOB_BACKOFF_MIN_S 0.5
+/** Seconds of the longest backoff of a job whose tasks fail. */
+#define TMX_JOB_BACKOFF_MAX_S 30.0
 /** @} */
 
 /** @name Peers */
 /** @{ */
-/** s between heartbeats. */
+/** Seconds between heartbeats. */
 #define TMX_HEARTBEAT_PERIOD_S 0.4
-/** s; a peer that refuses connections and was silent for this long seems dead. */
+/** Seconds of silence after which a peer that refuses connections is considered dead. */
 #define TMX_HEARTBEAT_DEAD_S 1.3
-/** s of silence after which a peer's advice no longer counts. */
-#define TMX_HEARTBEAT_LOST_S 2.5
-/** s; a peer that alone was silent for this long is left out of the view. */
+/** Seconds of silence after which a peer counts as lost and its last heartbeat no longer counts. */
+#define TMX_HEARTBEAT_EXPIRY_S 2.5
+/**
+ * Seconds of silence after which a peer is left out of the view, if at least half of the other
+ * peers are still heard.
+ */
 #define TMX_PEER_SILENCE_S 3.5
-/** s; a peer whose batch is younger is alive, even if it refuses connections. */
-#define TMX_RECENT_BATCH_S 1.6
-/** s for which zones must hear each other before they no longer count as partitioned. */
-#define TMX_ZONE_PARTITION_HOLD_S 5.0
+/** Seconds; a peer whose last batch is more recent is alive even if it refuses connections. */
+#define TMX_RECENT_BATCH_AGE_MAX_S 1.6
+/**
+ * Seconds for which the zones must have been in contact before the view no longer treats them as
+ * partitioned.
+ */
+#define TMX_VIEW_PARTITION_HOLD_S 5.0
 /** @} */
 
 /** @name Users */
 /** @{ */
-/** s; a poll that waits longer is refused. Users wait 2 s. */
-#define TMX_USER_WAIT_S 1.5
-/** s; a submission that waits longer is refused. Users wait 5 s. */
-#define TMX_SUBMIT_WAIT_S 2.5
-/** s; least Retry-After. */
-#define TMX_RETRY_AFTER_MIN 1
-/** s; random part of Retry-After, so that retries come apart. */
-#define TMX_RETRY_AFTER_SPAN 2
-/** s; a job of which no user was told for this long goes first under overload. */
-#define TMX_POLL_FAIR_S 20.0
-/** Requests that wait for a read; further ones are refused at once. */
-#define TMX_USER_QUEUE 400
+/** Seconds that a poll waits before it is refused; users wait 2 s. */
+#define TMX_POLL_WAIT_MAX_S 1.5
+/** Seconds that a submission waits before it is refused; users wait 5 s. */
+#define TMX_SUBMISSION_WAIT_MAX_S 2.5
+/** Seconds in Retry-After at least. */
+#define TMX_RETRY_AFTER_MIN_S 1
+/** Seconds; the random part of Retry-After is less than this. It spreads out retries. */
+#define TMX_RETRY_AFTER_JITTER_S 2
+/**
+ * Seconds without an answer to any user about a job, after which polls for it have priority under
+ * overload.
+ */
+#define TMX_POLL_PRIORITY_AFTER_S 20.0
+/**
+ * Requests that wait for a revision read; further ones are refused at once. Polls without priority
+ * are refused at half of it.
+ */
+#define TMX_WAITING_REQUESTS_MAX 400
 /** @} */
 
 /** @name Cloud */
 /** @{ */
-/** s to wait for a response. */
+/** Seconds to wait for a response of the cloud. */
 #define TMX_CLOUD_TIMEOUT_S 5.0
-/** s between reads of the catalogue, as prices move. */
-#define TMX_CATALOG_S 60.0
-/** s until the next try while no catalogue is known. */
-#define TMX_CATALOG_RETRY_S 0.5
-/** s between reads of the list of instances by the leader. */
-#define TMX_LIST_S 2.0
-/** s between two decisions to scale out. */
+/** Seconds between reads of the catalogue, since prices change. */
+#define TMX_CATALOG_READ_PERIOD_S 60.0
+/** Seconds between reads of the catalogue until one has succeeded. */
+#define TMX_CATALOG_RETRY_DELAY_S 0.5
+/** Seconds between reads of the list of instances by the leader. */
+#define TMX_INSTANCE_LIST_PERIOD_S 2.0
+/** Seconds between two decisions to scale out. */
 #define TMX_SCALE_OUT_PERIOD_S 1.0
-/** s; first backoff of a type, zone and kind that was refused. It doubles. */
-#define TMX_OFFER_BACKOFF_S 15.0
-/** s; longest backoff of an offer. */
+/**
+ * Seconds of the first backoff of an offer (a type, zone and kind) that was refused. It doubles
+ * with each refusal.
+ */
+#define TMX_OFFER_BACKOFF_MIN_S 15.0
+/** Seconds of the longest backoff of an offer. */
 #define TMX_OFFER_BACKOFF_MAX_S 120.0
-/** s; an empty machine is returned after this. The least charge is 60 s. */
+/** Seconds before an empty machine is returned; the minimum charge is 60 s. */
 #define TMX_IDLE_RETURN_S 75.0
 /**
- * s; room is kept for the peak demand of this long: the least charge of a machine, and longer than
- * a boot.
- */
-#define TMX_PEAK_DEMAND_S 60
-/** s; after a longer gap in the observations the peak is not known. */
-#define TMX_DEMAND_GAP_S 5
-/** Share of room kept above the peak; less among more than 100 machines. */
-#define TMX_PEAK_MARGIN 0.1
-/** Times a machine's replicas that must be free in its zone before it is drained. */
-#define TMX_MOVE_ROOM_FACTOR 2.0
-/** Share of the zone's part of the peak that must be free besides. */
-#define TMX_MOVE_ROOM_SHARE 0.2
-/** s between two choices of machines to drain. */
-#define TMX_DRAIN_SPACING_S 3.0
-/** Share of all CPUs in one such choice; one machine at least. */
-#define TMX_DRAIN_SHARE 0.03
-/** s; a backlog that the present machines clear within this needs no new ones. */
+ * Seconds over which the peak demand is taken, for which capacity is kept: the minimum charge of a
+ * machine, and longer than a boot.
+ */
+#define TMX_PEAK_DEMAND_WINDOW_S 60
+/** Seconds between two observations of the demand; after a longer gap the peak is unknown. */
+#define TMX_DEMAND_GAP_MAX_S 5
+/** Share of capacity kept above the peak demand; less with more than 100 machines. */
+#define TMX_PEAK_MARGIN_SHARE_MAX 0.1
+/**
+ * Multiple of a machine's service CPUs that must be free on other machines of its zone before the
+ * machine is drained.
+ */
+#define TMX_MOVE_CAPACITY_FACTOR 2.0
+/** Share of the zone's part of the peak demand that must be free in addition. */
+#define TMX_MOVE_CAPACITY_SHARE_MAX 0.2
+/** Seconds between two selections of machines to drain. */
+#define TMX_DRAIN_PERIOD_S 3.0
+/** Share of all CPUs in one selection of machines to drain; one machine may always be selected. */
+#define TMX_DRAIN_CPUS_SHARE 0.03
+/** Seconds; a backlog that the present machines complete within this time needs no new machines. */
 #define TMX_BACKLOG_CLEAR_S 10.0
-/** Share of the rented CPUs; less waiting work is no reason to keep machines. */
-#define TMX_WAITING_SHARE 0.02
-/** Share of all CPUs on machines that wait for replicas to leave them. */
-#define TMX_DRAINING_SHARE_MAX 0.15
-/** Machines in one request: the limit of PROTOCOL. */
-#define TMX_SCALE_OUT_MAX 50
-/** Machines asked of one type, zone and kind in one decision. */
-#define TMX_SCALE_OUT_OFFER_MAX 150
-/** Machines rented in one decision. */
-#define TMX_SCALE_OUTS_MAX 1024
-/** Machines in one request to delete: the limit of PROTOCOL. */
-#define TMX_SCALE_IN_MAX 100
-/** Leases; a machine that is heard and not reached for this long is replaced. */
+/**
+ * Share of the rented CPUs; if the waiting tasks request less, they are no reason to keep machines.
+ */
+#define TMX_WAITING_CPUS_SHARE 0.02
+/** Share of all CPUs that may be on machines that wait for replicas to leave them. */
+#define TMX_DRAINING_CPUS_SHARE_MAX 0.15
+/** Machines in one rental request; the limit is set by PROTOCOL. */
+#define TMX_RENTAL_REQUEST_MACHINES_MAX 50
+/** Machines requested of one offer (a type, zone and kind) in one decision to scale out. */
+#define TMX_SCALE_OUT_OFFER_MACHINES_MAX 150
+/** Machines requested in one decision to scale out. */
+#define TMX_SCALE_OUT_MACHINES_MAX 1024
+/** Machines in one request to delete; the limit is set by PROTOCOL. */
+#define TMX_DELETION_REQUEST_MACHINES_MAX 100
+/** Leases; a machine that reports but cannot be reached for this long is replaced. */
 #define TMX_UNACKNOWLEDGED_LEASES 0.5
-/** s and two reports; a machine that is listed as running and was never heard is replaced. */
+/**
+ * Seconds, in addition to two report periods, after which a machine that is listed as running and
+ * has never reported is replaced.
+ */
 #define TMX_NEVER_HEARD_S 25.0
-/** Times boot_s; a machine that takes longer to boot is returned. */
-#define TMX_BOOT_LATE 4.0
-/** s between log lines about what is rented and used. */
-#define TMX_USAGE_LOG_S 10.0
-/** Share of the room booked by services that is kept free for restarts. */
-#define TMX_HEADROOM 0.08
+/** Multiple of boot_s after which a machine that is still booting is returned. */
+#define TMX_BOOT_LATE_FACTOR 4.0
+/** Seconds between log lines about rented and used capacity. */
+#define TMX_USAGE_LOG_PERIOD_S 10.0
+/** Share of the capacity booked by services that is kept free for restarts. */
+#define TMX_SERVICE_HEADROOM_SHARE 0.08
 /** @} */
 
 /** @name Admission */
 /** @{ */
-/** s of the whole cluster's work that may be admitted: three times the longest usual objective. */
+/**
+ * Seconds of the whole cluster's work that may be admitted: three times the longest usual
+ * objective.
+ */
 #define TMX_ADMISSION_BACKLOG_S 900.0
-/** Share of that which is reserved for teams and classes; the other half goes to who asks. */
-#define TMX_ADMISSION_RESERVE 0.5
-/** s; a class whose work waits gets a start this often, whatever else is asked for. */
-#define TMX_ADMISSION_START_S 45.0
-/** Machines kept free in a round for classes that are due a start and found no room. */
+/**
+ * Share of the admitted backlog that is reserved for teams and classes; the rest is shared on
+ * demand.
+ */
+#define TMX_ADMISSION_RESERVE_SHARE 0.5
+/** Seconds between starts of a class whose work waits, regardless of other demand. */
+#define TMX_ADMISSION_START_PERIOD_S 45.0
+/**
+ * Machines that a round reserves for classes that are due for a start and found no free capacity.
+ */
 #define TMX_RESERVED_MACHINES_MAX 16
-/** s; longer than any process runs. */
+/** Seconds that stand for "never"; longer than any process runs. */
 #define TMX_NEVER_S 1.0e9
-/** Dynamic threshold: a party may take four fifths of what the others leave of a pool. */
-#define TMX_SHARE_ALPHA 4.0
-/** Shares that differ by less are equal. */
+/**
+ * Ratio of the dynamic threshold: a party may use four fifths of what the others leave of a pool.
+ */
+#define TMX_DYNAMIC_THRESHOLD_ALPHA 4.0
+/** Difference of two shares below which they are equal. */
 #define TMX_SHARE_EPSILON 1e-6
 /** Share of a team's ceiling that is added for jobs that depend on accepted ones. */
-#define TMX_PIPELINE_EXTRA 0.25
-/** Accounts of a team for classes that no objective names: two names share one in 16 cases. */
+#define TMX_PIPELINE_EXTRA_SHARE 0.25
+/**
+ * Accounts of a team for the classes that no objective names; two such classes share an account
+ * with a probability of 1/16.
+ */
 #define TMX_HASHED_ACCOUNTS 16
-/** Seed of that hash; any, but the same in every version, or controllers decide differently. */
+/**
+ * Seed of the hash of class names to accounts. Any value works, but all versions must use the same
+ * one, or controllers decide differently.
+ */
 #define TMX_ACCOUNT_HASH_SEED 0
-/** s of work that a waiting replica counts as: the least charge of a machine. */
-#define TMX_ADMISSION_SERVICE_S 60.0
-/** s; shorter estimates count as this, as a start takes as long. */
-#define TMX_RUN_MIN_S 1.0
+/** Seconds of work that a waiting replica counts as: the minimum charge of a machine. */
+#define TMX_SERVICE_REPLICA_RUN_S 60.0
+/** Seconds; shorter run time estimates count as this, since a start takes as long. */
+#define TMX_RUN_ESTIMATE_MIN_S 1.0
 /** Thousandths in one. */
 #define TMX_MILLI 1000.0
-/** MB. */
+/** Megabytes in one gigabyte. */
 #define TMX_MB_PER_GB 1000.0
 /**
- * Units of one resource of one job: over a day of 10,000 CPUs; nine million such jobs fit a sum.
+ * Units of one resource of one job: more than a day of 10,000 CPUs. The sum of nine million such
+ * jobs fits the integer type.
  */
-#define TMX_LOAD_MAX 1.0e12
+#define TMX_JOB_LOAD_MAX 1.0e12
 /** Bytes in the log of a job's record and final state. */
 #define TMX_LOG_JOB_BYTES 200
-/** Bytes in the log of a task's placement and its end. */
-#define TMX_LOG_TASK_BYTES (2L * TMX_LINE_TYPICAL)
-/** Share of the batches' writes for values with lines; see TMX_FINALS_SHARE. */
-#define TMX_LINES_SHARE 0.3
-/** Share of the batches' writes for final states; the rest rewrites head. */
-#define TMX_FINALS_SHARE 0.4
+/** Bytes in the log of a task's placement and end. */
+#define TMX_LOG_TASK_BYTES (2L * TMX_PLACEMENT_LINE_TYPICAL_BYTES)
+/** Share of the batches' puts for values with lines; see TMX_FINAL_STATE_PUTS_SHARE. */
+#define TMX_LINE_PUTS_SHARE 0.3
+/**
+ * Share of the batches' puts for final states; what TMX_LINE_PUTS_SHARE also leaves rewrites head.
+ */
+#define TMX_FINAL_STATE_PUTS_SHARE 0.4
 /** Share of a controller's memory for jobs that are not over. */
-#define TMX_HELD_SHARE 0.25
+#define TMX_JOBS_MEMORY_SHARE 0.25
 /**
- * Share of the ceiling that decides; above it a submission goes with a batch only, as batches all
- * rewrite head.
+ * Share of the ceiling that decides. If the backlog is above it, a submission is committed with a
+ * batch only, since batches all rewrite head.
  */
-#define TMX_SINGLE_ADMISSION_SHARE 0.5
-/** Share of the bound; a larger submission goes with a batch only. */
-#define TMX_SINGLE_LOAD_SHARE 0.01
-/** s; longest Retry-After before its random part. Users follow up to 30 s. */
+#define TMX_SINGLE_SUBMISSION_CEILING_SHARE 0.5
+/** Share of the bound on the backlog; a larger submission is committed with a batch only. */
+#define TMX_SINGLE_SUBMISSION_BACKLOG_SHARE 0.01
+/** Seconds in Retry-After at most, before the random part. Users honour up to 30 s. */
 #define TMX_ADMISSION_RETRY_MAX_S 20.0
-/** Share of Retry-After that is added at random at most, so that retries come apart. */
-#define TMX_ADMISSION_SPREAD 0.5
-/** s between log lines about the accounts. */
-#define TMX_ADMISSION_LOG_S 60.0
-/** Bins of the distribution of waits until a start. */
-#define TMX_START_BINS 64
-/** Factor between the bounds of two bins. */
-#define TMX_START_BIN_FACTOR 1.2
-/** s; upper bound of the first bin. */
-#define TMX_START_BIN_FIRST_S 0.05
+/** Share of Retry-After that is added at random at most, to spread out retries. */
+#define TMX_ADMISSION_RETRY_JITTER_SHARE 0.5
+/** Seconds between log lines about the accounts. */
+#define TMX_ADMISSION_LOG_PERIOD_S 60.0
+/** Bins of the histogram of the waits until a start. */
+#define TMX_START_WAIT_BINS 64
+/** Ratio of the upper bounds of adjacent bins. */
+#define TMX_START_WAIT_BIN_FACTOR 1.2
+/** Seconds; upper bound of the first bin. */
+#define TMX_START_WAIT_FIRST_BIN_S 0.05
 /** @} */
 
 #endif
--- a/src/admission/admission_control.c
+++ b/src/admission/admission_control.c
@@ -16,8 +16,8 @@
   admission->settings = settings;
   admission->replica = replica;
   admission->catalog = catalog;
-  admission->statistics = tmx_statistics_new();
-  admission->reported_at = tmx_clock_steady();
+  admission->statistics = tmx_admission_statistics_new();
+  admission->accounts_logged_at = tmx_clock_steady();
   tmx_backlog_init(&admission->backlog, settings);
   tmx_backlog_init(&admission->in_flight, settings);
   replica->backlog = &admission->backlog;
@@ -26,7 +26,7 @@
 
 void tmx_admission_control_free(struct tmx_admission_control *admission) {
   if (!admission) return;
-  tmx_statistics_free(admission->statistics);
+  tmx_admission_statistics_free(admission->statistics);
   free(admission);
 }
 
@@ -54,7 +54,8 @@
   return largest;
 }
 
-struct tmx_rates tmx_admission_control_rates(const struct tmx_admission_control *admission) {
+struct tmx_resource_rates tmx_admission_control_rates(
+    const struct tmx_admission_control *admission) {
   struct tmx_machine_size present = present_machines(admission),
                           largest = largest_machine(admission);
   return tmx_admission_rates(admission->settings, &present, &largest);
@@ -83,7 +84,7 @@
     const struct tmx_job_ids *dependencies) {
   if (!admission || request->team < 0)
     return (struct tmx_admission_decision){.result = TMX_ADMITTED};
-  struct tmx_rates rates = tmx_admission_control_rates(admission);
+  struct tmx_resource_rates rates = tmx_admission_control_rates(admission);
   request->has_open_dependencies = has_open_job(admission->replica, dependencies);
   return tmx_admission_decide(admission->settings, &admission->backlog, &admission->in_flight,
                               &rates, request);
@@ -96,10 +97,10 @@
   struct tmx_admission_decision decision =
       tmx_admission_control_decide(admission, request, dependencies);
   if (decision.result != TMX_ADMITTED) return false;
-  if (decision.backlog_s > TMX_SINGLE_ADMISSION_SHARE * decision.ceiling_s) return false;
-  struct tmx_rates rates = tmx_admission_control_rates(admission);
+  if (decision.backlog_s > TMX_SINGLE_SUBMISSION_CEILING_SHARE * decision.ceiling_s) return false;
+  struct tmx_resource_rates rates = tmx_admission_control_rates(admission);
   double bound = admission->settings->operators.admission.backlog_s;
-  return tmx_load_seconds(&request->load, &rates) <= TMX_SINGLE_LOAD_SHARE * bound;
+  return tmx_load_seconds(&request->load, &rates) <= TMX_SINGLE_SUBMISSION_BACKLOG_SHARE * bound;
 }
 
 static void add_in_flight(struct tmx_admission_control *admission,
@@ -122,21 +123,21 @@
 
 int tmx_admission_control_retry_after(const struct tmx_admission_decision *decision) {
   double wait = tmx_admission_retry_s(decision);
-  int spread = (int)ceil(wait * TMX_ADMISSION_SPREAD);
-  return (int)wait + tmx_random_below(spread + 1);
+  int max_jitter = (int)ceil(wait * TMX_ADMISSION_RETRY_JITTER_SHARE);
+  return (int)wait + tmx_random_below(max_jitter + 1);
 }
 
 void tmx_admission_control_job_started(struct tmx_admission_control *admission,
                                        const struct tmx_job *job) {
   if (!admission || job->team < 0 || !job->in_account) return;
-  tmx_statistics_start(admission->statistics, (size_t)job->team, (size_t)job->account,
-                       tmx_clock_wall() - job->released_at);
+  tmx_admission_statistics_record_start(admission->statistics, (size_t)job->team,
+                                        (size_t)job->account, tmx_clock_wall() - job->released_at);
 }
 
 void tmx_admission_control_count_answer(struct tmx_admission_control *admission,
                                         const struct tmx_admission_request *request,
                                         enum tmx_admission_result result) {
   if (!admission || request->team < 0) return;
-  tmx_statistics_count_result(admission->statistics, (size_t)request->team, request->account,
-                              result);
+  tmx_admission_statistics_count_result(admission->statistics, (size_t)request->team,
+                                        request->account, result);
 }
--- a/src/admission/admission_policy.c
+++ b/src/admission/admission_policy.c
@@ -4,15 +4,15 @@
 
 #include "admission/shares.h"
 
-/* What a decision depends on. */
+/* The inputs of a decision. */
 struct decision_context {
   const struct tmx_settings *settings;
   const struct tmx_backlog *backlog, *in_flight;
-  const struct tmx_rates *rates;
+  const struct tmx_resource_rates *rates;
   const struct tmx_admission_request *request;
 };
 
-/* Some accounts of one team: from `first` up to, and without, `end`. */
+/* A range of accounts of one team, from `first` to `end` exclusive. */
 struct account_range {
   size_t team, first, end;
 };
@@ -34,7 +34,8 @@
   return tmx_load_seconds(&load, context->rates);
 }
 
-/* Accounts of the request's team that include its own, with the request. */
+/* Returns the backlog of a range of accounts of the request's team, in seconds of the whole
+ * cluster, with the request added. The range must include the request's account. */
 static double requested_seconds(const struct decision_context *context, size_t first, size_t end) {
   size_t team = (size_t)context->request->team;
   struct tmx_load load = range_load(context, &(struct account_range){team, first, end});
@@ -42,14 +43,14 @@
   return tmx_load_seconds(&load, context->rates);
 }
 
-static struct tmx_admission_decision compare(double backlog_s, double ceiling_s,
-                                             enum tmx_admission_result result_above) {
+static struct tmx_admission_decision compare_with_ceiling(double backlog_s, double ceiling_s,
+                                                          enum tmx_admission_result result_above) {
   enum tmx_admission_result result = backlog_s <= ceiling_s ? TMX_ADMITTED : result_above;
   return (struct tmx_admission_decision){result, backlog_s, ceiling_s};
 }
 
-/* A pipeline that has begun is carried on somewhat longer, but not without bound, whatever it
- * consists of. */
+/* A job that depends on accepted ones may exceed the team's ceiling by TMX_PIPELINE_EXTRA_SHARE,
+ * whatever its class. This lets a pipeline that has started continue, but not without limit. */
 static struct tmx_admission_decision decide_by_team(const struct decision_context *context) {
   double used[TMX_TEAMS_MAX];
   const struct tmx_admission_settings *settings = &context->settings->operators.admission;
@@ -62,11 +63,12 @@
                                   .weight = settings->share,
                                   .parties = n_teams};
   double ceiling = tmx_share_ceiling(&division, used, (size_t)context->request->team);
-  if (context->request->has_open_dependencies) ceiling *= 1 + TMX_PIPELINE_EXTRA;
-  return compare(requested_seconds(context, 0, n_accounts), ceiling, TMX_REFUSED_TEAM);
+  if (context->request->has_open_dependencies) ceiling *= 1 + TMX_PIPELINE_EXTRA_SHARE;
+  return compare_with_ceiling(requested_seconds(context, 0, n_accounts), ceiling, TMX_REFUSED_TEAM);
 }
 
-/* Within the team's ceiling: each listed class is a party, and all others together are one. */
+/* Divides the team's ceiling: each listed class is a party, and all unlisted classes together are
+ * one more party. */
 static struct tmx_admission_decision decide_by_class(const struct decision_context *context,
                                                      double team_ceiling) {
   double used[TMX_LISTED_MAX + 1];
@@ -82,11 +84,11 @@
   size_t party = listed ? account : n_listed;
   double ceiling = tmx_share_ceiling(&division, used, party);
   double requested = requested_seconds(context, party, listed ? party + 1 : n_accounts);
-  return compare(requested, ceiling, TMX_REFUSED_CLASS);
+  return compare_with_ceiling(requested, ceiling, TMX_REFUSED_CLASS);
 }
 
-/* Classes that are not listed share a number of accounts by the hashes of their names: each of
- * these accounts is a party. */
+/* Divides the ceiling of the unlisted classes. These classes share a fixed number of accounts by a
+ * hash of their names, and each of the accounts is a party. */
 static struct tmx_admission_decision decide_by_unlisted_class(
     const struct decision_context *context, double unlisted_ceiling) {
   double used[TMX_HASHED_ACCOUNTS];
@@ -98,7 +100,8 @@
                                   .reserve = context->settings->operators.admission.reserve,
                                   .parties = TMX_HASHED_ACCOUNTS};
   double ceiling = tmx_share_ceiling(&division, used, account - n_listed);
-  return compare(requested_seconds(context, account, account + 1), ceiling, TMX_REFUSED_CLASS);
+  return compare_with_ceiling(requested_seconds(context, account, account + 1), ceiling,
+                              TMX_REFUSED_CLASS);
 }
 
 static bool has_empty_account(const struct decision_context *context) {
@@ -108,12 +111,12 @@
   return !jobs;
 }
 
-/* An account without work has room for one job however large: else the largest would never be
- * admitted. For jobs of a pipeline that has begun, their team alone decides. */
+/* An account without open jobs may take one job of any size, since the largest jobs would never be
+ * admitted otherwise. For a job that depends on accepted ones only the team's ceiling applies. */
 struct tmx_admission_decision tmx_admission_decide(const struct tmx_settings *settings,
                                                    const struct tmx_backlog *backlog,
                                                    const struct tmx_backlog *in_flight,
-                                                   const struct tmx_rates *rates,
+                                                   const struct tmx_resource_rates *rates,
                                                    const struct tmx_admission_request *request) {
   struct decision_context context = {settings, backlog, in_flight, rates, request};
   struct tmx_admission_decision decision = decide_by_team(&context);
@@ -127,8 +130,9 @@
   return decide_by_unlisted_class(&context, decision.ceiling_s);
 }
 
-/* The whole cluster works a second off in a second; of one account that is at worst its reserve's
- * share, at best all. The excess itself is the middle of the two and needs no guess of the mix. */
+/* The whole cluster completes one second of backlog per second. Of one account's backlog it
+ * completes at worst the share of the account's reserve and at best all. The wait is estimated as
+ * the excess over the ceiling, which requires no assumption about the mix of work. */
 double tmx_admission_retry_s(const struct tmx_admission_decision *decision) {
   double excess = decision->backlog_s - decision->ceiling_s;
   return fmin(fmax(ceil(excess), 1), TMX_ADMISSION_RETRY_MAX_S);
--- a/src/admission/admission_settings.c
+++ b/src/admission/admission_settings.c
@@ -8,7 +8,7 @@
   return false;
 }
 
-bool tmx_admission_resolve(struct tmx_settings *settings, char *error, size_t capacity) {
+bool tmx_admission_settings_resolve(struct tmx_settings *settings, char *error, size_t capacity) {
   struct tmx_admission_settings *admission = &settings->operators.admission;
   bool named[TMX_TEAMS_MAX] = {false};
   double sum = 0;
--- a/src/admission/shares.c
+++ b/src/admission/shares.c
@@ -9,15 +9,17 @@
   return division->bound * division->reserve * weight;
 }
 
-/* With alpha = TMX_SHARE_ALPHA a party may take alpha times what it leaves free in the pool, so the
- * ceiling is the point at which it has: alpha / (1 + alpha) of what the others leave. */
+/* With alpha = TMX_DYNAMIC_THRESHOLD_ALPHA a party may use up to alpha times what then remains free
+ * in the pool. The ceiling of the party is therefore alpha / (1 + alpha) of what the others leave.
+ */
 double tmx_share_ceiling(const struct tmx_division *division, const double *used, size_t index) {
   double pool = division->bound * (1 - division->reserve);
-  double left = pool;
+  double remaining = pool;
   for (size_t i = 0; i < division->parties; i++) {
     if (i == index) continue;
-    left -= fmax(0, used[i] - tmx_share_reserve(division, i));
+    remaining -= fmax(0, used[i] - tmx_share_reserve(division, i));
   }
-  double of_pool = fmax(0, left) * TMX_SHARE_ALPHA / (1 + TMX_SHARE_ALPHA);
-  return tmx_share_reserve(division, index) + of_pool;
+  double from_pool =
+      fmax(0, remaining) * TMX_DYNAMIC_THRESHOLD_ALPHA / (1 + TMX_DYNAMIC_THRESHOLD_ALPHA);
+  return tmx_share_reserve(division, index) + from_pool;
 }
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Shares of a bound among competing parties: a reserve for each, and a shared pool handed out by
+ * Divides a bound among competing parties: each has a reserve, and a shared pool is allocated by
  * dynamic thresholds (A. Choudhury and E. Hahne, "Dynamic queue length thresholds for shared-memory
  * packet switches", IEEE/ACM Transactions on Networking 6(2), 1998). Pure functions.
  */
@@ -8,18 +8,20 @@
 #define TMX_SHARES_H
 #include <stddef.h>
 
-/** How one bound is divided. */
+/** The division of a bound among parties. */
 struct tmx_division {
-  double bound;         /**< what all parties together may use */
+  double bound;         /**< amount that all parties together may use */
   double reserve;       /**< share of the bound that is set aside, 0 to 1 */
-  const double *weight; /**< of the reserve, one a party, adding up to 1; NULL: equal parts */
+  const double *weight; /**< each party's share of the reserve; sum 1; NULL: equal shares */
   size_t parties;       /**< number of parties; length of `weight` */
 };
 
-/** What the party at `index` may use while the others use what `used` tells. It is at least the
- * party's own reserve. If every party stays at or below its ceiling at the time when it grows, all
- * together stay at or below the bound. */
+/**
+ * Returns the amount that the party at `index` may use, given the amounts in `used` that the others
+ * use. It is at least the party's own reserve. If each party is at or below its ceiling whenever
+ * its use increases, all parties together stay at or below the bound.
+ */
 double tmx_share_ceiling(const struct tmx_division *division, const double *used, size_t index);
-/** The part of the bound that is kept for this party whatever the others use. */
+/** Returns the part of the bound that is reserved for the party, whatever the others use. */
 double tmx_share_reserve(const struct tmx_division *division, size_t index);
 #endif
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -8,7 +8,7 @@
 
 /**
  * Monotonic clock: seconds since an arbitrary point in the past. For durations and timeouts; its
- * rate may differ from real time by up to TMX_CLOCK_DRIFT.
+ * rate may differ from real time by up to TMX_CLOCK_DRIFT_SHARE_MAX.
  */
 double tmx_clock_steady(void);
 
--- a/src/base/random.c
+++ b/src/base/random.c
@@ -27,4 +27,6 @@
   return (int)gsl_rng_uniform_int(generator(), (unsigned long)bound);
 }
 
-int tmx_retry_after(void) { return TMX_RETRY_AFTER_MIN + tmx_random_below(TMX_RETRY_AFTER_SPAN); }
+int tmx_retry_after(void) {
+  return TMX_RETRY_AFTER_MIN_S + tmx_random_below(TMX_RETRY_AFTER_JITTER_S);
+}
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -10,8 +10,9 @@
 int tmx_random_below(int bound);
 
 /**
- * Seconds for the Retry-After header of a request that can be decided soon: TMX_RETRY_AFTER_MIN
- * and a random part below TMX_RETRY_AFTER_SPAN, so that refused clients do not come back together.
+ * Seconds for the Retry-After header of a request that can be decided soon: TMX_RETRY_AFTER_MIN_S
+ * and a random part below TMX_RETRY_AFTER_JITTER_S, so that refused clients do not come back
+ * together.
  */
 int tmx_retry_after(void);
 #endif
--- a/src/catalog/machine_catalog.h
+++ b/src/catalog/machine_catalog.h
@@ -12,22 +12,22 @@
 
 /** One machine type. */
 struct tmx_machine_type {
-  char name[TMX_ID_MAX]; /**< the cloud's name of the type */
-  double cpus;           /**< CPUs of one machine */
-  double gpus;           /**< GPUs of one machine; 0: none */
-  double mem_gb;         /**< memory of one machine, GB */
-  double cache_gb;       /**< room for images, GB */
-  double fetch_gb_per_s; /**< rate at which images are fetched, GB/s */
-  double price;          /**< per hour */
-  double spot_price;     /**< per hour, the current one */
-  double boot_s;         /**< usual time from the rental request until the machine is up, seconds */
+  char name[TMX_ID_BYTES]; /**< the cloud's name of the type */
+  double cpus;             /**< CPUs of one machine */
+  double gpus;             /**< GPUs of one machine; 0: none */
+  double mem_gb;           /**< memory of one machine, GB */
+  double cache_gb;         /**< room for images, GB */
+  double fetch_gb_per_s;   /**< rate at which images are fetched, GB/s */
+  double price;            /**< per hour */
+  double spot_price;       /**< per hour, the current one */
+  double boot_s; /**< usual time from the rental request until the machine is up, seconds */
   bool zones[TMX_ZONES_MAX]; /**< by zone of the settings: whether it is offered there */
 };
 
 /** All types, in the cloud's order; empty until the cloud has answered once. */
 struct tmx_machine_catalog {
-  struct tmx_machine_type types[TMX_TYPES_MAX]; /**< the first `n_types` are valid */
-  size_t n_types;                               /**< entries of `types` in use */
+  struct tmx_machine_type types[TMX_MACHINE_TYPES_MAX]; /**< the first `n_types` are valid */
+  size_t n_types;                                       /**< entries of `types` in use */
 };
 
 /** The type of this name, or NULL if there is none. */
--- a/src/cloud/catalog_reader.c
+++ b/src/cloud/catalog_reader.c
@@ -9,7 +9,7 @@
 static void read_zones(const struct tmx_settings *settings, const cbor_item_t *zones,
                        struct tmx_machine_type *type) {
   for (size_t i = 0; i < tmx_cbor_list_length(zones); i++) {
-    char name[TMX_NAME_MAX];
+    char name[TMX_NAME_BYTES];
     if (!tmx_cbor_as_text(tmx_cbor_list_at(zones, i), name, sizeof name)) continue;
     int zone = tmx_zone_index(settings, name);
     if (zone >= 0) type->zones[zone] = true;
@@ -25,7 +25,7 @@
     return false;
   tmx_cbor_get_number(entry, W_GPUS, &type->gpus);
   tmx_cbor_get_number(entry, W_CACHE_GB, &type->cache_gb);
-  tmx_cbor_get_number(entry, W_FETCH, &type->fetch_gb_per_s);
+  tmx_cbor_get_number(entry, W_FETCH_RATE, &type->fetch_gb_per_s);
   tmx_cbor_get_number(entry, W_PRICE, &type->price);
   type->spot_price = type->price;
   tmx_cbor_get_number(entry, W_SPOT_PRICE, &type->spot_price);
@@ -74,7 +74,7 @@
   const cbor_item_t *types = tmx_cbor_get(map, W_TYPES);
   size_t offered = tmx_cbor_list_length(types);
   struct tmx_machine_catalog catalog = {.n_types = 0};
-  for (size_t i = 0; i < offered && catalog.n_types < TMX_TYPES_MAX; i++)
+  for (size_t i = 0; i < offered && catalog.n_types < TMX_MACHINE_TYPES_MAX; i++)
     catalog.n_types +=
         read_type(cloud->settings, tmx_cbor_list_at(types, i), &catalog.types[catalog.n_types]);
   if (catalog.n_types) {
@@ -85,7 +85,7 @@
 }
 
 void tmx_cloud_read_catalog(struct tmx_cloud *cloud, double now) {
-  double period_s = cloud->catalog->n_types ? TMX_CATALOG_S : TMX_CATALOG_RETRY_S;
+  double period_s = cloud->catalog->n_types ? TMX_CATALOG_READ_PERIOD_S : TMX_CATALOG_RETRY_DELAY_S;
   if (cloud->catalog_read_in_flight || now - cloud->catalog_read_at <= period_s) return;
   if (!tmx_cloud_api_take_token(cloud->api)) return;
   cloud->catalog_read_at = now;
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -17,7 +17,7 @@
   cloud->workers = dependencies->workers;
   cloud->api = tmx_cloud_api_new(dependencies->loop, dependencies->settings);
   tmx_inventory_init(&cloud->inventory, cloud->settings, cloud->api);
-  cloud->catalog_read_at = -TMX_CATALOG_S;
+  cloud->catalog_read_at = -TMX_CATALOG_READ_PERIOD_S;
   return cloud;
 }
 
@@ -31,7 +31,7 @@
 }
 
 static bool store_is_lost(const struct tmx_cloud *cloud, double now) {
-  return now - tmx_store_fresh_as_of(cloud->store) > TMX_STORE_LOST_S;
+  return now - tmx_store_fresh_as_of(cloud->store) > TMX_STORE_UNREACHABLE_S;
 }
 
 static void record_demand(struct tmx_cloud *cloud, double now) {
@@ -44,12 +44,12 @@
   if (now - cloud->scale_out_at <= TMX_SCALE_OUT_PERIOD_S || !cloud->catalog->n_types) return;
   cloud->scale_out_at = now;
   /* A new leader first reads the list, or it would rent again what is on its way. */
-  if (!cloud->rentals_in_flight && now - cloud->leading_since > TMX_LIST_S)
+  if (!cloud->rentals_in_flight && now - cloud->leading_since > TMX_INSTANCE_LIST_PERIOD_S)
     tmx_cloud_scale_out(cloud, now);
 }
 
 static void tick_of_leader(struct tmx_cloud *cloud, double now) {
-  if (now - cloud->list_read_at > TMX_LIST_S) {
+  if (now - cloud->list_read_at > TMX_INSTANCE_LIST_PERIOD_S) {
     cloud->list_read_at = now;
     tmx_inventory_read(&cloud->inventory);
   }
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -36,6 +36,6 @@
 struct tmx_cloud *tmx_cloud_new(const struct tmx_cloud_dependencies *dependencies);
 /** Requests that are still under way end without effect here; the cloud may execute them. */
 void tmx_cloud_free(struct tmx_cloud *cloud);
-/** Does what is due; called every TMX_TICK_S. */
+/** Does what is due; called every TMX_TICK_PERIOD_S. */
 void tmx_cloud_tick(struct tmx_cloud *cloud);
 #endif
--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -12,9 +12,9 @@
 
 /** Since when a machine has had no task, as this leader has seen it. */
 struct tmx_idle_machine {
-  char id[TMX_ID_MAX]; /**< of the machine */
-  double since;        /**< steady clock, s */
-  UT_hash_handle hh;   /**< by id */
+  char id[TMX_ID_BYTES]; /**< of the machine */
+  double since;          /**< steady clock, s */
+  UT_hash_handle hh;     /**< by id */
 };
 
 /** Network partitions between the owners and the machines of a zone; steady clock, s, by zone. */
@@ -62,7 +62,7 @@
 
 /** Rents machines for the tasks that found no room. */
 void tmx_cloud_scale_out(struct tmx_cloud *cloud, double now);
-/** Requests `count` machines of a type, in requests of at most TMX_SCALE_OUT_MAX. */
+/** Requests `count` machines of a type, in requests of at most TMX_RENTAL_REQUEST_MACHINES_MAX. */
 void tmx_cloud_rent(struct tmx_cloud *cloud, const struct tmx_machine_type *type, int zone,
                     bool spot, uint32_t count);
 /** Frees the requests in flight, once their callbacks can no longer be called. */
@@ -84,6 +84,6 @@
 /** Frees all idle timers. */
 void tmx_cloud_free_idle_timers(struct tmx_cloud *cloud);
 
-/** Logs what is rented and what of it is used, every TMX_USAGE_LOG_S. */
+/** Logs what is rented and what of it is used, every TMX_USAGE_LOG_PERIOD_S. */
 void tmx_cloud_log_usage(struct tmx_cloud *cloud, double now);
 #endif
--- a/src/cloud/deletion_request.c
+++ b/src/cloud/deletion_request.c
@@ -15,19 +15,19 @@
 }
 
 bool tmx_deletion_request_is_full(const struct tmx_deletion_request *request) {
-  return request->count == TMX_SCALE_IN_MAX;
+  return request->count == TMX_DELETION_REQUEST_MACHINES_MAX;
 }
 
 void tmx_deletion_request_add(struct tmx_deletion_request *request, const char *id,
                               enum tmx_deletion_reason reason) {
   tmx_log(TMX_LOG_INFO, "cloud: deleting %s: %s", id, tmx_deletion_reason_text(reason));
-  snprintf(request->ids[request->count++], TMX_ID_MAX, "%s", id);
+  snprintf(request->ids[request->count++], TMX_ID_BYTES, "%s", id);
 }
 
 /* A deleted machine is gone with all that was on it: that is the proof that its tasks have ended,
  * which the log records. */
 static void record_removed(struct tmx_cloud *cloud, const char *id) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   if (!tmx_machine_find(cloud->replica, id)) return;
   snprintf(line, sizeof line, "%c %s", TMX_LINE_MACHINE_REMOVED, id);
   tmx_scheduler_queue_log_line(cloud->scheduler, line);
--- a/src/cloud/deletion_request.h
+++ b/src/cloud/deletion_request.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * A request to the cloud to delete machines, at most TMX_SCALE_IN_MAX of them. Loop's thread only.
+ * A request to the cloud to delete machines, at most TMX_DELETION_REQUEST_MACHINES_MAX of them.
+ * Loop's thread only.
  */
 #ifndef TMX_DELETION_REQUEST_H
 #define TMX_DELETION_REQUEST_H
@@ -9,9 +10,9 @@
 
 /** The request, from the first machine added until the response is handled. */
 struct tmx_deletion_request {
-  struct tmx_cloud *cloud;                /**< the module that sends it; outlives it */
-  char ids[TMX_SCALE_IN_MAX][TMX_ID_MAX]; /**< instances to delete */
-  size_t count;                           /**< entries of `ids` in use */
+  struct tmx_cloud *cloud; /**< the module that sends it; outlives it */
+  char ids[TMX_DELETION_REQUEST_MACHINES_MAX][TMX_ID_BYTES]; /**< instances to delete */
+  size_t count;                                              /**< entries of `ids` in use */
 };
 
 /** Allocates an empty request, which tmx_deletion_request_send() takes over. */
--- a/src/cloud/inventory.c
+++ b/src/cloud/inventory.c
@@ -48,7 +48,7 @@
 }
 
 static void read_entry(struct tmx_inventory *inventory, const cbor_item_t *entry, double now) {
-  char id[TMX_ID_MAX], state_text[16], zone[TMX_NAME_MAX];
+  char id[TMX_ID_BYTES], state_text[16], zone[TMX_NAME_BYTES];
   if (!tmx_cbor_get_text(entry, W_ID, id, sizeof id)) return;
   struct tmx_instance *instance = tmx_inventory_obtain(inventory, id);
   tmx_cbor_get_text(entry, W_TYPE, instance->type, sizeof instance->type);
@@ -69,7 +69,7 @@
 
 /* Drops instances that have been unlisted for longer than any list lags: they are gone. */
 static void drop_unlisted(struct tmx_inventory *inventory, double now) {
-  const double keep_s = 2 * inventory->settings->list_lag_s + 3 * TMX_LIST_S;
+  const double keep_s = 2 * inventory->settings->list_lag_s + 3 * TMX_INSTANCE_LIST_PERIOD_S;
   struct tmx_instance *instance, *next_instance;
   HASH_ITER(hh, inventory->instances, instance, next_instance) {
     double seen_at =
@@ -89,13 +89,13 @@
     return;
   }
   double now = tmx_clock_steady();
-  char previous_cursor[TMX_ID_MAX];
+  char previous_cursor[TMX_ID_BYTES];
   memcpy(previous_cursor, inventory->cursor, sizeof previous_cursor);
   const cbor_item_t *machines = tmx_cbor_get(page, W_MACHINES);
   for (size_t i = 0; i < tmx_cbor_list_length(machines); i++)
     read_entry(inventory, tmx_cbor_list_at(machines, i), now);
   bool more = false;
-  tmx_cbor_get_bool(page, W_MORE, &more);
+  tmx_cbor_get_bool(page, W_HAS_NEXT, &more);
   tmx_cbor_free(page);
   /* A page without an id behind the cursor would be read again and again. */
   bool advanced = strcmp(inventory->cursor, previous_cursor) > 0;
--- a/src/cloud/inventory.h
+++ b/src/cloud/inventory.h
@@ -21,9 +21,9 @@
 
 /** A rented machine as the cloud shows it. */
 struct tmx_instance {
-  char id[TMX_ID_MAX];   /**< given by the cloud */
-  char type[TMX_ID_MAX]; /**< empty: no list has shown it yet */
-  int zone;              /**< index in the settings; -1: a zone that the settings do not name */
+  char id[TMX_ID_BYTES];   /**< given by the cloud */
+  char type[TMX_ID_BYTES]; /**< empty: no list has shown it yet */
+  int zone;                /**< index in the settings; -1: a zone that the settings do not name */
   enum tmx_instance_state state; /**< the latest that was listed; never goes back */
   bool spot;                     /**< the cloud may interrupt it */
   double age_s;                  /**< s since it was rented, as of the list read at `age_as_of` */
@@ -40,7 +40,7 @@
   struct tmx_cloud_api *api;           /**< borrowed */
   struct tmx_instance *instances;      /**< owned; hash by id; NULL: empty */
   bool read_in_flight;                 /**< a page was requested and the response is awaited */
-  char cursor[TMX_ID_MAX]; /**< the last id of the pages read so far; empty: from the start */
+  char cursor[TMX_ID_BYTES]; /**< the last id of the pages read so far; empty: from the start */
 };
 
 /** Sets up a zeroed inventory as an empty one; both arguments must outlive it. Release what it
--- a/src/cloud/offer_backoff.c
+++ b/src/cloud/offer_backoff.c
@@ -29,7 +29,7 @@
 void tmx_offer_back_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone, bool spot,
                         double now) {
   struct tmx_offer_backoff *entry = obtain(backoffs, type, zone, spot);
-  entry->wait_s = fmin(fmax(entry->wait_s * 2, TMX_OFFER_BACKOFF_S), TMX_OFFER_BACKOFF_MAX_S);
+  entry->wait_s = fmin(fmax(entry->wait_s * 2, TMX_OFFER_BACKOFF_MIN_S), TMX_OFFER_BACKOFF_MAX_S);
   entry->until = now + entry->wait_s;
 }
 
--- a/src/cloud/offer_backoff.h
+++ b/src/cloud/offer_backoff.h
@@ -13,16 +13,16 @@
 /** Size of the table of offers. */
 enum {
   /** Entries: each type in each zone, on demand and spot. */
-  TMX_OFFERS_MAX = TMX_TYPES_MAX * TMX_ZONES_MAX * 2
+  TMX_OFFERS_MAX = TMX_MACHINE_TYPES_MAX * TMX_ZONES_MAX * 2
 };
 
 /** The backoff of one offer. */
 struct tmx_offer_backoff {
-  char type[TMX_ID_MAX]; /**< name of the machine type */
-  int zone;              /**< index in the settings */
-  bool spot;             /**< spot, else on demand */
-  double until;          /**< steady clock, s; 0: never refused */
-  double wait_s;         /**< s: length of the latest backoff; 0: the latest request was granted */
+  char type[TMX_ID_BYTES]; /**< name of the machine type */
+  int zone;                /**< index in the settings */
+  bool spot;               /**< spot, else on demand */
+  double until;            /**< steady clock, s; 0: never refused */
+  double wait_s; /**< s: length of the latest backoff; 0: the latest request was granted */
 };
 
 /** All offers that were looked up. A zeroed table is an empty one. */
--- a/src/cloud/reclaim_evidence.c
+++ b/src/cloud/reclaim_evidence.c
@@ -36,14 +36,15 @@
   }
   /* Among thousands of tasks some always wait for a moment. */
   evidence->work_waits =
-      replica->waiting_cpus > TMX_WAITING_SHARE * (evidence->free_cpus + replica->booked_cpus);
+      replica->waiting_cpus > TMX_WAITING_CPUS_SHARE * (evidence->free_cpus + replica->booked_cpus);
 }
 
 /* How long the machines of a zone are spared after a partition. When it is over they are probed one
  * after the other again, the last ones late. */
 static double spare_time(const struct tmx_reclaim_evidence *evidence,
                          const struct tmx_settings *settings, unsigned machines) {
-  return TMX_ZONE_PARTITION_S + TMX_PROBE_TIMEOUT_S * (1 << TMX_PROBE_DOUBLINGS) +
+  return TMX_RECLAIM_PARTITION_HOLD_S +
+         TMX_PROBE_TIMEOUT_S * (1 << TMX_PROBE_PERIOD_DOUBLINGS_MAX) +
          machines / (TMX_SUSPECT_PROBES_SHARE * fmax(1, evidence->owners_heard) *
                      tmx_workers_probe_rate(settings));
 }
@@ -59,7 +60,7 @@
   for (size_t z = 0; z < cloud->settings->n_zones; z++) {
     evidence->spare_s[z] = spare_time(evidence, cloud->settings, zones[z].machines);
     if (tmx_zone_is_partitioned(&zones[z])) {
-      partitions->partitioned_until[z] = now + TMX_ZONE_PARTITION_S;
+      partitions->partitioned_until[z] = now + TMX_RECLAIM_PARTITION_HOLD_S;
       partitions->spared_until[z] = now + evidence->spare_s[z];
     }
     if (partitions->partitioned_until[z] > now) evidence->any_zone_partitioned = true;
--- a/src/cloud/rental.c
+++ b/src/cloud/rental.c
@@ -14,8 +14,8 @@
 
 struct tmx_rental_request {
   struct tmx_cloud *cloud;
-  char name[TMX_NAME_MAX + 48]; /* the idempotency key */
-  char type[TMX_ID_MAX];
+  char name[TMX_NAME_BYTES + 48]; /* the idempotency key */
+  char type[TMX_ID_BYTES];
   int zone;
   bool spot;
   uint32_t count;
@@ -45,7 +45,7 @@
   double now = tmx_clock_steady();
   uint32_t granted = 0;
   for (size_t i = 0; i < tmx_cbor_list_length(machines); i++) {
-    char id[TMX_ID_MAX];
+    char id[TMX_ID_BYTES];
     if (!tmx_cbor_as_text(tmx_cbor_list_at(machines, i), id, sizeof id)) continue;
     add_rented_instance(request, id, now);
     granted++;
@@ -113,7 +113,8 @@
     request->cloud = cloud;
     request->zone = zone;
     request->spot = spot;
-    request->count = count < TMX_SCALE_OUT_MAX ? count : TMX_SCALE_OUT_MAX;
+    request->count =
+        count < TMX_RENTAL_REQUEST_MACHINES_MAX ? count : TMX_RENTAL_REQUEST_MACHINES_MAX;
     request->started_at = tmx_clock_steady();
     snprintf(request->type, sizeof request->type, "%s", type->name);
     /* The name holds the incarnation of this process, so that no other process ever uses it. */
--- a/src/cloud/replacement_policy.c
+++ b/src/cloud/replacement_policy.c
@@ -1,6 +1,7 @@
 #include "cloud/replacement_policy.h"
 
-/* s: the least time that any machine may take to boot, on top of TMX_BOOT_LATE times the usual. */
+/* s: the least time that any machine may take to boot, on top of TMX_BOOT_LATE_FACTOR times the
+ * usual. */
 static const double BOOT_GRACE_S = 10;
 
 /* Of report_s: a heartbeat may come this much later than its period. */
@@ -33,7 +34,7 @@
   return (struct tmx_machine_deadlines){
       .silence_s = silence_s > 0 ? silence_s : TMX_MACHINE_SILENCE_S,
       .leases_expired_s = settings->cancel_s + settings->lease_s,
-      .heartbeat_late_s = settings->report_s * HEARTBEAT_TOLERANCE + TMX_REPORT_LATE_S,
+      .heartbeat_late_s = settings->report_s * HEARTBEAT_TOLERANCE + TMX_REPORT_LATE_MARGIN_S,
       .unacknowledged_s = settings->lease_s * TMX_UNACKNOWLEDGED_LEASES};
 }
 
@@ -44,7 +45,7 @@
                     const struct tmx_machine_deadlines *deadlines) {
   double silence_s = evidence->suspicion.silence_s;
   if (!evidence->leader_settled || !evidence->suspected) return false;
-  if (evidence->suspicion.probes_lost < TMX_PROBES_LOST) return false;
+  if (evidence->suspicion.probes_lost < TMX_PROBES_LOST_MIN) return false;
   if (silence_s <= deadlines->silence_s) return false;
   return !evidence->silence_excused ||
          silence_s > deadlines->leases_expired_s * (evidence->has_services ? 2 : 1);
@@ -75,7 +76,7 @@
       return TMX_DELETE_FAILED;
     case TMX_INSTANCE_BOOTING:
       return evidence->type_known &&
-                     evidence->age_s > evidence->boot_s * TMX_BOOT_LATE + BOOT_GRACE_S
+                     evidence->age_s > evidence->boot_s * TMX_BOOT_LATE_FACTOR + BOOT_GRACE_S
                  ? TMX_DELETE_BOOT_TIMEOUT
                  : TMX_DELETE_NOT;
     case TMX_INSTANCE_RUNNING:
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -11,7 +11,7 @@
 #include "cloud/scale_in_policy.h"
 
 static void set_draining(struct tmx_cloud *cloud, const char *id, bool draining) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   snprintf(line, sizeof line, "%c %s %d", TMX_LINE_MACHINE_DRAINING, id, draining);
   tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", id, draining ? "no longer" : "again");
   tmx_scheduler_queue_log_line(cloud->scheduler, line);
@@ -91,7 +91,7 @@
 static void drain_first(struct tmx_cloud *cloud, struct tmx_fleet *fleet,
                         const struct tmx_reserve *reserve,
                         const struct tmx_drain_candidate *candidates, size_t count) {
-  const double step_cpus = TMX_DRAIN_SHARE * fleet->cpus;
+  const double step_cpus = TMX_DRAIN_CPUS_SHARE * fleet->cpus;
   double drained_cpus = 0;
   for (size_t i = 0; i < count && drained_cpus < step_cpus; i++) {
     if (tmx_peak_drain_decision(fleet, reserve, &candidates[i]) != TMX_DRAIN) continue;
@@ -104,11 +104,11 @@
 /* A controller that has just started, or just become leader, does not know the peak yet. */
 static bool knows_peak(const struct tmx_cloud *cloud, double now) {
   return now - cloud->leading_since >= TMX_LEADER_SETTLE_S &&
-         now - cloud->demand.since >= TMX_PEAK_DEMAND_S;
+         now - cloud->demand.since >= TMX_PEAK_DEMAND_WINDOW_S;
 }
 
 void tmx_cloud_drain_to_peak(struct tmx_cloud *cloud, bool busy, double now) {
-  if (now - cloud->drain_chosen_at < TMX_DRAIN_SPACING_S) return;
+  if (now - cloud->drain_chosen_at < TMX_DRAIN_PERIOD_S) return;
   cloud->drain_chosen_at = now;
   struct tmx_fleet fleet = survey_fleet(cloud, busy);
   if (busy || !knows_peak(cloud, now)) return;
--- a/src/cloud/scale_in_policy.c
+++ b/src/cloud/scale_in_policy.c
@@ -17,9 +17,10 @@
 }
 
 struct tmx_reserve tmx_reserve_for(double peak_cpus, size_t machines) {
-  double margin = fmin(TMX_PEAK_MARGIN, 1 / sqrt(fmax((double)machines, 1)));
-  return (struct tmx_reserve){
-      .peak_cpus = peak_cpus, .margin = margin, .move_room = fmin(TMX_MOVE_ROOM_SHARE, 2 * margin)};
+  double margin = fmin(TMX_PEAK_MARGIN_SHARE_MAX, 1 / sqrt(fmax((double)machines, 1)));
+  return (struct tmx_reserve){.peak_cpus = peak_cpus,
+                              .margin = margin,
+                              .move_room = fmin(TMX_MOVE_CAPACITY_SHARE_MAX, 2 * margin)};
 }
 
 bool tmx_replicas_can_move(const struct tmx_fleet *fleet, const struct tmx_reserve *reserve,
@@ -27,7 +28,7 @@
   if (candidate->service_cpus <= 0) return true;
   double others_free =
       fleet->free_cpus_in_zone[candidate->zone] - (candidate->type->cpus - candidate->booked_cpus);
-  double needed = TMX_MOVE_ROOM_FACTOR * candidate->service_cpus +
+  double needed = TMX_MOVE_CAPACITY_FACTOR * candidate->service_cpus +
                   reserve->move_room * reserve->peak_cpus / (double)n_zones;
   return others_free >= needed;
 }
@@ -54,7 +55,7 @@
   /* Machines with replicas go a few at a time: each of them means a restart for somebody. One may
    * always go, however small the fleet is. */
   if (candidate->service_cpus > 0 && fleet->draining_cpus > 0 &&
-      fleet->draining_cpus + cpus > TMX_DRAINING_SHARE_MAX * fleet->cpus)
+      fleet->draining_cpus + cpus > TMX_DRAINING_CPUS_SHARE_MAX * fleet->cpus)
     return TMX_KEEP_FOR_MOVES;
   return TMX_DRAIN;
 }
--- a/src/cloud/usage_log.c
+++ b/src/cloud/usage_log.c
@@ -3,7 +3,8 @@
 #include "cloud/cloud_internal.h"
 
 void tmx_cloud_log_usage(struct tmx_cloud *cloud, double now) {
-  if (!tmx_log_enabled(TMX_LOG_INFO) || now - cloud->usage_logged_at < TMX_USAGE_LOG_S) return;
+  if (!tmx_log_enabled(TMX_LOG_INFO) || now - cloud->usage_logged_at < TMX_USAGE_LOG_PERIOD_S)
+    return;
   cloud->usage_logged_at = now;
   double cpus[2] = {0, 0}, booked[2] = {0, 0}; /* on demand, spot */
   double draining = 0, services = 0;
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -74,7 +74,7 @@
   for (const auto &[team, value] : table.as_table()) {
     const std::string team_path = prefix + team;
     if (admission->n_named == TMX_TEAMS_MAX) throw invalid_key{team_path, "too many teams"};
-    if (team.size() >= TMX_NAME_MAX) throw invalid_key{team_path, "too long"};
+    if (team.size() >= TMX_NAME_BYTES) throw invalid_key{team_path, "too long"};
     tmx_team_share &named = admission->named[admission->n_named++];
     std::snprintf(named.team, sizeof named.team, "%s", team.c_str());
     named.share = read_number(team_path, value, TEAM_SHARE_MIN, TEAM_SHARE_MAX);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -5,22 +5,22 @@
 
 void tmx_operator_defaults(struct tmx_operator_settings *operators) {
   operators->idle_return_s = TMX_IDLE_RETURN_S;
-  operators->headroom = TMX_HEADROOM;
+  operators->headroom = TMX_SERVICE_HEADROOM_SHARE;
   operators->silent_s = 0;
   operators->admission = (struct tmx_admission_settings){.backlog_s = TMX_ADMISSION_BACKLOG_S,
-                                                         .reserve = TMX_ADMISSION_RESERVE,
-                                                         .start_s = TMX_ADMISSION_START_S};
+                                                         .reserve = TMX_ADMISSION_RESERVE_SHARE,
+                                                         .start_s = TMX_ADMISSION_START_PERIOD_S};
 }
 
 /* The sockets that are not set aside for the state service, the cloud and the peers. */
 static int shared_sockets(const struct tmx_settings *settings) {
   int half = settings->sockets / 2;
-  bool is_few = settings->sockets < 2 * TMX_OWN_SOCKETS;
-  return settings->sockets - (is_few ? half : TMX_OWN_SOCKETS);
+  bool is_few = settings->sockets < 2 * TMX_RESERVED_SOCKETS;
+  return settings->sockets - (is_few ? half : TMX_RESERVED_SOCKETS);
 }
 
 int tmx_sockets_out(const struct tmx_settings *settings) {
-  return (int)(shared_sockets(settings) * TMX_WORKER_CONNS);
+  return (int)(shared_sockets(settings) * TMX_WORKER_SOCKETS_SHARE);
 }
 
 int tmx_sockets_in(const struct tmx_settings *settings) {
@@ -28,12 +28,12 @@
 }
 
 size_t tmx_value_room(const struct tmx_settings *settings) {
-  return (size_t)(settings->value_kb * 1024 * TMX_VALUE_SHARE) - TMX_JSON_FRAME;
+  return (size_t)(settings->value_kb * 1024 * TMX_VALUE_USED_SHARE) - TMX_JSON_OVERHEAD_BYTES;
 }
 
 double tmx_fresh_bound(const struct tmx_settings *settings) {
-  double drift_margin = TMX_CLOCK_DRIFT * settings->cancel_s + TMX_FRESH_MARGIN_S / 2;
-  return settings->cancel_s - settings->lease_s - fmax(drift_margin, TMX_FRESH_MARGIN_S);
+  double drift_margin = TMX_CLOCK_DRIFT_SHARE_MAX * settings->cancel_s + TMX_FRESHNESS_MARGIN_S / 2;
+  return settings->cancel_s - settings->lease_s - fmax(drift_margin, TMX_FRESHNESS_MARGIN_S);
 }
 
 int tmx_node_zone(const struct tmx_settings *settings, const char *node) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -19,14 +19,14 @@
 
 /** Another controller of the cluster. */
 struct tmx_peer_settings {
-  char name[TMX_NAME_MAX]; /**< node name of the controller */
-  char zone[TMX_NAME_MAX]; /**< zone that it runs in */
-  char addr[TMX_NAME_MAX]; /**< for heartbeats between controllers, such as 10.0.0.1:8080 */
+  char name[TMX_NAME_BYTES]; /**< node name of the controller */
+  char zone[TMX_NAME_BYTES]; /**< zone that it runs in */
+  char addr[TMX_NAME_BYTES]; /**< for heartbeats between controllers, such as 10.0.0.1:8080 */
 };
 
 /** A team with its quota: what it is guaranteed, and its limit (0: none). */
 struct tmx_team_settings {
-  char name[TMX_NAME_MAX]; /**< as submissions name it */
+  char name[TMX_NAME_BYTES]; /**< as submissions name it */
   /** CPUs that are guaranteed. */
   double cpus, /** Limit of CPUs in use at once; 0: none. */ cpus_max;
   /** GPUs that are guaranteed. */
@@ -35,15 +35,15 @@
 
 /** A service-level objective of a class of work. */
 struct tmx_objective {
-  char kind[16];                 /**< wait, deadline, finished or guarantee */
-  char class_name[TMX_NAME_MAX]; /**< empty if it names no class */
-  double within_s;               /**< seconds; 0 if it names none */
+  char kind[16];                   /**< wait, deadline, finished or guarantee */
+  char class_name[TMX_NAME_BYTES]; /**< empty if it names no class */
+  double within_s;                 /**< seconds; 0 if it names none */
 };
 
 /** A team's share of the admitted work, as the operators name it. */
 struct tmx_team_share {
-  char team[TMX_NAME_MAX]; /**< name of the team */
-  double share;            /**< 0 to 1 */
+  char team[TMX_NAME_BYTES]; /**< name of the team */
+  double share;              /**< 0 to 1 */
 };
 
 /** The operators' settings of admission control. */
@@ -55,7 +55,7 @@
   double start_s;       /**< a class whose work waits gets a start this often, seconds */
   struct tmx_team_share named[TMX_TEAMS_MAX]; /**< in no particular order */
   size_t n_named;                             /**< entries of `named` in use */
-  double share[TMX_TEAMS_MAX]; /**< of each team, by index; see tmx_admission_resolve */
+  double share[TMX_TEAMS_MAX]; /**< of each team, by index; see tmx_admission_settings_resolve */
 };
 
 /** The operators' own settings. */
@@ -68,15 +68,15 @@
 
 /** All settings of one controller. Addresses have the form 10.0.0.1:8080. */
 struct tmx_settings {
-  char node_name[TMX_NAME_MAX];                        /**< of this controller */
-  char zone[TMX_NAME_MAX];                             /**< of this controller */
-  char listen[TMX_NAME_MAX];                           /**< for users and workers */
-  char peer_listen[TMX_NAME_MAX];                      /**< for heartbeats between controllers */
-  char cloud[TMX_NAME_MAX];                            /**< the cloud's API */
-  char state[TMX_NAME_MAX];                            /**< the state service */
+  char node_name[TMX_NAME_BYTES];                      /**< of this controller */
+  char zone[TMX_NAME_BYTES];                           /**< of this controller */
+  char listen[TMX_NAME_BYTES];                         /**< for users and workers */
+  char peer_listen[TMX_NAME_BYTES];                    /**< for heartbeats between controllers */
+  char cloud[TMX_NAME_BYTES];                          /**< the cloud's API */
+  char state[TMX_NAME_BYTES];                          /**< the state service */
   struct tmx_peer_settings peers[TMX_MEMBERS_MAX];     /**< the other controllers */
   size_t n_peers;                                      /**< entries of `peers` in use */
-  char zones[TMX_ZONES_MAX][TMX_NAME_MAX];             /**< names of the zones */
+  char zones[TMX_ZONES_MAX][TMX_NAME_BYTES];           /**< names of the zones */
   size_t n_zones;                                      /**< entries of `zones` in use */
   struct tmx_team_settings teams[TMX_TEAMS_MAX];       /**< the teams with their quotas */
   size_t n_teams;                                      /**< entries of `teams` in use */
--- a/src/config/settings_json.c
+++ b/src/config/settings_json.c
@@ -34,12 +34,12 @@
   tmx_settings_set_error(section->error, section->path, key, reason);
 }
 
-/* `out` has TMX_NAME_MAX bytes. */
+/* `out` has TMX_NAME_BYTES bytes. */
 static void read_text(const struct section *section, const char *key, char *out) {
   const json_t *value = json_object_get(section->map, key);
   if (!json_is_string(value) || !json_string_length(value))
     reject(section, key, "missing or not a text");
-  else if (json_string_length(value) >= TMX_NAME_MAX)
+  else if (json_string_length(value) >= TMX_NAME_BYTES)
     reject(section, key, "too long");
   else
     strcpy(out, json_string_value(value));
@@ -52,7 +52,7 @@
   return *port && atoi(port) >= 0 && atoi(port) <= UINT16_MAX;
 }
 
-/* `out` has TMX_NAME_MAX bytes. */
+/* `out` has TMX_NAME_BYTES bytes. */
 static void read_address(const struct section *section, const char *key, char *out) {
   read_text(section, key, out);
   if (!section->error->is_set && !is_address(out))
@@ -218,7 +218,7 @@
   size_t i;
   if (!json_array_size(list)) reject(cluster, "zones", "empty");
   json_array_foreach(list, i, item) {
-    if (!json_is_string(item) || json_string_length(item) >= TMX_NAME_MAX) {
+    if (!json_is_string(item) || json_string_length(item) >= TMX_NAME_BYTES) {
       reject(cluster, "zones", "not a list of texts");
       return;
     }
@@ -270,7 +270,7 @@
   read_numbers(&workers, worker_fields, COUNT_OF(worker_fields), settings);
   /* The freshness bound is what lies between lease_s and cancel_s: it must leave time for a read of
    * the state. */
-  if (!workers.error->is_set && tmx_fresh_bound(settings) < TMX_FRESH_MIN_S)
+  if (!workers.error->is_set && tmx_fresh_bound(settings) < TMX_FRESHNESS_BOUND_MIN_S)
     reject(&workers, "cancel_s",
            "exceeds lease_s by too little to renew leases safely: 3 s are needed, more for long "
            "ones");
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -22,7 +22,7 @@
 /* A controller that comes back from a network partition hears the others one after the other: the
  * last one to be heard is not lost. So it judges nobody by what it missed. */
 static void note_impairment(struct tmx_controller *controller, double now, bool loop_was_late) {
-  bool store_lost = now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_LOST_S;
+  bool store_lost = now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_UNREACHABLE_S;
   if (loop_was_late || store_lost || !tmx_peers_any_alive(controller->peers))
     controller->impaired_at = now;
 }
@@ -167,14 +167,15 @@
 
 static void make_server(struct tmx_controller *controller) {
   const struct tmx_settings *settings = &controller->settings;
-  double idle_s = fmax(TMX_IDLE_CLOSE_S, TMX_IDLE_REPORTS * settings->report_s);
+  double idle_s =
+      fmax(TMX_IDLE_CONNECTION_TIMEOUT_S, TMX_IDLE_CONNECTION_REPORT_PERIODS * settings->report_s);
   controller->server =
       tmx_http_server_new(controller->loop, settings->listen, tmx_sockets_in(settings), idle_s,
                           tmx_controller_handle_request, controller);
 }
 
 static void start_watchers(struct tmx_controller *controller) {
-  ev_timer_init(&controller->tick_timer, on_tick, 0, TMX_TICK_S);
+  ev_timer_init(&controller->tick_timer, on_tick, 0, TMX_TICK_PERIOD_S);
   controller->tick_timer.data = controller;
   ev_timer_start(controller->loop, &controller->tick_timer);
   ev_prepare_init(&controller->prepare, on_prepare);
--- a/src/controller/controller_internal.h
+++ b/src/controller/controller_internal.h
@@ -38,11 +38,11 @@
   struct tmx_users *users;               /**< owned; NULL while the controller is being made */
   struct tmx_compaction *compaction;     /**< owned */
   struct tmx_http_server *server;        /**< owned; for users and workers */
-  ev_timer tick_timer;                   /**< runs the ticks of the modules, every TMX_TICK_S */
-  ev_prepare prepare; /**< sends what was gathered, before the loop waits for events */
-  double started_at;  /**< monotonic clock, seconds */
-  double impaired_at; /**< monotonic clock, seconds: until then the loop was late, or the store or
-                         all peers were out of reach */
+  ev_timer tick_timer; /**< runs the ticks of the modules, every TMX_TICK_PERIOD_S */
+  ev_prepare prepare;  /**< sends what was gathered, before the loop waits for events */
+  double started_at;   /**< monotonic clock, seconds */
+  double impaired_at;  /**< monotonic clock, seconds: until then the loop was late, or the store or
+                          all peers were out of reach */
 };
 
 /** Passes the replica's changes on to scheduler, workers and admission. replica_events.c */
--- a/src/controller/peer_observation.c
+++ b/src/controller/peer_observation.c
@@ -14,7 +14,7 @@
   for (size_t i = 0; i < replica->n_registered_members; i++) {
     const char *node = replica->registered_members[i].name;
     if (!strcmp(node, settings->node_name)) continue;
-    bool heard = tmx_peers_silence(controller->peers, node) < TMX_HEARTBEAT_LOST_S;
+    bool heard = tmx_peers_silence(controller->peers, node) < TMX_HEARTBEAT_EXPIRY_S;
     bool same_zone = tmx_node_zone(settings, node) == own_zone;
     census.others++;
     census.heard += heard;
--- a/src/controller/request_router.c
+++ b/src/controller/request_router.c
@@ -12,7 +12,7 @@
       tmx_peers_lost_store_alone(controller->peers))
     return false;
   double store_age_s = tmx_clock_steady() - tmx_store_fresh_as_of(controller->store);
-  return store_age_s < TMX_STORE_LOST_S || tmx_peers_any_alive(controller->peers);
+  return store_age_s < TMX_STORE_UNREACHABLE_S || tmx_peers_any_alive(controller->peers);
 }
 
 static void handle_heartbeat(struct tmx_controller *controller, struct tmx_http_request *request) {
--- a/src/main.c
+++ b/src/main.c
@@ -71,7 +71,7 @@
   if (line->operator_settings_path &&
       !tmx_operator_load(&settings->operators, line->operator_settings_path, error, error_size))
     return false;
-  return tmx_admission_resolve(settings, error, error_size);
+  return tmx_admission_settings_resolve(settings, error, error_size);
 }
 
 /* Runs the controller; returns the exit code of the process. */
--- a/src/membership/authority.c
+++ b/src/membership/authority.c
@@ -10,7 +10,7 @@
 
 bool tmx_authority_may_start_tasks(const struct tmx_authority *authority) {
   return tmx_authority_may_act(authority) &&
-         tmx_clock_steady() - tmx_store_fresh_as_of(authority->store) < TMX_START_FRESH_S;
+         tmx_clock_steady() - tmx_store_fresh_as_of(authority->store) < TMX_START_REPLICA_AGE_MAX_S;
 }
 
 int tmx_authority_member_index(const struct tmx_authority *authority) {
--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -30,7 +30,7 @@
                            const struct tmx_peer_evidence *evidence) {
   /* A refused connection alone does not prove that the process is dead: it is alive if it wrote a
    * batch to the log a moment ago. */
-  if (evidence->refuses_connections) return evidence->last_batch_age_s > TMX_RECENT_BATCH_S;
+  if (evidence->refuses_connections) return evidence->last_batch_age_s > TMX_RECENT_BATCH_AGE_MAX_S;
   /* It is alive, but others can drive its machines and it cannot. */
   if (evidence->reports_no_workers) return true;
   /* The controllers behind a partition are alive and drive the machines of their zones. */
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -45,7 +45,7 @@
 struct tmx_zone_liveness {
   unsigned machines; /**< machines in the zone */
   unsigned lost;     /**< several probes in a row were lost */
-  unsigned alive;    /**< estimate, from signs of life within TMX_ALIVE_S */
+  unsigned alive;    /**< estimate, from signs of life within TMX_LIVENESS_WINDOW_S */
 };
 
 /** Whether the zone seems to be partitioned from the owners of its machines, rather than its
@@ -54,7 +54,7 @@
 
 /** What the owner of a machine reports when something is wrong with the machine. */
 struct tmx_suspicion {
-  char id[TMX_ID_MAX];     /**< of the machine */
+  char id[TMX_ID_BYTES];   /**< of the machine */
   double silence_s;        /**< s since its last sign of life */
   int probes_lost;         /**< in a row */
   double unacknowledged_s; /**< s that nothing has shown that it hears its owner; 0: it does */
--- a/src/membership/view_manager.c
+++ b/src/membership/view_manager.c
@@ -54,7 +54,7 @@
 
 static bool may_commit(const struct tmx_view_manager *manager) {
   return !manager->commit_in_flight &&
-         tmx_clock_steady() - manager->committed_at >= TMX_VIEW_SPACING_S;
+         tmx_clock_steady() - manager->committed_at >= TMX_VIEW_SPACING_MIN_S;
 }
 
 static bool is_among(const char *machine, const char *const *machines, size_t n_machines) {
@@ -144,7 +144,7 @@
   /* Back to one hash over all zones only when both sides have been heard for a while. */
   if (tmx_zones_are_partitioned(&census)) manager->zones_partitioned_at = now;
   view.zones_partitioned = manager->zones_partitioned_at > 0 &&
-                           now - manager->zones_partitioned_at < TMX_ZONE_PARTITION_HOLD_S;
+                           now - manager->zones_partitioned_at < TMX_VIEW_PARTITION_HOLD_S;
   select_members(manager, &view, &census);
   if (has_same_members(replica, &view) && view.zones_partitioned == replica->view.zones_partitioned)
     return;
--- a/src/net/address.c
+++ b/src/net/address.c
@@ -9,7 +9,7 @@
 #include "tmx/constants.h"
 
 bool tmx_parse_address(const char *text, struct sockaddr_in *address) {
-  char host[TMX_NAME_MAX];
+  char host[TMX_NAME_BYTES];
   const char *colon = strrchr(text, ':');
   memset(address, 0, sizeof *address);
   if (!colon || (size_t)(colon - text) >= sizeof host) return false;
--- a/src/net/cbor_check.c
+++ b/src/net/cbor_check.c
@@ -10,8 +10,8 @@
 struct token_check {
   int depth;
   bool is_refused;
-  size_t bytes_left;                /* from the token at hand to the end */
-  uint64_t missing[TMX_CBOR_DEPTH]; /* items still to come at each open level */
+  size_t bytes_left;                    /* from the token at hand to the end */
+  uint64_t missing[TMX_CBOR_DEPTH_MAX]; /* items still to come at each open level */
 };
 
 /* An item has ended; so do the levels whose last member it was. */
@@ -23,7 +23,7 @@
 }
 
 static void open_level(struct token_check *check, uint64_t members) {
-  bool is_too_deep = check->depth >= TMX_CBOR_DEPTH;
+  bool is_too_deep = check->depth >= TMX_CBOR_DEPTH_MAX;
   bool claims_too_much = members != INDEFINITE && members > check->bytes_left;
   if (is_too_deep || claims_too_much)
     check->is_refused = true;
--- a/src/net/cbor_reader.h
+++ b/src/net/cbor_reader.h
@@ -11,7 +11,7 @@
 /**
  * Decodes `length` bytes.
  * @return the item, which the caller frees with tmx_cbor_free, or NULL for anything that is not
- *         exactly one well-formed item of at most TMX_CBOR_DEPTH levels. Byte strings, tags and
+ *         exactly one well-formed item of at most TMX_CBOR_DEPTH_MAX levels. Byte strings, tags and
  *         strings in parts are refused too: no message uses them.
  */
 cbor_item_t *tmx_cbor_parse(const uint8_t *bytes, size_t length);
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -17,8 +17,8 @@
 #include "tmx/constants.h"
 
 enum {
-  READ_BYTES = 32768,              /* received at once, at most */
-  HEAD_BYTES = TMX_PATH_MAX + 256, /* of a request */
+  READ_BYTES = 32768,                /* received at once, at most */
+  HEAD_BYTES = TMX_PATH_BYTES + 256, /* of a request */
 };
 
 /* A connection to the server, and the request that is under way on it if it is busy. */
@@ -42,7 +42,7 @@
 struct tmx_http_client {
   struct ev_loop *loop;
   struct sockaddr_in address;
-  char host[TMX_NAME_MAX];
+  char host[TMX_NAME_BYTES];
   int connection_count, max_connections;
   struct connection *connections;
 };
@@ -71,7 +71,7 @@
 /* An error ends the parse, and with it the request: the response is too large. */
 static int on_body_part(http_parser *parser, const char *part, size_t length) {
   struct connection *connection = parser->data;
-  if (connection->body.length + length > TMX_REPLY_MAX) return 1;
+  if (connection->body.length + length > TMX_RESPONSE_BODY_BYTES_MAX) return 1;
   tmx_buffer_append(&connection->body, part, length);
   return 0;
 }
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -30,7 +30,7 @@
   ev_io readable, writable;
   ev_timer idle_timer;
   http_parser parser;
-  char path[TMX_PATH_MAX];
+  char path[TMX_PATH_BYTES];
   size_t path_length;
   struct tmx_buffer body, output;
   size_t sent;                      /* bytes of `output` */
@@ -100,13 +100,15 @@
 static int on_headers_complete(http_parser *parser) {
   struct tmx_http_connection *connection = parser->data;
   bool has_length = parser->content_length != UINT64_MAX;
-  if (has_length && parser->content_length > TMX_BODY_MAX) connection->is_body_too_long = true;
+  if (has_length && parser->content_length > TMX_REQUEST_BODY_BYTES_MAX)
+    connection->is_body_too_long = true;
   return 0;
 }
 
 static int on_body_part(http_parser *parser, const char *part, size_t length) {
   struct tmx_http_connection *connection = parser->data;
-  if (connection->is_body_too_long || connection->body.length + length > TMX_BODY_MAX) {
+  if (connection->is_body_too_long ||
+      connection->body.length + length > TMX_REQUEST_BODY_BYTES_MAX) {
     connection->is_body_too_long = true;
     return 0;
   }
@@ -234,7 +236,7 @@
   } else if (HTTP_PARSER_ERRNO(parser) != HPE_OK) {
     reject_request(connection, HTTP_STATUS_BAD_REQUEST);
   } else {
-    restart_idle_timer(connection, TMX_PARTIAL_S);
+    restart_idle_timer(connection, TMX_REQUEST_RECEIVE_TIMEOUT_S);
   }
 }
 
@@ -257,7 +259,8 @@
 static bool evict_unused_connection(struct tmx_http_server *server) {
   struct tmx_http_connection *connection;
   DL_FOREACH(server->connections, connection) {
-    if (ev_now(server->loop) - connection->used_at < TMX_IDLE_LEAST_S) return false;
+    if (ev_now(server->loop) - connection->used_at < TMX_IDLE_CONNECTION_EVICTION_MIN_S)
+      return false;
     if (connection->request || connection->output.length) continue;
     close_connection(connection);
     return true;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -19,9 +19,9 @@
 struct tmx_http_request {
   struct tmx_http_connection *conn; /**< NULL once the other side has gone */
   int method;                       /**< enum http_method of http-parser */
-  char path[TMX_PATH_MAX];          /**< with the query, as received */
+  char path[TMX_PATH_BYTES];        /**< with the query, as received */
   uint8_t *body;                    /**< owned by the request; may be NULL when empty */
-  size_t body_len;                  /**< bytes, at most TMX_BODY_MAX */
+  size_t body_len;                  /**< bytes, at most TMX_REQUEST_BODY_BYTES_MAX */
 };
 
 /** Gets each whole request; must answer it once, at once or later, through tmx_http_reply. */
--- a/src/peer/outgoing_connection.c
+++ b/src/peer/outgoing_connection.c
@@ -88,7 +88,7 @@
 
 void tmx_outgoing_connection_maintain(struct tmx_outgoing_connection *connection, double now) {
   if (!connection->unsent.length && !connection->connecting) connection->blocked_since = now;
-  if (connection->fd >= 0 && now - connection->blocked_since > TMX_HEARTBEAT_LOST_S)
+  if (connection->fd >= 0 && now - connection->blocked_since > TMX_HEARTBEAT_EXPIRY_S)
     close_connection(connection);
   if (connection->fd < 0) open_connection(connection, now);
 }
--- a/src/peer/peer_queries.c
+++ b/src/peer/peer_queries.c
@@ -32,7 +32,7 @@
   double now = tmx_clock_steady();
   for (size_t i = 0; i < peers->count; i++) {
     const struct tmx_peer *peer = &peers->peers[i];
-    if (peer->heartbeat_at && now - peer->heartbeat_at < TMX_HEARTBEAT_LOST_S) return true;
+    if (peer->heartbeat_at && now - peer->heartbeat_at < TMX_HEARTBEAT_EXPIRY_S) return true;
   }
   return false;
 }
@@ -49,14 +49,14 @@
 
 bool tmx_peers_lost_store_alone(const struct tmx_peers *peers) {
   double own_age_s = tmx_clock_steady() - tmx_store_fresh_as_of(peers->store);
-  if (peers->replica->loaded && own_age_s < TMX_STORE_LOST_S) return false;
-  return tmx_peers_store_age(peers) < TMX_STORE_LOST_S / 2;
+  if (peers->replica->loaded && own_age_s < TMX_STORE_UNREACHABLE_S) return false;
+  return tmx_peers_store_age(peers) < TMX_STORE_UNREACHABLE_S / 2;
 }
 
 bool tmx_peers_reports_no_workers(const struct tmx_peers *peers, const char *node) {
   const struct tmx_peer *peer = tmx_peers_find(peers, node);
   return peer && peer->reaches_no_workers &&
-         tmx_clock_steady() - peer->heartbeat_at < TMX_HEARTBEAT_LOST_S;
+         tmx_clock_steady() - peer->heartbeat_at < TMX_HEARTBEAT_EXPIRY_S;
 }
 
 const struct tmx_zone_liveness *tmx_peers_zone_liveness(const struct tmx_peers *peers,
--- a/src/peer/peers_internal.h
+++ b/src/peer/peers_internal.h
@@ -10,7 +10,7 @@
 
 /** One other controller of the settings: the connection to it and its latest heartbeat. */
 struct tmx_peer {
-  char name[TMX_NAME_MAX];                 /**< node name of the controller */
+  char name[TMX_NAME_BYTES];               /**< node name of the controller */
   struct tmx_outgoing_connection outgoing; /**< the connection to it */
   double heartbeat_at;  /**< monotonic clock, seconds; 0: never heard, and what follows is empty */
   double replica_age_s; /**< of its replica, when the heartbeat was sent, seconds */
--- a/src/planner/ageing.c
+++ b/src/planner/ageing.c
@@ -73,8 +73,9 @@
     struct planner_job *job = by_release[i];
     if (job->record.team < 0 || tmx_job_precedence(job) == PRECEDENCE_PRODUCTION) continue;
     size_t team = (size_t)job->record.team, account = (size_t)job->record.account;
-    if (served[team][account] || !tmx_turn_due(&round->input->start_rotation, team, account,
-                                               tmx_job_waited_s(round->input, job)))
+    if (served[team][account] ||
+        !tmx_start_rotation_is_due(&round->input->start_rotation, team, account,
+                                   tmx_job_waited_s(round->input, job)))
       continue;
     uint32_t placed_now = tmx_place_job(round, job, 1);
     served[team][account] = placed_now > 0;
@@ -91,7 +92,7 @@
 }
 
 static bool has_aged(const struct round *round, const struct planner_job *job) {
-  return tmx_job_waited_s(round->input, job) >= TMX_AGED_JOB_S &&
+  return tmx_job_waited_s(round->input, job) >= TMX_AGED_JOB_WAIT_S &&
          tmx_job_precedence(job) != PRECEDENCE_PRODUCTION;
 }
 
--- a/src/planner/planner.c
+++ b/src/planner/planner.c
@@ -73,7 +73,7 @@
   placed += tmx_place_jobs(round, by_rank + n_production, count - n_production, UINT32_MAX,
                            &planner->resume_others);
   planner->aged_job_credit =
-      fmin(planner->aged_job_credit + TMX_AGED_JOB_SHARE * placed, TMX_PLAN_TASKS);
+      fmin(planner->aged_job_credit + TMX_AGED_JOB_SHARE * placed, TMX_ROUND_JOB_TASKS_MAX);
 }
 
 void tmx_planner_run_round(struct tmx_planner *planner, const struct tmx_round_input *input,
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -32,7 +32,7 @@
   size_t n_teams;                                /**< entries of `usage` and `teams` in use */
   size_t max_operations;                         /**< limit on the operations of the round */
   size_t max_visits; /**< limit on examined machines and tasks; bounds the time of a round */
-  struct tmx_turns start_rotation; /**< time since each account's last start */
+  struct tmx_start_rotation start_rotation; /**< time since each account's last start */
 };
 
 /** The result of a round. */
--- a/src/planner/planner_delta.h
+++ b/src/planner/planner_delta.h
@@ -29,11 +29,11 @@
 
 /** The current state of a machine. CPUs and GPUs are counts, memory is in GB. */
 struct tmx_plan_machine {
-  int slot;             /**< slot of the machine */
-  char id[TMX_ID_MAX],  /**< id of the machine, assigned by the cloud */
-      type[TMX_ID_MAX]; /**< name of the machine type */
-  int zone;             /**< index of the zone; -1: unknown, the machine gets no tasks */
-  bool spot;            /**< spot instance: the provider may reclaim it */
+  int slot;               /**< slot of the machine */
+  char id[TMX_ID_BYTES],  /**< id of the machine, assigned by the cloud */
+      type[TMX_ID_BYTES]; /**< name of the machine type */
+  int zone;               /**< index of the zone; -1: unknown, the machine gets no tasks */
+  bool spot;              /**< spot instance: the provider may reclaim it */
   bool usable;   /**< recent contact in both directions, not faulty, no interruption notice */
   bool draining; /**< will be returned to the cloud: services move off it, it gets no new tasks */
   int owner;     /**< index of the member that controls it */
@@ -62,7 +62,7 @@
 /** The current state of a job. */
 struct tmx_plan_job {
   int slot;                  /**< slot of the job */
-  char id[TMX_ID_MAX];       /**< id of the job, as in the log */
+  char id[TMX_ID_BYTES];     /**< id of the job, as in the log */
   struct tmx_job_spec *spec; /**< allocated; the planner takes it over. NULL: unchanged */
   int team;                  /**< index of the team; -1: unknown, no task is placed */
   int planning_member;       /**< index of the member that plans the job; -1: there is no view */
@@ -84,7 +84,7 @@
   struct tmx_plan_waiting_task *waiting;  /**< first waiting tasks; the planner takes it over */
   size_t n_waiting;                       /**< entries of `waiting` */
   uint32_t placed_in_zone[TMX_ZONES_MAX]; /**< placed tasks by zone */
-  char failed_machines[4][TMX_ID_MAX];    /**< where its tasks failed recently; unused: "" */
+  char failed_machines[4][TMX_ID_BYTES];  /**< where its tasks failed recently; unused: "" */
 };
 
 /**
--- a/src/planner/planner_tables.h
+++ b/src/planner/planner_tables.h
@@ -39,7 +39,7 @@
 /** All machines of one type and zone that are all spot or all not spot. A job is eligible for all
  * machines of a group or for none. */
 struct machine_group {
-  char type[TMX_ID_MAX];     /**< name of the machine type */
+  char type[TMX_ID_BYTES];   /**< name of the machine type */
   int zone;                  /**< index of the zone */
   bool spot;                 /**< spot instances: the provider may reclaim them */
   struct tmx_resources size; /**< resources of each machine */
--- a/src/planner/scale_out_plan.c
+++ b/src/planner/scale_out_plan.c
@@ -76,7 +76,8 @@
  * rather than all of it of the cheapest, round after round, until that one is exhausted. */
 static bool is_asked_in_full(const struct scale_out_plan *plan, int offer) {
   size_t rental = rental_of(plan, offer);
-  return rental < plan->n_rentals && plan->rentals[rental].count >= TMX_SCALE_OUT_OFFER_MAX;
+  return rental < plan->n_rentals &&
+         plan->rentals[rental].count >= TMX_SCALE_OUT_OFFER_MACHINES_MAX;
 }
 
 /* Index of the offer with the lowest price for a task's room; -1: none suits. */
@@ -164,7 +165,7 @@
                           struct tmx_scale_out *out, size_t max) {
   struct scale_out_plan plan = {.offers = situation->offers,
                                 .n_offers = situation->n_offers,
-                                .cap_bins = situation->n_coming + TMX_SCALE_OUTS_MAX,
+                                .cap_bins = situation->n_coming + TMX_SCALE_OUT_MACHINES_MAX,
                                 .rentals = out,
                                 .max_rentals = max};
   plan.bins = tmx_allocate(plan.cap_bins, sizeof *plan.bins);
--- a/src/planner/service_migration.c
+++ b/src/planner/service_migration.c
@@ -22,7 +22,7 @@
       *moving += machine->record.draining && task->stopping;
     }
   }
-  return TMX_MOVES_MIN + (size_t)(TMX_MOVES_SHARE * (double)replicas);
+  return TMX_SERVICE_MOVES_BASE + (size_t)(TMX_SERVICE_MOVES_SHARE * (double)replicas);
 }
 
 /* Finds warm room for the replica elsewhere, as if it were gone from its zone; -1: there is none.
--- a/src/replica/apply_log.c
+++ b/src/replica/apply_log.c
@@ -81,19 +81,19 @@
 
 /* Applies `y JOB TYPE`, where TYPE is the rest of the line because it can contain spaces. */
 static void apply_type_line(struct tmx_replica *replica, const char *line) {
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   int type_at = 0;
   if (sscanf(line, "%*c %31s %n", id, &type_at) != 1 || !type_at) return;
   struct tmx_job *job = tmx_job_find(replica, id);
   const char *type = line + type_at;
-  if (!job || !job->spec.n_types || job->spec.n_types == TMX_TYPES_MAX) return;
-  if (strlen(type) >= TMX_ID_MAX || tmx_type_allowed(&job->spec, type)) return;
-  snprintf(job->spec.types[job->spec.n_types++], TMX_ID_MAX, "%s", type);
+  if (!job || !job->spec.n_types || job->spec.n_types == TMX_MACHINE_TYPES_MAX) return;
+  if (strlen(type) >= TMX_ID_BYTES || tmx_type_allowed(&job->spec, type)) return;
+  snprintf(job->spec.types[job->spec.n_types++], TMX_ID_BYTES, "%s", type);
 }
 
 /* Consecutive tasks of a job that share their state and attempt number, as stored in a page. */
 struct task_range {
-  char job[TMX_ID_MAX];
+  char job[TMX_ID_BYTES];
   uint32_t first, count, attempt;
   char state; /* enum tmx_task_range_state, or enum tmx_stop_mode as a digit */
   const char *machine;
@@ -103,7 +103,7 @@
 static bool parse_task_range(char *line, struct task_range *range) {
   enum { KIND, FIRST_TASK, COUNT, ATTEMPT, STATE, MACHINE, FIELDS };
   char *field[FIELDS];
-  if (tmx_log_line_split(line, field, FIELDS) != FIELDS || strlen(field[MACHINE]) >= TMX_ID_MAX ||
+  if (tmx_log_line_split(line, field, FIELDS) != FIELDS || strlen(field[MACHINE]) >= TMX_ID_BYTES ||
       !tmx_task_parse(field[FIRST_TASK], range->job, sizeof range->job, &range->first) ||
       !tmx_log_line_parse_u32(field[COUNT], &range->count) ||
       !tmx_log_line_parse_u32(field[ATTEMPT], &range->attempt))
@@ -177,7 +177,7 @@
   for (size_t i = 0; i < tmx_cbor_list_length(jobs); i++)
     tmx_replica_apply_job_record(replica, tmx_cbor_list_at(jobs, i), 0);
   for (size_t i = 0; i < tmx_cbor_list_length(lines); i++) {
-    char line[TMX_LINE_MAX];
+    char line[TMX_LOG_LINE_BYTES];
     if (tmx_cbor_as_text(tmx_cbor_list_at(lines, i), line, sizeof line)) apply_line(replica, line);
   }
 }
--- a/src/replica/apply_operation.c
+++ b/src/replica/apply_operation.c
@@ -124,11 +124,12 @@
   machine->errors_of_several_jobs = false;
 }
 
-/* Exponential backoff: doubles with each consecutive failure, up to TMX_RETRY_MAX_S. */
+/* Exponential backoff: doubles with each consecutive failure, up to TMX_JOB_BACKOFF_MAX_S. */
 static double retry_backoff_s(uint32_t failures_before) {
-  double backoff_s = TMX_RETRY_BASE_S;
-  for (uint32_t i = 0; i < failures_before && backoff_s < TMX_RETRY_MAX_S; i++) backoff_s *= 2;
-  return backoff_s < TMX_RETRY_MAX_S ? backoff_s : TMX_RETRY_MAX_S;
+  double backoff_s = TMX_JOB_BACKOFF_MIN_S;
+  for (uint32_t i = 0; i < failures_before && backoff_s < TMX_JOB_BACKOFF_MAX_S; i++)
+    backoff_s *= 2;
+  return backoff_s < TMX_JOB_BACKOFF_MAX_S ? backoff_s : TMX_JOB_BACKOFF_MAX_S;
 }
 
 static void record_error(const struct tmx_replica *replica, struct tmx_job *job,
@@ -136,7 +137,7 @@
   job->retry_at = replica->now + retry_backoff_s(job->consecutive_failures++);
   char *failed_machine =
       job->failed_machines[job->next_failed_machine++ % TMX_FAILED_MACHINES_KEPT];
-  snprintf(failed_machine, TMX_ID_MAX, "%s", machine->id);
+  snprintf(failed_machine, TMX_ID_BYTES, "%s", machine->id);
   if (machine->consecutive_errors && strcmp(machine->error_job, job->id))
     machine->errors_of_several_jobs = true;
   snprintf(machine->error_job, sizeof machine->error_job, "%s", job->id);
--- a/src/replica/backlog.c
+++ b/src/replica/backlog.c
@@ -12,7 +12,7 @@
   for (size_t i = 0; i < settings->n_objectives; i++) {
     const char *name = settings->objectives[i].class_name;
     if (!name[0] || tmx_backlog_account(backlog, name) < backlog->n_listed) continue;
-    memcpy(backlog->listed[backlog->n_listed++], name, TMX_NAME_MAX);
+    memcpy(backlog->listed[backlog->n_listed++], name, TMX_NAME_BYTES);
   }
 }
 
@@ -29,13 +29,14 @@
 
 /* Submissions may name any number: an amount is bounded, so that no sum can overflow. */
 static int64_t bounded(double amount) {
-  return (int64_t)llround(fmin(fmax(amount, 0), TMX_LOAD_MAX));
+  return (int64_t)llround(fmin(fmax(amount, 0), TMX_JOB_LOAD_MAX));
 }
 
 struct tmx_load tmx_load_of(const struct tmx_job_spec *spec, uint32_t tasks_left) {
   struct tmx_load load = {{0}};
   if (!tasks_left) return load;
-  double run_s = spec->service ? TMX_ADMISSION_SERVICE_S : fmax(spec->estimate_s, TMX_RUN_MIN_S);
+  double run_s =
+      spec->service ? TMX_SERVICE_REPLICA_RUN_S : fmax(spec->estimate_s, TMX_RUN_ESTIMATE_MIN_S);
   double task_seconds = tasks_left * run_s;
   load.amount[TMX_ADMISSION_CPU] = bounded(task_seconds * spec->cpus * TMX_MILLI);
   load.amount[TMX_ADMISSION_GPU] = bounded(task_seconds * spec->gpus * TMX_MILLI);
--- a/src/replica/backlog.h
+++ b/src/replica/backlog.h
@@ -51,9 +51,9 @@
 };
 /** All accounts. */
 struct tmx_backlog {
-  char listed[TMX_LISTED_MAX][TMX_NAME_MAX]; /**< the classes that the objectives name */
-  size_t n_listed,                           /**< used entries of `listed` */
-      n_teams;                               /**< teams in the settings; used rows of `accounts` */
+  char listed[TMX_LISTED_MAX][TMX_NAME_BYTES]; /**< the classes that the objectives name */
+  size_t n_listed,                             /**< used entries of `listed` */
+      n_teams; /**< teams in the settings; used rows of `accounts` */
   struct tmx_account accounts[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX]; /**< by team, then by account */
 };
 
--- a/src/replica/job.h
+++ b/src/replica/job.h
@@ -66,8 +66,8 @@
 
 /** A job that was submitted. */
 struct tmx_job {
-  char id[TMX_ID_MAX]; /**< the job's id, as its owner submitted it */
-  uint64_t version;    /**< of its key, which is written with its final state; 0: there is none */
+  char id[TMX_ID_BYTES]; /**< the job's id, as its owner submitted it */
+  uint64_t version;      /**< of its key, which is written with its final state; 0: there is none */
   struct tmx_job_spec spec; /**< what its owner asked for */
   double submitted_at;      /**< time of day, s */
   double released_at;  /**< time of day, s: submitted, or the last job that it needs was done */
@@ -107,7 +107,7 @@
   uint32_t
       check_placed_in_zone[TMX_ZONES_MAX]; /**< tasks placed, by zone, with those of the batch */
   /** @} */
-  char failed_machines[TMX_FAILED_MACHINES_KEPT][TMX_ID_MAX]; /**< where it failed lately */
+  char failed_machines[TMX_FAILED_MACHINES_KEPT][TMX_ID_BYTES]; /**< where it failed lately */
   unsigned next_failed_machine; /**< counts up; modulo the size, the next entry to be replaced */
   UT_hash_handle hh;            /**< in the replica's `jobs`, by id */
 };
--- a/src/replica/job_dependencies.c
+++ b/src/replica/job_dependencies.c
@@ -34,7 +34,7 @@
 
 void tmx_dependencies_set_id(struct tmx_job *job, uint32_t position, const char *id) {
   const struct tmx_job_ids *named = &job->dependencies.named;
-  if (position >= named->count || named->ids[position][0] || strlen(id) >= TMX_ID_MAX) return;
+  if (position >= named->count || named->ids[position][0] || strlen(id) >= TMX_ID_BYTES) return;
   strcpy(named->ids[position], id);
   job->dependencies.n_read++;
 }
@@ -42,7 +42,7 @@
 void tmx_dependencies_parse_ids(struct tmx_job *job, uint32_t position, const char *text) {
   for (const char *p = text; *p;) {
     const size_t length = strcspn(p, " ");
-    char id[TMX_ID_MAX];
+    char id[TMX_ID_BYTES];
     if (length && length + strlen(W_JOB_PREFIX) < sizeof id) {
       snprintf(id, sizeof id, W_JOB_PREFIX "%.*s", (int)length, p);
       tmx_dependencies_set_id(job, position++, id);
--- a/src/replica/job_ids.c
+++ b/src/replica/job_ids.c
@@ -15,7 +15,7 @@
 
 bool tmx_job_id_is_valid(const char *id) {
   const size_t prefix_length = strlen(W_JOB_PREFIX), length = strlen(id);
-  if (length <= prefix_length || length >= TMX_ID_MAX || strncmp(id, W_JOB_PREFIX, prefix_length))
+  if (length <= prefix_length || length >= TMX_ID_BYTES || strncmp(id, W_JOB_PREFIX, prefix_length))
     return false;
   const char *permitted = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_.-";
   return strspn(id + prefix_length, permitted) == length - prefix_length;
@@ -27,11 +27,11 @@
   qsort(ids->ids, n, sizeof *ids->ids, compare_ids);
   for (size_t i = 0; i < n; i++)
     if (!i || strcmp(ids->ids[i], ids->ids[ids->count - 1]))
-      memmove(ids->ids[ids->count++], ids->ids[i], TMX_ID_MAX);
+      memmove(ids->ids[ids->count++], ids->ids[i], TMX_ID_BYTES);
 }
 
 bool tmx_job_ids_parse(const cbor_item_t *map, struct tmx_job_ids *ids) {
-  const cbor_item_t *list = tmx_cbor_get(map, W_AWAITS);
+  const cbor_item_t *list = tmx_cbor_get(map, W_DEPENDENCIES);
   memset(ids, 0, sizeof *ids);
   if (!list) return true;
   if (!cbor_isa_array(list)) return false;
@@ -39,7 +39,7 @@
   if (!n) return true;
   ids->ids = tmx_allocate(n, sizeof *ids->ids);
   for (size_t i = 0; i < n; i++)
-    if (!tmx_cbor_as_text(tmx_cbor_list_at(list, i), ids->ids[i], TMX_ID_MAX) ||
+    if (!tmx_cbor_as_text(tmx_cbor_list_at(list, i), ids->ids[i], TMX_ID_BYTES) ||
         !tmx_job_id_is_valid(ids->ids[i])) {
       tmx_job_ids_free(ids);
       return false;
--- a/src/replica/job_ids.h
+++ b/src/replica/job_ids.h
@@ -15,8 +15,8 @@
 
 /** Ids of jobs, sorted and each present once. The array is owned: see tmx_job_ids_free(). */
 struct tmx_job_ids {
-  char (*ids)[TMX_ID_MAX]; /**< `count` ids, each terminated by zero; NULL: none */
-  uint32_t count;          /**< number of ids */
+  char (*ids)[TMX_ID_BYTES]; /**< `count` ids, each terminated by zero; NULL: none */
+  uint32_t count;            /**< number of ids */
 };
 
 /** Releases the array and leaves an empty set. */
--- a/src/replica/job_record.c
+++ b/src/replica/job_record.c
@@ -182,16 +182,16 @@
 }
 
 static bool decode_types(const cbor_item_t *types, struct tmx_job_spec *spec) {
-  for (; spec->n_types < tmx_cbor_list_length(types) && spec->n_types < TMX_TYPES_MAX;
+  for (; spec->n_types < tmx_cbor_list_length(types) && spec->n_types < TMX_MACHINE_TYPES_MAX;
        spec->n_types++)
-    if (!decode_text(types, spec->n_types, spec->types[spec->n_types], TMX_ID_MAX)) return false;
+    if (!decode_text(types, spec->n_types, spec->types[spec->n_types], TMX_ID_BYTES)) return false;
   return true;
 }
 
 static bool decode_counts(const cbor_item_t *list, struct tmx_job_spec *spec) {
   uint64_t flags, priority, tasks;
   if (!decode_u64(list, RECORD_FLAGS, &flags) || !decode_u64(list, RECORD_PRIORITY, &priority) ||
-      !decode_u64(list, RECORD_TASKS, &tasks) || tasks < 1 || tasks > TMX_TASKS_MAX ||
+      !decode_u64(list, RECORD_TASKS, &tasks) || tasks < 1 || tasks > TMX_JOB_TASKS_MAX ||
       priority > TMX_PRIORITY_PROD)
     return false;
   spec->service = flags & FLAG_SERVICE;
@@ -218,7 +218,8 @@
   if (tmx_cbor_list_length(list) < RECORD_FIELDS_ALL) return true;
   record->awaits = tmx_cbor_list_at(list, RECORD_AWAITS);
   return cbor_isa_string(record->awaits) && decode_u64(list, RECORD_N_AWAITS, &record->n_awaits) &&
-         record->n_awaits <= TMX_BODY_MAX && decode_number(list, RECORD_ENDED, &record->ended_at);
+         record->n_awaits <= TMX_REQUEST_BODY_BYTES_MAX &&
+         decode_number(list, RECORD_ENDED, &record->ended_at);
 }
 
 bool tmx_job_decode(const cbor_item_t *list, struct tmx_job_record *record) {
--- a/src/replica/job_record.h
+++ b/src/replica/job_record.h
@@ -17,7 +17,7 @@
 
 /** A job as its record tells of it. */
 struct tmx_job_record {
-  char id[TMX_ID_MAX];       /**< the job's id */
+  char id[TMX_ID_BYTES];     /**< the job's id */
   struct tmx_job_spec spec;  /**< what its owner asked for */
   double submitted_at;       /**< time of day, s */
   double ended_at;           /**< time of day, s; 0: not known */
--- a/src/replica/job_spec.c
+++ b/src/replica/job_spec.c
@@ -39,7 +39,8 @@
 
 static bool parse_task_count(const cbor_item_t *map, struct tmx_job_spec *spec) {
   uint64_t tasks;
-  if (!tmx_cbor_get_u64(map, W_TASKS, &tasks) || tasks < 1 || tasks > TMX_TASKS_MAX) return false;
+  if (!tmx_cbor_get_u64(map, W_TASKS, &tasks) || tasks < 1 || tasks > TMX_JOB_TASKS_MAX)
+    return false;
   spec->tasks = (uint32_t)tasks;
   return true;
 }
@@ -48,7 +49,7 @@
   const cbor_item_t *types = tmx_cbor_get(map, W_TYPES);
   if (!types) return true;
   const size_t n = tmx_cbor_list_length(types);
-  if (!cbor_isa_array(types) || !n || n > TMX_TYPES_MAX) return false;
+  if (!cbor_isa_array(types) || !n || n > TMX_MACHINE_TYPES_MAX) return false;
   for (size_t i = 0; i < n; i++)
     if (!tmx_cbor_as_text(tmx_cbor_list_at(types, i), spec->types[i], sizeof spec->types[i]))
       return false;
@@ -69,7 +70,7 @@
   spec->deadline_s = -1;
   if (!parse_amount(map, W_ESTIMATE, &spec->estimate_s) ||
       !parse_amount(map, W_CHECKPOINT, &spec->checkpoint_s) ||
-      !parse_amount(map, W_SAVE, &spec->checkpoint_save_s))
+      !parse_amount(map, W_CHECKPOINT_SAVE, &spec->checkpoint_save_s))
     return false;
   return !tmx_cbor_get(map, W_DEADLINE) || parse_amount(map, W_DEADLINE, &spec->deadline_s);
 }
--- a/src/replica/job_spec.h
+++ b/src/replica/job_spec.h
@@ -23,14 +23,14 @@
 
 /** A job as its owner described it. Sizes are those of one task. */
 struct tmx_job_spec {
-  char class[TMX_NAME_MAX];              /**< job class, by which objectives are set */
-  char team[TMX_NAME_MAX];               /**< team that the job is accounted to */
-  char image[TMX_NAME_MAX];              /**< name of the image that its tasks run */
-  char zone[TMX_NAME_MAX];               /**< empty: any zone */
-  char types[TMX_TYPES_MAX][TMX_ID_MAX]; /**< machine types that the job may run on */
-  size_t n_types;                        /**< 0: any type */
-  bool service;                          /**< a service; otherwise a job array */
-  bool same_zone,                        /**< all tasks must be in one zone */
+  char class[TMX_NAME_BYTES];                      /**< job class, by which objectives are set */
+  char team[TMX_NAME_BYTES];                       /**< team that the job is accounted to */
+  char image[TMX_NAME_BYTES];                      /**< name of the image that its tasks run */
+  char zone[TMX_NAME_BYTES];                       /**< empty: any zone */
+  char types[TMX_MACHINE_TYPES_MAX][TMX_ID_BYTES]; /**< machine types that the job may run on */
+  size_t n_types;                                  /**< 0: any type */
+  bool service;                                    /**< a service; otherwise a job array */
+  bool same_zone,                                  /**< all tasks must be in one zone */
       spread,               /**< at most half of the tasks may be in one zone, see tmx_zone_cap() */
       spot_allowed;         /**< tasks may run on spot instances */
   int priority;             /**< enum tmx_job_priority */
--- a/src/replica/machine.h
+++ b/src/replica/machine.h
@@ -28,24 +28,24 @@
 
 /** A machine that was registered, or on which a task was placed. */
 struct tmx_machine {
-  char id[TMX_ID_MAX];         /**< the machine's id, which is never used again */
-  char addr[TMX_NAME_MAX];     /**< address of its worker, as registered */
-  char type[TMX_ID_MAX];       /**< name of its machine type */
-  int zone;                    /**< index among the settings' zones; -1: unknown */
-  bool spot;                   /**< a spot instance, which may be taken away */
-  bool registered;             /**< a line registered it, and none has removed it */
-  bool draining;               /**< to be returned: it takes no more tasks */
-  struct tmx_task *tasks;      /**< tasks that are placed on it */
-  uint32_t n_tasks;            /**< number of tasks in `tasks` */
-  uint32_t change_count;       /**< counts the changes that observers were told of */
-  int owner;                   /**< index of the member that owns it; -1: there is no view */
-  double booked_cpus,          /**< CPUs of all tasks placed on it */
-      booked_gpus,             /**< GPUs of all tasks placed on it */
-      booked_mem_gb;           /**< memory of all tasks placed on it, GB */
-  double service_cpus;         /**< of these CPUs, those of services */
-  uint32_t consecutive_errors; /**< attempts in a row that ended with an error */
-  char error_job[TMX_ID_MAX];  /**< the job of the latest of them */
-  bool errors_of_several_jobs; /**< they were of more than one job */
+  char id[TMX_ID_BYTES];        /**< the machine's id, which is never used again */
+  char addr[TMX_NAME_BYTES];    /**< address of its worker, as registered */
+  char type[TMX_ID_BYTES];      /**< name of its machine type */
+  int zone;                     /**< index among the settings' zones; -1: unknown */
+  bool spot;                    /**< a spot instance, which may be taken away */
+  bool registered;              /**< a line registered it, and none has removed it */
+  bool draining;                /**< to be returned: it takes no more tasks */
+  struct tmx_task *tasks;       /**< tasks that are placed on it */
+  uint32_t n_tasks;             /**< number of tasks in `tasks` */
+  uint32_t change_count;        /**< counts the changes that observers were told of */
+  int owner;                    /**< index of the member that owns it; -1: there is no view */
+  double booked_cpus,           /**< CPUs of all tasks placed on it */
+      booked_gpus,              /**< GPUs of all tasks placed on it */
+      booked_mem_gb;            /**< memory of all tasks placed on it, GB */
+  double service_cpus;          /**< of these CPUs, those of services */
+  uint32_t consecutive_errors;  /**< attempts in a row that ended with an error */
+  char error_job[TMX_ID_BYTES]; /**< the job of the latest of them */
+  bool errors_of_several_jobs;  /**< they were of more than one job */
   struct tmx_image images[TMX_IMAGES_KEPT]; /**< the one used latest first, as the log tells */
   size_t n_images;                          /**< used entries of `images` */
   double size_cpus,          /**< CPUs of its type, set by the controller; 0: unknown */
--- a/src/replica/machine_table.c
+++ b/src/replica/machine_table.c
@@ -90,7 +90,7 @@
 static void count_type(struct tmx_replica *replica, const struct tmx_machine *machine, int sign) {
   size_t i = 0;
   while (i < replica->n_type_counts && strcmp(replica->type_counts[i].type, machine->type)) i++;
-  if (i == TMX_TYPES_MAX) return;
+  if (i == TMX_MACHINE_TYPES_MAX) return;
   if (i == replica->n_type_counts) {
     replica->n_type_counts++;
     replica->type_counts[i].machines = 0;
@@ -100,7 +100,8 @@
 }
 
 static void register_machine(struct tmx_replica *replica, char *const *field) {
-  if (strlen(field[LINE_ADDRESS]) >= TMX_NAME_MAX || strlen(field[LINE_TYPE]) >= TMX_ID_MAX) return;
+  if (strlen(field[LINE_ADDRESS]) >= TMX_NAME_BYTES || strlen(field[LINE_TYPE]) >= TMX_ID_BYTES)
+    return;
   struct tmx_machine *machine = tmx_replica_ensure_machine(replica, field[LINE_ID]);
   if (machine->registered) count_type(replica, machine, -1);
   snprintf(machine->addr, sizeof machine->addr, "%s", field[LINE_ADDRESS]);
@@ -148,7 +149,7 @@
   const enum tmx_line_kind kind = (enum tmx_line_kind)line[0];
   char *field[LINE_FIELDS];
   const size_t n = tmx_log_line_split(line, field, LINE_FIELDS);
-  if (n <= LINE_ID || strlen(field[LINE_ID]) >= TMX_ID_MAX) return;
+  if (n <= LINE_ID || strlen(field[LINE_ID]) >= TMX_ID_BYTES) return;
   if (kind == TMX_LINE_MACHINE) {
     if (n == LINE_FIELDS) register_machine(replica, field);
   } else if (kind == TMX_LINE_MACHINE_DRAINING) {
--- a/src/replica/operation.c
+++ b/src/replica/operation.c
@@ -29,7 +29,7 @@
 
 bool tmx_operation_parse(const char *line, struct tmx_operation *operation) {
   enum { KIND, TASK, ATTEMPT, MACHINE_OR_REASON, FIELDS };
-  char copy[TMX_LINE_MAX], *field[FIELDS];
+  char copy[TMX_LOG_LINE_BYTES], *field[FIELDS];
   memset(operation, 0, sizeof *operation);
   if (strlen(line) >= sizeof copy) return false;
   strcpy(copy, line);
@@ -88,7 +88,7 @@
 static void for_each_operation_in_group(const char *line, tmx_operation_cb callback,
                                         void *context) {
   enum { KIND, JOB, ATTEMPT, FIRST_PLACEMENT, REASON = FIRST_PLACEMENT, FIRST_END };
-  char copy[TMX_LINE_MAX], *field[TMX_LINE_MAX / 2];
+  char copy[TMX_LOG_LINE_BYTES], *field[TMX_LOG_LINE_BYTES / 2];
   const bool is_placement = line[0] == TMX_OPERATION_GROUP_PLACE;
   const size_t first_item = is_placement ? FIRST_PLACEMENT : FIRST_END;
   struct tmx_operation operation = {.kind = is_placement ? TMX_OPERATION_PLACE : TMX_OPERATION_END};
--- a/src/replica/operation.h
+++ b/src/replica/operation.h
@@ -35,12 +35,12 @@
 
 /** One operation on one task. */
 struct tmx_operation {
-  char kind;                /**< enum tmx_operation_kind */
-  char job[TMX_ID_MAX];     /**< id of the job */
-  uint32_t task,            /**< index of the task within its job */
-      attempt;              /**< number of the attempt */
-  char machine[TMX_ID_MAX]; /**< target machine; placements only */
-  char reason;              /**< ends: enum tmx_end_reason; stops: enum tmx_stop_mode as a digit */
+  char kind;                  /**< enum tmx_operation_kind */
+  char job[TMX_ID_BYTES];     /**< id of the job */
+  uint32_t task,              /**< index of the task within its job */
+      attempt;                /**< number of the attempt */
+  char machine[TMX_ID_BYTES]; /**< target machine; placements only */
+  char reason;          /**< ends: enum tmx_end_reason; stops: enum tmx_stop_mode as a digit */
   uint32_t machine_cap; /**< most tasks of the job on the machine, 0: no limit; placements only, and
                            not part of the line */
 };
--- a/src/replica/ownership.c
+++ b/src/replica/ownership.c
@@ -91,7 +91,7 @@
 }
 
 void tmx_replica_record_batch_of(struct tmx_replica *replica, const char *name, size_t length) {
-  if (!length || length >= TMX_NAME_MAX) return;
+  if (!length || length >= TMX_NAME_BYTES) return;
   struct tmx_last_batch *batches = replica->last_batches;
   size_t i = 0;
   while (i < replica->n_last_batches &&
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -32,9 +32,9 @@
 
 /** Maps the name of an image to a number, so that later comparisons need only the numbers. */
 struct tmx_image_name {
-  char name[TMX_NAME_MAX]; /**< name of the image */
-  int id;                  /**< number of the image, from 1 */
-  UT_hash_handle hh;       /**< hash handle in the replica's `images`, by name */
+  char name[TMX_NAME_BYTES]; /**< name of the image */
+  int id;                    /**< number of the image, from 1 */
+  UT_hash_handle hh;         /**< hash handle in the replica's `images`, by name */
 };
 /** Resources used by a set of tasks. */
 struct tmx_usage {
@@ -43,13 +43,13 @@
 };
 /** Number of registered machines of one type. */
 struct tmx_type_count {
-  char type[TMX_ID_MAX]; /**< name of the machine type */
-  uint32_t machines;     /**< registered machines of this type */
+  char type[TMX_ID_BYTES]; /**< name of the machine type */
+  uint32_t machines;       /**< registered machines of this type */
 };
 /** The latest batch of a member, which shows that the member was alive. */
 struct tmx_last_batch {
-  char node[TMX_NAME_MAX]; /**< node name of the member */
-  double seen_at;          /**< monotonic clock, s: when the batch was applied */
+  char node[TMX_NAME_BYTES]; /**< node name of the member */
+  double seen_at;            /**< monotonic clock, s: when the batch was applied */
 };
 
 /** The copy of the state keys, and data derived from it. */
@@ -64,7 +64,7 @@
   struct tmx_view view;                /**< the latest view; empty: none has been read */
   struct tmx_member registered_members[TMX_MEMBERS_MAX]; /**< members whose key exists */
   size_t n_registered_members;    /**< used entries of `registered_members` */
-  char leader[TMX_NAME_MAX];      /**< node name of the leader; empty: none */
+  char leader[TMX_NAME_BYTES];    /**< node name of the leader; empty: none */
   uint64_t leader_version;        /**< version of the leader key; 0: it does not exist */
   uint64_t leader_incarnation;    /**< the leader's tmx_member::incarnation; 0: unknown */
   struct tmx_log_key *batch_keys; /**< keys of the existing batches */
@@ -92,8 +92,8 @@
   struct tmx_image_name *images;              /**< hash table by name */
   struct tmx_usage team_usage[TMX_TEAMS_MAX]; /**< resources of placed tasks, by the team's index in
                                                  the settings */
-  struct tmx_type_count type_counts[TMX_TYPES_MAX]; /**< further types are not counted */
-  size_t n_type_counts;                             /**< used entries of `type_counts` */
+  struct tmx_type_count type_counts[TMX_MACHINE_TYPES_MAX]; /**< further types are not counted */
+  size_t n_type_counts;                                     /**< used entries of `type_counts` */
   struct tmx_backlog *backlog; /**< owned by the caller; NULL: no admission control */
   double booked_cpus;          /**< CPUs of all placed tasks */
   double waiting_cpus;         /**< CPUs of all waiting tasks of open, unblocked jobs */
--- a/src/replica/run_estimate.h
+++ b/src/replica/run_estimate.h
@@ -11,9 +11,9 @@
 
 /** What was learned of the run times of one class. */
 struct tmx_run_estimate {
-  char name[TMX_NAME_MAX]; /**< of the class */
-  double log_ratio;        /**< average of the logarithm of run time over the owner's estimate */
-  unsigned samples;        /**< tasks seen, up to a bound */
+  char name[TMX_NAME_BYTES]; /**< of the class */
+  double log_ratio;          /**< average of the logarithm of run time over the owner's estimate */
+  unsigned samples;          /**< tasks seen, up to a bound */
 };
 
 /** How long a task of the job is expected to run, s: the owner's estimate, corrected by how far
--- a/src/replica/view.h
+++ b/src/replica/view.h
@@ -17,16 +17,16 @@
 
 /** A controller in the view, or a registered one. */
 struct tmx_member {
-  char name[TMX_NAME_MAX]; /**< node name of the controller */
-  uint64_t incarnation;    /**< version of its member key; identifies the run of its process */
-  int zone;                /**< index of its zone in the settings; -1: unknown */
+  char name[TMX_NAME_BYTES]; /**< node name of the controller */
+  uint64_t incarnation;      /**< version of its member key; identifies the run of its process */
+  int zone;                  /**< index of its zone in the settings; -1: unknown */
 };
 
 /** A machine whose owner is set explicitly rather than by the hash. */
 struct tmx_owner_override {
-  char machine[TMX_ID_MAX]; /**< id of the machine */
-  char node[TMX_NAME_MAX];  /**< node name of the owner */
-  UT_hash_handle hh;        /**< hash handle in `overrides_by_machine`, by machine */
+  char machine[TMX_ID_BYTES]; /**< id of the machine */
+  char node[TMX_NAME_BYTES];  /**< node name of the owner */
+  UT_hash_handle hh;          /**< hash handle in `overrides_by_machine`, by machine */
 };
 
 /** A committed view. The leader commits changes of the members; any member can commit overrides. */
--- a/src/scheduler/delta_collection.c
+++ b/src/scheduler/delta_collection.c
@@ -54,8 +54,8 @@
 
 /* Limits how many machines and tasks a round visits, by the processor time that it may use. */
 static size_t max_visits(const struct tmx_settings *settings) {
-  double affordable = settings->core_share * TMX_PLAN_BUSY_S / TMX_PLAN_VISIT_S;
-  return (size_t)fmax(fmin(affordable, TMX_PLAN_VISITS_MAX), TMX_PLAN_VISITS_MIN);
+  double affordable = settings->core_share * TMX_ROUND_PLANNING_S / TMX_PLANNER_VISIT_CPU_S;
+  return (size_t)fmax(fmin(affordable, TMX_ROUND_VISITS_MAX), TMX_ROUND_VISITS_MIN);
 }
 
 /* Estimates how many operations fit into a batch. Operations share lines, and so are shorter, once
@@ -63,9 +63,10 @@
 static size_t max_operations(const struct tmx_scheduler *scheduler) {
   const struct tmx_settings *settings = scheduler->settings;
   double value_bytes = (double)tmx_value_room(settings) * (settings->txn_ops - 1);
-  double typical_length =
-      scheduler->replica->dependencies_in_use ? TMX_ITEM_TYPICAL : TMX_LINE_TYPICAL;
-  return (size_t)(fmin(value_bytes, TMX_TRANSACTION_BYTES) / typical_length);
+  double typical_length = scheduler->replica->dependencies_in_use
+                              ? TMX_PLACEMENT_ITEM_TYPICAL_BYTES
+                              : TMX_PLACEMENT_LINE_TYPICAL_BYTES;
+  return (size_t)(fmin(value_bytes, TMX_TRANSACTION_JSON_BYTES_MAX) / typical_length);
 }
 
 static void fill_input(const struct tmx_scheduler *scheduler, struct tmx_round_input *input) {
@@ -77,7 +78,8 @@
   input->leading = tmx_store_is_leader(scheduler->store);
   input->n_zones = scheduler->settings->n_zones;
   input->own_planner_grace_s = own_planner_grace(scheduler);
-  tmx_turns_fill(&input->start_rotation, replica->backlog, scheduler->settings, input->now_steady);
+  tmx_start_rotation_fill(&input->start_rotation, replica->backlog, scheduler->settings,
+                          input->now_steady);
   input->n_teams = scheduler->settings->n_teams;
   memcpy(input->teams, scheduler->settings->teams, sizeof input->teams);
   memcpy(input->usage, replica->team_usage, sizeof input->usage);
--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -63,7 +63,7 @@
   tmx_transaction_put(&batch->transaction, key, &batch->value_buffer, 0);
   batch->lines.length = batch->job_records.length = 0;
   batch->n_lines = batch->n_job_records = 0;
-  batch->transaction_json_length += batch->value_json_length + TMX_JSON_FRAME;
+  batch->transaction_json_length += batch->value_json_length + TMX_JSON_OVERHEAD_BYTES;
   batch->value_json_length = 0;
   batch->writes_left--;
 }
@@ -71,8 +71,8 @@
 /* The store rejects a value above the limit on every retry, which would block the log. */
 bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int extra_puts) {
   size_t total = batch->transaction_json_length + batch->value_json_length + length +
-                 (size_t)batch->transaction.n_conditions * TMX_JSON_FRAME;
-  if (total > TMX_TRANSACTION_BYTES) return false;
+                 (size_t)batch->transaction.n_conditions * TMX_JSON_OVERHEAD_BYTES;
+  if (total > TMX_TRANSACTION_JSON_BYTES_MAX) return false;
   if (batch->value_json_length + length > batch->value_json_max) tmx_log_batch_end_value(batch);
   return batch->writes_left - extra_puts >= 1;
 }
@@ -112,7 +112,7 @@
 /* Begins a shared line with the operation. Returns false if the batch is full. */
 static bool begin_group(struct tmx_log_batch *batch, const struct tmx_operation *operation,
                         const char *item, int extra_puts) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   end_group(batch);
   int head_length = tmx_operation_group_head_print(line, sizeof line, operation);
   snprintf(line + head_length, sizeof line - (size_t)head_length, "%s", item);
@@ -126,7 +126,7 @@
 
 bool tmx_log_batch_add_operation(struct tmx_log_batch *batch, const struct tmx_operation *operation,
                                  int extra_puts) {
-  char text[TMX_LINE_MAX];
+  char text[TMX_LOG_LINE_BYTES];
   if (!batch->grouping_enabled || !tmx_operation_can_group(operation)) {
     tmx_operation_print(text, sizeof text, operation);
     return tmx_log_batch_add_line(batch, text, extra_puts);
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -25,9 +25,9 @@
   size_t transaction_json_length; /**< bytes of all complete values, as JSON */
   int writes_left;       /**< puts that the batch may still add, besides that of the head key */
   bool grouping_enabled; /**< operations of one job may share a line */
-  char group_line[TMX_LINE_MAX];    /**< shared line under construction; empty: none */
-  struct tmx_operation group_first; /**< first operation of `group_line` */
-  struct tmx_buffer value_buffer;   /**< scratch buffer for encoding a value */
+  char group_line[TMX_LOG_LINE_BYTES]; /**< shared line under construction; empty: none */
+  struct tmx_operation group_first;    /**< first operation of `group_line` */
+  struct tmx_buffer value_buffer;      /**< scratch buffer for encoding a value */
 };
 
 /** Begins a batch of at most `max_writes` puts besides the put of the head key. The batch requires
--- a/src/scheduler/pending_submission.c
+++ b/src/scheduler/pending_submission.c
@@ -18,7 +18,7 @@
 static int count_values(const struct tmx_pending_submission *pending) {
   size_t value_bytes = tmx_value_room(pending->scheduler->settings), used = value_bytes;
   int n_values = 1;
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   uint32_t position = pending->n_dependencies_in_record;
   while (tmx_pending_submission_next_line(pending, &position, line, sizeof line)) {
     size_t length = tmx_json_text_length(line, strlen(line)) + 1;
@@ -62,7 +62,8 @@
   const struct tmx_settings *settings = pending->scheduler->settings;
   size_t value_bytes = tmx_value_room(settings);
   return pending->record_json_length > value_bytes || pending->n_values > settings->txn_ops - 1 ||
-         (size_t)pending->n_values * (value_bytes + TMX_JSON_FRAME) > TMX_TRANSACTION_BYTES;
+         (size_t)pending->n_values * (value_bytes + TMX_JSON_OVERHEAD_BYTES) >
+             TMX_TRANSACTION_JSON_BYTES_MAX;
 }
 
 void tmx_pending_submission_require_absent(const struct tmx_pending_submission *pending,
--- a/src/scheduler/pending_submission.h
+++ b/src/scheduler/pending_submission.h
@@ -15,7 +15,7 @@
 
 /** A submission that waits to be committed; owned by the scheduler's queue. */
 struct tmx_pending_submission {
-  char id[TMX_ID_MAX];             /**< id of the job */
+  char id[TMX_ID_BYTES];           /**< id of the job */
   struct tmx_scheduler *scheduler; /**< scheduler that owns the queue; not owned */
   struct tmx_buffer record;        /**< the job's record, encoded */
   size_t record_json_length;       /**< bytes of the record as JSON */
--- a/src/scheduler/planner_records.c
+++ b/src/scheduler/planner_records.c
@@ -108,7 +108,7 @@
 /* Adds the first waiting tasks, at most as many as a round can place. */
 static void add_waiting_tasks(struct tmx_plan_job *record, struct tmx_job *job) {
   uint32_t max = job->spec.tasks - job->n_done - job->n_placed;
-  if (max > TMX_PLAN_TASKS) max = TMX_PLAN_TASKS;
+  if (max > TMX_ROUND_JOB_TASKS_MAX) max = TMX_ROUND_JOB_TASKS_MAX;
   record->waiting = tmx_allocate(max + 1, sizeof *record->waiting);
   for (uint32_t i = job->first_waiting; i < job->spec.tasks && record->n_waiting < max; i++) {
     const struct tmx_task *task = &job->tasks[i];
--- a/src/scheduler/planner_thread.c
+++ b/src/scheduler/planner_thread.c
@@ -76,7 +76,7 @@
   thread->result_event.data = thread;
   ev_async_start(loop, &thread->result_event);
   pthread_attr_init(&attributes);
-  pthread_attr_setstacksize(&attributes, TMX_PLANNER_STACK);
+  pthread_attr_setstacksize(&attributes, TMX_PLANNER_STACK_BYTES);
   if (pthread_create(&thread->thread, &attributes, planner_thread_main, thread)) abort();
   pthread_attr_destroy(&attributes);
   return thread;
--- a/src/scheduler/round_batch.c
+++ b/src/scheduler/round_batch.c
@@ -61,7 +61,7 @@
  * allows the additional put. Otherwise such a completion could block the log permanently. */
 static void defer_last_completion(struct tmx_scheduler *scheduler, struct tmx_round_batch *batch,
                                   const char *job_id) {
-  scheduler->min_batch_writes = TMX_ROUND_WRITES + 1;
+  scheduler->min_batch_writes = TMX_BATCH_WRITES_MIN + 1;
   batch->completion_deferred = true;
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG,
@@ -76,7 +76,8 @@
   struct tmx_job *job = task->job;
   bool counts_as_done = operation->reason == TMX_END_DONE && !job->outcome;
   bool is_last = counts_as_done && job->n_done + job->n_completions_in_batch + 1 == job->spec.tasks;
-  if (is_last && (batch->n_finished_jobs == TMX_FINISHED_MAX || batch->log_batch.writes_left < 2)) {
+  if (is_last &&
+      (batch->n_finished_jobs == TMX_BATCH_FINISHED_JOBS_MAX || batch->log_batch.writes_left < 2)) {
     defer_last_completion(scheduler, batch, operation->job);
     return true;
   }
@@ -99,17 +100,17 @@
 }
 
 static void add_registrations(struct tmx_scheduler *scheduler, struct tmx_round_batch *batch) {
-  struct tmx_machine_description machines[TMX_REGISTER_MAX];
-  char line[TMX_LINE_MAX];
+  struct tmx_machine_description machines[TMX_BATCH_REGISTRATIONS_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   if (batch->full) return;
-  size_t n =
-      scheduler->source.collect_unregistered(scheduler->source.context, machines, TMX_REGISTER_MAX);
+  size_t n = scheduler->source.collect_unregistered(scheduler->source.context, machines,
+                                                    TMX_BATCH_REGISTRATIONS_MAX);
   for (size_t i = 0; i < n && !batch->full; i++) {
     snprintf(line, sizeof line, "m %.31s %.63s %.31s %.63s %d 0", machines[i].id, machines[i].addr,
              machines[i].type, machines[i].zone, machines[i].spot);
     batch->full = !tmx_log_batch_add_line(&batch->log_batch, line, 0);
   }
-  if (n == TMX_REGISTER_MAX) batch->full = true;
+  if (n == TMX_BATCH_REGISTRATIONS_MAX) batch->full = true;
 }
 
 /* The check rejects planned operations that are no longer valid. This includes placements that need
@@ -149,7 +150,7 @@
 void tmx_round_batch_build(struct tmx_round_batch *batch, struct tmx_scheduler *scheduler) {
   memset(batch, 0, sizeof *batch);
   tmx_log_batch_begin(&batch->log_batch, scheduler, max_writes(scheduler));
-  scheduler->min_batch_writes = TMX_ROUND_WRITES;
+  scheduler->min_batch_writes = TMX_BATCH_WRITES_MIN;
   tmx_operation_check_begin(&batch->check, scheduler->replica);
   tmx_submission_queue_add_to_batch(scheduler, &batch->log_batch);
   add_completions(scheduler, batch);
--- a/src/scheduler/round_batch.h
+++ b/src/scheduler/round_batch.h
@@ -9,13 +9,13 @@
 
 /** The batch of a round, and the counts kept while it is built. */
 struct tmx_round_batch {
-  struct tmx_log_batch log_batch;                  /**< puts and conditions of the batch */
-  struct tmx_operation_check check;                /**< checks its operations against the replica */
-  struct tmx_job *finished_jobs[TMX_FINISHED_MAX]; /**< jobs that the batch completes */
-  size_t n_finished_jobs;                          /**< used entries of `finished_jobs` */
-  size_t n_planned_operations;                     /**< planned operations in the batch */
-  bool full;                                       /**< an entry did not fit */
-  bool completion_deferred; /**< a job's last completion was left for a later round */
+  struct tmx_log_batch log_batch;   /**< puts and conditions of the batch */
+  struct tmx_operation_check check; /**< checks its operations against the replica */
+  struct tmx_job *finished_jobs[TMX_BATCH_FINISHED_JOBS_MAX]; /**< jobs that the batch completes */
+  size_t n_finished_jobs;      /**< used entries of `finished_jobs` */
+  size_t n_planned_operations; /**< planned operations in the batch */
+  bool full;                   /**< an entry did not fit */
+  bool completion_deferred;    /**< a job's last completion was left for a later round */
 };
 
 /** Builds a batch of submissions, completions, pending lines, registrations of machines, planned
--- a/src/scheduler/round_commit.c
+++ b/src/scheduler/round_commit.c
@@ -12,7 +12,7 @@
   scheduler->batch_in_flight = false;
   tmx_scheduler_await_revision(scheduler, revision);
   tmx_submission_queue_handle_batch_result(scheduler, result);
-  if (result == TMX_TRANSACTION_CONFLICT && ++scheduler->n_resends <= TMX_RESENDS_MAX) {
+  if (result == TMX_TRANSACTION_CONFLICT && ++scheduler->n_resends <= TMX_BATCH_RESENDS_MAX) {
     /* the plan is checked again against the newer state and sent again */
     tmx_scheduler_trigger_within(scheduler, 0.05);
     return;
@@ -21,9 +21,10 @@
     tmx_pending_lines_committed(scheduler);
   else if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG, "round: batch not committed, transaction result %d", result);
-  double next_round_within_s = scheduler->plan.truncated ? 0 : TMX_ROUND_SPACING_S;
+  double next_round_within_s = scheduler->plan.truncated ? 0 : TMX_ROUND_SPACING_MIN_S;
   tmx_scheduler_end_round(scheduler);
-  tmx_scheduler_trigger_within(scheduler, committed ? next_round_within_s : TMX_STORE_RETRY_S);
+  tmx_scheduler_trigger_within(scheduler,
+                               committed ? next_round_within_s : TMX_STORE_RETRY_DELAY_S);
 }
 
 static void end_empty_round(struct tmx_scheduler *scheduler, struct tmx_transaction *transaction) {
@@ -31,7 +32,7 @@
   tmx_buffer_free(&transaction->conditions);
   tmx_buffer_free(&transaction->operations);
   tmx_scheduler_end_round(scheduler);
-  if (truncated) tmx_scheduler_trigger_within(scheduler, TMX_ROUND_EMPTY_S);
+  if (truncated) tmx_scheduler_trigger_within(scheduler, TMX_EMPTY_ROUND_RETRY_DELAY_S);
 }
 
 static void log_batch_summary(const struct tmx_scheduler *scheduler,
@@ -55,7 +56,7 @@
   /* not sent: submissions stay queued, as after a conflict */
   tmx_submission_queue_handle_batch_result(scheduler, TMX_TRANSACTION_CONFLICT);
   tmx_scheduler_end_round(scheduler);
-  tmx_scheduler_trigger_within(scheduler, TMX_STORE_RETRY_S);
+  tmx_scheduler_trigger_within(scheduler, TMX_STORE_RETRY_DELAY_S);
 }
 
 void tmx_scheduler_commit_round(struct tmx_scheduler *scheduler) {
--- a/src/scheduler/round_timing.c
+++ b/src/scheduler/round_timing.c
@@ -15,7 +15,7 @@
 }
 
 void tmx_scheduler_trigger_within(struct tmx_scheduler *scheduler, double within_s) {
-  double spacing_left = scheduler->round_started_at + TMX_ROUND_SPACING_S - tmx_clock_steady();
+  double spacing_left = scheduler->round_started_at + TMX_ROUND_SPACING_MIN_S - tmx_clock_steady();
   tmx_scheduler_start_timer(scheduler, within_s > spacing_left ? within_s : spacing_left);
 }
 
@@ -34,7 +34,7 @@
 }
 
 double tmx_commit_slot_length(const struct tmx_settings *settings) {
-  return TMX_COMMIT_SLOT_WRITES / (settings->write_rps * TMX_WRITE_SHARE);
+  return TMX_COMMIT_SLOT_WRITES / (settings->write_rps * TMX_BATCH_WRITE_RATE_SHARE);
 }
 
 /* A batch that conflicts on the head key has wasted its puts. Unless the write load is low, each
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -41,7 +41,7 @@
   scheduler->phase = TMX_SCHEDULER_PLANNED;
   if (!may_act(scheduler)) {
     tmx_scheduler_end_round(scheduler);
-    tmx_scheduler_trigger_within(scheduler, TMX_STORE_RETRY_S);
+    tmx_scheduler_trigger_within(scheduler, TMX_STORE_RETRY_DELAY_S);
     return;
   }
   if (!scheduler->batch_in_flight && tmx_scheduler_has_caught_up(scheduler))
@@ -72,7 +72,7 @@
   scheduler->round_started_at = now;
   scheduler->n_resends = 0;
   scheduler->n_completions = scheduler->source.collect_completions(
-      scheduler->source.context, scheduler->completions, TMX_COMPLETIONS_MAX);
+      scheduler->source.context, scheduler->completions, TMX_ROUND_COMPLETIONS_MAX);
   tmx_scheduler_collect_delta(scheduler, &input);
   scheduler->phase = TMX_SCHEDULER_PLANNING;
   tmx_planner_thread_submit(scheduler->planner_thread, &scheduler->delta, &input);
@@ -84,7 +84,7 @@
   struct tmx_scheduler *scheduler = timer->data;
   if (scheduler->phase == TMX_SCHEDULER_PLANNING || scheduler->batch_in_flight)
     return; /* on_planned() or the commit's callback continues the round */
-  tmx_scheduler_start_timer(scheduler, TMX_ROUND_IDLE_S);
+  tmx_scheduler_start_timer(scheduler, TMX_ROUND_PERIOD_MAX_S);
   if (!may_act(scheduler)) {
     if (scheduler->phase == TMX_SCHEDULER_PLANNED) tmx_scheduler_end_round(scheduler);
     return;
@@ -110,7 +110,7 @@
   scheduler->catalog = dependencies->catalog;
   scheduler->admission = dependencies->admission;
   scheduler->source = dependencies->source;
-  scheduler->min_batch_writes = TMX_ROUND_WRITES;
+  scheduler->min_batch_writes = TMX_BATCH_WRITES_MIN;
   ev_timer_init(&scheduler->round_timer, on_timer, 0, 0);
   scheduler->round_timer.data = scheduler;
   scheduler->planner_thread = tmx_planner_thread_new(scheduler->loop, on_planned, scheduler);
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -21,11 +21,11 @@
 
 /** What a worker reports about its machine. The log registers the machine with these values. */
 struct tmx_machine_description {
-  char id[TMX_ID_MAX];     /**< id of the machine */
-  char addr[TMX_NAME_MAX]; /**< address of its worker */
-  char type[TMX_ID_MAX];   /**< name of its machine type */
-  char zone[TMX_NAME_MAX]; /**< name of its zone */
-  bool spot;               /**< a spot instance, which the cloud may reclaim */
+  char id[TMX_ID_BYTES];     /**< id of the machine */
+  char addr[TMX_NAME_BYTES]; /**< address of its worker */
+  char type[TMX_ID_BYTES];   /**< name of its machine type */
+  char zone[TMX_NAME_BYTES]; /**< name of its zone */
+  bool spot;                 /**< a spot instance, which the cloud may reclaim */
 };
 
 /** Callbacks through which a round collects what is known only from workers' reports. Each writes
@@ -97,7 +97,7 @@
 };
 /** A job to submit; owned by the caller. */
 struct tmx_submission {
-  char id[TMX_ID_MAX];             /**< id of the job */
+  char id[TMX_ID_BYTES];           /**< id of the job */
   struct tmx_job_spec spec;        /**< the job's specification */
   struct tmx_job_ids dependencies; /**< ids of the jobs that it depends on */
   double submitted_at;             /**< time of day, s */
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -21,8 +21,8 @@
 
 /** A line for the log, kept until it is committed. */
 struct tmx_pending_line {
-  char text[TMX_LINE_MAX]; /**< text of the line */
-  bool sent;               /**< the line is in the batch that was built last */
+  char text[TMX_LOG_LINE_BYTES]; /**< text of the line */
+  bool sent;                     /**< the line is in the batch that was built last */
 };
 
 struct tmx_pending_submission;
@@ -58,8 +58,8 @@
   struct tmx_job **changed_jobs;         /**< jobs whose state the next delta includes */
   size_t n_changed_jobs,                 /**< used entries of `changed_jobs` */
       cap_changed_jobs;                  /**< allocated entries of `changed_jobs` */
-  struct tmx_operation completions[TMX_COMPLETIONS_MAX]; /**< ended attempts to commit */
-  size_t n_completions;                                  /**< used entries of `completions` */
+  struct tmx_operation completions[TMX_ROUND_COMPLETIONS_MAX]; /**< ended attempts to commit */
+  size_t n_completions;                                        /**< used entries of `completions` */
 
   struct tmx_round_output plan; /**< result of planning; its operations are owned */
   bool batch_in_flight;         /**< the round's batch was sent and its response is missing */
--- a/src/scheduler/service_level_objectives.c
+++ b/src/scheduler/service_level_objectives.c
@@ -28,7 +28,7 @@
     if (is_completion_objective(&settings->objectives[i], &job->spec))
       target = fmax(target, settings->objectives[i].within_s);
   target = fmax(target, deadline_after_release(job));
-  return target > 0 ? target : TMX_NO_OBJECTIVE_S;
+  return target > 0 ? target : TMX_DEFAULT_OBJECTIVE_S;
 }
 
 double tmx_objectives_next_completion_target(const struct tmx_settings *settings,
--- a/src/scheduler/service_level_objectives.h
+++ b/src/scheduler/service_level_objectives.h
@@ -8,7 +8,8 @@
 #include "replica/replica.h"
 
 /** The latest time at which the job should be done, s after its release: the longest completion
- * objective of its class, or its deadline if that is later. Without both, TMX_NO_OBJECTIVE_S. */
+ * objective of its class, or its deadline if that is later. Without both, TMX_DEFAULT_OBJECTIVE_S.
+ */
 double tmx_objectives_final_completion_target(const struct tmx_settings *settings,
                                               const struct tmx_job *job);
 /** The earliest completion objective or deadline that is later than `elapsed_s`, s after the
--- a/src/scheduler/single_submission.c
+++ b/src/scheduler/single_submission.c
@@ -41,7 +41,7 @@
 static bool may_send_singly(const struct tmx_scheduler *scheduler,
                             struct tmx_pending_submission *pending) {
   return pending->state == TMX_PENDING_SUBMISSION_QUEUED && pending->n_values == 1 &&
-         pending->n_single_conflicts < TMX_SINGLE_SUBMISSION_TRIES &&
+         pending->n_single_conflicts < TMX_SINGLE_SUBMISSION_CONFLICTS_MAX &&
          tmx_admission_control_may_commit_alone(scheduler->admission, &pending->admission_request,
                                                 &pending->dependencies) &&
          tmx_store_reserve_submission_write(scheduler->store);
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -64,7 +64,8 @@
 static bool is_already_committed(const struct tmx_scheduler *scheduler,
                                  const struct tmx_pending_submission *pending, double now) {
   bool in_flight = pending->state != TMX_PENDING_SUBMISSION_QUEUED;
-  if (pending->answered || (in_flight && now - pending->sent_at <= TMX_STORE_SLOW_S)) return false;
+  if (pending->answered || (in_flight && now - pending->sent_at <= TMX_STORE_SLOW_RESPONSE_S))
+    return false;
   return tmx_job_find(scheduler->replica, pending->id);
 }
 
@@ -138,7 +139,7 @@
 
 static void add_submission(struct tmx_log_batch *batch,
                            const struct tmx_pending_submission *pending) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   uint32_t position = pending->n_dependencies_in_record;
   tmx_pending_submission_require_absent(pending, &batch->transaction);
   tmx_log_batch_add_job(batch, &pending->record, pending->record_json_length);
--- a/src/store/compaction.c
+++ b/src/store/compaction.c
@@ -38,7 +38,7 @@
   compaction->replica = replica;
   compaction->store = store;
   compaction->writer = tmx_snapshot_writer_new(settings, replica);
-  compaction->key_threshold = TMX_COMPACTION_KEYS;
+  compaction->key_threshold = TMX_COMPACTION_BATCH_KEYS;
   return compaction;
 }
 
--- a/src/store/election.c
+++ b/src/store/election.c
@@ -7,7 +7,7 @@
 #include "store/store_internal.h"
 
 void tmx_election_init(struct tmx_election *election) {
-  election->attempted_at = -TMX_STORE_RETRY_S;
+  election->attempted_at = -TMX_STORE_RETRY_DELAY_S;
 }
 
 static bool leader_key_names_this_node(const struct tmx_store *store) {
@@ -54,7 +54,7 @@
   const struct tmx_election *election = &store->election;
   if (election->abstains || election->in_flight) return;
   if (!store->replica->loaded || !store->registration.incarnation) return;
-  if (now - election->attempted_at < TMX_STORE_RETRY_S) return;
+  if (now - election->attempted_at < TMX_STORE_RETRY_DELAY_S) return;
   if (may_claim_leadership(store)) write_leader_key(store, now);
 }
 
--- a/src/store/initial_load.c
+++ b/src/store/initial_load.c
@@ -18,7 +18,7 @@
 
 static void restart_later(struct tmx_store *store) {
   tmx_initial_load_reset(&store->load);
-  tmx_watch_schedule(store, TMX_STORE_RETRY_S);
+  tmx_watch_schedule(store, TMX_STORE_RETRY_DELAY_S);
 }
 
 /* Keeps the page until the load ends, as the page owns the values of its entries. */
@@ -30,7 +30,7 @@
 static void append_entries(struct tmx_initial_load *load, const cbor_item_t *items) {
   for (size_t i = 0; i < tmx_cbor_list_length(items); i++) {
     const cbor_item_t *item = tmx_cbor_list_at(items, i);
-    char key[TMX_PATH_MAX];
+    char key[TMX_PATH_BYTES];
     uint64_t version;
     if (!tmx_cbor_get_text(item, W_KEY, key, sizeof key) ||
         !tmx_cbor_get_u64(item, W_VERSION, &version))
@@ -75,7 +75,7 @@
   if (!load->first_page_revision) load->first_page_revision = revision;
   const cbor_item_t *items = tmx_cbor_get(page, W_ITEMS);
   bool has_next = false;
-  tmx_cbor_get_bool(page, W_MORE, &has_next);
+  tmx_cbor_get_bool(page, W_HAS_NEXT, &has_next);
   append_page(load, page);
   append_entries(load, items);
   if (has_next && tmx_cbor_list_length(items))
@@ -86,7 +86,7 @@
 
 void tmx_initial_load_request_page(struct tmx_store *store) {
   struct tmx_initial_load *load = &store->load;
-  char path[TMX_PATH_MAX + 64];
+  char path[TMX_PATH_BYTES + 64];
   if (load->in_flight) return;
   snprintf(path, sizeof path, WP_KV "?prefix=" TMX_KEY_PREFIX "%s%s&page=1000",
            load->last_key[0] ? "&from=" : "", load->last_key);
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -5,7 +5,7 @@
 #include "store/store_internal.h"
 #include "tmx/wire.h"
 
-void tmx_lease_init(struct tmx_lease *lease) { lease->attempted_at = -TMX_LEASE_RENEW_S; }
+void tmx_lease_init(struct tmx_lease *lease) { lease->attempted_at = -TMX_LEASE_RENEWAL_PERIOD_S; }
 
 void tmx_lease_handle_expiry(struct tmx_store *store) {
   tmx_log(TMX_LOG_INFO, "state: the lease expired, registering again");
@@ -57,7 +57,7 @@
 
 void tmx_lease_maintain(struct tmx_store *store, double now) {
   struct tmx_lease *lease = &store->lease;
-  double period = lease->id ? TMX_LEASE_RENEW_S : TMX_STORE_RETRY_S;
+  double period = lease->id ? TMX_LEASE_RENEWAL_PERIOD_S : TMX_STORE_RETRY_DELAY_S;
   if (lease->request_in_flight || now - lease->attempted_at < period) return;
   lease->attempted_at = now;
   if (lease->id)
--- a/src/store/read_index.c
+++ b/src/store/read_index.c
@@ -71,7 +71,7 @@
 static void reopen_lagging_watch(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
   if (!reads->pending_revision || !store->replica->revision || !store->watch.in_flight) return;
-  if (tmx_clock_steady() - reads->pending_received_at <= TMX_WATCH_LAG_S) return;
+  if (tmx_clock_steady() - reads->pending_received_at <= TMX_WATCH_LAG_MAX_S) return;
   tmx_log(TMX_LOG_INFO, "state: the watch has not reached revision %llu, reopening it",
           (unsigned long long)reads->pending_revision);
   reads->pending_revision = 0;
@@ -99,15 +99,15 @@
   DL_FOREACH(reads->waiters, waiter) {
     if (!waiter->required_revision) return true;
   }
-  double period = reads->last_read_failed ? TMX_STORE_RETRY_S : TMX_READ_INDEX_IDLE_S;
+  double period = reads->last_read_failed ? TMX_STORE_RETRY_DELAY_S : TMX_READ_INDEX_PERIOD_MAX_S;
   return now - reads->last_read_at > period;
 }
 
 /* Returns the seconds until this controller's share of the store's request rate allows the next
  * read; not positive if it does so now. */
 static double pacing_delay(const struct tmx_store *store, double now) {
-  double rate =
-      store->settings->state_rps * TMX_READ_INDEX_SHARE / tmx_store_members_sharing_rates(store);
+  double rate = store->settings->state_rps * TMX_READ_INDEX_REQUEST_RATE_SHARE /
+                tmx_store_members_sharing_rates(store);
   return store->read_index.last_read_at + 1 / rate - now;
 }
 
@@ -143,7 +143,7 @@
 
 void tmx_read_index_init(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
-  reads->last_read_at = -TMX_READ_INDEX_IDLE_S; /* makes the first read due at once */
+  reads->last_read_at = -TMX_READ_INDEX_PERIOD_MAX_S; /* makes the first read due at once */
   ev_timer_init(&reads->pacing_timer, on_pacing_timer, 0, 0);
   ev_timer_init(&reads->deadline_timer, on_deadline_timer, DEADLINE_CHECK_S, DEADLINE_CHECK_S);
   reads->pacing_timer.data = reads->deadline_timer.data = store;
@@ -164,7 +164,7 @@
 bool tmx_store_read_index(struct tmx_store *store, double timeout, tmx_read_index_cb callback,
                           void *arg) {
   struct tmx_read_index *reads = &store->read_index;
-  if (reads->n_waiters >= TMX_USER_QUEUE) return false;
+  if (reads->n_waiters >= TMX_WAITING_REQUESTS_MAX) return false;
   struct read_waiter *waiter = tmx_allocate(1, sizeof *waiter);
   waiter->callback = callback;
   waiter->arg = arg;
@@ -188,7 +188,7 @@
 void tmx_store_note_peer_ahead(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
   if (tmx_clock_steady() - reads->last_read_at < TMX_HEARTBEAT_PERIOD_S) return;
-  reads->last_read_at = -TMX_READ_INDEX_IDLE_S;
+  reads->last_read_at = -TMX_READ_INDEX_PERIOD_MAX_S;
   tmx_read_index_send_if_due(store);
 }
 
--- a/src/store/registration.c
+++ b/src/store/registration.c
@@ -16,7 +16,7 @@
 
 void tmx_registration_restart(struct tmx_registration *registration) {
   registration->incarnation = 0;
-  registration->attempted_at = -TMX_STORE_RETRY_S;
+  registration->attempted_at = -TMX_STORE_RETRY_DELAY_S;
 }
 
 static void on_registered(void *arg, enum tmx_transaction_result result, uint64_t revision) {
@@ -33,7 +33,7 @@
       break;
     case TMX_TRANSACTION_CONFLICT:
     case TMX_TRANSACTION_UNKNOWN:
-      break; /* retried TMX_STORE_RETRY_S after the attempt was sent */
+      break; /* retried TMX_STORE_RETRY_DELAY_S after the attempt was sent */
   }
 }
 
@@ -74,7 +74,7 @@
     registration->incarnation = 0;
   }
   if (!store->lease.id || registration->incarnation) return;
-  if (now - registration->attempted_at < TMX_STORE_RETRY_S) return;
+  if (now - registration->attempted_at < TMX_STORE_RETRY_DELAY_S) return;
   write_member_key(store, now);
 }
 
--- a/src/store/snapshot_writer.c
+++ b/src/store/snapshot_writer.c
@@ -21,7 +21,7 @@
   struct tmx_replica *replica;
   uint64_t generation;
   unsigned next_page;
-  char (*machines)[TMX_ID_MAX], (*jobs)[TMX_ID_MAX]; /* ids of what is to be written */
+  char (*machines)[TMX_ID_BYTES], (*jobs)[TMX_ID_BYTES]; /* ids of what is to be written */
   size_t n_machines, n_jobs;
   struct position committed; /* after the pages that were committed */
   struct position added;     /* after the pages that were added last */
@@ -29,7 +29,7 @@
 
 /* One item of a page: a line or an encoded job record. */
 struct item {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   struct tmx_buffer record; /* empty: it is the line */
 };
 
@@ -85,10 +85,10 @@
   writer->jobs = tmx_allocate(HASH_COUNT(replica->jobs) + 1, sizeof *writer->jobs);
   writer->n_machines = writer->n_jobs = 0;
   HASH_ITER(hh, replica->machines, machine, next_machine) {
-    memcpy(writer->machines[writer->n_machines++], machine->id, TMX_ID_MAX);
+    memcpy(writer->machines[writer->n_machines++], machine->id, TMX_ID_BYTES);
   }
   HASH_ITER(hh, replica->jobs, job, next_job) {
-    if (needs_page(job)) memcpy(writer->jobs[writer->n_jobs++], job->id, TMX_ID_MAX);
+    if (needs_page(job)) memcpy(writer->jobs[writer->n_jobs++], job->id, TMX_ID_BYTES);
   }
   writer->committed = (struct position){0};
   writer->generation = replica->revision;
@@ -225,15 +225,16 @@
 enum tmx_snapshot_result tmx_snapshot_writer_add_pages(struct tmx_snapshot_writer *writer,
                                                        struct tmx_transaction *transaction,
                                                        int max_puts) {
-  size_t max_page = tmx_value_room(writer->settings) + TMX_JSON_FRAME, total = 0;
+  size_t max_page = tmx_value_room(writer->settings) + TMX_JSON_OVERHEAD_BYTES, total = 0;
   struct position position = writer->committed;
   struct page page = {.n_jobs = 0};
   bool more = true;
   tmx_transaction_require_version(transaction, TMX_KEY_HEAD, writer->replica->head_version);
-  while (more && transaction->n_operations < max_puts && total + max_page < TMX_TRANSACTION_BYTES) {
+  while (more && transaction->n_operations < max_puts &&
+         total + max_page < TMX_TRANSACTION_JSON_BYTES_MAX) {
     more = fill_page(writer, &page, &position);
     if (!page.n_lines && !page.n_jobs) break;
-    total += page.json_length + TMX_JSON_FRAME;
+    total += page.json_length + TMX_JSON_OVERHEAD_BYTES;
     put_page(writer, transaction, &page);
   }
   writer->added = position;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -59,8 +59,8 @@
  * @param timeout   longest wait, s
  * @param callback  called once, unless the client is freed first
  * @param arg       passed to the callback; not owned
- * @return whether the read was accepted; false: TMX_USER_QUEUE reads are waiting already, and the
- *         callback is not called
+ * @return whether the read was accepted; false: TMX_WAITING_REQUESTS_MAX reads are waiting already,
+ * and the callback is not called
  */
 bool tmx_store_read_index(struct tmx_store *store, double timeout, tmx_read_index_cb callback,
                           void *arg);
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -41,7 +41,8 @@
   cbor_item_t **pages;             /**< decoded responses, owned until the load ends */
   size_t n_pages,                  /**< used length of `pages` */
       cap_pages;                   /**< allocated length of `pages` */
-  char last_key[TMX_PATH_MAX];  /**< the next page starts after this key; empty: at the first key */
+  char
+      last_key[TMX_PATH_BYTES]; /**< the next page starts after this key; empty: at the first key */
   uint64_t first_page_revision; /**< revision at which the first page was read; 0: no page yet */
 };
 
@@ -86,7 +87,7 @@
 /** The registration: this controller's member key. */
 struct tmx_registration {
   /** Name of the member key, which contains this controller's node name. */
-  char key[TMX_NAME_MAX + sizeof TMX_KEY_MEMBER];
+  char key[TMX_NAME_BYTES + sizeof TMX_KEY_MEMBER];
   uint64_t incarnation; /**< revision at which the key was written; 0: not registered */
   bool in_flight;       /**< a put of the key was sent, and there is no response yet */
   double attempted_at;  /**< steady clock, s: start of the retry interval */
@@ -94,10 +95,10 @@
 
 /** The election: a compare-and-swap on the leader key. */
 struct tmx_election {
-  bool in_flight;                      /**< a compare-and-swap was sent, no response yet */
-  double attempted_at;                 /**< steady clock, s: latest attempt */
-  bool abstains;                       /**< this controller does not run for leader */
-  char suspected_leader[TMX_NAME_MAX]; /**< its leadership may be taken over; empty: none */
+  bool in_flight;                        /**< a compare-and-swap was sent, no response yet */
+  double attempted_at;                   /**< steady clock, s: latest attempt */
+  bool abstains;                         /**< this controller does not run for leader */
+  char suspected_leader[TMX_NAME_BYTES]; /**< its leadership may be taken over; empty: none */
 };
 
 /** The client of the store, with one struct per module. */
--- a/src/store/transaction.c
+++ b/src/store/transaction.c
@@ -37,7 +37,7 @@
 
 void tmx_transaction_delete(struct tmx_transaction *transaction, const char *key) {
   tmx_cbor_put_map(&transaction->operations, 1);
-  tmx_cbor_put_text_field(&transaction->operations, W_DROP, key);
+  tmx_cbor_put_text_field(&transaction->operations, W_DELETE, key);
   transaction->n_operations++;
 }
 
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -19,12 +19,12 @@
 }
 
 static void apply_event(struct tmx_replica *replica, const cbor_item_t *event) {
-  char key[TMX_PATH_MAX];
+  char key[TMX_PATH_BYTES];
   uint64_t version = 0;
   tmx_cbor_get_u64(event, W_VERSION, &version);
   if (tmx_cbor_get_text(event, W_PUT, key, sizeof key))
     tmx_replica_apply(replica, key, version, tmx_cbor_get(event, W_VALUE));
-  else if (tmx_cbor_get_text(event, W_DROP, key, sizeof key))
+  else if (tmx_cbor_get_text(event, W_DELETE, key, sizeof key))
     tmx_replica_apply(replica, key, version, NULL);
 }
 
@@ -40,8 +40,8 @@
 static void schedule_next_poll(struct tmx_store *store) {
   struct tmx_watch *watch = &store->watch;
   double now = tmx_clock_steady();
-  double rate =
-      store->settings->state_rps * TMX_WATCH_SHARE / tmx_store_members_sharing_rates(store);
+  double rate = store->settings->state_rps * TMX_WATCH_REQUEST_RATE_SHARE /
+                tmx_store_members_sharing_rates(store);
   double burst = fmax(rate * TMX_WATCH_BURST_S, 1);
   watch->tokens = fmin(watch->tokens + rate * (now - watch->refilled_at), burst) - 1;
   watch->refilled_at = now;
@@ -61,7 +61,7 @@
   uint64_t revision;
   if (!response || !tmx_cbor_get_u64(response, W_REVISION, &revision)) {
     tmx_cbor_free(response);
-    tmx_watch_schedule(store, TMX_STORE_RETRY_S);
+    tmx_watch_schedule(store, TMX_STORE_RETRY_DELAY_S);
     return;
   }
   bool was_loaded = replica->loaded;
@@ -90,7 +90,7 @@
   watch->in_flight =
       tmx_http_client_call(watch->connection, "GET", path, NULL,
                            TMX_WATCH_WAIT_MS / 1000.0 + RESPONSE_MARGIN_S, on_events, store);
-  if (!watch->in_flight) tmx_watch_schedule(store, TMX_STORE_RETRY_S);
+  if (!watch->in_flight) tmx_watch_schedule(store, TMX_STORE_RETRY_DELAY_S);
 }
 
 void tmx_watch_schedule(struct tmx_store *store, double delay) {
--- a/src/store/write_budget.c
+++ b/src/store/write_budget.c
@@ -19,7 +19,7 @@
 /* The leader has two shares because it also compacts the log and records which machines no
  * longer exist. */
 double tmx_write_budget_member_rate(const struct tmx_write_share *share) {
-  double rate = share->store_rate * TMX_WRITE_SHARE;
+  double rate = share->store_rate * TMX_BATCH_WRITE_RATE_SHARE;
   if (share->n_members <= 1) return rate;
   double own_shares = share->is_leader ? 2 : 1;
   return rate * own_shares / (share->n_members + 1);
@@ -35,9 +35,10 @@
                              double now) {
   double elapsed = now - budget->refilled_at;
   double store_rate = share->store_rate;
-  double submission_refill = elapsed * store_rate * TMX_SINGLE_SUBMISSION_SHARE / share->n_members;
+  double submission_refill =
+      elapsed * store_rate * TMX_SINGLE_SUBMISSION_WRITE_RATE_SHARE / share->n_members;
 
-  budget->recent_writes *= exp(-elapsed / TMX_RECENT_WRITES_S);
+  budget->recent_writes *= exp(-elapsed / TMX_RECENT_WRITES_DECAY_S);
   budget->store_tokens =
       fmin(fmax(budget->store_tokens, -store_rate) + elapsed * store_rate, store_rate);
   budget->member_tokens = fmin(
@@ -54,7 +55,8 @@
 
 bool tmx_write_budget_is_load_low(const struct tmx_write_budget *budget,
                                   const struct tmx_write_share *share) {
-  return budget->recent_writes / TMX_RECENT_WRITES_S < share->store_rate * TMX_LOW_WRITE_LOAD_SHARE;
+  return budget->recent_writes / TMX_RECENT_WRITES_DECAY_S <
+         share->store_rate * TMX_LOW_WRITE_LOAD_SHARE;
 }
 
 /* Returns this controller's part of the tokens in the store's bucket above `kept_share` of the
@@ -69,7 +71,7 @@
                                   const struct tmx_write_share *share) {
   if (!tmx_write_budget_is_load_low(budget, share)) return budget->member_tokens;
   return fmax(budget->member_tokens,
-              own_part_of_store_tokens_above(budget, share, TMX_SHARED_WRITES_KEPT_SHARE));
+              own_part_of_store_tokens_above(budget, share, TMX_STORE_BURST_RESERVED_SHARE));
 }
 
 double tmx_write_budget_delay(const struct tmx_write_budget *budget,
@@ -80,13 +82,13 @@
 
 bool tmx_write_budget_allows_housekeeping(const struct tmx_write_budget *budget,
                                           const struct tmx_write_share *share) {
-  return budget->member_tokens > member_burst(share) * TMX_COMPACTION_SPARE_SHARE;
+  return budget->member_tokens > member_burst(share) * TMX_COMPACTION_FREE_BUDGET_SHARE;
 }
 
 /* Returns this controller's part of the puts that all controllers leave unused. */
 static double unused_tokens(const struct tmx_write_budget *budget,
                             const struct tmx_write_share *share) {
-  return fmax(0, own_part_of_store_tokens_above(budget, share, TMX_SHARED_WRITES_UNUSED_SHARE));
+  return fmax(0, own_part_of_store_tokens_above(budget, share, TMX_STORE_BURST_UNUSED_ABOVE_SHARE));
 }
 
 /* Falls back to puts that all controllers leave unused, because a submission that is not committed
--- a/src/store/write_budget.h
+++ b/src/store/write_budget.h
@@ -28,8 +28,8 @@
   double member_tokens;     /**< tokens of this controller's share */
   double submission_tokens; /**< reserve for submissions that are committed without a batch */
   double store_tokens;      /**< estimate of the store's bucket, from the events of the watch */
-  double recent_writes;     /**< writes of all controllers, decayed with TMX_RECENT_WRITES_S */
-  double refilled_at;       /**< steady clock, s: time of the latest refill */
+  double recent_writes; /**< writes of all controllers, decayed with TMX_RECENT_WRITES_DECAY_S */
+  double refilled_at;   /**< steady clock, s: time of the latest refill */
 };
 
 /**
@@ -67,7 +67,7 @@
 /**
  * Returns the number of puts that may be sent now; may be negative. It is the balance of this
  * controller's share. While the write load is low, it is half of the store's tokens above
- * TMX_SHARED_WRITES_KEPT_SHARE of the bucket if that is more.
+ * TMX_STORE_BURST_RESERVED_SHARE of the bucket if that is more.
  */
 double tmx_write_budget_available(const struct tmx_write_budget *budget,
                                   const struct tmx_write_share *share);
--- a/src/user/polls.c
+++ b/src/user/polls.c
@@ -11,6 +11,6 @@
   }
   struct tmx_user_request request = {.kind = TMX_USER_POLL,
                                      .if_unknown = TMX_UNKNOWN_JOB_NOT_FOUND};
-  snprintf(request.id, sizeof request.id, "%.*s", TMX_ID_MAX - 1, id);
+  snprintf(request.id, sizeof request.id, "%.*s", TMX_ID_BYTES - 1, id);
   tmx_user_request_wait(users, http, &request);
 }
--- a/src/user/submissions.c
+++ b/src/user/submissions.c
@@ -36,13 +36,13 @@
   request->admission_decision = tmx_admission_control_decide(
       request->users->admission, &request->admission_request, &no_dependencies);
   request->if_unknown = TMX_UNKNOWN_JOB_OVERLOAD;
-  return tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S);
+  return tmx_user_request_read_state(request, TMX_SUBMISSION_WAIT_MAX_S);
 }
 
 /* The job is known already: its state is read before it is told. */
 static bool read_state_of_known_job(struct tmx_user_request *request) {
   request->if_unknown = TMX_UNKNOWN_JOB_RETRY;
-  if (!tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S)) return false;
+  if (!tmx_user_request_read_state(request, TMX_SUBMISSION_WAIT_MAX_S)) return false;
   tmx_store_expedite_read_index(request->users->store);
   return true;
 }
@@ -77,7 +77,7 @@
   for (uint32_t i = 0; i < ids->count; i++) {
     const struct tmx_job *job = tmx_job_find(replica, ids->ids[i]);
     if (job && job->outcome == TMX_JOB_DONE) continue;
-    if (n != i) memcpy(ids->ids[n], ids->ids[i], TMX_ID_MAX);
+    if (n != i) memcpy(ids->ids[n], ids->ids[i], TMX_ID_BYTES);
     n++;
   }
   ids->count = n;
@@ -96,8 +96,8 @@
   const struct tmx_users *users = request->users;
   remove_done(users->replica, &submission->dependencies);
   request->depends_on_cancelled = contains_cancelled(users->replica, &submission->dependencies);
-  if (users->n_waiting > TMX_USER_QUEUE) return TMX_SUBMIT_QUEUE_FULL;
-  return tmx_scheduler_submit(users->scheduler, submission, TMX_SUBMIT_WAIT_S,
+  if (users->n_waiting > TMX_WAITING_REQUESTS_MAX) return TMX_SUBMIT_QUEUE_FULL;
+  return tmx_scheduler_submit(users->scheduler, submission, TMX_SUBMISSION_WAIT_MAX_S,
                               on_submission_settled, request);
 }
 
@@ -113,7 +113,7 @@
       return;
     case TMX_SUBMIT_TOO_LARGE:
       request->if_unknown = TMX_UNKNOWN_JOB_REJECTED;
-      if (tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S)) return;
+      if (tmx_user_request_read_state(request, TMX_SUBMISSION_WAIT_MAX_S)) return;
       break;
     case TMX_SUBMIT_QUEUE_FULL:
       break;
--- a/src/user/user_api.c
+++ b/src/user/user_api.c
@@ -45,9 +45,9 @@
 
 /* Splits what follows the collection's path; false: it is not the path of a job or its
  * cancellation. */
-static bool split_job_path(const char *path, char id[TMX_PATH_MAX], bool *cancel) {
+static bool split_job_path(const char *path, char id[TMX_PATH_BYTES], bool *cancel) {
   if (*path != '/') return false;
-  snprintf(id, TMX_PATH_MAX, "%s", path + 1);
+  snprintf(id, TMX_PATH_BYTES, "%s", path + 1);
   char *query = strchr(id, '?');
   if (query) *query = 0;
   char *action = strchr(id, '/');
@@ -59,7 +59,7 @@
 
 bool tmx_users_handle(struct tmx_users *users, struct tmx_http_request *request) {
   static const char collection[] = WP_JOBS;
-  char id[TMX_PATH_MAX];
+  char id[TMX_PATH_BYTES];
   bool cancel;
   if (strncmp(request->path, collection, sizeof collection - 1)) return false;
   const char *rest = request->path + sizeof collection - 1;
--- a/src/user/user_internal.h
+++ b/src/user/user_internal.h
@@ -37,7 +37,7 @@
   struct tmx_http_request *http;        /**< owned until it is answered */
   enum tmx_user_request_kind kind;      /**< what is asked for */
   enum tmx_unknown_job_step if_unknown; /**< next step if the job is not known */
-  char id[TMX_ID_MAX];                  /**< of the job */
+  char id[TMX_ID_BYTES];                /**< of the job */
   double received_at;                   /**< monotonic clock, seconds */
   double deadline; /**< of a cancellation's retries: monotonic clock, seconds */
   int n_conflicts; /**< of a cancellation's commits */
--- a/src/user/waiting_request.c
+++ b/src/user/waiting_request.c
@@ -84,8 +84,8 @@
 static int max_waiting(const struct tmx_users *users, const struct tmx_user_request *request) {
   const struct tmx_job *job = tmx_job_find(users->replica, request->id);
   bool first = request->kind != TMX_USER_POLL ||
-               (job && tmx_clock_steady() - job->answered_at > TMX_POLL_FAIR_S);
-  return first ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2;
+               (job && tmx_clock_steady() - job->answered_at > TMX_POLL_PRIORITY_AFTER_S);
+  return first ? TMX_WAITING_REQUESTS_MAX : TMX_WAITING_REQUESTS_MAX / 2;
 }
 
 /* Where the state is out of reach nothing can be decided: the sender goes elsewhere at once. */
@@ -104,7 +104,8 @@
     tmx_user_reply_unavailable(http, reason);
     return;
   }
-  double within_s = request->kind == TMX_USER_POLL ? TMX_USER_WAIT_S : TMX_SUBMIT_WAIT_S;
+  double within_s =
+      request->kind == TMX_USER_POLL ? TMX_POLL_WAIT_MAX_S : TMX_SUBMISSION_WAIT_MAX_S;
   struct tmx_user_request *waiting = tmx_user_request_new(users, http, request);
   waiting->deadline = tmx_clock_steady() + within_s;
   if (tmx_user_request_read_state(waiting, within_s)) return;
--- a/src/worker/commands.c
+++ b/src/worker/commands.c
@@ -31,10 +31,10 @@
 static void append_command(struct tmx_command_list *list, const char *operation,
                            struct attempt_name name, double grace_s) {
   struct tmx_buffer *buffer = &list->encoded;
-  char task[TMX_ID_MAX + 16];
+  char task[TMX_ID_BYTES + 16];
   snprintf(task, sizeof task, "%s/%u", name.job, name.task);
   tmx_cbor_put_map(buffer, grace_s >= 0 ? 4 : 3);
-  tmx_cbor_put_text_field(buffer, W_OP, operation);
+  tmx_cbor_put_text_field(buffer, W_OPERATION, operation);
   tmx_cbor_put_text_field(buffer, W_TASK, task);
   tmx_cbor_put_u64_field(buffer, W_ATTEMPT, name.attempt);
   if (grace_s >= 0) tmx_cbor_put_number_field(buffer, W_GRACE, grace_s);
@@ -43,8 +43,8 @@
 
 /* Attempts that the log places there and that must end. */
 static void append_stops(const struct tmx_worker *worker, struct tmx_command_list *list) {
-  for (const struct tmx_task *task = worker->machine->tasks; task && list->count < TMX_COMMANDS_MAX;
-       task = task->next) {
+  for (const struct tmx_task *task = worker->machine->tasks;
+       task && list->count < TMX_MESSAGE_COMMANDS_MAX; task = task->next) {
     if (!tmx_worker_reports(worker, task) || task->reported_state == TMX_REPORTED_EXITED ||
         !tmx_task_is_leaving(task))
       continue;
@@ -60,7 +60,7 @@
 static void append_settled(const struct tmx_worker *worker, enum tmx_command_scope scope,
                            struct tmx_command_list *list) {
   const struct tmx_worker_report *report = &worker->report;
-  for (size_t i = 0; i < report->n_tasks && list->count < TMX_COMMANDS_MAX; i++) {
+  for (size_t i = 0; i < report->n_tasks && list->count < TMX_MESSAGE_COMMANDS_MAX; i++) {
     const struct tmx_reported_task *reported = &report->tasks[i];
     if (reported->in_log) continue;
     if (reported->state != TMX_REPORTED_EXITED)
@@ -72,8 +72,8 @@
 
 /* Attempts that the log places there and the report lacks. */
 static void append_starts(const struct tmx_worker *worker, struct tmx_command_list *list) {
-  for (const struct tmx_task *task = worker->machine->tasks; task && list->count < TMX_COMMANDS_MAX;
-       task = task->next) {
+  for (const struct tmx_task *task = worker->machine->tasks;
+       task && list->count < TMX_MESSAGE_COMMANDS_MAX; task = task->next) {
     if (tmx_task_is_leaving(task) || tmx_worker_reports(worker, task)) continue;
     append_command(list, WV_START, name_of_task(task), NO_GRACE);
     list->has_starts = true;
@@ -96,7 +96,7 @@
 void tmx_worker_derive_stops_of_ended_jobs(const struct tmx_worker *worker,
                                            struct tmx_command_list *list) {
   const struct tmx_worker_report *report = &worker->report;
-  for (size_t i = 0; i < report->n_tasks && list->count < TMX_COMMANDS_MAX; i++) {
+  for (size_t i = 0; i < report->n_tasks && list->count < TMX_MESSAGE_COMMANDS_MAX; i++) {
     const struct tmx_reported_task *reported = &report->tasks[i];
     const struct tmx_job *job = tmx_job_find(worker->workers->replica, reported->job);
     if (reported->state == TMX_REPORTED_EXITED || !job || !job->outcome) continue;
--- a/src/worker/commands.h
+++ b/src/worker/commands.h
@@ -13,7 +13,7 @@
 /** Commands in their form on the wire. Zeroed: none. */
 struct tmx_command_list {
   struct tmx_buffer encoded; /**< owned; one map after the other */
-  size_t count;              /**< at most TMX_COMMANDS_MAX */
+  size_t count;              /**< at most TMX_MESSAGE_COMMANDS_MAX */
   bool has_starts;           /**< at least one command starts an attempt */
 };
 
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -15,7 +15,7 @@
 static void reply_redirect(struct tmx_http_request *request, const char *owner) {
   struct tmx_buffer body = {0};
   tmx_cbor_put_map(&body, owner ? 1 : 0);
-  if (owner) tmx_cbor_put_text_field(&body, W_REPORT_TO, owner);
+  if (owner) tmx_cbor_put_text_field(&body, W_OWNER, owner);
   tmx_http_reply(request, 421, &body, 0);
   tmx_buffer_free(&body);
 }
@@ -78,15 +78,15 @@
   const struct tmx_workers *workers = worker->workers;
   double redirected_at = worker->redirection.redirected_at;
   if (!tmx_store_is_member(workers->store) ||
-      now - tmx_store_fresh_as_of(workers->store) < TMX_STORE_LOST_S)
+      now - tmx_store_fresh_as_of(workers->store) < TMX_STORE_UNREACHABLE_S)
     return false;
   /* Where an owner by a newer view was there, that one sees to the lease. */
   if (worker->ownership.highest_token >
       tmx_authority_fencing_token(workers->authority, TMX_TOKEN_SEQUENCE_MAX))
     return false;
   if (is_late_start_possible(worker, now)) return false;
-  return tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_LOST_S ||
-         (redirected_at && now - redirected_at >= TMX_FAILOVER_AFTER_S);
+  return tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_EXPIRY_S ||
+         (redirected_at && now - redirected_at >= TMX_FAILOVER_REDIRECT_AGE_MIN_S);
 }
 
 /* On behalf of the owner, with the token that the worker has seen, and with no commands but one
@@ -104,14 +104,15 @@
   const struct tmx_workers *workers = worker->workers;
   double redirected_at = worker->redirection.redirected_at;
   double since_redirect = now - redirected_at;
-  if (redirected_at && since_redirect >= TMX_FAILOVER_AFTER_S &&
-      since_redirect <= TMX_FAILOVER_WITHIN_S)
+  if (redirected_at && since_redirect >= TMX_FAILOVER_REDIRECT_AGE_MIN_S &&
+      since_redirect <= TMX_FAILOVER_REDIRECT_AGE_MAX_S)
     return true;
-  if (tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_LOST_S)
-    return redirected_at && since_redirect < TMX_FAILOVER_WITHIN_S;
+  if (tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_EXPIRY_S)
+    return redirected_at && since_redirect < TMX_FAILOVER_REDIRECT_AGE_MAX_S;
   struct tmx_suspicion suspicion;
   return worker->machine && tmx_workers_find_suspicion(workers, worker->machine, &suspicion) &&
-         suspicion.silence_s > TMX_FAILOVER_SILENT_S && suspicion.probes_lost >= TMX_PROBES_LOST;
+         suspicion.silence_s > TMX_FAILOVER_SILENCE_S &&
+         suspicion.probes_lost >= TMX_PROBES_LOST_MIN;
 }
 
 static void park_request(struct tmx_worker *worker, struct tmx_http_request *request, double now) {
@@ -142,7 +143,7 @@
     const struct tmx_worker_redirection *redirection = &worker->redirection;
     if (!redirection->parked_request) continue;
     if (!redirection->parked_request->conn ||
-        tmx_clock_steady() - redirection->parked_at > TMX_FAILOVER_PARK_S)
+        tmx_clock_steady() - redirection->parked_at > TMX_FAILOVER_REPORT_WAIT_S)
       tmx_worker_redirect_parked_request(worker);
     else if (tmx_authority_may_act(workers->authority) && tmx_worker_update_ownership(worker))
       reply_as_owner(worker, unpark_request(worker), false);
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -12,7 +12,7 @@
 #include "worker/worker_table.h"
 
 double tmx_worker_silence_limit(const struct tmx_settings *settings) {
-  return settings->report_s * 1.25 + TMX_REPORT_LATE_S;
+  return settings->report_s * 1.25 + TMX_REPORT_LATE_MARGIN_S;
 }
 
 double tmx_worker_heartbeat_age(const struct tmx_worker *worker, double now) {
@@ -41,12 +41,12 @@
   if (worker->machine->zone < 0) return;
   struct tmx_zone_liveness *zone = &worker->workers->zone_liveness[worker->machine->zone];
   zone->machines++;
-  zone->lost += worker->probing.lost >= TMX_PROBES_LOST - 1;
-  zone->alive += now - last_sign_of_life(worker) < TMX_ALIVE_S;
+  zone->lost += worker->probing.lost >= TMX_PROBES_LOST_MIN - 1;
+  zone->alive += now - last_sign_of_life(worker) < TMX_LIVENESS_WINDOW_S;
 }
 
-/* In TMX_ALIVE_S only some of those that live can give a sign, as they are asked in turn: each that
- * did stands for so many. */
+/* In TMX_LIVENESS_WINDOW_S only some of those that live can give a sign, as they are asked in turn:
+ * each that did stands for so many. */
 static void extrapolate_zone_liveness(struct tmx_workers *workers, double probe_rate) {
   const struct tmx_settings *settings = workers->settings;
   double lost = 0, others = 0;
@@ -55,7 +55,8 @@
     others += workers->zone_liveness[z].machines - workers->zone_liveness[z].lost;
   }
   if (lost > 0) probe_rate *= 1 - TMX_SUSPECT_PROBES_SHARE;
-  double share = fmin(1, TMX_ALIVE_S * (probe_rate / fmax(others, 1) + 1 / settings->report_s));
+  double share =
+      fmin(1, TMX_LIVENESS_WINDOW_S * (probe_rate / fmax(others, 1) + 1 / settings->report_s));
   for (size_t z = 0; z < settings->n_zones; z++) {
     struct tmx_zone_liveness *zone = &workers->zone_liveness[z];
     zone->alive = (unsigned)fmin(zone->alive / share, zone->machines - zone->lost);
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -12,7 +12,7 @@
 
 /* A share of this controller's processor. */
 double tmx_workers_probe_rate(const struct tmx_settings *settings) {
-  return fmax(settings->core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
+  return fmax(settings->core_share * TMX_PROBE_CPU_SHARE / TMX_PROBE_CPU_S, 4);
 }
 
 void tmx_workers_refill_probe_budget(struct tmx_workers *workers, double elapsed_s) {
@@ -94,9 +94,9 @@
 static bool suspect_probe_is_due(const struct tmx_worker *worker, const struct probe_turn *turn) {
   const struct tmx_worker_probing *probing = &worker->probing;
   if (!probing->lost && tmx_worker_is_acknowledged(worker)) return false;
-  int doublings = probing->lost - TMX_PROBES_LOST;
+  int doublings = probing->lost - TMX_PROBES_LOST_MIN;
   if (doublings < 0) doublings = 0;
-  if (doublings > TMX_PROBE_DOUBLINGS) doublings = TMX_PROBE_DOUBLINGS;
+  if (doublings > TMX_PROBE_PERIOD_DOUBLINGS_MAX) doublings = TMX_PROBE_PERIOD_DOUBLINGS_MAX;
   return turn->now - probing->sent_at >= TMX_PROBE_TIMEOUT_S * (1 << doublings);
 }
 
--- a/src/worker/report_intake.c
+++ b/src/worker/report_intake.c
@@ -38,12 +38,12 @@
       !get_word(map, W_TYPE, facts->type, sizeof facts->type) ||
       !get_word(map, W_ZONE, facts->zone, sizeof facts->zone) ||
       !tmx_cbor_get_u64(map, W_SESSION, &report->session) ||
-      !tmx_cbor_get_u64(map, W_SEQ, &report->sequence) ||
+      !tmx_cbor_get_u64(map, W_SEQUENCE, &report->sequence) ||
       (report->tasks && !cbor_isa_array(report->tasks)))
     return false;
   tmx_cbor_get_bool(map, W_SPOT, &facts->spot);
   tmx_cbor_get_u64(map, W_TOKEN, &report->highest_token);
-  tmx_cbor_get_number(map, W_NOTICE, &notice_s);
+  tmx_cbor_get_number(map, W_SPOT_NOTICE, &notice_s);
   report->spot_notice = notice_s >= 0;
   return true;
 }
@@ -63,7 +63,7 @@
 }
 
 static bool parse_reported_task(const cbor_item_t *map, struct tmx_reported_task *reported) {
-  char task[TMX_ID_MAX + 16], state[16], why[16] = "";
+  char task[TMX_ID_BYTES + 16], state[16], why[16] = "";
   uint64_t attempt;
   if (!tmx_cbor_get_text(map, W_TASK, task, sizeof task) ||
       !tmx_cbor_get_u64(map, W_ATTEMPT, &attempt) ||
@@ -73,7 +73,7 @@
     return false;
   reported->attempt = (uint32_t)attempt;
   reported->state = parse_state(state);
-  tmx_cbor_get_text(map, W_WHY, why, sizeof why);
+  tmx_cbor_get_text(map, W_REASON, why, sizeof why);
   if (reported->state == TMX_REPORTED_EXITED) reported->end_reason = parse_end_reason(why);
   return true;
 }
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -20,7 +20,7 @@
     time = fmax(time, now - fmax(worker->liveness.acknowledged_at, ownership->since));
   /* One that was cut off and gives signs again has not had the time yet to show more. */
   double since_recovery = now - worker->liveness.recovered_at;
-  if (since_recovery < settings->lease_s * TMX_RECOVERY_LEASES)
+  if (since_recovery < settings->lease_s * TMX_RECOVERY_GRACE_LEASES)
     time = fmin(time, since_recovery + 0.001);
   /* It answers and cannot report: direct commands renew no lease, so by now all that ran is over,
    * and would be again a lease later. When most machines are so, it is this controller that is not
@@ -77,7 +77,7 @@
   return record->received_at && record->term >= workers->replica->view.term &&
          !strcmp(record->reporter, owner) &&
          age <= tmx_peers_silence(workers->peers, owner) + TMX_HEARTBEAT_PERIOD_S / 2 &&
-         age <= TMX_HEARTBEAT_LOST_S;
+         age <= TMX_HEARTBEAT_EXPIRY_S;
 }
 
 bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -45,7 +45,7 @@
 void tmx_workers_free(struct tmx_workers *workers);
 
 /** Answers a worker's heartbeat: at once, or, while this controller takes the machine over from an
- * owner that its worker does not reach, within TMX_FAILOVER_PARK_S. */
+ * owner that its worker does not reach, within TMX_FAILOVER_REPORT_WAIT_S. */
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request);
 /** Sends the commands that the latest events made due, and answers heartbeats that waited. To be
  * called after each turn of the loop, when its events were applied and not within. */
