--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -21,7 +21,7 @@
 
 /** One attempt of the latest report. */
 struct tmx_reported_task {
-  char job[TMX_ID_MAX];          /**< id of the job */
+  char job[TMX_ID_BYTES];        /**< id of the job */
   uint32_t task;                 /**< index of the task within the job */
   uint32_t attempt;              /**< number of the attempt of the task */
   enum tmx_reported_state state; /**< as the worker reports it */
@@ -97,7 +97,7 @@
 /** The connection to the worker. Written by worker_connection.c. */
 struct tmx_worker_connection {
   struct tmx_http_client *client; /**< NULL: none is open */
-  char address[TMX_NAME_MAX];     /**< host and port to which `client` connects */
+  char address[TMX_NAME_BYTES];   /**< host and port to which `client` connects */
 };
 
 /** Probes of the machine. Written by probes.c; fencing.c begins a new ownership with none lost, and
@@ -111,14 +111,14 @@
 /** What another owner says of its machine. Written by suspicions.c. */
 struct tmx_worker_owner_suspicion {
   struct tmx_suspicion suspicion; /**< the latest that was said */
-  char reporter[TMX_NAME_MAX];    /**< name of the controller that said it */
+  char reporter[TMX_NAME_BYTES];  /**< name of the controller that said it */
   double received_at;             /**< steady clock, s; 0: never */
   uint64_t term;                  /**< of the view by which it spoke */
 };
 
 /** The worker of one machine. */
 struct tmx_worker {
-  char id[TMX_ID_MAX];                               /**< id of the machine; key of the table */
+  char id[TMX_ID_BYTES];                             /**< id of the machine; key of the table */
   struct tmx_workers *workers;                       /**< the module that owns this record */
   struct tmx_machine *machine;                       /**< once the replica has it, else NULL */
   struct tmx_worker_report report;                   /**< latest report */
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -20,7 +20,7 @@
 };
 struct history {
   struct tmx_settings settings;
-  struct tmx_rates rates;
+  struct tmx_resource_rates rates;
   struct entry entries[ENTRIES_MAX];
   size_t n_entries;
   struct copy live, followed;
@@ -77,7 +77,7 @@
 }
 
 static double sum(const struct history *h) {
-  return tmx_total_seconds(&h->live.backlog, &h->rates);
+  return tmx_total_backlog_seconds(&h->live.backlog, &h->rates);
 }
 
 static double smallest_reserve(const struct history *h) {
@@ -112,14 +112,14 @@
 }
 
 static struct tmx_job *some_job(struct history *h, uint32_t step) {
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   if (!h->n_jobs) return NULL;
   snprintf(id, sizeof id, "wk-%06u", step % h->n_jobs);
   return tmx_job_find(&h->live.replica, id);
 }
 
 static void move_task(struct history *h, struct tmx_job *job, uint32_t step) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   if (!job || job->outcome || !job->tasks) return;
   uint32_t index = step / 3 % job->spec.tasks;
   const struct tmx_task *task = &job->tasks[index];
@@ -147,7 +147,7 @@
 }
 
 static void take_step(struct history *h, uint32_t step) {
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   uint32_t kind = step % 16, rest = step / 16;
   if (h->n_entries + 1 >= ENTRIES_MAX) return;
   if (kind < 9 && h->n_jobs < JOBS_MAX) {
@@ -207,7 +207,7 @@
 static void load_folded(const struct history *h, struct copy *copy) {
   struct tmx_buffer jobs = {0}, list = {0}, page = {0};
   size_t n_jobs = 0, n = 0;
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   struct tmx_job *job, *next;
   const struct tmx_machine *machine = tmx_machine_find(&h->live.replica, "n-1");
   tmx_machine_line_print(line, sizeof line, &h->live.replica, machine);
@@ -243,13 +243,13 @@
   tmx_operator_defaults(&settings->operators);
   settings->operators.admission.enabled = true;
   settings->operators.admission.backlog_s = 200;
-  for (int i = 0; i < TEAMS; i++) snprintf(settings->teams[i].name, TMX_NAME_MAX, "team-%d", i);
+  for (int i = 0; i < TEAMS; i++) snprintf(settings->teams[i].name, TMX_NAME_BYTES, "team-%d", i);
   strcpy(settings->objectives[0].class_name, "class-0");
   strcpy(settings->objectives[1].class_name, "class-20");
   settings->n_objectives = 2;
   strcpy(settings->zones[0], "a");
   settings->n_zones = 1;
-  if (!tmx_admission_resolve(settings, err, sizeof err)) abort();
+  if (!tmx_admission_settings_resolve(settings, err, sizeof err)) abort();
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
   h->rates = tmx_admission_rates(settings, &machines, &machines);
   open_copy(&h->live, settings);
--- a/tests/cluster/history_commits.c
+++ b/tests/cluster/history_commits.c
@@ -6,7 +6,7 @@
 #include "replica/replica.h"
 
 static void record_placement(void *unused, const struct tmx_operation *operation) {
-  char task[TMX_LINE_MAX];
+  char task[TMX_LOG_LINE_BYTES];
   (void)unused;
   if (operation->kind != TMX_OPERATION_PLACE) return;
   snprintf(task, sizeof task, "%s/%u", operation->job, operation->task);
@@ -14,7 +14,7 @@
 }
 
 void history_commit(const char *key, const uint8_t *value, size_t length) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   if (strncmp(key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) return;
   cbor_item_t *map = tmx_cbor_parse(value, length);
   const cbor_item_t *lines = tmx_cbor_get(map, "ops");
--- a/tests/cluster/users_internal.h
+++ b/tests/cluster/users_internal.h
@@ -7,7 +7,7 @@
 
 /** A job as its user knows it. */
 struct job {
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   const struct job_kind *kind;
   double first_at, sent_at, next_request_at; /**< first attempt; latest request; next one */
   double began_at;                           /**< its first task began; 0: not yet */
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -22,7 +22,7 @@
   size_t first = from && !cloud->repeat_first_page ? strtoul(from + 7, NULL, 10) - LIST_FROM : 0;
   size_t left = cloud->listed_machines > first ? cloud->listed_machines - first : 0;
   size_t count = left < LIST_PAGE ? left : LIST_PAGE;
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   cloud->pages_served++;
   tmx_cbor_put_map(buffer, 2);
   tmx_cbor_put_text(buffer, W_MACHINES);
@@ -37,7 +37,7 @@
     tmx_cbor_put_text_field(buffer, W_STATE, WV_BOOTING);
     tmx_cbor_put_number_field(buffer, W_AGE, 1);
   }
-  tmx_cbor_put_bool_field(buffer, W_MORE, left > count);
+  tmx_cbor_put_bool_field(buffer, W_HAS_NEXT, left > count);
 }
 
 static void list_types(struct tmx_buffer *buffer) {
@@ -50,7 +50,7 @@
   tmx_cbor_put_number_field(buffer, W_GPUS, 0);
   tmx_cbor_put_number_field(buffer, W_MEM, 64);
   tmx_cbor_put_number_field(buffer, W_CACHE_GB, 50);
-  tmx_cbor_put_number_field(buffer, W_FETCH, 1);
+  tmx_cbor_put_number_field(buffer, W_FETCH_RATE, 1);
   tmx_cbor_put_number_field(buffer, W_PRICE, 1);
   tmx_cbor_put_number_field(buffer, W_SPOT_PRICE, 0.4);
   tmx_cbor_put_number_field(buffer, W_BOOT_S, 30);
@@ -68,7 +68,7 @@
   const cbor_item_t *list = tmx_cbor_get(map, W_MACHINES);
   for (size_t i = 0; i < tmx_cbor_list_length(list) && cloud->deletions < FAKE_CLOUD_DELETED_MAX;
        i++)
-    tmx_cbor_as_text(tmx_cbor_list_at(list, i), cloud->deleted[cloud->deletions++], TMX_ID_MAX);
+    tmx_cbor_as_text(tmx_cbor_list_at(list, i), cloud->deleted[cloud->deletions++], TMX_ID_BYTES);
   tmx_cbor_free(map);
   tmx_http_reply(request, 200, NULL, 0);
 }
--- a/tests/fake_cloud.h
+++ b/tests/fake_cloud.h
@@ -11,10 +11,10 @@
 
 struct fake_cloud {
   struct tmx_http_server *server;
-  bool refuse_delete;                               /**< deletions are answered with 503 */
-  unsigned deletions;                               /**< machines deleted so far */
-  char deleted[FAKE_CLOUD_DELETED_MAX][TMX_ID_MAX]; /**< their ids, in order */
-  unsigned rentals;                                 /**< requests to rent so far */
+  bool refuse_delete;                                 /**< deletions are answered with 503 */
+  unsigned deletions;                                 /**< machines deleted so far */
+  char deleted[FAKE_CLOUD_DELETED_MAX][TMX_ID_BYTES]; /**< their ids, in order */
+  unsigned rentals;                                   /**< requests to rent so far */
   size_t listed_machines; /**< the list holds n-100001 and on, 500 a page; 0: it is empty */
   bool repeat_first_page; /**< every page of the list is the first one */
   unsigned pages_served;  /**< pages of the list answered so far */
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -100,7 +100,7 @@
   for (size_t i = 0; i < fake_store.n_events; i++) {
     const struct fake_event *event = &fake_store.events[i];
     if (event->version <= watch->from_revision) continue;
-    fake_store_encode_entry(&changes, event->value ? W_PUT : W_DROP, event->key, event->value,
+    fake_store_encode_entry(&changes, event->value ? W_PUT : W_DELETE, event->key, event->value,
                             event->length, event->version);
     count++;
   }
--- a/tests/fake_store_log.c
+++ b/tests/fake_store_log.c
@@ -7,7 +7,7 @@
 typedef void line_callback(void *argument, const char *line);
 
 static void for_each_line(line_callback *callback, void *argument) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   for (size_t i = 0; i < fake_store.n_entries; i++) {
     const struct fake_entry *entry = &fake_store.entries[i];
     if (strncmp(entry->key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) continue;
@@ -26,7 +26,7 @@
 
 static void compare_operation(void *argument, const struct tmx_operation *operation) {
   struct search *search = argument;
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   tmx_operation_print(line, sizeof line, operation);
   search->found |= !strcmp(line, search->line);
 }
--- a/tests/fake_store_transaction.c
+++ b/tests/fake_store_transaction.c
@@ -76,7 +76,7 @@
       assert_int_equal(cbor_map_size(operation), lease ? 3 : 2); /* it has no other fields */
       write_value(key, tmx_cbor_get(operation, W_VALUE), lease);
       lose_response |= endpoint->lose_next_response && has_prefix(key, endpoint->lost_response_key);
-    } else if (tmx_cbor_get_text(operation, W_DROP, key, sizeof key)) {
+    } else if (tmx_cbor_get_text(operation, W_DELETE, key, sizeof key)) {
       fake_store_remove(key);
     }
   }
--- a/tests/fake_users.c
+++ b/tests/fake_users.c
@@ -56,7 +56,7 @@
     tmx_buffer_append(buffer, job->types->data, job->types->length);
   }
   if (job->awaits) {
-    tmx_cbor_put_text(buffer, W_AWAITS);
+    tmx_cbor_put_text(buffer, W_DEPENDENCIES);
     tmx_buffer_append(buffer, job->awaits->data, job->awaits->length);
   }
   tmx_cbor_put_text_field(buffer, W_ID, job->id);
@@ -75,7 +75,7 @@
   tmx_cbor_put_number_field(buffer, W_IMAGE_GB, 0.1);
   tmx_cbor_put_number_field(buffer, W_ESTIMATE, job->estimate_s > 0 ? job->estimate_s : 10);
   tmx_cbor_put_number_field(buffer, W_CHECKPOINT, 0);
-  tmx_cbor_put_number_field(buffer, W_SAVE, 0);
+  tmx_cbor_put_number_field(buffer, W_CHECKPOINT_SAVE, 0);
 }
 
 int submit_job(struct tmx_controller *controller, const struct fake_job *job) {
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -20,7 +20,7 @@
   tmx_cbor_put_text_field(buffer, W_ZONE, "a");
   tmx_cbor_put_bool_field(buffer, W_SPOT, false);
   tmx_cbor_put_u64_field(buffer, W_SESSION, worker->session);
-  tmx_cbor_put_u64_field(buffer, W_SEQ, worker->sequence);
+  tmx_cbor_put_u64_field(buffer, W_SEQUENCE, worker->sequence);
   tmx_cbor_put_u64_field(buffer, W_TOKEN, worker->token);
   tmx_cbor_put_text(buffer, W_TASKS);
   tmx_cbor_put_list(buffer, worker->n_tasks);
@@ -30,7 +30,7 @@
     tmx_cbor_put_text_field(buffer, W_TASK, worker->tasks[i].task);
     tmx_cbor_put_u64_field(buffer, W_ATTEMPT, worker->tasks[i].attempt);
     tmx_cbor_put_text_field(buffer, W_STATE, worker->tasks[i].state);
-    if (ended) tmx_cbor_put_text_field(buffer, W_WHY, worker->tasks[i].why);
+    if (ended) tmx_cbor_put_text_field(buffer, W_REASON, worker->tasks[i].why);
   }
 }
 
@@ -59,7 +59,7 @@
        i++) {
     struct fake_command *command = &worker->commands_received[worker->n_commands_received++];
     uint64_t attempt = 0;
-    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_OP, command->operation,
+    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_OPERATION, command->operation,
                       sizeof command->operation);
     tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_TASK, command->task, sizeof command->task);
     tmx_cbor_get_u64(tmx_cbor_list_at(list, i), W_ATTEMPT, &attempt);
@@ -141,7 +141,7 @@
       take_commands(worker, map);
     }
   } else if (map) {
-    tmx_cbor_get_text(map, W_REPORT_TO, worker->redirected_to, sizeof worker->redirected_to);
+    tmx_cbor_get_text(map, W_OWNER, worker->redirected_to, sizeof worker->redirected_to);
   }
   tmx_cbor_free(map);
 }
--- a/tests/fake_worker.h
+++ b/tests/fake_worker.h
@@ -30,8 +30,8 @@
 };
 
 struct fake_worker {
-  char id[TMX_ID_MAX]; /**< of its machine */
-  char address[32];    /**< where it takes commands */
+  char id[TMX_ID_BYTES]; /**< of its machine */
+  char address[32];      /**< where it takes commands */
   struct tmx_http_server *server;
   bool fails_commands; /**< answers commands with 500 and executes none; probes are answered */
   bool unresponsive;   /**< answers commands and probes with 500 */
@@ -41,9 +41,9 @@
   struct fake_reported_task tasks[FAKE_WORKER_TASKS_MAX];
   size_t n_tasks;
 
-  int report_status;                /**< of the answer to the latest heartbeat */
-  char redirected_to[TMX_NAME_MAX]; /**< the controller that answer named; empty: none */
-  uint64_t response_token;          /**< fencing token in that answer */
+  int report_status;                  /**< of the answer to the latest heartbeat */
+  char redirected_to[TMX_NAME_BYTES]; /**< the controller that answer named; empty: none */
+  uint64_t response_token;            /**< fencing token in that answer */
 
   struct fake_command commands_received[FAKE_WORKER_COMMANDS_MAX]; /**< not executed yet */
   size_t n_commands_received;
--- a/tests/sample_jobs.c
+++ b/tests/sample_jobs.c
@@ -21,5 +21,5 @@
   ids->count = count;
   ids->ids = calloc(count, sizeof *ids->ids);
   assert_non_null(ids->ids);
-  for (uint32_t i = 0; i < count; i++) snprintf(ids->ids[i], TMX_ID_MAX, "wk-%06u", i + 10);
+  for (uint32_t i = 0; i < count; i++) snprintf(ids->ids[i], TMX_ID_BYTES, "wk-%06u", i + 10);
 }
--- a/tests/test_admission_control.c
+++ b/tests/test_admission_control.c
@@ -21,7 +21,7 @@
   settings->operators.admission.backlog_s = 100;
   settings->operators.admission.capacity_cpus = 16; /* no machine is registered */
   char err[128];
-  assert_true(tmx_admission_resolve(settings, err, sizeof err));
+  assert_true(tmx_admission_settings_resolve(settings, err, sizeof err));
 }
 
 static void without_admission(struct tmx_settings *settings) {
@@ -58,7 +58,7 @@
 /* 40 CPU seconds of the class: 2.5 s of the one machine that may be rented. */
 static int submit_some(struct tmx_controller *controller, const char *team,
                        const char *class_name) {
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   snprintf(id, sizeof id, "wk-%06u", ++next_job);
   struct fake_job job = {.id = id, .class = class_name, .team = team, .tasks = 4, .cpus = 1};
   return submit_job(controller, &job);
@@ -73,8 +73,8 @@
 }
 
 static double backlog_of(const struct tmx_controller *controller) {
-  struct tmx_rates one_per_s = {{1, 1, 1}};
-  return tmx_total_seconds(controller->replica.backlog, &one_per_s);
+  struct tmx_resource_rates one_per_s = {{1, 1, 1}};
+  return tmx_total_backlog_seconds(controller->replica.backlog, &one_per_s);
 }
 
 static void a_surge_at_one_controller_is_known_at_the_other(void **state) {
@@ -110,7 +110,7 @@
 static void submissions_at_once_count_for_one_another(void **state) {
   (void)state;
   struct at_once x = {0};
-  char addr[32], id[TMX_ID_MAX];
+  char addr[32], id[TMX_ID_BYTES];
   struct tmx_http_client *clients[2];
   for (int k = 0; k < 2; k++) {
     snprintf(addr, sizeof addr, "127.0.0.1:%d",
@@ -159,7 +159,7 @@
 static void retries_polls_and_cancellations_are_always_admitted(void **state) {
   (void)state;
   unsigned n = flood(first_controller, "t", "c");
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   struct fake_job first = {.id = "wk-000001", .class = "c", .team = "t", .tasks = 4, .cpus = 1};
   assert_int_equal(submit_job(first_controller, &first), 200);
   assert_int_equal(submit_job(second_controller, &first), 200);
@@ -259,7 +259,7 @@
   second_controller = NULL;
   fake_adjust_settings = smaller;
   first_controller = begin(0);
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   for (unsigned i = 1; i < n; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(poll_job(first_controller, id).status, 200); /* what was admitted stays so */
@@ -276,7 +276,7 @@
   (void)state;
   flood(first_controller, "t", "c");
   struct tmx_buffer list = {0};
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   unsigned n = 0;
   int status = 201;
   tmx_cbor_put_list(&list, 1);
--- a/tests/test_admission_policy.c
+++ b/tests/test_admission_policy.c
@@ -28,7 +28,7 @@
   s.operators.admission.enabled = true;
   s.operators.admission.backlog_s = 100;
   char err[128];
-  assert_true(tmx_admission_resolve(&s, err, sizeof err));
+  assert_true(tmx_admission_settings_resolve(&s, err, sizeof err));
   return s;
 }
 
@@ -57,7 +57,7 @@
   (void)state;
   struct tmx_job_spec huge = {.cpus = 1e300, .gpus = 1e308, .mem_gb = 1e308, .estimate_s = 1e308};
   struct tmx_load sum = {{0}};
-  huge.tasks = TMX_TASKS_MAX;
+  huge.tasks = TMX_JOB_TASKS_MAX;
   struct tmx_load one = tmx_load_of(&huge, huge.tasks);
   for (int i = 0; i < 1000000; i++) tmx_load_add(&sum, &one, 1);
   for (int i = 0; i < TMX_ADMISSION_RESOURCES; i++) assert_true(sum.amount[i] > 0);
@@ -93,8 +93,8 @@
 }
 
 static unsigned admit_until_refused(const struct tmx_settings *settings, struct tmx_backlog *b,
-                                    const struct tmx_rates *rates, int team, const char *prefix,
-                                    unsigned classes, uint32_t tasks) {
+                                    const struct tmx_resource_rates *rates, int team,
+                                    const char *prefix, unsigned classes, uint32_t tasks) {
   char name[64];
   unsigned n = 0, refused = 0;
   for (unsigned i = 0; refused < classes * 4 && i < 100000; i++) {
@@ -121,7 +121,7 @@
   } floods[] = {{"c", 1, 1}, {"c", 1, 5000}, {"invented", 3000, 1}, {"invented", 3000, 400}};
   struct tmx_settings s = platform();
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
-  struct tmx_rates rates = tmx_admission_rates(&s, &machines, &machines);
+  struct tmx_resource_rates rates = tmx_admission_rates(&s, &machines, &machines);
   for (size_t i = 0; i < sizeof floods / sizeof *floods; i++) {
     struct tmx_backlog b;
     tmx_backlog_init(&b, &s);
@@ -141,14 +141,15 @@
   (void)state;
   struct tmx_settings s = platform();
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
-  struct tmx_rates rates = tmx_admission_rates(&s, &machines, &machines);
+  struct tmx_resource_rates rates = tmx_admission_rates(&s, &machines, &machines);
   struct tmx_backlog one, many;
   tmx_backlog_init(&one, &s);
   tmx_backlog_init(&many, &s);
   admit_until_refused(&s, &one, &rates, 0, "c", 1, 1);
   admit_until_refused(&s, &many, &rates, 0, "invented", 3000, 1);
   /* one listed class, or all invented ones together: the same ceiling, within one job */
-  assert_true(tmx_team_seconds(&many, 0, &rates) <= tmx_team_seconds(&one, 0, &rates) + 0.2);
+  assert_true(tmx_team_backlog_seconds(&many, 0, &rates) <=
+              tmx_team_backlog_seconds(&one, 0, &rates) + 0.2);
   /* and what they have of the pool is not there for a listed one: 16.1 s rather than 36.8 s */
   double job_s = 10.0 / 64;
   unsigned beside = admit_until_refused(&s, &many, &rates, 0, "c", 1, 1);
@@ -159,12 +160,12 @@
   (void)state;
   struct tmx_settings s = platform();
   struct tmx_machine_size large = {.cpus = 64, .mem_gb = 256}, small = {.cpus = 8, .mem_gb = 32};
-  struct tmx_rates before = tmx_admission_rates(&s, &large, &small);
-  struct tmx_rates after = tmx_admission_rates(&s, &small, &small);
+  struct tmx_resource_rates before = tmx_admission_rates(&s, &large, &small);
+  struct tmx_resource_rates after = tmx_admission_rates(&s, &small, &small);
   struct tmx_backlog b;
   tmx_backlog_init(&b, &s);
   admit_until_refused(&s, &b, &before, 0, "c", 1, 4);
-  assert_true(tmx_total_seconds(&b, &after) > s.operators.admission.backlog_s);
+  assert_true(tmx_total_backlog_seconds(&b, &after) > s.operators.admission.backlog_s);
   struct tmx_admission_request more = candidate(&b, 0, "c", 1), newcomer = candidate(&b, 1, "c", 1);
   assert_int_equal(tmx_admission_decide(&s, &b, NULL, &after, &more).result, TMX_REFUSED_TEAM);
   assert_int_equal(tmx_admission_decide(&s, &b, NULL, &after, &newcomer).result, TMX_ADMITTED);
@@ -175,7 +176,7 @@
   (void)state;
   struct tmx_settings s = platform();
   struct tmx_machine_size none = {0}, one = {.cpus = 64, .mem_gb = 256}, some = {.cpus = 6400};
-  struct tmx_rates unknown = tmx_admission_rates(&s, &none, &one);
+  struct tmx_resource_rates unknown = tmx_admission_rates(&s, &none, &one);
   struct tmx_backlog b;
   tmx_backlog_init(&b, &s);
   for (int i = 0; i < 200; i++) {
@@ -185,10 +186,11 @@
     b.accounts[0][x.account].jobs++;
   }
   s.operators.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
-  struct tmx_rates expected = tmx_admission_rates(&s, &none, &one);
+  struct tmx_resource_rates expected = tmx_admission_rates(&s, &none, &one);
   struct tmx_admission_request more = candidate(&b, 0, "c", 1);
   assert_int_equal(tmx_admission_decide(&s, &b, NULL, &expected, &more).result, TMX_REFUSED_TEAM);
-  struct tmx_rates present = tmx_admission_rates(&s, &some, &one); /* ... and gives way to more */
+  struct tmx_resource_rates present =
+      tmx_admission_rates(&s, &some, &one); /* ... and gives way to more */
   assert_true(present.per_s[TMX_ADMISSION_CPU] > expected.per_s[TMX_ADMISSION_CPU]);
 }
 
@@ -210,7 +212,7 @@
   fclose(f);
   tmx_operator_defaults(&settings->operators);
   bool ok = tmx_operator_load(&settings->operators, path, err, cap) &&
-            tmx_admission_resolve(settings, err, cap);
+            tmx_admission_settings_resolve(settings, err, cap);
   remove(path);
   return ok;
 }
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -52,7 +52,7 @@
     passed += 0.5;
   }
   assert_true(answered > 0); /* running work went on for a while */
-  assert_true(renewed + lease * (1 + TMX_CLOCK_DRIFT) < confirmed + cancel);
+  assert_true(renewed + lease * (1 + TMX_CLOCK_DRIFT_SHARE_MAX) < confirmed + cancel);
   assert_int_equal(worker.executed_starts, begun);
 }
 
@@ -101,7 +101,7 @@
   run_loop_for(0.2);
   assert_int_equal(fake_count_placed(), 1);
   fake_worker_send_heartbeat(&worker, keeper);
-  tmx_clock_advance(TMX_STORE_LOST_S);
+  tmx_clock_advance(TMX_STORE_UNREACHABLE_S);
   fake_worker_send_heartbeat(&worker, keeper);
   assert_int_equal(worker.report_status, 200); /* a lease from now on ends in time */
   assert_true(tmx_clock_steady() + keeper->settings.lease_s <
@@ -121,7 +121,7 @@
   wait_for_starts(1);
   fake_store.endpoints[0].refuse = true;
   run_loop_for(0.2);
-  tmx_clock_advance(TMX_START_FRESH_S);
+  tmx_clock_advance(TMX_START_REPLICA_AGE_MAX_S);
   worker.session++; /* its lease lapsed: the task is missing, and the log says that it belongs there
                      */
   worker.n_tasks = 0;
@@ -246,7 +246,7 @@
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_int_equal(worker.report_status, 200); /* fresh enough: running work goes on */
   tmx_clock_advance(first_controller->settings.cancel_s - first_controller->settings.lease_s -
-                    TMX_FRESH_MARGIN_S + 0.1);
+                    TMX_FRESHNESS_MARGIN_S + 0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_int_equal(worker.report_status, 503);
   struct fake_answer answer = send_request(first_controller, "GET", WP_READY, NULL);
--- a/tests/test_cbor.c
+++ b/tests/test_cbor.c
@@ -84,7 +84,7 @@
   for (size_t i = 0; i < spec->n_types; i++) tmx_cbor_put_text(buffer, spec->types[i]);
   tmx_cbor_put_number_field(buffer, W_ESTIMATE, spec->estimate_s);
   tmx_cbor_put_number_field(buffer, W_CHECKPOINT, spec->checkpoint_s);
-  tmx_cbor_put_number_field(buffer, W_SAVE, spec->checkpoint_save_s);
+  tmx_cbor_put_number_field(buffer, W_CHECKPOINT_SAVE, spec->checkpoint_save_s);
 }
 
 /* With a fixed seed: up to five random bytes of a valid submission are changed. */
@@ -93,7 +93,7 @@
   gsl_rng *random = gsl_rng_alloc(gsl_rng_mt19937);
   gsl_rng_set(random, 7);
   struct tmx_job_spec spec = {.tasks = 3, .cpus = 1, .mem_gb = 2, .deadline_s = 9}, back;
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   struct tmx_buffer buffer = {0};
   strcpy(spec.class, "c");
   strcpy(spec.team, "t");
@@ -116,7 +116,7 @@
     map = tmx_cbor_parse(copy, buffer.length);
     if (map && tmx_job_spec_parse(map, &back, id, sizeof id)) {
       parsed++;
-      assert_in_range(back.tasks, 1, TMX_TASKS_MAX);
+      assert_in_range(back.tasks, 1, TMX_JOB_TASKS_MAX);
       assert_true(back.cpus >= 0 && back.mem_gb >= 0);
     }
     tmx_cbor_free(map);
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -267,7 +267,7 @@
 /* Ids of awaited jobs, and then machine types, that find no room in a record. */
 static void submit_with_long_lists(void) {
   struct tmx_buffer awaits = {0}, types = {0}, body = {0};
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   tmx_cbor_put_list(&awaits, 20);
   for (unsigned i = 0; i < 20; i++) {
     snprintf(id, sizeof id, "wk-1%05u", i);
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -20,8 +20,9 @@
   .leader_settled = (settled), .suspected = (by_owner),             \
   .suspicion = {                                                    \
       .silence_s = (silence), .probes_lost = (lost), .unacknowledged_s = (unacknowledged)}
-#define DEAD SUSPICION(true, true, 2, TMX_PROBES_LOST, 0)
-#define SILENT_FOR(silence) SUSPICION(true, true, silence, TMX_PROBES_LOST, 0), .has_tasks = true
+#define DEAD SUSPICION(true, true, 2, TMX_PROBES_LOST_MIN, 0)
+#define SILENT_FOR(silence) \
+  SUSPICION(true, true, silence, TMX_PROBES_LOST_MIN, 0), .has_tasks = true
 #define UNREACHED_FOR(unacknowledged) \
   SUSPICION(true, true, 0.5, 0, unacknowledged), .has_tasks = true
 
@@ -36,11 +37,11 @@
       {"failed in the list, new leader", {.listed_as_failed = true}, TMX_DELETE_FAILED},
       {"failed and dead", {DEAD, .listed_as_failed = true}, TMX_DELETE_FAILED},
       {"dead", {DEAD, .has_tasks = true}, TMX_DELETE_SILENT},
-      {"dead, new leader", {SUSPICION(false, true, 2, TMX_PROBES_LOST, 0)}, TMX_DELETE_NOT},
+      {"dead, new leader", {SUSPICION(false, true, 2, TMX_PROBES_LOST_MIN, 0)}, TMX_DELETE_NOT},
       {"dead, its owner not heard",
-       {SUSPICION(true, false, 2, TMX_PROBES_LOST, 0)},
+       {SUSPICION(true, false, 2, TMX_PROBES_LOST_MIN, 0)},
        TMX_DELETE_NOT},
-      {"too few probes", {SUSPICION(true, true, 2, TMX_PROBES_LOST - 1, 0)}, TMX_DELETE_NOT},
+      {"too few probes", {SUSPICION(true, true, 2, TMX_PROBES_LOST_MIN - 1, 0)}, TMX_DELETE_NOT},
       {"silent for just the limit", {SILENT_FOR(1.5)}, TMX_DELETE_NOT},
       {"zone cut off", {DEAD, .silence_excused = true}, TMX_DELETE_NOT},
       {"zone cut off for just until leases expire",
@@ -86,7 +87,7 @@
   struct tmx_machine_deadlines derived = tmx_machine_deadlines(settings);
   assert_float_equal(derived.silence_s, TMX_MACHINE_SILENCE_S, 1e-9);
   assert_float_equal(derived.leases_expired_s, 20, 1e-9);
-  assert_float_equal(derived.heartbeat_late_s, 2.5 + TMX_REPORT_LATE_S, 1e-9);
+  assert_float_equal(derived.heartbeat_late_s, 2.5 + TMX_REPORT_LATE_MARGIN_S, 1e-9);
   assert_float_equal(derived.unacknowledged_s, 8 * TMX_UNACKNOWLEDGED_LEASES, 1e-9);
   settings->operators.silent_s = 4;
   assert_float_equal(tmx_machine_deadlines(settings).silence_s, 4, 1e-9);
@@ -245,7 +246,7 @@
 
 static void reserve_shrinks_with_the_fleet_s_size(void **state) {
   (void)state;
-  assert_float_equal(tmx_reserve_for(100, 0).margin, TMX_PEAK_MARGIN, 1e-9);
+  assert_float_equal(tmx_reserve_for(100, 0).margin, TMX_PEAK_MARGIN_SHARE_MAX, 1e-9);
   assert_float_equal(tmx_reserve_for(100, 100).margin, 0.1, 1e-9);
   assert_float_equal(tmx_reserve_for(100, 100).move_room, 0.2, 1e-9);
   assert_float_equal(tmx_reserve_for(100, 10000).margin, 0.01, 1e-9);
@@ -259,11 +260,12 @@
   tmx_demand_history_record(&history, 40, 1000.9);
   assert_float_equal(history.since, 1000.2, 1e-9);
   assert_float_equal(tmx_demand_history_peak(&history), 50, 1e-9);
-  for (int i = 1; i < TMX_PEAK_DEMAND_S; i++) tmx_demand_history_record(&history, 10, 1000.5 + i);
+  for (int i = 1; i < TMX_PEAK_DEMAND_WINDOW_S; i++)
+    tmx_demand_history_record(&history, 10, 1000.5 + i);
   assert_float_equal(tmx_demand_history_peak(&history), 50, 1e-9);
-  tmx_demand_history_record(&history, 10, 1000.5 + TMX_PEAK_DEMAND_S);
+  tmx_demand_history_record(&history, 10, 1000.5 + TMX_PEAK_DEMAND_WINDOW_S);
   assert_float_equal(tmx_demand_history_peak(&history), 10, 1e-9);
-  double later = 1000.5 + TMX_PEAK_DEMAND_S + TMX_DEMAND_GAP_S + 1;
+  double later = 1000.5 + TMX_PEAK_DEMAND_WINDOW_S + TMX_DEMAND_GAP_MAX_S + 1;
   tmx_demand_history_record(&history, 3, later); /* what came in between is not known */
   assert_float_equal(history.since, later, 1e-9);
   assert_float_equal(tmx_demand_history_peak(&history), 3, 1e-9);
@@ -275,21 +277,22 @@
   assert_non_null(backoffs);
   assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, false, 100));
   tmx_offer_back_off(backoffs, "big", 0, false, 100);
-  assert_true(tmx_offer_is_backed_off(backoffs, "big", 0, false, 100 + TMX_OFFER_BACKOFF_S - 0.1));
-  assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, false, 100 + TMX_OFFER_BACKOFF_S));
+  assert_true(
+      tmx_offer_is_backed_off(backoffs, "big", 0, false, 100 + TMX_OFFER_BACKOFF_MIN_S - 0.1));
+  assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, false, 100 + TMX_OFFER_BACKOFF_MIN_S));
   assert_false(tmx_offer_is_backed_off(backoffs, "big", 1, false, 100));
   assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, true, 100));
   assert_false(tmx_offer_is_backed_off(backoffs, "small", 0, false, 100));
   tmx_offer_back_off(backoffs, "big", 0, false, 200); /* a second refusal: twice as long */
   assert_true(
-      tmx_offer_is_backed_off(backoffs, "big", 0, false, 200 + 2 * TMX_OFFER_BACKOFF_S - 0.1));
+      tmx_offer_is_backed_off(backoffs, "big", 0, false, 200 + 2 * TMX_OFFER_BACKOFF_MIN_S - 0.1));
   for (int i = 0; i < 10; i++) tmx_offer_back_off(backoffs, "big", 0, false, 300);
   assert_true(
       tmx_offer_is_backed_off(backoffs, "big", 0, false, 300 + TMX_OFFER_BACKOFF_MAX_S - 0.1));
   assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, false, 300 + TMX_OFFER_BACKOFF_MAX_S));
   tmx_offer_reset_backoff(backoffs, "big", 0, false);
   tmx_offer_back_off(backoffs, "big", 0, false, 500); /* from the shortest again */
-  assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, false, 500 + TMX_OFFER_BACKOFF_S));
+  assert_false(tmx_offer_is_backed_off(backoffs, "big", 0, false, 500 + TMX_OFFER_BACKOFF_MIN_S));
   free(backoffs);
 }
 
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -69,7 +69,7 @@
   assert_accepted("wk-000001", "");
   wait_for_starts(1);
   for (int i = 2; i < 8; i++) { /* six times 2 CPUs of a limit of 8 */
-    char id[TMX_ID_MAX];
+    char id[TMX_ID_BYTES];
     snprintf(id, sizeof id, "wk-00000%d", i);
     assert_accepted(id, "wk-000001");
   }
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -10,7 +10,7 @@
 /* A submission that allows so many types, "big" among them. */
 static void encode_submission_with_types(struct tmx_buffer *buffer, const char *id, int count) {
   struct tmx_buffer types = {0};
-  char type[TMX_ID_MAX];
+  char type[TMX_ID_BYTES];
   tmx_cbor_put_list(&types, (size_t)count);
   for (int i = 0; i < count; i++) {
     snprintf(type, sizeof type, i ? "a type with a rather long %02d" : "big", i);
@@ -209,7 +209,7 @@
 
 static struct tmx_buffer encode_many_ids(int count) {
   struct tmx_buffer list = {0};
-  char id[TMX_ID_MAX];
+  char id[TMX_ID_BYTES];
   tmx_cbor_put_list(&list, (size_t)count);
   for (int i = 0; i < count; i++) {
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
@@ -230,7 +230,7 @@
   fake_store.value_json_bytes_max = 1024;
   fake_store.transaction_operations_max = 8;
   for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
-    char id[TMX_ID_MAX], key[TMX_KEY_MAX];
+    char id[TMX_ID_BYTES], key[TMX_KEY_MAX];
     struct tmx_job_spec spec = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
     struct tmx_buffer job = {0};
     strcpy(spec.team, "t");
@@ -269,7 +269,7 @@
   first_controller->settings.value_kb = 1;
   first_controller->settings.txn_ops = 4;
   register_worker(&worker);
-  char id[TMX_ID_MAX], before[TMX_ID_MAX] = "";
+  char id[TMX_ID_BYTES], before[TMX_ID_BYTES] = "";
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     assert_accepted(id, before);
@@ -306,13 +306,13 @@
  * compaction, and keeps all of its types. */
 static void a_record_above_a_lowered_limit_is_compacted(void **state) {
   (void)state;
-  char type[TMX_ID_MAX];
+  char type[TMX_ID_BYTES];
   unsigned answered = 0;
   register_worker(&worker);
   struct tmx_http_client *client = client_of(first_controller);
   for (int i = 1; i <= TYPED_JOBS; i++) { /* so many at once go with a batch */
     struct tmx_buffer body = {0};
-    char id[TMX_ID_MAX];
+    char id[TMX_ID_BYTES];
     snprintf(id, sizeof id, "wk-%06d", i);
     encode_submission_with_types(&body, id, 30);
     assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_accepted, &answered));
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -144,7 +144,7 @@
   run_loop_for(0.3);
   fake_worker_send_heartbeat(&worker, inside);
   assert_int_equal(worker.report_status, 421); /* the owner may be back in a moment */
-  tmx_clock_advance(TMX_STORE_LOST_S);
+  tmx_clock_advance(TMX_STORE_UNREACHABLE_S);
   fake_worker_set_task(&worker, "wk-000002/0", 1, WV_RUNNING,
                        NULL); /* it has not heard of the cancellation */
   uint64_t token = worker.token;
@@ -153,7 +153,7 @@
   assert_int_equal(worker.response_token, token);
   assert_int_equal(worker.n_commands_received, 1);
   assert_true(fake_worker_was_commanded(&worker, WV_STOP, "wk-000002/0", 1));
-  tmx_clock_advance(inside->settings.cancel_s - inside->settings.lease_s - TMX_FRESH_MARGIN_S);
+  tmx_clock_advance(inside->settings.cancel_s - inside->settings.lease_s - TMX_FRESHNESS_MARGIN_S);
   fake_worker_send_heartbeat(&worker, inside);
   assert_int_equal(worker.report_status, 503);
 }
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -62,12 +62,12 @@
 /* A job that awaits the given ids, separated by spaces. */
 static void put_spec(const char *id, const struct tmx_job_spec *spec, double submitted,
                      const char *names) {
-  struct tmx_job_ids awaits = {.ids = calloc(8, TMX_ID_MAX)};
+  struct tmx_job_ids awaits = {.ids = calloc(8, TMX_ID_BYTES)};
   struct tmx_buffer buffer = {0};
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
   awaits.count = (uint32_t)tmx_log_line_split(copy, name, 8);
-  for (uint32_t i = 0; i < awaits.count; i++) snprintf(awaits.ids[i], TMX_ID_MAX, "%s", name[i]);
+  for (uint32_t i = 0; i < awaits.count; i++) snprintf(awaits.ids[i], TMX_ID_BYTES, "%s", name[i]);
   assert_int_equal(tmx_job_encode_open(&buffer, id, spec, submitted, &awaits, 2000), awaits.count);
   tmx_job_ids_free(&awaits);
   apply(job_key(id), &buffer);
@@ -178,12 +178,12 @@
 }
 
 static cbor_item_t *encoded(const char *id, const char *names, int fin, double ended) {
-  struct tmx_job_ids awaits = {.ids = calloc(1, TMX_ID_MAX), .count = names[0] != 0};
+  struct tmx_job_ids awaits = {.ids = calloc(1, TMX_ID_BYTES), .count = names[0] != 0};
   struct tmx_job_spec spec = plain_spec();
   struct tmx_buffer buffer = {0};
   struct tmx_job job = {.spec = spec, .submitted_at = 100};
   snprintf(job.id, sizeof job.id, "%s", id);
-  snprintf(awaits.ids[0], TMX_ID_MAX, "%s", names);
+  snprintf(awaits.ids[0], TMX_ID_BYTES, "%s", names);
   if (fin)
     tmx_job_encode_final(&buffer, &job, fin, ended, 2000);
   else
@@ -220,11 +220,11 @@
 static void a_job_is_blocked_until_all_its_dependency_lines_are_read(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
-  struct tmx_job_ids awaits = {.ids = calloc(400, TMX_ID_MAX), .count = 400};
+  struct tmx_job_ids awaits = {.ids = calloc(400, TMX_ID_BYTES), .count = 400};
   struct tmx_buffer buffer = {0};
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   for (uint32_t i = 0; i < 400; i++) {
-    snprintf(awaits.ids[i], TMX_ID_MAX, "wk-%06u", i);
+    snprintf(awaits.ids[i], TMX_ID_BYTES, "wk-%06u", i);
     put(awaits.ids[i], "");
   }
   uint32_t written = tmx_job_encode_open(&buffer, "wk-last", &spec, 100, &awaits, 900);
@@ -237,7 +237,7 @@
     assert_true(tmx_job_is_blocked(job("wk-last")));
     assert_null(job("wk-last")->dependencies.needs);
     tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &written);
-    assert_true(strlen(line) < TMX_LINE_MAX);
+    assert_true(strlen(line) < TMX_LOG_LINE_BYTES);
     put_lines(line);
     put_lines(line);
   }
@@ -281,7 +281,7 @@
 static void a_cancellation_passes_long_chains_and_wide_fans(void **state) {
   (void)state;
   enum { CHAIN = 20000, FAN = 5000 };
-  char id[TMX_ID_MAX], before[TMX_ID_MAX] = "";
+  char id[TMX_ID_BYTES], before[TMX_ID_BYTES] = "";
   for (int i = 0; i < CHAIN; i++) {
     snprintf(id, sizeof id, "wk-c%d", i);
     put(id, before);
@@ -325,12 +325,13 @@
   struct tmx_buffer buffer = {0};
   settings.value_kb = 1;
   memset(job.id, 'x', sizeof job.id - 1);
-  memset(job.spec.class, 'c', TMX_NAME_MAX - 1);
-  memset(job.spec.team, 't', TMX_NAME_MAX - 1);
-  memset(job.spec.image, 'i', TMX_NAME_MAX - 1);
-  memset(job.spec.zone, 'z', TMX_NAME_MAX - 1);
-  job.spec.n_types = TMX_TYPES_MAX;
-  for (size_t i = 0; i < TMX_TYPES_MAX; i++) memset(job.spec.types[i], 'y', TMX_ID_MAX - 1);
+  memset(job.spec.class, 'c', TMX_NAME_BYTES - 1);
+  memset(job.spec.team, 't', TMX_NAME_BYTES - 1);
+  memset(job.spec.image, 'i', TMX_NAME_BYTES - 1);
+  memset(job.spec.zone, 'z', TMX_NAME_BYTES - 1);
+  job.spec.n_types = TMX_MACHINE_TYPES_MAX;
+  for (size_t i = 0; i < TMX_MACHINE_TYPES_MAX; i++)
+    memset(job.spec.types[i], 'y', TMX_ID_BYTES - 1);
   job.spec.cpus = job.spec.mem_gb = job.spec.image_gb = 1.0 / 3;
   tmx_job_encode_final(&buffer, &job, TMX_JOB_DONE, 1.7e9 + 0.654321, tmx_value_room(&settings));
   assert_true(tmx_json_length(&buffer) <= tmx_value_room(&settings));
@@ -346,7 +347,7 @@
 
 /* Operations of one job that share a line mean what they mean each in a line of its own. */
 static void append_operation(void *arg, const struct tmx_operation *operation) {
-  char line[TMX_LINE_MAX], *all = arg;
+  char line[TMX_LOG_LINE_BYTES], *all = arg;
   tmx_operation_print(line, sizeof line, operation);
   snprintf(all + strlen(all), 512 - strlen(all), "%s;", line);
 }
--- a/tests/test_job_record_format.c
+++ b/tests/test_job_record_format.c
@@ -163,7 +163,7 @@
   struct tmx_buffer buffer = {0};
   char text[64], line[64];
   for (; spec.n_types < 12; spec.n_types++)
-    snprintf(spec.types[spec.n_types], TMX_ID_MAX, "type %zu", spec.n_types);
+    snprintf(spec.types[spec.n_types], TMX_ID_BYTES, "type %zu", spec.n_types);
   sample_awaits(&one, 1);
   record_line(&recording, "types in 200 bytes: %zu, beside awaited jobs: %zu, in none: %zu",
               tmx_job_types_within("wk-000006", &spec, sample_submitted_at, &none, 200),
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -156,8 +156,8 @@
   struct fake_worker *all[] = {&worker, &other_workers[0], &other_workers[1]};
   /* one task more than the limit of the team: while it waits nothing is returned */
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 5, 2, "t"), 201);
-  for (int i = 0; i <= TMX_PEAK_DEMAND_S / TMX_DEMAND_GAP_S; i++) {
-    tmx_clock_advance(TMX_DEMAND_GAP_S - 1);
+  for (int i = 0; i <= TMX_PEAK_DEMAND_WINDOW_S / TMX_DEMAND_GAP_MAX_S; i++) {
+    tmx_clock_advance(TMX_DEMAND_GAP_MAX_S - 1);
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(all[k], first_controller);
       if (all[k]->report_status != 200) fake_worker_send_heartbeat(all[k], second_controller);
@@ -170,7 +170,7 @@
   assert_int_equal(fake_cloud.deletions, 0);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   double since = tmx_clock_steady();
-  while (tmx_clock_steady() - since < TMX_LEADER_SETTLE_S + TMX_DRAIN_SPACING_S + 2) {
+  while (tmx_clock_steady() - since < TMX_LEADER_SETTLE_S + TMX_DRAIN_PERIOD_S + 2) {
     for (int k = 0; k < 3; k++) {
       fake_worker_send_heartbeat(all[k], first_controller);
       if (all[k]->report_status != 200) fake_worker_send_heartbeat(all[k], second_controller);
--- a/tests/test_planner_order.c
+++ b/tests/test_planner_order.c
@@ -18,7 +18,7 @@
   add_job(cluster, 0, false, 200, 4); /* large, so last in the order */
   add_job(cluster, 1, false, 200, 2);
   cluster->input.now_wall = cluster->input.now_steady = 1000;
-  cluster->jobs[0].released_at = 1000 - TMX_AGED_JOB_S - 1;
+  cluster->jobs[0].released_at = 1000 - TMX_AGED_JOB_WAIT_S - 1;
   cluster->jobs[1].released_at = 999;
   cluster->machines[0].booked_cpus = 12;
   run_round(cluster, &output);
@@ -30,7 +30,7 @@
   assert_string_equal(output.operations[0].job, "wk-000001");
   free(output.operations);
   /* begun, it still gets its share of what is placed over many rounds */
-  cluster->jobs[0].released_at = 1000 - TMX_AGED_JOB_S - 1;
+  cluster->jobs[0].released_at = 1000 - TMX_AGED_JOB_WAIT_S - 1;
   cluster->jobs[0].n_done = 1;
   struct tmx_planner *planner = planner_of(cluster);
   int large = 0, all = 0;
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -221,7 +221,7 @@
   assert_true(tmx_machine_find(&replica, "n-1")->draining &&
               tmx_machine_find(&replica, "n-1")->spot);
   /* and back into lines */
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   int len;
   assert_int_equal(tmx_task_range_line_print(line, sizeof line, job, 0, &len), 4);
   assert_string_equal(line, "t wk-1/0 4 2 d -");
@@ -336,7 +336,7 @@
   struct tmx_view view = {.term = version, .n_members = count};
   struct tmx_buffer buffer = {0};
   for (size_t i = 0; i < count; i++) {
-    snprintf(view.members[i].name, TMX_NAME_MAX, "hand-%zu", i);
+    snprintf(view.members[i].name, TMX_NAME_BYTES, "hand-%zu", i);
     view.members[i].incarnation = i + 1;
   }
   if (taken_by) {
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -33,7 +33,7 @@
 static void put_lines(const char *form, size_t from, size_t count) {
   static unsigned batches;
   enum { A_BATCH = 1000 };
-  char key[64], line[TMX_LINE_MAX];
+  char key[64], line[TMX_LOG_LINE_BYTES];
   for (size_t sent = 0; sent < count; sent += A_BATCH) {
     size_t part = count - sent < A_BATCH ? count - sent : A_BATCH;
     struct tmx_buffer list = {0}, value = {0};
--- a/tests/test_scale_out_plan.c
+++ b/tests/test_scale_out_plan.c
@@ -39,8 +39,8 @@
   situation.offers = offers;
   situation.n_offers = 2;
   assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 2);
-  assert_int_equal(choices[0].count, TMX_SCALE_OUT_OFFER_MAX);
-  assert_int_equal(choices[1].count, TMX_SCALE_OUT_OFFER_MAX);
+  assert_int_equal(choices[0].count, TMX_SCALE_OUT_OFFER_MACHINES_MAX);
+  assert_int_equal(choices[1].count, TMX_SCALE_OUT_OFFER_MACHINES_MAX);
 }
 
 /* Arrays leave ordinary machines to others; a task that could not be run once more before its job's
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -87,7 +87,7 @@
              valid_settings, tight[i], cancel[i], rest + 4);
     assert_int_equal(tmx_settings_parse(&settings, text, err, sizeof err), i != 0);
     if (i)
-      assert_true(tmx_fresh_bound(&settings) + settings.lease_s * (1 + TMX_CLOCK_DRIFT) <
+      assert_true(tmx_fresh_bound(&settings) + settings.lease_s * (1 + TMX_CLOCK_DRIFT_SHARE_MAX) <
                   settings.cancel_s);
   }
   /* more than a table has room for is refused, not truncated */
--- a/tests/test_start_rotation.c
+++ b/tests/test_start_rotation.c
@@ -50,7 +50,7 @@
   input->n_teams = 1;
   input->now_steady = input->now_wall = 1000;
   input->start_rotation.start_s = x.start_s;
-  input->start_rotation.since_start[0][1] = x.since_start;
+  input->start_rotation.since_start_s[0][1] = x.since_start;
   struct tmx_plan_machine *machine = tmx_planner_delta_add_machine(&delta);
   strcpy(machine->id, "n-000001");
   strcpy(machine->type, "big");
--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -52,7 +52,7 @@
 
 static void record_operation(struct recording *recording, char letter, char how) {
   struct tmx_operation operation = make_operation(letter, 12, how), back;
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   int length = tmx_operation_print(line, sizeof line, &operation);
   assert_int_equal(length, strlen(line));
   record_line(recording, "%s", line);
@@ -71,7 +71,7 @@
 
 static void record_group(struct recording *recording, char letter, char how) {
   struct tmx_operation ops[3];
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   size_t used = 0;
   for (uint32_t i = 0; i < 3; i++) {
     ops[i] = make_operation(letter, i * 7, how);
@@ -122,7 +122,7 @@
 
 /* Records the lines that pages would hold of the replica. */
 static void record_replica(struct recording *recording) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   struct tmx_machine *machine, *next_machine;
   struct tmx_job *job, *next_job;
   HASH_ITER(hh, replica.machines, machine, next_machine) {
@@ -255,7 +255,7 @@
   tmx_view_encode(&buffer, &view);
   apply("t/view", 22, &buffer);
   for (int i = 0; i < 16; i++) {
-    char id[TMX_ID_MAX];
+    char id[TMX_ID_BYTES];
     snprintf(id, sizeof id, "n-%06d", i);
     record_line(&recording, "%s %s", id, tmx_machine_owner(&replica, id));
   }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -169,7 +169,7 @@
 }
 
 static void lines_as_production_reads(const cbor_item_t *value) {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   const cbor_item_t *ops = tmx_cbor_get(value, "ops"), *jobs = tmx_cbor_get(value, "jobs");
   for (size_t i = 0; i < tmx_cbor_list_length(jobs); i++)
     record_as_production_reads(tmx_cbor_list_at(jobs, i));
--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -83,7 +83,7 @@
   fake_store.endpoints[0].freeze_watch = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000003", "batch", 1, 2, "t"),
                    201); /* the copy is behind now */
-  for (int i = 0; i < TMX_USER_QUEUE / 2; i++)
+  for (int i = 0; i < TMX_WAITING_REQUESTS_MAX / 2; i++)
     assert_true(
         tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer, &often));
   run_loop_for(0.3);
@@ -198,7 +198,7 @@
   assert_int_equal(request_once(clients[0]), 200);
   assert_int_equal(request_once(clients[1]), 200);
   assert_int_not_equal(request_once(clients[2]), 200);
-  run_loop_for(TMX_IDLE_LEAST_S + 0.1);
+  run_loop_for(TMX_IDLE_CONNECTION_EVICTION_MIN_S + 0.1);
   assert_int_equal(request_once(clients[0]), 200); /* so the other one is the longest unused */
   assert_int_equal(request_once(clients[2]), 200);
   assert_int_equal(request_once(clients[0]), 200);
@@ -238,8 +238,8 @@
   encode_submission(&valid, "wk-000001", "batch", 1, 2, "t");
   tmx_cbor_put_map(&large, 18);
   tmx_cbor_put_text(&large, W_TYPES);
-  tmx_cbor_put_list(&list, TMX_TYPES_MAX);
-  for (int i = 0; i < TMX_TYPES_MAX; i++) tmx_cbor_put_text(&list, "big");
+  tmx_cbor_put_list(&list, TMX_MACHINE_TYPES_MAX);
+  for (int i = 0; i < TMX_MACHINE_TYPES_MAX; i++) tmx_cbor_put_text(&list, "big");
   tmx_buffer_append(&large, list.data, list.length);
   tmx_buffer_append(&large, valid.data + 1, valid.length - 1);
   first_controller->settings.value_kb = 0.4;
--- a/tests/test_user_wire_format.c
+++ b/tests/test_user_wire_format.c
@@ -105,7 +105,7 @@
   settings->operators.admission.enabled = true;
   settings->operators.admission.backlog_s = 10;
   settings->operators.admission.capacity_cpus = 16;
-  assert_true(tmx_admission_resolve(settings, err, sizeof err));
+  assert_true(tmx_admission_settings_resolve(settings, err, sizeof err));
 }
 
 /* Retry-After grows with the backlog, up to 20 s, and is spread by as much as half. */
--- a/tests/test_worker_guards.c
+++ b/tests/test_worker_guards.c
@@ -198,7 +198,7 @@
 /* The answer may have waited in a buffer all the while. */
 static void a_probe_lost_while_the_loop_was_late_does_not_count(void **state) {
   (void)state;
-  assert_true(stays_usable_over_a_lost_probe(2 * TMX_LOOP_LATE_S + TMX_TICK_S));
+  assert_true(stays_usable_over_a_lost_probe(2 * TMX_LOOP_LATE_S + TMX_TICK_PERIOD_S));
   assert_false(stays_usable_over_a_lost_probe(0));
 }
 
