--- a/src/membership/authority.h
+++ b/src/membership/authority.h
@@ -35,7 +35,7 @@
 /**
  * Returns whether this controller may start tasks.
  *
- * Starting a task requires a replica younger than TMX_START_FRESH_S in addition to
+ * Starting a task requires a replica younger than TMX_START_REPLICA_AGE_MAX_S in addition to
  * tmx_authority_may_act(), because another controller may have cancelled the job and confirmed the
  * cancellation to its user. Running tasks tolerate an older replica: they continue for as long as
  * the deadline of a cancellation permits.
--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -34,7 +34,7 @@
                            const struct tmx_peer_evidence *evidence) {
   /* A refused connection alone does not prove that the process has terminated. A recent batch in
    * the log proves that it is alive. */
-  if (evidence->refuses_connections) return evidence->last_batch_age_s > TMX_RECENT_BATCH_S;
+  if (evidence->refuses_connections) return evidence->last_batch_age_s > TMX_RECENT_BATCH_AGE_MAX_S;
   /* The peer is alive but cannot reach its workers. Other controllers may be able to. */
   if (evidence->reports_no_workers) return true;
   /* Controllers on the other side of a partition are alive and manage the machines of their own
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -55,7 +55,7 @@
   unsigned machines; /**< machines in the zone */
   unsigned lost;     /**< machines that left several consecutive probes unanswered */
   unsigned alive;    /**< estimated number of machines that are alive, extrapolated from those that
-                        showed a sign of life within TMX_ALIVE_S */
+                        showed a sign of life within TMX_LIVENESS_WINDOW_S */
 };
 
 /** Returns whether the zone appears to be partitioned from the owners of its machines. The lost
@@ -64,7 +64,7 @@
 
 /** A report by the owner of a machine that something is wrong with the machine. */
 struct tmx_suspicion {
-  char id[TMX_ID_MAX];     /**< ID of the machine */
+  char id[TMX_ID_BYTES];   /**< ID of the machine */
   double silence_s;        /**< seconds since the machine's last sign of life */
   int probes_lost;         /**< number of consecutive probes without an answer */
   double unacknowledged_s; /**< seconds without evidence that the machine's worker receives the
--- a/src/membership/view_manager.c
+++ b/src/membership/view_manager.c
@@ -57,7 +57,7 @@
 
 static bool may_commit(const struct tmx_view_manager *manager) {
   return !manager->commit_in_flight &&
-         tmx_clock_steady() - manager->last_attempt_at >= TMX_VIEW_SPACING_S;
+         tmx_clock_steady() - manager->last_attempt_at >= TMX_VIEW_SPACING_MIN_S;
 }
 
 static bool is_in_list(const char *machine, const char *const *machines, size_t n_machines) {
@@ -149,11 +149,11 @@
   if (!tmx_store_incarnation(manager->store) || !leading || !may_commit(manager)) return;
   struct tmx_view view = {.term = replica->view.term + 1};
   struct tmx_peer_census census = manager->observer.observe_peers(manager->observer.context);
-  /* The view counts the zones as partitioned until TMX_ZONE_PARTITION_HOLD_S after the last sign of
+  /* The view counts the zones as partitioned until TMX_VIEW_PARTITION_HOLD_S after the last sign of
    * a partition. Only then are owners hashed over the members of all zones again. */
   if (tmx_zones_are_partitioned(&census)) manager->zones_partitioned_at = now;
   view.zones_partitioned = manager->zones_partitioned_at > 0 &&
-                           now - manager->zones_partitioned_at < TMX_ZONE_PARTITION_HOLD_S;
+                           now - manager->zones_partitioned_at < TMX_VIEW_PARTITION_HOLD_S;
   select_members(manager, &view, &census);
   if (has_same_members(replica, &view) && view.zones_partitioned == replica->view.zones_partitioned)
     return;
--- a/src/membership/view_manager.h
+++ b/src/membership/view_manager.h
@@ -65,8 +65,8 @@
  * workers cannot reach their current owner.
  *
  * The function does nothing if this controller is not a member, if the commit of another view is
- * outstanding, or if the last attempt was less than TMX_VIEW_SPACING_S ago. The caller then tries
- * again later.
+ * outstanding, or if the last attempt was less than TMX_VIEW_SPACING_MIN_S ago. The caller then
+ * tries again later.
  * @param manager     the view manager of this controller
  * @param machines    IDs of the machines
  * @param n_machines  number of entries in `machines`
--- a/src/planner/scale_out_plan.c
+++ b/src/planner/scale_out_plan.c
@@ -74,13 +74,14 @@
   return i;
 }
 
-/* Tells whether the plan already rents TMX_SCALE_OUT_OFFER_MAX machines of the offer. The cloud
- * does not publish how many machines of an offer are available. With the limit, a large demand is
- * spread over several offers at once, instead of requesting the cheapest one in each plan until it
- * is exhausted. */
+/* Tells whether the plan already rents TMX_SCALE_OUT_OFFER_MACHINES_MAX machines of the offer. The
+ * cloud does not publish how many machines of an offer are available. With the limit, a large
+ * demand is spread over several offers at once, instead of requesting the cheapest one in each plan
+ * until it is exhausted. */
 static bool reached_offer_limit(const struct scale_out_plan *plan, int offer) {
   size_t rental = find_rental(plan, offer);
-  return rental < plan->n_rentals && plan->rentals[rental].count >= TMX_SCALE_OUT_OFFER_MAX;
+  return rental < plan->n_rentals &&
+         plan->rentals[rental].count >= TMX_SCALE_OUT_OFFER_MACHINES_MAX;
 }
 
 /* Returns the index of the suitable offer with the lowest price per task, weighted by the boot
@@ -175,7 +176,7 @@
                           size_t max) {
   struct scale_out_plan plan = {.offers = input->offers,
                                 .n_offers = input->n_offers,
-                                .cap_bins = input->n_provisioned + TMX_SCALE_OUTS_MAX,
+                                .cap_bins = input->n_provisioned + TMX_SCALE_OUT_MACHINES_MAX,
                                 .rentals = out,
                                 .max_rentals = max};
   plan.bins = tmx_allocate(plan.cap_bins, sizeof *plan.bins);
--- a/src/planner/service_migration.c
+++ b/src/planner/service_migration.c
@@ -23,7 +23,7 @@
       *migrating += machine->record.draining && task->stopping;
     }
   }
-  return TMX_MOVES_MIN + (size_t)(TMX_MOVES_SHARE * (double)replicas);
+  return TMX_SERVICE_MOVES_BASE + (size_t)(TMX_SERVICE_MOVES_SHARE * (double)replicas);
 }
 
 /* Returns the slot of a machine with free capacity and a warm image for the replica; -1: none. The
--- a/src/replica/backlog.c
+++ b/src/replica/backlog.c
@@ -12,7 +12,7 @@
   for (size_t i = 0; i < settings->n_objectives; i++) {
     const char *name = settings->objectives[i].class_name;
     if (!name[0] || tmx_backlog_account_index(backlog, name) < backlog->n_listed) continue;
-    memcpy(backlog->listed[backlog->n_listed++], name, TMX_NAME_MAX);
+    memcpy(backlog->listed[backlog->n_listed++], name, TMX_NAME_BYTES);
   }
 }
 
@@ -30,13 +30,14 @@
 /* Submissions may contain arbitrarily large numbers. Each amount is clamped so that no sum
  * overflows. */
 static int64_t clamp_amount(double amount) {
-  return (int64_t)llround(fmin(fmax(amount, 0), TMX_LOAD_MAX));
+  return (int64_t)llround(fmin(fmax(amount, 0), TMX_JOB_LOAD_MAX));
 }
 
 struct tmx_load tmx_job_load(const struct tmx_job_spec *spec, uint32_t tasks_left) {
   struct tmx_load load = {{0}};
   if (!tasks_left) return load;
-  double run_s = spec->service ? TMX_ADMISSION_SERVICE_S : fmax(spec->estimate_s, TMX_RUN_MIN_S);
+  double run_s =
+      spec->service ? TMX_SERVICE_REPLICA_RUN_S : fmax(spec->estimate_s, TMX_RUN_ESTIMATE_MIN_S);
   double task_seconds = tasks_left * run_s;
   load.amount[TMX_ADMISSION_CPU] = clamp_amount(task_seconds * spec->cpus * TMX_MILLI);
   load.amount[TMX_ADMISSION_GPU] = clamp_amount(task_seconds * spec->gpus * TMX_MILLI);
--- a/src/replica/backlog.h
+++ b/src/replica/backlog.h
@@ -53,8 +53,8 @@
 };
 /** The accounts of all teams. */
 struct tmx_backlog {
-  char listed[TMX_LISTED_CLASSES_MAX][TMX_NAME_MAX]; /**< classes that the objectives name */
-  size_t n_listed,                                   /**< entries of `listed` in use */
+  char listed[TMX_LISTED_CLASSES_MAX][TMX_NAME_BYTES]; /**< classes that the objectives name */
+  size_t n_listed,                                     /**< entries of `listed` in use */
       n_teams; /**< teams in the settings; rows of `accounts` in use */
   struct tmx_account accounts[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX]; /**< by team, then by account */
 };
--- a/src/replica/job.h
+++ b/src/replica/job.h
@@ -67,7 +67,7 @@
 
 /** A submitted job. */
 struct tmx_job {
-  char id[TMX_ID_MAX];      /**< the job's id, chosen by its owner */
+  char id[TMX_ID_BYTES];    /**< the job's id, chosen by its owner */
   uint64_t version;         /**< version of the job's own key; 0: there is none */
   struct tmx_job_spec spec; /**< specification from the submission */
   double submitted_at;      /**< when it was submitted, wall clock, seconds */
@@ -109,7 +109,7 @@
   uint32_t check_placed_in_zone[TMX_ZONES_MAX]; /**< number of placed tasks, by zone, including
                                                    operations checked so far */
   /** @} */
-  char failed_machines[TMX_FAILED_MACHINES_KEPT][TMX_ID_MAX]; /**< machines of recent failures */
+  char failed_machines[TMX_FAILED_MACHINES_KEPT][TMX_ID_BYTES]; /**< machines of recent failures */
   unsigned next_failed_machine; /**< counter; modulo the array size: the next entry to replace */
   UT_hash_handle hh;            /**< entry in tmx_replica::jobs, keyed by id */
 };
--- a/src/replica/job_ids.h
+++ b/src/replica/job_ids.h
@@ -15,8 +15,8 @@
 
 /** A sorted set of job ids without duplicates. It owns its array: see tmx_job_ids_free(). */
 struct tmx_job_ids {
-  char (*ids)[TMX_ID_MAX]; /**< `count` ids, each zero-terminated; NULL: none */
-  uint32_t count;          /**< number of ids */
+  char (*ids)[TMX_ID_BYTES]; /**< `count` ids, each zero-terminated; NULL: none */
+  uint32_t count;            /**< number of ids */
 };
 
 /** Releases the array and makes the set empty. */
--- a/src/replica/job_record.h
+++ b/src/replica/job_record.h
@@ -17,7 +17,7 @@
 
 /** A decoded job record. */
 struct tmx_job_record {
-  char id[TMX_ID_MAX];      /**< the job's id */
+  char id[TMX_ID_BYTES];    /**< the job's id */
   struct tmx_job_spec spec; /**< specification from the submission */
   double submitted_at;      /**< when it was submitted, wall clock, seconds */
   double ended_at;  /**< when its final state was written, wall clock, seconds; 0: unknown */
--- a/src/replica/job_spec.h
+++ b/src/replica/job_spec.h
@@ -23,14 +23,14 @@
 
 /** A job as described by its owner. Resource amounts are per task. */
 struct tmx_job_spec {
-  char class[TMX_NAME_MAX]; /**< job class, which selects the service-level objectives */
-  char team[TMX_NAME_MAX];  /**< team whose quota and share the job counts towards */
-  char image[TMX_NAME_MAX]; /**< name of the image of its tasks */
-  char zone[TMX_NAME_MAX];  /**< empty: any zone */
-  char types[TMX_TYPES_MAX][TMX_ID_MAX]; /**< permitted machine types */
-  size_t n_types;                        /**< entries of `types` in use; 0: any type */
-  bool service;                          /**< true: a service; false: a job array */
-  bool same_zone,                        /**< all tasks must be placed in one zone */
+  char class[TMX_NAME_BYTES]; /**< job class, which selects the service-level objectives */
+  char team[TMX_NAME_BYTES];  /**< team whose quota and share the job counts towards */
+  char image[TMX_NAME_BYTES]; /**< name of the image of its tasks */
+  char zone[TMX_NAME_BYTES];  /**< empty: any zone */
+  char types[TMX_MACHINE_TYPES_MAX][TMX_ID_BYTES]; /**< permitted machine types */
+  size_t n_types;                                  /**< entries of `types` in use; 0: any type */
+  bool service;                                    /**< true: a service; false: a job array */
+  bool same_zone,                                  /**< all tasks must be placed in one zone */
       spread,        /**< at most half of the tasks may be placed in one zone, see tmx_zone_cap() */
       spot_allowed;  /**< tasks may run on spot instances */
   int priority;      /**< enum tmx_job_priority */
--- a/src/replica/machine.h
+++ b/src/replica/machine.h
@@ -29,24 +29,24 @@
 
 /** A machine that was registered or that a task was placed on. */
 struct tmx_machine {
-  char id[TMX_ID_MAX];     /**< the machine's id, which is never reused */
-  char addr[TMX_NAME_MAX]; /**< registered address of its worker */
-  char type[TMX_ID_MAX];   /**< name of its machine type */
-  int zone;                /**< index of its zone in the settings; -1: unknown */
-  bool spot;               /**< a spot instance, which the provider may reclaim */
-  bool registered;         /**< a log line registered it, and none has removed it since */
-  bool draining;           /**< to be returned to the provider; no more tasks are placed on it */
-  struct tmx_task *tasks;  /**< list of the tasks placed on it */
-  uint32_t n_tasks;        /**< number of tasks in `tasks` */
-  uint32_t change_count;   /**< number of changes reported to the observer */
-  int owner;               /**< index of the member that owns it; -1: there is no view */
-  double booked_cpus,      /**< CPUs of all tasks placed on it */
-      booked_gpus,         /**< GPUs of all tasks placed on it */
-      booked_mem_gb;       /**< memory of all tasks placed on it, GB */
-  double service_cpus;     /**< part of `booked_cpus` that belongs to services */
-  uint32_t consecutive_errors; /**< attempts that ended with an error since the last success */
-  char error_job[TMX_ID_MAX];  /**< id of the job of the latest failed attempt */
-  bool errors_of_several_jobs; /**< the errors since the last success are of more than one job */
+  char id[TMX_ID_BYTES];     /**< the machine's id, which is never reused */
+  char addr[TMX_NAME_BYTES]; /**< registered address of its worker */
+  char type[TMX_ID_BYTES];   /**< name of its machine type */
+  int zone;                  /**< index of its zone in the settings; -1: unknown */
+  bool spot;                 /**< a spot instance, which the provider may reclaim */
+  bool registered;           /**< a log line registered it, and none has removed it since */
+  bool draining;             /**< to be returned to the provider; no more tasks are placed on it */
+  struct tmx_task *tasks;    /**< list of the tasks placed on it */
+  uint32_t n_tasks;          /**< number of tasks in `tasks` */
+  uint32_t change_count;     /**< number of changes reported to the observer */
+  int owner;                 /**< index of the member that owns it; -1: there is no view */
+  double booked_cpus,        /**< CPUs of all tasks placed on it */
+      booked_gpus,           /**< GPUs of all tasks placed on it */
+      booked_mem_gb;         /**< memory of all tasks placed on it, GB */
+  double service_cpus;       /**< part of `booked_cpus` that belongs to services */
+  uint32_t consecutive_errors;  /**< attempts that ended with an error since the last success */
+  char error_job[TMX_ID_BYTES]; /**< id of the job of the latest failed attempt */
+  bool errors_of_several_jobs;  /**< the errors since the last success are of more than one job */
   struct tmx_image images[TMX_IMAGES_KEPT]; /**< most recently placed first, according to the log */
   size_t n_images;                          /**< entries of `images` in use */
   double capacity_cpus, /**< CPUs of its machine type, set by the scheduler; 0: unknown */
--- a/src/replica/run_estimate.h
+++ b/src/replica/run_estimate.h
@@ -12,9 +12,9 @@
 
 /** The ratio of run times to estimates of one class. */
 struct tmx_run_estimate {
-  char name[TMX_NAME_MAX]; /**< name of the class */
-  double log_ratio;        /**< moving average of ln(run time / owner's estimate) */
-  unsigned samples;        /**< observed tasks, at most TMX_RUN_ESTIMATE_SAMPLES_MAX */
+  char name[TMX_NAME_BYTES]; /**< name of the class */
+  double log_ratio;          /**< moving average of ln(run time / owner's estimate) */
+  unsigned samples;          /**< observed tasks, at most TMX_RUN_ESTIMATE_SAMPLES_MAX */
 };
 
 /** Expected run time of a task of the job, seconds: the owner's estimate, corrected by the learned
--- a/src/store/snapshot_writer.c
+++ b/src/store/snapshot_writer.c
@@ -22,7 +22,7 @@
   uint64_t generation;
   unsigned next_page; /* number of the next page, part of its key */
   /* IDs of the machines and jobs to be written */
-  char (*machines)[TMX_ID_MAX], (*jobs)[TMX_ID_MAX];
+  char (*machines)[TMX_ID_BYTES], (*jobs)[TMX_ID_BYTES];
   size_t n_machines, n_jobs;
   struct position committed; /* end of the committed pages */
   struct position added;     /* end of the pages that were added by the latest call */
@@ -30,7 +30,7 @@
 
 /* An item of a page: either a line or an encoded job record. */
 struct item {
-  char line[TMX_LINE_MAX];
+  char line[TMX_LOG_LINE_BYTES];
   struct tmx_buffer record; /* empty: the item is the line */
 };
 
@@ -88,10 +88,10 @@
   writer->jobs = tmx_allocate(HASH_COUNT(replica->jobs) + 1, sizeof *writer->jobs);
   writer->n_machines = writer->n_jobs = 0;
   HASH_ITER(hh, replica->machines, machine, next_machine) {
-    memcpy(writer->machines[writer->n_machines++], machine->id, TMX_ID_MAX);
+    memcpy(writer->machines[writer->n_machines++], machine->id, TMX_ID_BYTES);
   }
   HASH_ITER(hh, replica->jobs, job, next_job) {
-    if (belongs_in_snapshot(job)) memcpy(writer->jobs[writer->n_jobs++], job->id, TMX_ID_MAX);
+    if (belongs_in_snapshot(job)) memcpy(writer->jobs[writer->n_jobs++], job->id, TMX_ID_BYTES);
   }
   writer->committed = (struct position){0};
   writer->generation = replica->revision;
@@ -235,16 +235,17 @@
 enum tmx_snapshot_result tmx_snapshot_writer_add_pages(struct tmx_snapshot_writer *writer,
                                                        struct tmx_transaction *transaction,
                                                        int max_puts) {
-  size_t max_page_length = tmx_value_room(writer->settings) + TMX_JSON_FRAME, total_length = 0;
+  size_t max_page_length = tmx_value_room(writer->settings) + TMX_JSON_OVERHEAD_BYTES,
+         total_length = 0;
   struct position position = writer->committed;
   struct page page = {.n_jobs = 0};
   bool more = true;
   tmx_transaction_require_version(transaction, TMX_KEY_HEAD, writer->replica->head_version);
   while (more && transaction->n_operations < max_puts &&
-         total_length + max_page_length < TMX_TRANSACTION_BYTES) {
+         total_length + max_page_length < TMX_TRANSACTION_JSON_BYTES_MAX) {
     more = fill_page(writer, &page, &position);
     if (!page.n_lines && !page.n_jobs) break;
-    total_length += page.json_length + TMX_JSON_FRAME;
+    total_length += page.json_length + TMX_JSON_OVERHEAD_BYTES;
     put_page(writer, transaction, &page);
   }
   writer->added = position;
--- a/src/worker/commands.h
+++ b/src/worker/commands.h
@@ -14,7 +14,7 @@
 /** A list of commands, encoded for the wire. A zeroed struct is an empty list. */
 struct tmx_command_list {
   struct tmx_buffer encoded; /**< owned; the CBOR maps of the commands, concatenated */
-  size_t count;              /**< number of commands, at most TMX_COMMANDS_MAX */
+  size_t count;              /**< number of commands, at most TMX_MESSAGE_COMMANDS_MAX */
   bool has_starts;           /**< at least one command starts an attempt */
 };
 
--- a/src/worker/lease_renewal.h
+++ b/src/worker/lease_renewal.h
@@ -9,7 +9,7 @@
 #include "worker/workers_internal.h"
 
 /** Responds to the parked heartbeats of machines that this controller owns by now, and redirects
- * those that are parked for longer than TMX_FAILOVER_PARK_S or whose connections are closed.
+ * those that are parked for longer than TMX_FAILOVER_REPORT_WAIT_S or whose connections are closed.
  * Requests a takeover of the machines that remain. */
 void tmx_workers_answer_parked_requests(struct tmx_workers *workers);
 /** Redirects the worker's parked heartbeat, if there is one. */
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -10,10 +10,10 @@
 #include "worker/report_intake.h"
 #include "worker/worker_connection.h"
 
-/* The rate at which probes use TMX_PROBE_SHARE of this controller's processor time, but at least 4
- * per second. */
+/* The rate at which probes use TMX_PROBE_CPU_SHARE of this controller's processor time, but at
+ * least 4 per second. */
 double tmx_workers_probe_rate(const struct tmx_settings *settings) {
-  return fmax(settings->core_share * TMX_PROBE_SHARE / TMX_PROBE_COST_S, 4);
+  return fmax(settings->core_share * TMX_PROBE_CPU_SHARE / TMX_PROBE_CPU_S, 4);
 }
 
 void tmx_workers_refill_probe_budget(struct tmx_workers *workers, double elapsed_s) {
@@ -93,14 +93,15 @@
 }
 
 /* A suspect machine has lost probes, or does not acknowledge its owner. The interval between its
- * probes doubles with each lost probe from TMX_PROBES_LOST on, up to TMX_PROBE_DOUBLINGS times, so
- * that a failed zone does not use up the budget for the other machines. */
+ * probes doubles with each lost probe from TMX_PROBES_LOST_MIN on, up to
+ * TMX_PROBE_PERIOD_DOUBLINGS_MAX times, so that a failed zone does not use up the budget for the
+ * other machines. */
 static bool suspect_probe_is_due(const struct tmx_worker *worker, const struct probe_pass *pass) {
   const struct tmx_worker_probing *probing = &worker->probing;
   if (!probing->consecutive_lost && tmx_worker_acknowledges_owner(worker)) return false;
-  int doublings = probing->consecutive_lost - TMX_PROBES_LOST;
+  int doublings = probing->consecutive_lost - TMX_PROBES_LOST_MIN;
   if (doublings < 0) doublings = 0;
-  if (doublings > TMX_PROBE_DOUBLINGS) doublings = TMX_PROBE_DOUBLINGS;
+  if (doublings > TMX_PROBE_PERIOD_DOUBLINGS_MAX) doublings = TMX_PROBE_PERIOD_DOUBLINGS_MAX;
   return pass->now - probing->sent_at >= TMX_PROBE_TIMEOUT_S * (1 << doublings);
 }
 
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -22,7 +22,7 @@
   /* A worker that was cut off and has just recovered needs time to acknowledge this owner, so at
    * most the time since the recovery counts. */
   double since_recovery = now - worker->liveness.recovered_at;
-  if (since_recovery < settings->lease_s * TMX_RECOVERY_LEASES)
+  if (since_recovery < settings->lease_s * TMX_RECOVERY_GRACE_LEASES)
     unacknowledged_s = fmin(unacknowledged_s, since_recovery + 0.001);
   /* The worker may respond and yet be unable to send heartbeats. Direct commands do not renew its
    * lease, so its tasks have been killed by now, and new ones would be killed a lease later. If
@@ -81,7 +81,7 @@
   return record->received_at && record->term >= workers->replica->view.term &&
          !strcmp(record->reporter, owner) &&
          age <= tmx_peers_silence(workers->peers, owner) + TMX_HEARTBEAT_PERIOD_S / 2 &&
-         age <= TMX_HEARTBEAT_LOST_S;
+         age <= TMX_HEARTBEAT_EXPIRY_S;
 }
 
 bool tmx_workers_find_suspicion(const struct tmx_workers *workers,
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -21,7 +21,7 @@
 
 /** One attempt in the latest report. */
 struct tmx_reported_task {
-  char job[TMX_ID_MAX];          /**< id of the job */
+  char job[TMX_ID_BYTES];        /**< id of the job */
   uint32_t task;                 /**< index of the task within the job */
   uint32_t attempt;              /**< number of the attempt of the task */
   enum tmx_reported_state state; /**< as the worker reports it */
@@ -92,15 +92,16 @@
 struct tmx_worker_redirection {
   double redirected_at; /**< steady clock, s: last redirect to the owner; 0: none since this
                            controller last responded as the owner */
-  struct tmx_http_request *parked_request; /**< a heartbeat that waits until this controller is
-                                                the owner, up to TMX_FAILOVER_PARK_S; NULL: none */
-  double parked_at;                        /**< steady clock, s: when it was parked */
+  struct tmx_http_request
+      *parked_request; /**< a heartbeat that waits until this controller is
+                            the owner, up to TMX_FAILOVER_REPORT_WAIT_S; NULL: none */
+  double parked_at;    /**< steady clock, s: when it was parked */
 };
 
 /** The connection to the worker. Written by worker_connection.c. */
 struct tmx_worker_connection {
   struct tmx_http_client *client; /**< owned; NULL: none is open */
-  char address[TMX_NAME_MAX];     /**< host and port to which `client` connects */
+  char address[TMX_NAME_BYTES];   /**< host and port to which `client` connects */
 };
 
 /** State of the probes of the machine. Written by probes.c; fencing.c resets consecutive_lost when
@@ -116,14 +117,14 @@
  * suspicions.c. */
 struct tmx_worker_owner_suspicion {
   struct tmx_suspicion suspicion; /**< the latest report */
-  char reporter[TMX_NAME_MAX];    /**< name of the controller that reported it */
+  char reporter[TMX_NAME_BYTES];  /**< name of the controller that reported it */
   double received_at;             /**< steady clock, s; 0: never */
   uint64_t term;                  /**< term of the view by which the reporter owned the machine */
 };
 
 /** The worker of one machine. */
 struct tmx_worker {
-  char id[TMX_ID_MAX];                               /**< id of the machine; key of the table */
+  char id[TMX_ID_BYTES];                             /**< id of the machine; key of the table */
   struct tmx_workers *workers;                       /**< the module that owns this record */
   struct tmx_machine *machine;                       /**< its entry in the replica; NULL: none */
   struct tmx_worker_report report;                   /**< latest report */
