--- a/src/cloud/catalog_reader.c
+++ b/src/cloud/catalog_reader.c
@@ -1,4 +1,4 @@
-/* Reads the cloud's machine types into the catalogue. */
+/* Reads the machine types that the cloud offers into the catalogue. */
 #include <string.h>
 
 #include "base/log.h"
@@ -16,7 +16,7 @@
   }
 }
 
-/* False: the entry lacks what planning needs. */
+/* Returns false if the entry lacks a field that planning needs: name, CPUs or memory. */
 static bool read_type(const struct tmx_settings *settings, const cbor_item_t *entry,
                       struct tmx_machine_type *type) {
   if (!tmx_cbor_get_text(entry, W_NAME, type->name, sizeof type->name) ||
@@ -46,15 +46,16 @@
   return false;
 }
 
-static void log_first_catalog(size_t taken, size_t offered) {
-  tmx_log(TMX_LOG_INFO, "cloud: %zu machine types", taken);
-  if (offered > taken)
-    tmx_log(TMX_LOG_ERROR, "cloud: %zu of %zu machine types are left out", offered - taken,
-            offered);
+static void log_first_catalog(size_t accepted, size_t offered) {
+  tmx_log(TMX_LOG_INFO, "cloud: catalogue has %zu machine types", accepted);
+  if (offered > accepted)
+    tmx_log(TMX_LOG_ERROR,
+            "cloud: ignored %zu of %zu machine types: entry incomplete or catalogue full",
+            offered - accepted, offered);
 }
 
-/* The planner holds the sizes of the machines, so it looks at all of them again when sizes change;
- * new prices alone do not concern it. */
+/* The planner keeps the sizes of the machines, so all machines are marked as changed if the size of
+ * a type has changed. The planner does not use prices, so a new price alone marks no machine. */
 static void replace_catalog(struct tmx_cloud *cloud, const struct tmx_machine_catalog *catalog) {
   bool sizes_changed = sizes_differ(cloud->catalog, catalog);
   *cloud->catalog = *catalog;
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -30,12 +30,12 @@
   free(cloud);
 }
 
-static bool store_is_lost(const struct tmx_cloud *cloud, double now) {
+static bool store_is_unreachable(const struct tmx_cloud *cloud, double now) {
   return now - tmx_store_fresh_as_of(cloud->store) > TMX_STORE_LOST_S;
 }
 
 static void record_demand(struct tmx_cloud *cloud, double now) {
-  if (!cloud->replica->loaded || store_is_lost(cloud, now)) return;
+  if (!cloud->replica->loaded || store_is_unreachable(cloud, now)) return;
   tmx_demand_history_record(&cloud->demand,
                             cloud->replica->booked_cpus + cloud->replica->waiting_cpus, now);
 }
@@ -43,12 +43,13 @@
 static void scale_out_when_due(struct tmx_cloud *cloud, double now) {
   if (now - cloud->scale_out_at <= TMX_SCALE_OUT_PERIOD_S || !cloud->catalog->n_types) return;
   cloud->scale_out_at = now;
-  /* A new leader first reads the list, or it would rent again what is on its way. */
+  /* A new leader reads the list of instances first. Otherwise it would rent machines again that its
+   * predecessor has requested and that are still booting. */
   if (!cloud->rentals_in_flight && now - cloud->leading_since > TMX_LIST_S)
     tmx_cloud_scale_out(cloud, now);
 }
 
-static void tick_of_leader(struct tmx_cloud *cloud, double now) {
+static void leader_tick(struct tmx_cloud *cloud, double now) {
   if (now - cloud->list_read_at > TMX_LIST_S) {
     cloud->list_read_at = now;
     tmx_inventory_read(&cloud->inventory);
@@ -65,11 +66,12 @@
   double now = tmx_clock_steady();
   tmx_cloud_read_catalog(cloud, now);
   record_demand(cloud, now);
-  /* A leader that lost the store may have been replaced, so it deletes and rents nothing. */
-  if (!tmx_store_is_leader(cloud->store) || store_is_lost(cloud, now)) {
+  /* A leader that has lost contact with the store may have been replaced by another one, so it
+   * neither deletes nor rents machines. */
+  if (!tmx_store_is_leader(cloud->store) || store_is_unreachable(cloud, now)) {
     cloud->leading_since = now;
     tmx_inventory_rewind(&cloud->inventory);
     return;
   }
-  tick_of_leader(cloud, now);
+  leader_tick(cloud, now);
 }
--- a/src/cloud/cloud_api.c
+++ b/src/cloud/cloud_api.c
@@ -8,15 +8,15 @@
 
 enum { CONNECTIONS_MAX = 8 };
 
-/* Share of the cloud's rate limit with which one controller's bucket is refilled. The rest is left
- * to the other controllers, as the limit holds for all of them together. */
+/* Refill rate of one controller's token bucket, as a share of the cloud's rate limit. The rest is
+ * left to the other controllers, as the limit applies to all of them together. */
 static const double REFILL_SHARE = 0.6;
 
 struct tmx_cloud_api {
   const struct tmx_settings *settings;
   struct tmx_http_client *http;
-  double tokens;
-  double refilled_at;
+  double tokens;      /* requests that may be sent now; at most cloud_rps */
+  double refilled_at; /* steady clock, s */
 };
 
 struct tmx_cloud_api *tmx_cloud_api_new(struct ev_loop *loop, const struct tmx_settings *settings) {
--- a/src/cloud/deletion_request.c
+++ b/src/cloud/deletion_request.c
@@ -24,25 +24,25 @@
   snprintf(request->ids[request->count++], TMX_ID_MAX, "%s", id);
 }
 
-/* A deleted machine is gone with all that was on it: that is the proof that its tasks have ended,
- * which the log records. */
-static void record_removed(struct tmx_cloud *cloud, const char *id) {
+/* Appends the removal of the machine to the log. The cloud deletes a machine together with its
+ * processes, so the deletion proves that the machine's tasks have ended. */
+static void queue_removal_line(struct tmx_cloud *cloud, const char *id) {
   char line[TMX_LINE_MAX];
   if (!tmx_machine_find(cloud->replica, id)) return;
   snprintf(line, sizeof line, "%c %s", TMX_LINE_MACHINE_REMOVED, id);
   tmx_scheduler_queue_log_line(cloud->scheduler, line);
 }
 
-/* Lists lag behind, so a deleted instance stays marked until no list has shown it for long, and is
- * not deleted again. */
-static void take_deleted(struct tmx_deletion_request *request) {
+/* Keeps the instances marked as deleting. The cloud's list lags and may still show a deleted
+ * instance; the mark prevents a second deletion until the instance has left the inventory. */
+static void handle_success(struct tmx_deletion_request *request) {
   for (size_t i = 0; i < request->count; i++) {
-    tmx_inventory_obtain(&request->cloud->inventory, request->ids[i])->deleting = true;
-    record_removed(request->cloud, request->ids[i]);
+    tmx_inventory_find_or_add(&request->cloud->inventory, request->ids[i])->deleting = true;
+    queue_removal_line(request->cloud, request->ids[i]);
   }
 }
 
-static void take_refused(struct tmx_deletion_request *request) {
+static void handle_failure(struct tmx_deletion_request *request) {
   for (size_t i = 0; i < request->count; i++) {
     struct tmx_instance *instance = tmx_inventory_find(&request->cloud->inventory, request->ids[i]);
     if (instance) instance->deleting = false;
@@ -55,9 +55,9 @@
   (void)length;
   request->cloud->deletion_in_flight = NULL;
   if (status == 200)
-    take_deleted(request);
+    handle_success(request);
   else
-    take_refused(request);
+    handle_failure(request);
   free(request);
 }
 
@@ -78,7 +78,7 @@
   if (send_request(request)) {
     request->cloud->deletion_in_flight = request;
   } else {
-    take_refused(request);
+    handle_failure(request);
     free(request);
   }
 }
--- a/src/cloud/deletion_request.h
+++ b/src/cloud/deletion_request.h
@@ -1,27 +1,27 @@
 /**
  * @file
- * A request to the cloud to delete machines, at most TMX_SCALE_IN_MAX of them. Loop's thread only.
+ * A request to the cloud to delete at most TMX_SCALE_IN_MAX machines. Loop's thread only.
  */
 #ifndef TMX_DELETION_REQUEST_H
 #define TMX_DELETION_REQUEST_H
 #include "cloud/cloud_internal.h"
 #include "cloud/replacement_policy.h"
 
-/** The request, from the first machine added until the response is handled. */
+/** The request. It lives until its response is handled, or until it cannot be sent. */
 struct tmx_deletion_request {
-  struct tmx_cloud *cloud;                /**< the module that sends it; outlives it */
+  struct tmx_cloud *cloud;                /**< the module that sends the request; outlives it */
   char ids[TMX_SCALE_IN_MAX][TMX_ID_MAX]; /**< instances to delete */
   size_t count;                           /**< entries of `ids` in use */
 };
 
-/** Allocates an empty request, which tmx_deletion_request_send() takes over. */
+/** Allocates an empty request. tmx_deletion_request_send() takes ownership of it. */
 struct tmx_deletion_request *tmx_deletion_request_new(struct tmx_cloud *cloud);
-/** Whether it holds as many machines as one request may. */
+/** Returns whether the request holds as many machines as one request may. */
 bool tmx_deletion_request_is_full(const struct tmx_deletion_request *request);
-/** Adds a machine and logs why. The request must not be full. */
+/** Adds a machine and logs the reason. The request must not be full. */
 void tmx_deletion_request_add(struct tmx_deletion_request *request, const char *id,
                               enum tmx_deletion_reason reason);
-/** Sends the request, if it names any machine and the rate limit allows it. It is
- * freed when it is answered, refused or cannot be sent. */
+/** Sends the request if it names any machine and the rate limit allows it. Frees the request when
+ * the response arrives or the request fails, or at once if it cannot be sent. */
 void tmx_deletion_request_send(struct tmx_deletion_request *request);
 #endif
--- a/src/cloud/demand_history.c
+++ b/src/cloud/demand_history.c
@@ -12,8 +12,8 @@
   }
   while (history->latest_second < second)
     history->cpus_by_second[++history->latest_second % TMX_PEAK_DEMAND_S] = 0;
-  double *highest = &history->cpus_by_second[second % TMX_PEAK_DEMAND_S];
-  *highest = fmax(*highest, cpus);
+  double *peak_of_second = &history->cpus_by_second[second % TMX_PEAK_DEMAND_S];
+  *peak_of_second = fmax(*peak_of_second, cpus);
 }
 
 double tmx_demand_history_peak(const struct tmx_demand_history *history) {
--- a/src/cloud/inventory.c
+++ b/src/cloud/inventory.c
@@ -32,7 +32,7 @@
   return instance;
 }
 
-struct tmx_instance *tmx_inventory_obtain(struct tmx_inventory *inventory, const char *id) {
+struct tmx_instance *tmx_inventory_find_or_add(struct tmx_inventory *inventory, const char *id) {
   struct tmx_instance *instance = tmx_inventory_find(inventory, id);
   if (instance) return instance;
   instance = tmx_allocate(1, sizeof *instance);
@@ -41,7 +41,7 @@
   return instance;
 }
 
-static enum tmx_instance_state state_of_text(const char *text) {
+static enum tmx_instance_state parse_instance_state(const char *text) {
   if (!strcmp(text, WV_BOOTING)) return TMX_INSTANCE_BOOTING;
   if (!strcmp(text, WV_FAILED)) return TMX_INSTANCE_FAILED;
   return TMX_INSTANCE_RUNNING;
@@ -50,7 +50,7 @@
 static void read_entry(struct tmx_inventory *inventory, const cbor_item_t *entry, double now) {
   char id[TMX_ID_MAX], state_text[16], zone[TMX_NAME_MAX];
   if (!tmx_cbor_get_text(entry, W_ID, id, sizeof id)) return;
-  struct tmx_instance *instance = tmx_inventory_obtain(inventory, id);
+  struct tmx_instance *instance = tmx_inventory_find_or_add(inventory, id);
   tmx_cbor_get_text(entry, W_TYPE, instance->type, sizeof instance->type);
   instance->zone = tmx_cbor_get_text(entry, W_ZONE, zone, sizeof zone)
                        ? tmx_zone_index(inventory->settings, zone)
@@ -58,8 +58,8 @@
   tmx_cbor_get_bool(entry, W_SPOT, &instance->spot);
   tmx_cbor_get_number(entry, W_AGE, &instance->age_s);
   if (tmx_cbor_get_text(entry, W_STATE, state_text, sizeof state_text)) {
-    enum tmx_instance_state state = state_of_text(state_text);
-    /* A list may be older than the one before it, so a state never goes back. */
+    enum tmx_instance_state state = parse_instance_state(state_text);
+    /* A list may be older than the list before it, so an earlier state is ignored. */
     if (state > instance->state) instance->state = state;
   }
   instance->age_as_of = now;
@@ -67,14 +67,14 @@
     snprintf(inventory->cursor, sizeof inventory->cursor, "%s", id);
 }
 
-/* Drops instances that have been unlisted for longer than any list lags: they are gone. */
+/* Removes instances that have been missing for longer than the list can lag, as they are gone. */
 static void drop_unlisted(struct tmx_inventory *inventory, double now) {
   const double keep_s = 2 * inventory->settings->list_lag_s + 3 * TMX_LIST_S;
   struct tmx_instance *instance, *next_instance;
   HASH_ITER(hh, inventory->instances, instance, next_instance) {
-    double seen_at =
+    double last_seen_at =
         instance->age_as_of > instance->rented_at ? instance->age_as_of : instance->rented_at;
-    if (now - seen_at <= keep_s) continue;
+    if (now - last_seen_at <= keep_s) continue;
     HASH_DEL(inventory->instances, instance);
     free(instance);
   }
@@ -97,14 +97,15 @@
   bool more = false;
   tmx_cbor_get_bool(page, W_MORE, &more);
   tmx_cbor_free(page);
-  /* A page without an id behind the cursor would be read again and again. */
+  /* If no id of the page follows the cursor, the next request would return the same page again, in
+   * an endless loop. */
   bool advanced = strcmp(inventory->cursor, previous_cursor) > 0;
   if (more && advanced) {
     tmx_inventory_read(inventory);
     return;
   }
   if (more)
-    tmx_log(TMX_LOG_ERROR, "cloud: the list of machines is not in order behind %s",
+    tmx_log(TMX_LOG_ERROR, "cloud: list of instances is not sorted: page after %s has no later id",
             previous_cursor);
   tmx_inventory_rewind(inventory);
   drop_unlisted(inventory, now);
--- a/src/cloud/offer_backoff.c
+++ b/src/cloud/offer_backoff.c
@@ -4,10 +4,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The entry of the offer, which is added if there is none. A full table can only hold types that
- * the catalogue no longer names, so it starts afresh. */
-static struct tmx_offer_backoff *obtain(struct tmx_offer_backoffs *backoffs, const char *type,
-                                        int zone, bool spot) {
+/* Returns the entry of the offer; adds it if there is none. The table has an entry for each offer
+ * of a full catalogue. If it is full, it holds types that are no longer in the catalogue, so it is
+ * cleared. */
+static struct tmx_offer_backoff *find_or_add(struct tmx_offer_backoffs *backoffs, const char *type,
+                                             int zone, bool spot) {
   for (size_t i = 0; i < backoffs->count; i++) {
     struct tmx_offer_backoff *entry = &backoffs->entries[i];
     if (entry->zone == zone && entry->spot == spot && !strcmp(entry->type, type)) return entry;
@@ -23,17 +24,18 @@
 
 bool tmx_offer_is_backed_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone,
                              bool spot, double now) {
-  return obtain(backoffs, type, zone, spot)->until > now;
+  return find_or_add(backoffs, type, zone, spot)->until > now;
 }
 
 void tmx_offer_back_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone, bool spot,
                         double now) {
-  struct tmx_offer_backoff *entry = obtain(backoffs, type, zone, spot);
-  entry->wait_s = fmin(fmax(entry->wait_s * 2, TMX_OFFER_BACKOFF_S), TMX_OFFER_BACKOFF_MAX_S);
-  entry->until = now + entry->wait_s;
+  struct tmx_offer_backoff *entry = find_or_add(backoffs, type, zone, spot);
+  entry->latest_backoff_s =
+      fmin(fmax(entry->latest_backoff_s * 2, TMX_OFFER_BACKOFF_S), TMX_OFFER_BACKOFF_MAX_S);
+  entry->until = now + entry->latest_backoff_s;
 }
 
 void tmx_offer_reset_backoff(struct tmx_offer_backoffs *backoffs, const char *type, int zone,
                              bool spot) {
-  obtain(backoffs, type, zone, spot)->wait_s = 0;
+  find_or_add(backoffs, type, zone, spot)->latest_backoff_s = 0;
 }
--- a/src/cloud/offer_backoff.h
+++ b/src/cloud/offer_backoff.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Backoff of offers: an offer is a machine type in one zone, on demand or spot. One that the cloud
- * refused is not asked for until its backoff is over; each refusal doubles it. No I/O.
+ * Exponential backoff of offers. An offer is a machine type in one zone, on demand or spot. An
+ * offer that the cloud refused is not requested again until its backoff is over. No I/O.
  */
 #ifndef TMX_OFFER_BACKOFF_H
 #define TMX_OFFER_BACKOFF_H
@@ -18,26 +18,28 @@
 
 /** The backoff of one offer. */
 struct tmx_offer_backoff {
-  char type[TMX_ID_MAX]; /**< name of the machine type */
-  int zone;              /**< index in the settings */
-  bool spot;             /**< spot, else on demand */
-  double until;          /**< steady clock, s; 0: never refused */
-  double wait_s;         /**< s: length of the latest backoff; 0: the latest request was granted */
+  char type[TMX_ID_MAX];   /**< name of the machine type */
+  int zone;                /**< zone index of the settings */
+  bool spot;               /**< spot, else on demand */
+  double until;            /**< steady clock, s: end of the backoff; 0: never refused */
+  double latest_backoff_s; /**< s: length of the latest backoff; 0: the latest request succeeded */
 };
 
-/** All offers that were looked up. A zeroed table is an empty one. */
+/** All offers that were looked up. A zeroed table is empty. */
 struct tmx_offer_backoffs {
-  struct tmx_offer_backoff entries[TMX_OFFERS_MAX]; /**< in the order of the first look-up */
-  size_t count; /**< entries in use; a full table starts afresh */
+  struct tmx_offer_backoff entries[TMX_OFFERS_MAX]; /**< in the order of the first lookup */
+  size_t count; /**< entries in use; a full table is cleared before an entry is added */
 };
 
-/** Whether the offer must not be asked for at `now`. */
+/** Returns whether the offer must not be requested at `now`. */
 bool tmx_offer_is_backed_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone,
                              bool spot, double now);
-/** The cloud refused the offer or granted less than was asked for. */
+/** Starts a backoff, twice as long as the one before. To be called if the cloud refused the offer
+ * or granted fewer machines than requested. */
 void tmx_offer_back_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone, bool spot,
                         double now);
-/** The cloud granted the offer in full: the next backoff starts from the shortest again. */
+/** Makes the next backoff start from TMX_OFFER_BACKOFF_S again. To be called if the cloud granted
+ * all requested machines. */
 void tmx_offer_reset_backoff(struct tmx_offer_backoffs *backoffs, const char *type, int zone,
                              bool spot);
 #endif
--- a/src/cloud/reclaim.c
+++ b/src/cloud/reclaim.c
@@ -1,16 +1,17 @@
-/* One pass through all machines and instances: deletes those that failed or are no longer needed,
- * and drains those that are idle or above the peak. */
+/* One pass over all machines and instances: deletes those that failed or are drained, and drains
+ * those that are idle or in excess of the peak demand. */
 #include <math.h>
 
 #include "cloud/deletion_request.h"
 #include "cloud/reclaim_evidence.h"
 #include "cloud/scale_in.h"
 
-/* The leader before this one would have deleted what was silent for so long, unless it spared it: a
- * new leader spares it as well, as it cannot know of a partition that has just ended. */
-static bool spared_by_predecessor(const struct tmx_reclaim_evidence *evidence, int zone,
-                                  double silence_s) {
-  return evidence->leading_s < evidence->spare_s[zone] &&
+/* Returns whether the previous leader must have applied the zone's grace period: otherwise it would
+ * already have deleted a machine that has been silent for so long. The new leader applies the grace
+ * period too, as it cannot know of a partition that ended just before it took over. */
+static bool predecessor_applied_grace(const struct tmx_reclaim_evidence *evidence, int zone,
+                                      double silence_s) {
+  return evidence->leading_s < evidence->partition_grace_s[zone] &&
          silence_s > evidence->leading_s + TMX_INHERITED_SILENCE_S;
 }
 
@@ -25,13 +26,13 @@
       .has_services = machine->service_cpus > 0,
       .draining = machine->draining,
       .faulty = tmx_cloud_machine_is_faulty(machine)};
-  /* The word of its owner counts if the owner reaches its other machines. */
-  result.suspected = machine->owner >= 0 && evidence->owner_heard[machine->owner] &&
+  /* The owner's suspicion counts only if the owner reaches its other machines. */
+  result.suspected = machine->owner >= 0 && evidence->owner_healthy[machine->owner] &&
                      tmx_workers_find_suspicion(cloud->workers, machine, &result.suspicion);
-  result.silence_excused =
-      tmx_reclaim_zone_is_spared(cloud, machine->zone, evidence->now) ||
+  result.partition_grace =
+      tmx_reclaim_zone_in_grace_period(cloud, machine->zone, evidence->now) ||
       (machine->zone >= 0 &&
-       spared_by_predecessor(evidence, machine->zone, result.suspicion.silence_s));
+       predecessor_applied_grace(evidence, machine->zone, result.suspicion.silence_s));
   return result;
 }
 
@@ -41,21 +42,23 @@
   struct tmx_machine *machine, *next_machine;
   HASH_ITER(hh, cloud->replica->machines, machine, next_machine) {
     if (!machine->registered || tmx_deletion_request_is_full(request)) continue;
-    const struct tmx_machine_evidence known = evidence_of_machine(cloud, evidence, machine);
-    enum tmx_deletion_reason reason = tmx_machine_deletion_reason(&known, &deadlines);
-    if (reason == TMX_DELETE_NOT)
+    const struct tmx_machine_evidence machine_evidence =
+        evidence_of_machine(cloud, evidence, machine);
+    enum tmx_deletion_reason reason = tmx_machine_deletion_reason(&machine_evidence, &deadlines);
+    if (reason == TMX_DELETE_NONE)
       tmx_cloud_drain_if_idle(cloud, evidence, machine);
     else
       tmx_deletion_request_add(request, machine->id, reason);
   }
 }
 
-/* Starts the time for which a running instance is unheard. It starts anew while its zone is spared:
- * the instance may well be up. */
-static void note_unheard(const struct tmx_cloud *cloud, struct tmx_instance *instance, double now) {
+/* Starts the time for which a running instance has sent no heartbeat. The time restarts while the
+ * zone is in its grace period, as a partition may be holding the heartbeats back. */
+static void update_no_heartbeat_since(const struct tmx_cloud *cloud, struct tmx_instance *instance,
+                                      double now) {
   if (instance->state != TMX_INSTANCE_RUNNING) return;
-  if (!instance->unheard_since || tmx_reclaim_zone_is_spared(cloud, instance->zone, now))
-    instance->unheard_since = now;
+  if (!instance->no_heartbeat_since || tmx_reclaim_zone_in_grace_period(cloud, instance->zone, now))
+    instance->no_heartbeat_since = now;
 }
 
 static struct tmx_instance_evidence evidence_of_instance(
@@ -70,8 +73,8 @@
       .type_known = type,
       .boot_s = type ? type->boot_s : 0,
       .leader_settled = evidence->leader_settled,
-      .unheard_s = now - instance->unheard_since,
-      .unheard_max_s = TMX_NEVER_HEARD_S + 2 * cloud->settings->report_s};
+      .no_heartbeat_s = now - instance->no_heartbeat_since,
+      .no_heartbeat_max_s = TMX_NEVER_HEARD_S + 2 * cloud->settings->report_s};
 }
 
 static void reclaim_instances(struct tmx_cloud *cloud, const struct tmx_reclaim_evidence *evidence,
@@ -81,13 +84,14 @@
     if (tmx_deletion_request_is_full(request) || instance->deleting || !instance->type[0]) continue;
     const struct tmx_machine *machine = tmx_machine_find(cloud->replica, instance->id);
     if (machine && machine->registered) {
-      instance->unheard_since = 0;
+      instance->no_heartbeat_since = 0;
       continue;
     }
-    note_unheard(cloud, instance, evidence->now);
-    const struct tmx_instance_evidence known = evidence_of_instance(cloud, evidence, instance);
-    enum tmx_deletion_reason reason = tmx_instance_deletion_reason(&known);
-    if (reason == TMX_DELETE_NOT) continue;
+    update_no_heartbeat_since(cloud, instance, evidence->now);
+    const struct tmx_instance_evidence instance_evidence =
+        evidence_of_instance(cloud, evidence, instance);
+    enum tmx_deletion_reason reason = tmx_instance_deletion_reason(&instance_evidence);
+    if (reason == TMX_DELETE_NONE) continue;
     instance->deleting = true;
     tmx_deletion_request_add(request, instance->id, reason);
   }
@@ -99,8 +103,9 @@
   struct tmx_deletion_request *request = tmx_deletion_request_new(cloud);
   tmx_reclaim_evidence_gather(&evidence, cloud, now);
   reclaim_machines(cloud, &evidence, request);
-  /* Machines that are out of reach are no room, so nothing else is returned in their place. */
-  tmx_cloud_drain_to_peak(cloud, evidence.work_waits || evidence.any_zone_partitioned, now);
+  /* The machines of a partitioned zone provide no capacity, so a partition counts as a shortage: no
+   * other machine is drained. */
+  tmx_cloud_drain_above_peak(cloud, evidence.has_backlog || evidence.any_zone_partitioned, now);
   tmx_cloud_drop_idle_timers(cloud);
   reclaim_instances(cloud, &evidence, request);
   tmx_deletion_request_send(request);
--- a/src/cloud/rental.c
+++ b/src/cloud/rental.c
@@ -1,4 +1,5 @@
-/* Requests for machines, each repeated under its name until the cloud has answered. */
+/* Requests to rent machines. A request without a response is retried under the same name, the
+ * idempotency key. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <utlist.h>
@@ -10,7 +11,7 @@
 #include "net/cbor.h"
 #include "tmx/wire.h"
 
-enum { TRIES_MAX = 4, HTTP_OK = 200, HTTP_TOO_MANY_REQUESTS = 429, HTTP_UNAVAILABLE = 503 };
+enum { ATTEMPTS_MAX = 4, HTTP_OK = 200, HTTP_TOO_MANY_REQUESTS = 429, HTTP_UNAVAILABLE = 503 };
 
 struct tmx_rental_request {
   struct tmx_cloud *cloud;
@@ -19,8 +20,8 @@
   int zone;
   bool spot;
   uint32_t count;
-  int tries;
-  double started_at;
+  int attempts;      /* that failed */
+  double started_at; /* steady clock, s */
   struct tmx_rental_request *prev, *next;
 };
 
@@ -30,7 +31,7 @@
 }
 
 static void add_rented_instance(struct tmx_rental_request *request, const char *id, double now) {
-  struct tmx_instance *instance = tmx_inventory_obtain(&request->cloud->inventory, id);
+  struct tmx_instance *instance = tmx_inventory_find_or_add(&request->cloud->inventory, id);
   if (!instance->type[0]) {
     snprintf(instance->type, sizeof instance->type, "%s", request->type);
     instance->zone = request->zone;
@@ -40,7 +41,7 @@
   if (!instance->age_as_of) instance->age_as_of = now;
 }
 
-static void take_granted(struct tmx_rental_request *request, const cbor_item_t *machines) {
+static void handle_grant(struct tmx_rental_request *request, const cbor_item_t *machines) {
   struct tmx_cloud *cloud = request->cloud;
   double now = tmx_clock_steady();
   uint32_t granted = 0;
@@ -50,8 +51,9 @@
     add_rented_instance(request, id, now);
     granted++;
   }
-  tmx_log(TMX_LOG_INFO, "cloud: rented %u of %u %s in %s%s", granted, request->count, request->type,
-          cloud->settings->zones[request->zone], request->spot ? ", spot" : "");
+  tmx_log(TMX_LOG_INFO, "cloud: rented %u of %u machines of type %s in zone %s%s", granted,
+          request->count, request->type, cloud->settings->zones[request->zone],
+          request->spot ? ", spot" : "");
   if (granted < request->count)
     tmx_offer_back_off(&cloud->offer_backoffs, request->type, request->zone, request->spot,
                        tmx_clock_steady());
@@ -59,10 +61,11 @@
     tmx_offer_reset_backoff(&cloud->offer_backoffs, request->type, request->zone, request->spot);
 }
 
-static void take_refusal(struct tmx_rental_request *request, int status) {
+static void handle_refusal(struct tmx_rental_request *request, int status) {
   struct tmx_cloud *cloud = request->cloud;
-  tmx_log(TMX_LOG_INFO, "cloud: %s in %s%s refused (%d)", request->type,
-          cloud->settings->zones[request->zone], request->spot ? ", spot" : "", status);
+  tmx_log(TMX_LOG_INFO, "cloud: rental of type %s in zone %s%s failed (HTTP status %d)",
+          request->type, cloud->settings->zones[request->zone], request->spot ? ", spot" : "",
+          status);
   if (status == HTTP_UNAVAILABLE || status == HTTP_OK)
     tmx_offer_back_off(&cloud->offer_backoffs, request->type, request->zone, request->spot,
                        tmx_clock_steady());
@@ -74,14 +77,15 @@
   struct tmx_rental_request *request = arg;
   cbor_item_t *map = tmx_cbor_parse(body, length);
   if (status == HTTP_OK && map) {
-    take_granted(request, tmx_cbor_get(map, W_MACHINES));
+    handle_grant(request, tmx_cbor_get(map, W_MACHINES));
     free_request(request);
-  } else if ((status == 0 || status == HTTP_TOO_MANY_REQUESTS) && ++request->tries < TRIES_MAX &&
-             tmx_store_is_leader(request->cloud->store)) {
-    /* The cloud rents nothing twice under one name, so a request without an answer is repeated. */
+  } else if ((status == 0 || status == HTTP_TOO_MANY_REQUESTS) &&
+             ++request->attempts < ATTEMPTS_MAX && tmx_store_is_leader(request->cloud->store)) {
+    /* The request is idempotent: the cloud grants it once per name. So it is retried if there was
+     * no response or the rate limit was exceeded. */
     send_request(request);
   } else {
-    take_refusal(request, status);
+    handle_refusal(request, status);
     free_request(request);
   }
   tmx_cbor_free(map);
@@ -116,7 +120,7 @@
     request->count = count < TMX_SCALE_OUT_MAX ? count : TMX_SCALE_OUT_MAX;
     request->started_at = tmx_clock_steady();
     snprintf(request->type, sizeof request->type, "%s", type->name);
-    /* The name holds the incarnation of this process, so that no other process ever uses it. */
+    /* The incarnation in the name is unique, so no other process ever uses the same name. */
     snprintf(request->name, sizeof request->name, "%s-%llu-%llu", cloud->settings->node_name,
              (unsigned long long)tmx_store_incarnation(cloud->store),
              (unsigned long long)++cloud->last_rental_number);
--- a/src/cloud/replacement_policy.c
+++ b/src/cloud/replacement_policy.c
@@ -1,14 +1,14 @@
 #include "cloud/replacement_policy.h"
 
-/* s: the least time that any machine may take to boot, on top of TMX_BOOT_LATE times the usual. */
+/* s: any machine may take this long to boot, plus TMX_BOOT_LATE times its usual boot time. */
 static const double BOOT_GRACE_S = 10;
 
-/* Of report_s: a heartbeat may come this much later than its period. */
+/* A heartbeat is late after this many times report_s, plus TMX_REPORT_LATE_S. */
 static const double HEARTBEAT_TOLERANCE = 1.25;
 
 const char *tmx_deletion_reason_text(enum tmx_deletion_reason reason) {
   switch (reason) {
-    case TMX_DELETE_NOT:
+    case TMX_DELETE_NONE:
       return "";
     case TMX_DELETE_FAILED:
       return "failed";
@@ -22,7 +22,7 @@
       return "faulty";
     case TMX_DELETE_BOOT_TIMEOUT:
       return "boots too long";
-    case TMX_DELETE_NEVER_HEARD:
+    case TMX_DELETE_NO_HEARTBEAT:
       return "never heard";
   }
   return "";
@@ -37,23 +37,25 @@
       .unacknowledged_s = settings->lease_s * TMX_UNACKNOWLEDGED_LEASES};
 }
 
-/* A machine of which several probes in a row were lost is dead, unless its zone is cut off. Then
- * it may come back with its work, and what it holds could hardly run elsewhere: it is kept until
- * its leases have expired, and twice as long where replicas would only wait for room. */
+/* A machine that lost several probes in a row counts as dead, unless its zone is in a grace period.
+ * Then the machine may come back with its tasks, and there is hardly enough capacity to run them
+ * elsewhere. So it is kept until its leases have expired, and twice as long if it holds replicas of
+ * services, as their replacements would be pending for lack of capacity. */
 static bool is_dead(const struct tmx_machine_evidence *evidence,
                     const struct tmx_machine_deadlines *deadlines) {
   double silence_s = evidence->suspicion.silence_s;
   if (!evidence->leader_settled || !evidence->suspected) return false;
   if (evidence->suspicion.probes_lost < TMX_PROBES_LOST) return false;
   if (silence_s <= deadlines->silence_s) return false;
-  return !evidence->silence_excused ||
+  return !evidence->partition_grace ||
          silence_s > deadlines->leases_expired_s * (evidence->has_services ? 2 : 1);
 }
 
-/* Its heartbeats arrive, but it takes no command, so no work can start or be cancelled on it. */
+/* Heartbeats of the machine arrive, but it acknowledges no commands, so tasks can be neither
+ * started nor cancelled on it. */
 static bool is_unreachable(const struct tmx_machine_evidence *evidence,
                            const struct tmx_machine_deadlines *deadlines) {
-  return evidence->leader_settled && evidence->suspected && !evidence->silence_excused &&
+  return evidence->leader_settled && evidence->suspected && !evidence->partition_grace &&
          evidence->suspicion.silence_s < deadlines->heartbeat_late_s &&
          evidence->suspicion.unacknowledged_s > deadlines->unacknowledged_s;
 }
@@ -65,7 +67,7 @@
   if (is_unreachable(evidence, deadlines)) return TMX_DELETE_UNACKNOWLEDGED;
   if (evidence->draining && !evidence->has_tasks) return TMX_DELETE_DRAINED;
   if (evidence->faulty && !evidence->has_tasks) return TMX_DELETE_FAULTY;
-  return TMX_DELETE_NOT;
+  return TMX_DELETE_NONE;
 }
 
 enum tmx_deletion_reason tmx_instance_deletion_reason(
@@ -77,11 +79,11 @@
       return evidence->type_known &&
                      evidence->age_s > evidence->boot_s * TMX_BOOT_LATE + BOOT_GRACE_S
                  ? TMX_DELETE_BOOT_TIMEOUT
-                 : TMX_DELETE_NOT;
+                 : TMX_DELETE_NONE;
     case TMX_INSTANCE_RUNNING:
-      return evidence->leader_settled && evidence->unheard_s > evidence->unheard_max_s
-                 ? TMX_DELETE_NEVER_HEARD
-                 : TMX_DELETE_NOT;
+      return evidence->leader_settled && evidence->no_heartbeat_s > evidence->no_heartbeat_max_s
+                 ? TMX_DELETE_NO_HEARTBEAT
+                 : TMX_DELETE_NONE;
   }
-  return TMX_DELETE_NOT;
+  return TMX_DELETE_NONE;
 }
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -1,6 +1,6 @@
-/* Scale-in: drains machines that have been idle for long, and the most expensive ones that the peak
- * of the demand would not have needed, a few at a time. The job arrays of a draining machine run to
- * their end; its replicas move, so room for them must be free in the same zone. */
+/* Scale-in: drains machines that have been idle for long, and the most expensive machines in excess
+ * of the peak demand, a few at a time. On a draining machine tasks of job arrays run to completion.
+ * Replicas of services move to other machines, so the zone must have free capacity for them. */
 #include "cloud/scale_in.h"
 
 #include <stdio.h>
@@ -13,39 +13,43 @@
 static void set_draining(struct tmx_cloud *cloud, const char *id, bool draining) {
   char line[TMX_LINE_MAX];
   snprintf(line, sizeof line, "%c %s %d", TMX_LINE_MACHINE_DRAINING, id, draining);
-  tmx_log(TMX_LOG_INFO, "cloud: %s is %s needed", id, draining ? "no longer" : "again");
+  tmx_log(TMX_LOG_INFO, "cloud: machine %s is %s needed, draining updated", id,
+          draining ? "no longer" : "again");
   tmx_scheduler_queue_log_line(cloud->scheduler, line);
 }
 
 void tmx_cloud_drain_if_idle(struct tmx_cloud *cloud, struct tmx_reclaim_evidence *evidence,
                              const struct tmx_machine *machine) {
   const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, machine->type);
-  struct tmx_idle_machine *idle = tmx_cloud_idle_timer(cloud, machine->id, evidence->now);
-  if (machine->tasks || evidence->work_waits || evidence->any_zone_partitioned)
-    idle->since = evidence->now;
-  const struct tmx_idle_evidence known = {.type_known = type,
-                                          .draining = machine->draining,
-                                          .has_tasks = machine->tasks,
-                                          .idle_s = evidence->now - idle->since,
-                                          .idle_max_s = cloud->settings->operators.idle_return_s,
-                                          .cpus = type ? type->cpus : 0,
-                                          .free_cpus = evidence->free_cpus,
-                                          .service_cpus = evidence->service_cpus,
-                                          .headroom = cloud->settings->operators.headroom};
-  if (tmx_idle_drain_decision(&known) != TMX_DRAIN) return;
+  struct tmx_idle_timer *timer = tmx_cloud_idle_timer(cloud, machine->id, evidence->now);
+  if (machine->tasks || evidence->has_backlog || evidence->any_zone_partitioned)
+    timer->since = evidence->now;
+  const struct tmx_idle_evidence idle_evidence = {
+      .type_known = type,
+      .draining = machine->draining,
+      .has_tasks = machine->tasks,
+      .idle_s = evidence->now - timer->since,
+      .idle_max_s = cloud->settings->operators.idle_return_s,
+      .cpus = type ? type->cpus : 0,
+      .free_cpus = evidence->free_cpus,
+      .service_cpus = evidence->service_cpus,
+      .headroom = cloud->settings->operators.headroom};
+  if (tmx_idle_drain_decision(&idle_evidence) != TMX_DRAIN) return;
   evidence->free_cpus -= type->cpus;
   set_draining(cloud, machine->id, true);
-  idle->since = evidence->now;
+  timer->since = evidence->now;
 }
 
-/* While work waits, a machine with tasks that is about to be returned is nearer than any that must
- * boot. A faulty one stays draining. */
-static bool is_needed_again(const struct tmx_machine *machine, bool busy) {
-  return busy && machine->tasks && !tmx_cloud_machine_is_faulty(machine);
+/* Returns whether the draining of the machine is cancelled. If capacity is short, a draining
+ * machine that still holds tasks is available sooner than a machine that has yet to boot. A faulty
+ * machine keeps draining. */
+static bool must_cancel_draining(const struct tmx_machine *machine, bool capacity_short) {
+  return capacity_short && machine->tasks && !tmx_cloud_machine_is_faulty(machine);
 }
 
-/* Adds up the fleet, and takes back what is needed again. */
-static struct tmx_fleet survey_fleet(struct tmx_cloud *cloud, bool busy) {
+/* Sums the fleet, and cancels the draining of machines that are needed again. */
+static struct tmx_fleet sum_fleet_and_cancel_draining(struct tmx_cloud *cloud,
+                                                      bool capacity_short) {
   struct tmx_fleet fleet = {.machines = 0};
   struct tmx_machine *machine, *next_machine;
   HASH_ITER(hh, cloud->replica->machines, machine, next_machine) {
@@ -53,9 +57,9 @@
     if (!machine->registered || !type) continue;
     fleet.machines++;
     if (machine->draining) {
-      if (is_needed_again(machine, busy))
+      if (must_cancel_draining(machine, capacity_short))
         set_draining(cloud, machine->id, false);
-      else if (machine->service_cpus > 0) /* arrays that run to their end hold up nothing else */
+      else if (machine->service_cpus > 0) /* job arrays do not move, so they do not count */
         fleet.draining_cpus += type->cpus;
       continue;
     }
@@ -87,10 +91,10 @@
   return count;
 }
 
-/* Drains the first of the candidates, up to a share of the fleet at a time. */
-static void drain_first(struct tmx_cloud *cloud, struct tmx_fleet *fleet,
-                        const struct tmx_reserve *reserve,
-                        const struct tmx_drain_candidate *candidates, size_t count) {
+/* Drains candidates in their order until TMX_DRAIN_SHARE of the fleet's CPUs is reached. */
+static void drain_candidates(struct tmx_cloud *cloud, struct tmx_fleet *fleet,
+                             const struct tmx_reserve *reserve,
+                             const struct tmx_drain_candidate *candidates, size_t count) {
   const double step_cpus = TMX_DRAIN_SHARE * fleet->cpus;
   double drained_cpus = 0;
   for (size_t i = 0; i < count && drained_cpus < step_cpus; i++) {
@@ -101,21 +105,21 @@
   }
 }
 
-/* A controller that has just started, or just become leader, does not know the peak yet. */
-static bool knows_peak(const struct tmx_cloud *cloud, double now) {
+/* A controller that has just started or has just become the leader does not know the peak yet. */
+static bool peak_is_known(const struct tmx_cloud *cloud, double now) {
   return now - cloud->leading_since >= TMX_LEADER_SETTLE_S &&
          now - cloud->demand.since >= TMX_PEAK_DEMAND_S;
 }
 
-void tmx_cloud_drain_to_peak(struct tmx_cloud *cloud, bool busy, double now) {
-  if (now - cloud->drain_chosen_at < TMX_DRAIN_SPACING_S) return;
-  cloud->drain_chosen_at = now;
-  struct tmx_fleet fleet = survey_fleet(cloud, busy);
-  if (busy || !knows_peak(cloud, now)) return;
+void tmx_cloud_drain_above_peak(struct tmx_cloud *cloud, bool capacity_short, double now) {
+  if (now - cloud->drain_above_peak_at < TMX_DRAIN_SPACING_S) return;
+  cloud->drain_above_peak_at = now;
+  struct tmx_fleet fleet = sum_fleet_and_cancel_draining(cloud, capacity_short);
+  if (capacity_short || !peak_is_known(cloud, now)) return;
   const struct tmx_reserve reserve =
       tmx_reserve_for(tmx_demand_history_peak(&cloud->demand), fleet.machines);
   struct tmx_drain_candidate *candidates = tmx_allocate(fleet.machines + 1, sizeof *candidates);
   size_t count = collect_candidates(cloud, &fleet, &reserve, candidates);
-  drain_first(cloud, &fleet, &reserve, candidates, count);
+  drain_candidates(cloud, &fleet, &reserve, candidates, count);
   free(candidates);
 }
--- a/src/cloud/scale_in.h
+++ b/src/cloud/scale_in.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Scale-in: drains machines that are not needed. A draining machine gets no new work, and is
+ * Scale-in: drains machines that are not needed. A draining machine gets no new tasks and is
  * deleted when it is empty. Loop's thread only.
  */
 #ifndef TMX_SCALE_IN_H
@@ -8,11 +8,13 @@
 #include "cloud/cloud_internal.h"
 #include "cloud/reclaim_evidence.h"
 
-/** Drains the machine if it has been idle for long, and takes its CPUs off the evidence's free
- * ones. While work waits or machines are out of reach, no idle time counts. */
+/** Drains the machine if it has been idle for longer than the limit, and subtracts its CPUs from
+ * the evidence's `free_cpus`. Its idle time restarts while there is a backlog or a zone is
+ * partitioned. */
 void tmx_cloud_drain_if_idle(struct tmx_cloud *cloud, struct tmx_reclaim_evidence *evidence,
                              const struct tmx_machine *machine);
-/** Drains the most expensive machines that the peak of the demand would not have needed. If it is
- * `busy`, as work waits or machines are out of reach, it takes back draining machines instead. */
-void tmx_cloud_drain_to_peak(struct tmx_cloud *cloud, bool busy, double now);
+/** Drains the most expensive machines in excess of the peak demand, at most every
+ * TMX_DRAIN_SPACING_S. If `capacity_short`, because of a backlog or a partitioned zone, cancels the
+ * draining of machines that still hold tasks instead. */
+void tmx_cloud_drain_above_peak(struct tmx_cloud *cloud, bool capacity_short, double now);
 #endif
--- a/src/cloud/scale_in_policy.c
+++ b/src/cloud/scale_in_policy.c
@@ -3,8 +3,9 @@
 #include <math.h>
 #include <string.h>
 
-/* In the cost of a machine: how much an unbooked CPU weighs, and how much a CPU of a service that
- * must move is discounted. */
+/* Weights in drain_cost(). UNBOOKED_WEIGHT is the weight of a machine without bookings; the booked
+ * share of its CPUs is subtracted from it. SERVICE_DISCOUNT, times the share of its CPUs that
+ * services use, lowers the cost, as their replicas must move. */
 static const double UNBOOKED_WEIGHT = 1.2, SERVICE_DISCOUNT = 0.8;
 
 enum tmx_drain_decision tmx_idle_drain_decision(const struct tmx_idle_evidence *evidence) {
@@ -18,8 +19,9 @@
 
 struct tmx_reserve tmx_reserve_for(double peak_cpus, size_t machines) {
   double margin = fmin(TMX_PEAK_MARGIN, 1 / sqrt(fmax((double)machines, 1)));
-  return (struct tmx_reserve){
-      .peak_cpus = peak_cpus, .margin = margin, .move_room = fmin(TMX_MOVE_ROOM_SHARE, 2 * margin)};
+  return (struct tmx_reserve){.peak_cpus = peak_cpus,
+                              .margin = margin,
+                              .free_share_for_moves = fmin(TMX_MOVE_ROOM_SHARE, 2 * margin)};
 }
 
 bool tmx_replicas_can_move(const struct tmx_fleet *fleet, const struct tmx_reserve *reserve,
@@ -28,11 +30,11 @@
   double others_free =
       fleet->free_cpus_in_zone[candidate->zone] - (candidate->type->cpus - candidate->booked_cpus);
   double needed = TMX_MOVE_ROOM_FACTOR * candidate->service_cpus +
-                  reserve->move_room * reserve->peak_cpus / (double)n_zones;
+                  reserve->free_share_for_moves * reserve->peak_cpus / (double)n_zones;
   return others_free >= needed;
 }
 
-static double cost_of(const struct tmx_drain_candidate *candidate) {
+static double drain_cost(const struct tmx_drain_candidate *candidate) {
   const struct tmx_machine_type *type = candidate->type;
   double price = candidate->spot ? type->spot_price : type->price;
   return price / type->cpus * (UNBOOKED_WEIGHT - candidate->booked_cpus / type->cpus) *
@@ -41,7 +43,7 @@
 
 int tmx_drain_candidate_compare(const void *left, const void *right) {
   const struct tmx_drain_candidate *a = left, *b = right;
-  double cost_a = cost_of(a), cost_b = cost_of(b);
+  double cost_a = drain_cost(a), cost_b = drain_cost(b);
   if (cost_a == cost_b) return strcmp(a->id, b->id);
   return cost_a > cost_b ? -1 : 1;
 }
@@ -51,11 +53,11 @@
                                                 const struct tmx_drain_candidate *candidate) {
   double cpus = candidate->type->cpus;
   if (fleet->cpus - cpus < reserve->peak_cpus * (1 + reserve->margin)) return TMX_KEEP_FOR_PEAK;
-  /* Machines with replicas go a few at a time: each of them means a restart for somebody. One may
-   * always go, however small the fleet is. */
+  /* Few machines with replicas drain at a time, as each move restarts a replica. One such machine
+   * may always drain, however small the fleet is. */
   if (candidate->service_cpus > 0 && fleet->draining_cpus > 0 &&
       fleet->draining_cpus + cpus > TMX_DRAINING_SHARE_MAX * fleet->cpus)
-    return TMX_KEEP_FOR_MOVES;
+    return TMX_KEEP_FOR_MOVE_LIMIT;
   return TMX_DRAIN;
 }
 
--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -1,4 +1,4 @@
-/* Scale-out: plans what to rent for the tasks that found no room. */
+/* Scale-out: plans which machines to rent for pending tasks, given the free capacity. */
 #include <stdlib.h>
 
 #include "base/memory.h"
@@ -13,9 +13,10 @@
   size_t count;
 };
 
-/* Room that is there or on its way, and the CPUs of all machines that count. */
+/* Free capacity of machines that are up and of instances that are expected to come up, and the CPUs
+ * of all these machines. */
 struct capacity {
-  struct tmx_coming *rooms;
+  struct tmx_coming *entries;
   size_t count;
   double cpus;
 };
@@ -28,7 +29,7 @@
     capacity->cpus += type->cpus;
     if (machine->usable && type->cpus > machine->booked_cpus &&
         type->mem_gb > machine->booked_mem_gb)
-      capacity->rooms[capacity->count++] =
+      capacity->entries[capacity->count++] =
           (struct tmx_coming){.type = type,
                               .zone = machine->zone,
                               .spot = machine->spot,
@@ -38,7 +39,7 @@
   }
 }
 
-static void add_instances_on_their_way(const struct tmx_cloud *cloud, struct capacity *capacity) {
+static void add_pending_instances(const struct tmx_cloud *cloud, struct capacity *capacity) {
   struct tmx_instance *instance, *next_instance;
   HASH_ITER(hh, cloud->inventory.instances, instance, next_instance) {
     const struct tmx_machine_type *type = tmx_machine_catalog_find(cloud->catalog, instance->type);
@@ -47,24 +48,26 @@
         (machine && machine->registered))
       continue;
     capacity->cpus += type->cpus;
-    capacity->rooms[capacity->count++] = (struct tmx_coming){.type = type,
-                                                             .zone = instance->zone,
-                                                             .spot = instance->spot,
-                                                             .cpus = type->cpus,
-                                                             .gpus = type->gpus,
-                                                             .mem = type->mem_gb};
+    capacity->entries[capacity->count++] = (struct tmx_coming){.type = type,
+                                                               .zone = instance->zone,
+                                                               .spot = instance->spot,
+                                                               .cpus = type->cpus,
+                                                               .gpus = type->gpus,
+                                                               .mem = type->mem_gb};
   }
 }
 
 static struct capacity collect_capacity(const struct tmx_cloud *cloud) {
-  size_t most = HASH_COUNT(cloud->replica->machines) + HASH_COUNT(cloud->inventory.instances) + 1;
-  struct capacity capacity = {.rooms = tmx_allocate(most, sizeof *capacity.rooms)};
+  size_t max_entries =
+      HASH_COUNT(cloud->replica->machines) + HASH_COUNT(cloud->inventory.instances) + 1;
+  struct capacity capacity = {.entries = tmx_allocate(max_entries, sizeof *capacity.entries)};
   add_machines(cloud, &capacity);
-  add_instances_on_their_way(cloud, &capacity);
+  add_pending_instances(cloud, &capacity);
   return capacity;
 }
 
-/* What may be rented now. A machine that is rented in a zone that is cut off would not be heard. */
+/* Collects the offers that may be requested now. Partitioned zones are left out, as the heartbeats
+ * of new machines would not arrive from there. */
 static void collect_offers(struct tmx_cloud *cloud, double now, struct offer_list *list) {
   list->count = 0;
   for (size_t i = 0; i < cloud->catalog->n_types; i++) {
@@ -81,8 +84,9 @@
   }
 }
 
-/* Calls are few, and the large machines bring the most room with each call. The order of equal
- * ones stays, so that the same plan always leads to the same requests. */
+/* Sorts by CPUs per machine, largest first: the rate limit allows few requests, and large machines
+ * add the most capacity per request. The sort is stable, so the same plan always leads to the same
+ * requests. */
 static void sort_largest_first(struct tmx_scale_out *scale_outs, size_t count,
                                const struct tmx_offer *offers) {
   for (size_t i = 1; i < count; i++)
@@ -95,7 +99,8 @@
     }
 }
 
-static void rent_for(struct tmx_cloud *cloud, const struct tmx_demand_list *demand, double now) {
+static void plan_and_rent(struct tmx_cloud *cloud, const struct tmx_demand_list *demand,
+                          double now) {
   struct offer_list list;
   struct tmx_scale_out scale_outs[SCALE_OUTS_MAX];
   struct capacity capacity = collect_capacity(cloud);
@@ -104,7 +109,7 @@
                                               .n_demands = demand->count,
                                               .offers = list.offers,
                                               .n_offers = list.count,
-                                              .coming = capacity.rooms,
+                                              .coming = capacity.entries,
                                               .n_coming = capacity.count,
                                               .have_cpus = capacity.cpus};
   size_t count = tmx_plan_scale_out(&situation, scale_outs, SCALE_OUTS_MAX);
@@ -113,12 +118,12 @@
     const struct tmx_offer *offer = &list.offers[scale_outs[i].offer];
     tmx_cloud_rent(cloud, offer->type, offer->zone, offer->spot, scale_outs[i].count);
   }
-  free(capacity.rooms);
+  free(capacity.entries);
 }
 
 void tmx_cloud_scale_out(struct tmx_cloud *cloud, double now) {
   struct tmx_demand_list demand = {0};
   tmx_demand_list_collect(&demand, cloud->settings, cloud->replica, now);
-  if (demand.count) rent_for(cloud, &demand, now);
+  if (demand.count) plan_and_rent(cloud, &demand, now);
   free(demand.demands);
 }
--- a/src/cloud/scale_out_demand.c
+++ b/src/cloud/scale_out_demand.c
@@ -4,12 +4,13 @@
 
 #include "base/memory.h"
 
-/* s: a job younger than this may still find room in the next scheduling round. */
-static const double JOB_SETTLE_S = 0.5;
+/* s: the next scheduling round may still place the tasks of a younger job on present machines. */
+static const double JOB_AGE_MIN_S = 0.5;
 
 static const double UNLIMITED_CPUS = 1e9;
 
-static bool specs_are_alike(const struct tmx_job_spec *left, const struct tmx_job_spec *right) {
+static bool specs_are_equivalent(const struct tmx_job_spec *left,
+                                 const struct tmx_job_spec *right) {
   return left->service == right->service && left->cpus == right->cpus &&
          left->gpus == right->gpus && left->mem_gb == right->mem_gb &&
          left->spot_allowed == right->spot_allowed && left->n_types == right->n_types &&
@@ -17,14 +18,15 @@
          !memcmp(left->types, right->types, left->n_types * sizeof left->types[0]);
 }
 
-/* Jobs of one shape and of similar run time count as one demand: what is rented for them is the
- * same. `zone` -1: any. */
+/* Adds pending tasks to the list. Tasks with the same requirements, the same zone and a run time
+ * within a factor of two are counted as one demand, as the same machines are rented for them.
+ * `zone` -1: any. */
 static void add_demand(struct tmx_demand_list *list, const struct tmx_job_spec *spec, int zone,
                        uint32_t tasks, double run_s) {
   if (!tasks) return;
   for (size_t i = 0; i < list->count; i++) {
     struct tmx_demand *demand = &list->demands[i];
-    if (demand->zone != zone || !specs_are_alike(demand->spec, spec)) continue;
+    if (demand->zone != zone || !specs_are_equivalent(demand->spec, spec)) continue;
     if (demand->run_s <= 2 * run_s && run_s <= 2 * demand->run_s) {
       demand->tasks += tasks;
       return;
@@ -38,17 +40,20 @@
   return spec->zone[0] ? tmx_zone_index(settings, spec->zone) : -1;
 }
 
-/* The zone of a service that must be in a single one: where its replicas are already. */
-static int single_zone(const struct tmx_settings *settings, const struct tmx_job *job) {
+/* Returns the zone that the service must run in: the zone of its spec or, if all replicas must be
+ * in one zone, the zone that holds some already. -1: any. */
+static int service_zone(const struct tmx_settings *settings, const struct tmx_job *job) {
   int zone = zone_of_spec(settings, &job->spec);
   for (size_t z = 0; zone < 0 && job->spec.same_zone && z < settings->n_zones; z++)
     if (job->placed_in_zone[z]) zone = (int)z;
   return zone;
 }
 
-/* The zone below the cap that holds the fewest replicas; n_zones: none is below it. */
-static size_t emptiest_zone(const struct tmx_settings *settings, const struct tmx_job *job,
-                            const uint32_t added[], uint32_t cap) {
+/* Returns the zone with the fewest replicas among the zones below the cap; n_zones: all zones are
+ * at the cap. */
+static size_t zone_with_fewest_replicas(const struct tmx_settings *settings,
+                                        const struct tmx_job *job, const uint32_t added[],
+                                        uint32_t cap) {
   size_t best = settings->n_zones;
   for (size_t z = 0; z < settings->n_zones; z++) {
     uint32_t replicas = job->placed_in_zone[z] + added[z];
@@ -58,28 +63,29 @@
   return best;
 }
 
-/* A service's waiting replicas by the zones that its cap leaves open, the emptiest first. */
+/* Spreads the pending replicas of a service over the zones that are below the cap, and adds a
+ * demand for each zone. Each replica goes to the zone with the fewest. */
 static void add_service_demand(const struct tmx_settings *settings, struct tmx_demand_list *list,
                                const struct tmx_job *job, uint32_t tasks) {
   const struct tmx_job_spec *spec = &job->spec;
   if (spec->zone[0] || spec->same_zone || settings->n_zones < 2) {
-    add_demand(list, spec, single_zone(settings, job), tasks, 0);
+    add_demand(list, spec, service_zone(settings, job), tasks, 0);
     return;
   }
   uint32_t cap = tmx_zone_cap(spec, settings->n_zones), added[TMX_ZONES_MAX] = {0};
   for (; tasks; tasks--) {
-    size_t zone = emptiest_zone(settings, job, added, cap);
+    size_t zone = zone_with_fewest_replicas(settings, job, added, cap);
     if (zone == settings->n_zones) break;
     added[zone]++;
   }
   for (size_t z = 0; z < settings->n_zones; z++) add_demand(list, spec, (int)z, added[z], 0);
 }
 
-/* Tasks of the job that wait and that the CPUs left to its team allow. */
-static uint32_t waiting_tasks(const struct tmx_job *job, double team_cpus, double now) {
+/* Returns the number of pending tasks of the job, limited by the CPUs that its team has left. */
+static uint32_t pending_tasks(const struct tmx_job *job, double team_cpus, double now) {
   if (job->outcome || job->team < 0 || tmx_job_is_blocked(job)) return 0;
   uint32_t tasks = job->spec.tasks - job->n_done - job->n_placed;
-  if (!tasks || now - job->loaded_at < JOB_SETTLE_S) return 0;
+  if (!tasks || now - job->loaded_at < JOB_AGE_MIN_S) return 0;
   if (job->spec.cpus > 0 && team_cpus < tasks * job->spec.cpus)
     return team_cpus > 0 ? (uint32_t)(team_cpus / job->spec.cpus) : 0;
   return tasks;
@@ -99,7 +105,7 @@
   team_cpus_left(settings, replica, cpus_left);
   struct tmx_job *job, *next_job;
   HASH_ITER(hh, replica->jobs, job, next_job) {
-    uint32_t tasks = waiting_tasks(job, job->team < 0 ? 0 : cpus_left[job->team], now);
+    uint32_t tasks = pending_tasks(job, job->team < 0 ? 0 : cpus_left[job->team], now);
     if (!tasks) continue;
     cpus_left[job->team] -= tasks * job->spec.cpus;
     if (job->spec.service)
--- a/src/cloud/usage_log.c
+++ b/src/cloud/usage_log.c
@@ -1,4 +1,4 @@
-/* A line for operators: what is rented and what of it is used. */
+/* A periodic log line for operators: the rented capacity and how much of it is used. */
 #include "base/log.h"
 #include "cloud/cloud_internal.h"
 
@@ -21,8 +21,8 @@
   }
   tmx_log(
       TMX_LOG_INFO,
-      "use: %zu machines (%zu not usable), CPUs booked %.0f of %.0f, spot %.0f of %.0f, services "
-      "%.0f, being returned %.0f, waiting %.0f",
+      "usage: %zu machines (%zu unusable), CPUs booked on demand %.0f of %.0f, spot %.0f of %.0f, "
+      "services %.0f, draining %.0f, pending %.0f",
       machines, unusable, booked[0], cpus[0], booked[1], cpus[1], services, draining,
       cloud->replica->waiting_cpus);
 }
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -32,39 +32,39 @@
     struct tmx_machine_evidence evidence;
     enum tmx_deletion_reason reason;
   } cases[] = {
-      {"healthy", {.leader_settled = true, .has_tasks = true}, TMX_DELETE_NOT},
+      {"healthy", {.leader_settled = true, .has_tasks = true}, TMX_DELETE_NONE},
       {"failed in the list, new leader", {.listed_as_failed = true}, TMX_DELETE_FAILED},
       {"failed and dead", {DEAD, .listed_as_failed = true}, TMX_DELETE_FAILED},
       {"dead", {DEAD, .has_tasks = true}, TMX_DELETE_SILENT},
-      {"dead, new leader", {SUSPICION(false, true, 2, TMX_PROBES_LOST, 0)}, TMX_DELETE_NOT},
+      {"dead, new leader", {SUSPICION(false, true, 2, TMX_PROBES_LOST, 0)}, TMX_DELETE_NONE},
       {"dead, its owner not heard",
        {SUSPICION(true, false, 2, TMX_PROBES_LOST, 0)},
-       TMX_DELETE_NOT},
-      {"too few probes", {SUSPICION(true, true, 2, TMX_PROBES_LOST - 1, 0)}, TMX_DELETE_NOT},
-      {"silent for just the limit", {SILENT_FOR(1.5)}, TMX_DELETE_NOT},
-      {"zone cut off", {DEAD, .silence_excused = true}, TMX_DELETE_NOT},
+       TMX_DELETE_NONE},
+      {"too few probes", {SUSPICION(true, true, 2, TMX_PROBES_LOST - 1, 0)}, TMX_DELETE_NONE},
+      {"silent for just the limit", {SILENT_FOR(1.5)}, TMX_DELETE_NONE},
+      {"zone cut off", {DEAD, .partition_grace = true}, TMX_DELETE_NONE},
       {"zone cut off for just until leases expire",
-       {SILENT_FOR(40), .silence_excused = true},
-       TMX_DELETE_NOT},
+       {SILENT_FOR(40), .partition_grace = true},
+       TMX_DELETE_NONE},
       {"zone cut off until leases expired",
-       {SILENT_FOR(40.1), .silence_excused = true},
+       {SILENT_FOR(40.1), .partition_grace = true},
        TMX_DELETE_SILENT},
       {"zone cut off, with replicas",
-       {SILENT_FOR(80), .silence_excused = true, .has_services = true},
-       TMX_DELETE_NOT},
+       {SILENT_FOR(80), .partition_grace = true, .has_services = true},
+       TMX_DELETE_NONE},
       {"zone cut off for twice as long, with replicas",
-       {SILENT_FOR(80.1), .silence_excused = true, .has_services = true},
+       {SILENT_FOR(80.1), .partition_grace = true, .has_services = true},
        TMX_DELETE_SILENT},
       {"heard, not reached", {UNREACHED_FOR(5.1)}, TMX_DELETE_UNACKNOWLEDGED},
-      {"not reached, new leader", {SUSPICION(false, true, 0.5, 0, 5.1)}, TMX_DELETE_NOT},
-      {"not reached, its owner not heard", {SUSPICION(true, false, 0.5, 0, 5.1)}, TMX_DELETE_NOT},
-      {"not reached, zone cut off", {UNREACHED_FOR(5.1), .silence_excused = true}, TMX_DELETE_NOT},
-      {"not reached for just the limit", {UNREACHED_FOR(5)}, TMX_DELETE_NOT},
-      {"not reached, not heard either", {SUSPICION(true, true, 3.5, 0, 5.1)}, TMX_DELETE_NOT},
-      {"draining, with tasks", {.draining = true, .has_tasks = true}, TMX_DELETE_NOT},
+      {"not reached, new leader", {SUSPICION(false, true, 0.5, 0, 5.1)}, TMX_DELETE_NONE},
+      {"not reached, its owner not heard", {SUSPICION(true, false, 0.5, 0, 5.1)}, TMX_DELETE_NONE},
+      {"not reached, zone cut off", {UNREACHED_FOR(5.1), .partition_grace = true}, TMX_DELETE_NONE},
+      {"not reached for just the limit", {UNREACHED_FOR(5)}, TMX_DELETE_NONE},
+      {"not reached, not heard either", {SUSPICION(true, true, 3.5, 0, 5.1)}, TMX_DELETE_NONE},
+      {"draining, with tasks", {.draining = true, .has_tasks = true}, TMX_DELETE_NONE},
       {"drained", {.draining = true}, TMX_DELETE_DRAINED},
       {"drained and faulty", {.draining = true, .faulty = true}, TMX_DELETE_DRAINED},
-      {"faulty, with tasks", {.faulty = true, .has_tasks = true}, TMX_DELETE_NOT},
+      {"faulty, with tasks", {.faulty = true, .has_tasks = true}, TMX_DELETE_NONE},
       {"faulty", {.faulty = true}, TMX_DELETE_FAULTY},
       {"dead before drained", {DEAD, .draining = true}, TMX_DELETE_SILENT},
   };
@@ -101,28 +101,28 @@
     enum tmx_deletion_reason reason;
   } cases[] = {
       {"failed", {.state = TMX_INSTANCE_FAILED}, TMX_DELETE_FAILED},
-      {"boots", {.type_known = true, .boot_s = 20, .age_s = 90}, TMX_DELETE_NOT},
+      {"boots", {.type_known = true, .boot_s = 20, .age_s = 90}, TMX_DELETE_NONE},
       {"boots too long",
        {.type_known = true, .boot_s = 20, .age_s = 90.1},
        TMX_DELETE_BOOT_TIMEOUT},
-      {"boots, type not known", {.age_s = 9000}, TMX_DELETE_NOT},
+      {"boots, type not known", {.age_s = 9000}, TMX_DELETE_NONE},
       {"up, heartbeat awaited",
        {.state = TMX_INSTANCE_RUNNING,
         .leader_settled = true,
-        .unheard_s = 30,
-        .unheard_max_s = 30,
+        .no_heartbeat_s = 30,
+        .no_heartbeat_max_s = 30,
         .type_known = true,
         .age_s = 9000},
-       TMX_DELETE_NOT},
+       TMX_DELETE_NONE},
       {"never heard",
        {.state = TMX_INSTANCE_RUNNING,
         .leader_settled = true,
-        .unheard_s = 30.1,
-        .unheard_max_s = 30},
-       TMX_DELETE_NEVER_HEARD},
+        .no_heartbeat_s = 30.1,
+        .no_heartbeat_max_s = 30},
+       TMX_DELETE_NO_HEARTBEAT},
       {"never heard, new leader",
-       {.state = TMX_INSTANCE_RUNNING, .unheard_s = 30.1, .unheard_max_s = 30},
-       TMX_DELETE_NOT},
+       {.state = TMX_INSTANCE_RUNNING, .no_heartbeat_s = 30.1, .no_heartbeat_max_s = 30},
+       TMX_DELETE_NONE},
   };
   for (size_t i = 0; i < COUNT(cases); i++) {
     enum tmx_deletion_reason reason = tmx_instance_deletion_reason(&cases[i].evidence);
@@ -136,14 +136,14 @@
 static void words_of_the_log(void **state) {
   (void)state;
   const char *const words[] = {
-      [TMX_DELETE_NOT] = "",
+      [TMX_DELETE_NONE] = "",
       [TMX_DELETE_FAILED] = "failed",
       [TMX_DELETE_SILENT] = "silent",
       [TMX_DELETE_UNACKNOWLEDGED] = "not both heard and reached",
       [TMX_DELETE_DRAINED] = "drained",
       [TMX_DELETE_FAULTY] = "faulty",
       [TMX_DELETE_BOOT_TIMEOUT] = "boots too long",
-      [TMX_DELETE_NEVER_HEARD] = "never heard",
+      [TMX_DELETE_NO_HEARTBEAT] = "never heard",
   };
   for (size_t i = 0; i < COUNT(words); i++)
     assert_string_equal(tmx_deletion_reason_text((enum tmx_deletion_reason)i), words[i]);
@@ -188,7 +188,7 @@
       {"needed for the peak", {.cpus = 1115.9}, 0, TMX_KEEP_FOR_PEAK},
       {"first with replicas", {.cpus = 1200}, 4, TMX_DRAIN},
       {"few with replicas", {.cpus = 1200, .draining_cpus = 163}, 4, TMX_DRAIN},
-      {"many with replicas", {.cpus = 1200, .draining_cpus = 165}, 4, TMX_KEEP_FOR_MOVES},
+      {"many with replicas", {.cpus = 1200, .draining_cpus = 165}, 4, TMX_KEEP_FOR_MOVE_LIMIT},
       {"none on this one", {.cpus = 1200, .draining_cpus = 165}, 0, TMX_DRAIN},
   };
   for (size_t i = 0; i < COUNT(cases); i++) {
@@ -230,7 +230,7 @@
 
 static void room_for_replicas_that_move(void **state) {
   (void)state;
-  const struct tmx_reserve reserve = {.peak_cpus = 100, .move_room = 0.2};
+  const struct tmx_reserve reserve = {.peak_cpus = 100, .free_share_for_moves = 0.2};
   /* 8 of its own CPUs are free; twice its replicas and a tenth of the peak must be free elsewhere
    */
   const struct tmx_drain_candidate candidate = {
@@ -247,9 +247,9 @@
   (void)state;
   assert_float_equal(tmx_reserve_for(100, 0).margin, TMX_PEAK_MARGIN, 1e-9);
   assert_float_equal(tmx_reserve_for(100, 100).margin, 0.1, 1e-9);
-  assert_float_equal(tmx_reserve_for(100, 100).move_room, 0.2, 1e-9);
+  assert_float_equal(tmx_reserve_for(100, 100).free_share_for_moves, 0.2, 1e-9);
   assert_float_equal(tmx_reserve_for(100, 10000).margin, 0.01, 1e-9);
-  assert_float_equal(tmx_reserve_for(100, 10000).move_room, 0.02, 1e-9);
+  assert_float_equal(tmx_reserve_for(100, 10000).free_share_for_moves, 0.02, 1e-9);
 }
 
 static void peak_of_the_last_while(void **state) {
