--- a/src/admission/admission_policy.c
+++ b/src/admission/admission_policy.c
@@ -59,7 +59,7 @@
     used[team] = used_seconds(context, team, 0, n_accounts);
   struct tmx_division division = {.bound = settings->backlog_s,
                                   .reserve = settings->reserve,
-                                  .weight = settings->share,
+                                  .weight = settings->share_by_team,
                                   .parties = n_teams};
   double ceiling = tmx_share_ceiling(&division, used, (size_t)context->request->team);
   if (context->request->has_open_dependencies) ceiling *= 1 + TMX_PIPELINE_EXTRA;
--- a/src/admission/admission_rates.c
+++ b/src/admission/admission_rates.c
@@ -32,7 +32,8 @@
   rates.per_s[TMX_ADMISSION_CPU] = cpus * TMX_MILLI;
   rates.per_s[TMX_ADMISSION_GPU] = gpus * TMX_MILLI;
   rates.per_s[TMX_ADMISSION_MEMORY] = mem_gb * TMX_MB_PER_GB;
-  rates.per_s[TMX_ADMISSION_LOG] = puts * TMX_LINES_SHARE * (double)tmx_value_room(settings);
+  rates.per_s[TMX_ADMISSION_LOG] =
+      puts * TMX_LINES_SHARE * (double)tmx_value_json_length_max(settings);
   rates.per_s[TMX_ADMISSION_PUTS] = puts * TMX_FINALS_SHARE;
   rates.per_s[TMX_ADMISSION_HELD] = held_bytes / settings->operators.admission.backlog_s;
   return rates;
--- a/src/admission/admission_settings.c
+++ b/src/admission/admission_settings.c
@@ -12,21 +12,22 @@
   struct tmx_admission_settings *admission = &settings->operators.admission;
   bool named[TMX_TEAMS_MAX] = {false};
   double sum = 0;
-  for (size_t i = 0; i < admission->n_named; i++) {
-    int team = tmx_team_index(settings, admission->named[i].team);
-    if (team < 0) return reject_shares(error, capacity, admission->named[i].team, "no such team");
+  for (size_t i = 0; i < admission->n_team_shares; i++) {
+    int team = tmx_team_index(settings, admission->team_shares[i].team);
+    if (team < 0)
+      return reject_shares(error, capacity, admission->team_shares[i].team, "no such team");
     named[team] = true;
-    admission->share[team] = admission->named[i].share;
-    sum += admission->named[i].share;
+    admission->share_by_team[team] = admission->team_shares[i].share;
+    sum += admission->team_shares[i].share;
   }
-  size_t others = settings->n_teams - admission->n_named;
+  size_t others = settings->n_teams - admission->n_team_shares;
   if (sum > 1 + TMX_SHARE_EPSILON)
     return reject_shares(error, capacity, "", "add up to more than 1");
   if (others && sum > 1 - TMX_SHARE_EPSILON)
     return reject_shares(error, capacity, "", "leave nothing to the teams that are not named");
-  if (!others && admission->n_named && sum < 1 - TMX_SHARE_EPSILON)
+  if (!others && admission->n_team_shares && sum < 1 - TMX_SHARE_EPSILON)
     return reject_shares(error, capacity, "", "add up to less than 1");
   for (size_t i = 0; i < settings->n_teams; i++)
-    if (!named[i]) admission->share[i] = (1 - sum) / (double)others;
+    if (!named[i]) admission->share_by_team[i] = (1 - sum) / (double)others;
   return true;
 }
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,26 +1,26 @@
 /**
  * @file
- * Clocks. All times and durations in the program are doubles in seconds. Every function here may
- * be called by any thread, except tmx_clock_advance().
+ * Clocks. All times and durations in the program are doubles in seconds. Any thread may call these
+ * functions, except tmx_clock_advance().
  */
 #ifndef TMX_CLOCK_H
 #define TMX_CLOCK_H
 
 /**
- * Monotonic clock: seconds since an arbitrary point in the past. For durations and timeouts; its
- * rate may differ from real time by up to TMX_CLOCK_DRIFT.
+ * Returns the time of the monotonic clock: seconds since an arbitrary point in the past. It is for
+ * durations and timeouts. Its rate differs from real time by at most the ratio TMX_CLOCK_DRIFT.
  */
 double tmx_clock_steady(void);
 
 /**
- * Time of day: seconds since the Unix epoch. It differs from the other nodes' clocks by at most the
- * setting `clock_off_ms` and may jump.
+ * Returns the time of day: seconds since the Unix epoch. The time of day may jump, and its error is
+ * at most the setting `clock_off_ms`.
  */
 double tmx_clock_wall(void);
 
 /**
- * For tests: makes the monotonic clock jump forward by this many seconds. Not synchronised: no
- * other thread may read the clock meanwhile.
+ * Advances the monotonic clock by this many seconds, for tests. The call is not synchronised: no
+ * other thread may read the clock at the same time.
  */
 void tmx_clock_advance(double seconds);
 #endif
--- a/src/base/memory.c
+++ b/src/base/memory.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Items in an array that grows for the first time. */
+/* Initial capacity of an array, in items. */
 #define CAPACITY_MIN 16
 
 void *tmx_allocate(size_t count, size_t size) {
--- a/src/base/random.c
+++ b/src/base/random.c
@@ -6,8 +6,8 @@
 
 #include "tmx/constants.h"
 
-/* Processes that start in the same second must not draw the same numbers: the nanoseconds and the
- * process id differ between them. */
+/* Combines the time with the process ID, so that processes that start in the same second draw
+ * different numbers. */
 static unsigned long process_seed(void) {
   struct timespec time;
   clock_gettime(CLOCK_REALTIME, &time);
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,17 +1,19 @@
 /**
  * @file
- * Random numbers to spread requests over time, not for secrets. The generator is seeded once for
- * each process and is not synchronised: only the event loop's thread may call these functions.
+ * Random numbers for spreading requests over time; they are not cryptographically secure. The
+ * generator is seeded once per process and is not synchronised: only the event loop's thread may
+ * call these functions.
  */
 #ifndef TMX_RANDOM_H
 #define TMX_RANDOM_H
 
-/** A uniformly distributed number from 0 to `bound` - 1; `bound` has to be positive. */
+/** Returns a uniformly distributed number from 0 to `bound` - 1; `bound` must be positive. */
 int tmx_random_below(int bound);
 
 /**
- * Seconds for the Retry-After header of a request that can be decided soon: TMX_RETRY_AFTER_MIN
- * and a random part below TMX_RETRY_AFTER_SPAN, so that refused clients do not come back together.
+ * Returns the seconds for the Retry-After header of a refused request that may succeed soon:
+ * TMX_RETRY_AFTER_MIN plus a random number below TMX_RETRY_AFTER_SPAN, so that the clients do not
+ * all retry at the same time.
  */
 int tmx_retry_after(void);
 #endif
--- a/src/cloud/cloud_api.c
+++ b/src/cloud/cloud_api.c
@@ -22,7 +22,7 @@
 struct tmx_cloud_api *tmx_cloud_api_new(struct ev_loop *loop, const struct tmx_settings *settings) {
   struct tmx_cloud_api *api = tmx_allocate(1, sizeof *api);
   api->settings = settings;
-  api->http = tmx_http_client_new(loop, settings->cloud, CONNECTIONS_MAX);
+  api->http = tmx_http_client_new(loop, settings->cloud_address, CONNECTIONS_MAX);
   api->refilled_at = tmx_clock_steady();
   return api;
 }
--- a/src/cloud/replacement_policy.c
+++ b/src/cloud/replacement_policy.c
@@ -44,7 +44,7 @@
                     const struct tmx_machine_deadlines *deadlines) {
   double silence_s = evidence->suspicion.silence_s;
   if (!evidence->leader_settled || !evidence->suspected) return false;
-  if (evidence->suspicion.probes_lost < TMX_PROBES_LOST) return false;
+  if (evidence->suspicion.consecutive_probes_lost < TMX_PROBES_LOST) return false;
   if (silence_s <= deadlines->silence_s) return false;
   return !evidence->silence_excused ||
          silence_s > deadlines->leases_expired_s * (evidence->has_services ? 2 : 1);
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -1,5 +1,5 @@
-/* Reads the operators' settings from TOML. Debian has no TOML library for C, so toml11 is used here
- * behind one C function; no exception leaves this file. */
+/* Reads the operators' settings from TOML. Debian has no TOML library for C, so this file uses the
+ * C++ library toml11 and exports one C function, which throws no exceptions. */
 #include <algorithm>
 #include <cstddef>
 #include <cstdio>
@@ -12,18 +12,18 @@
 
 namespace {
 
-/* Thrown at the first key that is wrong. */
+/* Thrown for the first invalid key. */
 struct invalid_key {
-  std::string key; /* with the names of its tables */
+  std::string key; /* full path, including the names of the enclosing tables */
   std::string reason;
 };
 
-/* A number of the table `Settings`: its key, its bounds and its place. */
+/* A numeric setting: its key, its valid range and the member of `Settings` that stores it. */
 template <typename Settings>
 struct number_field {
   const char *key;
   double min, max;
-  double Settings::*place;
+  double Settings::*member;
 };
 
 const number_field<tmx_operator_settings> operator_fields[] = {
@@ -40,8 +40,8 @@
 };
 
 const double TEAM_SHARE_MIN = 0.001, TEAM_SHARE_MAX = 1;
-/* bytes of a message of the TOML library that an error quotes */
-const std::size_t QUOTED_MAX = 300;
+/* Maximum number of bytes of a message of the TOML library that an error message includes. */
+const std::size_t LIBRARY_MESSAGE_MAX = 300;
 
 double read_number(const std::string &path, const toml::value &value, double min, double max) {
   double number = 0;
@@ -55,7 +55,7 @@
   return number;
 }
 
-/* Reads `value` if `key` is one of the fields; false: it is none of them. */
+/* Reads `value` if `key` is the key of one of the fields. Returns false if it is not. */
 template <typename Settings, std::size_t Count>
 bool read_field(const number_field<Settings> (&fields)[Count], const std::string &key,
                 const std::string &path, const toml::value &value, Settings *settings) {
@@ -63,7 +63,7 @@
   const auto *const field =
       std::find_if(std::begin(fields), end, [&](const auto &known) { return key == known.key; });
   if (field == end) return false;
-  settings->*(field->place) = read_number(path, value, field->min, field->max);
+  settings->*(field->member) = read_number(path, value, field->min, field->max);
   return true;
 }
 
@@ -73,11 +73,11 @@
   const std::string prefix = path + ".";
   for (const auto &[team, value] : table.as_table()) {
     const std::string team_path = prefix + team;
-    if (admission->n_named == TMX_TEAMS_MAX) throw invalid_key{team_path, "too many teams"};
+    if (admission->n_team_shares == TMX_TEAMS_MAX) throw invalid_key{team_path, "too many teams"};
     if (team.size() >= TMX_NAME_MAX) throw invalid_key{team_path, "too long"};
-    tmx_team_share &named = admission->named[admission->n_named++];
-    std::snprintf(named.team, sizeof named.team, "%s", team.c_str());
-    named.share = read_number(team_path, value, TEAM_SHARE_MIN, TEAM_SHARE_MAX);
+    tmx_team_share &team_share = admission->team_shares[admission->n_team_shares++];
+    std::snprintf(team_share.team, sizeof team_share.team, "%s", team.c_str());
+    team_share.share = read_number(team_path, value, TEAM_SHARE_MIN, TEAM_SHARE_MAX);
   }
 }
 
@@ -106,23 +106,24 @@
   }
 }
 
-/* Errors are one line; those of the TOML library have several, with the source quoted. */
+/* Joins the lines of a message of the TOML library, which quotes the source, because an error
+ * message must be a single line. */
 std::string one_line(std::string message) {
   std::replace(message.begin(), message.end(), '\n', ' ');
-  return message.substr(0, QUOTED_MAX);
+  return message.substr(0, LIBRARY_MESSAGE_MAX);
 }
 
 }  // namespace
 
-bool tmx_operator_load(tmx_operator_settings *operators, const char *path, char *error,
-                       std::size_t error_capacity) {
-  settings_error first = {"operator settings", error, error_capacity, false};
+bool tmx_operator_settings_load(tmx_operator_settings *operators, const char *path, char *error,
+                                std::size_t error_capacity) {
+  settings_error first_error = {"operator settings", error, error_capacity, false};
   try {
     read_root(toml::parse(path), operators);
   } catch (const invalid_key &fault) {
-    tmx_settings_set_error(&first, "", fault.key.c_str(), fault.reason.c_str());
+    tmx_settings_set_error(&first_error, "", fault.key.c_str(), fault.reason.c_str());
   } catch (const std::exception &fault) {
-    tmx_settings_set_error(&first, "", path, one_line(fault.what()).c_str());
+    tmx_settings_set_error(&first_error, "", path, one_line(fault.what()).c_str());
   }
-  return !first.is_set;
+  return !first_error.is_set;
 }
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-void tmx_operator_defaults(struct tmx_operator_settings *operators) {
+void tmx_operator_settings_set_defaults(struct tmx_operator_settings *operators) {
   operators->idle_return_s = TMX_IDLE_RETURN_S;
   operators->headroom = TMX_HEADROOM;
   operators->silent_s = 0;
@@ -12,26 +12,27 @@
                                                          .start_s = TMX_ADMISSION_START_S};
 }
 
-/* The sockets that are not set aside for the state service, the cloud and the peers. */
-static int shared_sockets(const struct tmx_settings *settings) {
+/* Returns the number of sockets for users and workers. The store, the cloud and the peers share
+ * TMX_OWN_SOCKETS, but at most half of all sockets. */
+static int user_and_worker_sockets(const struct tmx_settings *settings) {
   int half = settings->sockets / 2;
   bool is_few = settings->sockets < 2 * TMX_OWN_SOCKETS;
   return settings->sockets - (is_few ? half : TMX_OWN_SOCKETS);
 }
 
-int tmx_sockets_out(const struct tmx_settings *settings) {
-  return (int)(shared_sockets(settings) * TMX_WORKER_CONNS);
+int tmx_worker_sockets_max(const struct tmx_settings *settings) {
+  return (int)(user_and_worker_sockets(settings) * TMX_WORKER_CONNS);
 }
 
-int tmx_sockets_in(const struct tmx_settings *settings) {
-  return shared_sockets(settings) - tmx_sockets_out(settings);
+int tmx_incoming_sockets_max(const struct tmx_settings *settings) {
+  return user_and_worker_sockets(settings) - tmx_worker_sockets_max(settings);
 }
 
-size_t tmx_value_room(const struct tmx_settings *settings) {
+size_t tmx_value_json_length_max(const struct tmx_settings *settings) {
   return (size_t)(settings->value_kb * 1024 * TMX_VALUE_SHARE) - TMX_JSON_FRAME;
 }
 
-double tmx_fresh_bound(const struct tmx_settings *settings) {
+double tmx_renewal_replica_age_max(const struct tmx_settings *settings) {
   double drift_margin = TMX_CLOCK_DRIFT * settings->cancel_s + TMX_FRESH_MARGIN_S / 2;
   return settings->cancel_s - settings->lease_s - fmax(drift_margin, TMX_FRESH_MARGIN_S);
 }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -123,8 +123,8 @@
       .replica = &controller->replica,
       .store = controller->store,
       .source = {.context = controller,
-                 .each_suspicion = each_suspicion,
-                 .take_suspicion = take_suspicion,
+                 .for_each_suspicion = each_suspicion,
+                 .on_suspicion = take_suspicion,
                  .zone_liveness = zone_liveness,
                  .workers_are_unreachable = workers_are_unreachable}};
   controller->peers = tmx_peers_new(&dependencies);
@@ -169,8 +169,8 @@
   const struct tmx_settings *settings = &controller->settings;
   double idle_s = fmax(TMX_IDLE_CLOSE_S, TMX_IDLE_REPORTS * settings->report_s);
   controller->server =
-      tmx_http_server_new(controller->loop, settings->listen, tmx_sockets_in(settings), idle_s,
-                          tmx_controller_handle_request, controller);
+      tmx_http_server_new(controller->loop, settings->listen, tmx_incoming_sockets_max(settings),
+                          idle_s, tmx_controller_handle_request, controller);
 }
 
 static void start_watchers(struct tmx_controller *controller) {
--- a/src/controller/request_router.c
+++ b/src/controller/request_router.c
@@ -9,7 +9,7 @@
 /* Users are sent to another controller sooner than workers: nothing of theirs runs here. */
 static bool is_ready(const struct tmx_controller *controller) {
   if (!tmx_authority_may_act(&controller->authority) ||
-      tmx_peers_lost_store_alone(controller->peers))
+      tmx_peers_store_lost_only_here(controller->peers))
     return false;
   double store_age_s = tmx_clock_steady() - tmx_store_fresh_as_of(controller->store);
   return store_age_s < TMX_STORE_LOST_S || tmx_peers_any_alive(controller->peers);
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* The program: command line, settings, start of the controller. */
+/* Entry point: parses the command line, loads the settings and runs the controller. */
 #include <ev.h>
 #include <popt.h>
 #include <signal.h>
@@ -11,26 +11,26 @@
 #include "config/settings.h"
 #include "controller/controller.h"
 
-/* Exit code for an invalid command line or setting, and for a start that failed. */
-#define EXIT_SETTINGS 2
-#define ERROR_BYTES 1024
+/* Exit code for an invalid command line, an invalid setting or a failed startup. */
+#define EXIT_STARTUP_FAILED 2
+#define ERROR_BYTES 1024 /* size of a buffer for an error message */
 
-static void on_report_signal(struct ev_loop *loop, ev_signal *watcher, int events) {
+static void on_sigusr1(struct ev_loop *loop, ev_signal *watcher, int events) {
   (void)loop;
   (void)events;
   const struct tmx_controller *controller = watcher->data;
   tmx_controller_log_accounts(controller);
 }
 
-/* SIGUSR1 writes the accounts of admission to the log. */
-static void report_on_signal(struct ev_loop *loop, struct tmx_controller *controller) {
+/* Logs the accounts of admission control whenever the process receives SIGUSR1. */
+static void log_accounts_on_signal(struct ev_loop *loop, struct tmx_controller *controller) {
   static ev_signal watcher;
-  ev_signal_init(&watcher, on_report_signal, SIGUSR1);
+  ev_signal_init(&watcher, on_sigusr1, SIGUSR1);
   watcher.data = controller;
   ev_signal_start(loop, &watcher);
 }
 
-/* popt stores flags as int. */
+/* Options of the command line. The flags are of type int because popt stores them as int. */
 struct command_line {
   char *settings_path;
   char *operator_settings_path;
@@ -38,7 +38,7 @@
   int print_version;
 };
 
-/* Writes one line to standard error and returns false if the command line is invalid. */
+/* Parses the command line. On an error, writes one line to standard error and returns false. */
 static bool parse_command_line(int argc, const char **argv, struct command_line *line) {
   struct poptOption options[] = {
       {"config", 'c', POPT_ARG_STRING, &line->settings_path, 0,
@@ -64,40 +64,42 @@
   return valid;
 }
 
-/* On failure `error` holds one line that names the setting. */
+/* Loads and checks all settings. On failure, returns false and sets `error` to one line that names
+ * the invalid setting. */
 static bool load_settings(const struct command_line *line, struct tmx_settings *settings,
                           char *error, size_t error_size) {
   if (!tmx_settings_load(settings, line->settings_path, error, error_size)) return false;
   if (line->operator_settings_path &&
-      !tmx_operator_load(&settings->operators, line->operator_settings_path, error, error_size))
+      !tmx_operator_settings_load(&settings->operators, line->operator_settings_path, error,
+                                  error_size))
     return false;
   return tmx_admission_resolve(settings, error, error_size);
 }
 
-/* Runs the controller; returns the exit code of the process. */
-static int serve(const struct tmx_settings *settings) {
+/* Runs the controller and returns the exit code of the process. */
+static int run_controller(const struct tmx_settings *settings) {
   char error[ERROR_BYTES];
   signal(SIGPIPE, SIG_IGN);
   tmx_log_init(settings->node_name);
   struct ev_loop *loop = ev_default_loop(EVFLAG_NOSIGMASK);
   if (!loop) {
     fprintf(stderr, "tallymux: no event loop\n");
-    return EXIT_SETTINGS;
+    return EXIT_STARTUP_FAILED;
   }
   struct tmx_controller *controller = tmx_controller_new(loop, settings, error, sizeof error);
   if (!controller) {
     fprintf(stderr, "tallymux: %s\n", error);
-    return EXIT_SETTINGS;
+    return EXIT_STARTUP_FAILED;
   }
-  if (settings->operators.admission.enabled) report_on_signal(loop, controller);
-  tmx_log(TMX_LOG_INFO, "tallymux %s serves %s", TMX_VERSION, settings->listen);
+  if (settings->operators.admission.enabled) log_accounts_on_signal(loop, controller);
+  tmx_log(TMX_LOG_INFO, "tallymux %s listens on %s", TMX_VERSION, settings->listen);
   ev_run(loop, 0);
   return EXIT_SUCCESS;
 }
 
 int main(int argc, const char **argv) {
   struct command_line line = {0};
-  if (!parse_command_line(argc, argv, &line)) return EXIT_SETTINGS;
+  if (!parse_command_line(argc, argv, &line)) return EXIT_STARTUP_FAILED;
   if (line.print_version) {
     printf("tallymux %s\n", TMX_VERSION);
     return EXIT_SUCCESS;
@@ -106,11 +108,11 @@
   char error[ERROR_BYTES];
   if (!load_settings(&line, &settings, error, sizeof error)) {
     fprintf(stderr, "tallymux: %s\n", error);
-    return EXIT_SETTINGS;
+    return EXIT_STARTUP_FAILED;
   }
   if (line.check_only) {
     printf("settings of %s are valid\n", settings.node_name);
     return EXIT_SUCCESS;
   }
-  return serve(&settings);
+  return run_controller(&settings);
 }
--- a/src/membership/authority.c
+++ b/src/membership/authority.c
@@ -5,7 +5,7 @@
 bool tmx_authority_may_act(const struct tmx_authority *authority) {
   double fresh_as_of = tmx_store_fresh_as_of(authority->store);
   return authority->replica->loaded && fresh_as_of > 0 &&
-         tmx_clock_steady() - fresh_as_of < tmx_fresh_bound(authority->settings);
+         tmx_clock_steady() - fresh_as_of < tmx_renewal_replica_age_max(authority->settings);
 }
 
 bool tmx_authority_may_start_tasks(const struct tmx_authority *authority) {
--- a/src/membership/authority.h
+++ b/src/membership/authority.h
@@ -27,8 +27,9 @@
 /**
  * Returns whether this controller may renew workers' leases and plan.
  *
- * The replica must be loaded and younger than tmx_fresh_bound(). A lease that is renewed under this
- * condition expires before the deadline of any cancellation that the replica does not contain yet.
+ * The replica must be loaded and younger than tmx_renewal_replica_age_max(). A lease that is
+ * renewed under this condition expires before the deadline of any cancellation that the replica
+ * does not contain yet.
  */
 bool tmx_authority_may_act(const struct tmx_authority *authority);
 
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -64,12 +64,12 @@
 
 /** A report by the owner of a machine that something is wrong with the machine. */
 struct tmx_suspicion {
-  char id[TMX_ID_MAX];     /**< ID of the machine */
-  double silence_s;        /**< seconds since the machine's last sign of life */
-  int probes_lost;         /**< number of consecutive probes without an answer */
-  double unacknowledged_s; /**< seconds without evidence that the machine's worker receives the
-                              owner's messages; 0: it receives them */
-  bool spot_notice;        /**< the cloud has announced that it will reclaim the machine */
+  char id[TMX_ID_MAX];         /**< ID of the machine */
+  double silence_s;            /**< seconds since the machine's last sign of life */
+  int consecutive_probes_lost; /**< number of consecutive probes without an answer */
+  double unacknowledged_s;     /**< seconds without evidence that the machine's worker receives the
+                                  owner's messages; 0: it receives them */
+  bool spot_notice;            /**< the cloud has announced that it will reclaim the machine */
 };
 
 /** Receives one suspicion, which is valid only during the call. */
--- a/src/membership/view_manager.c
+++ b/src/membership/view_manager.c
@@ -45,7 +45,7 @@
 static void commit_view(struct tmx_view_manager *manager, struct tmx_view view) {
   struct tmx_transaction transaction = {0};
   struct tmx_buffer value = {0};
-  encode_view_to_fit(&value, &view, tmx_value_room(manager->settings));
+  encode_view_to_fit(&value, &view, tmx_value_json_length_max(manager->settings));
   tmx_transaction_require_version(&transaction, TMX_KEY_VIEW, manager->replica->view.version);
   tmx_transaction_put(&transaction, TMX_KEY_VIEW, &value, 0);
   tmx_transaction_advance_head(&transaction, manager->settings->node_name);
--- a/src/peer/heartbeat_codec.c
+++ b/src/peer/heartbeat_codec.c
@@ -10,16 +10,18 @@
 #include "base/memory.h"
 #include "heartbeat.h"
 
-_Static_assert(TMX_HEARTBEAT_NODE_BYTES == TMX_HEARTBEAT_NAME_MAX + 1, "the name fits");
+_Static_assert(TMX_HEARTBEAT_NODE_BYTES == TMX_HEARTBEAT_NAME_MAX + 1,
+               "TMX_HEARTBEAT_NODE_BYTES must match the name limit of heartbeat.x");
 
-/* s: longer times are sent as the longest that the field holds, or as this. */
-static const double LONGEST_S = 1e6;
+/* Limit of the times in a heartbeat, in seconds. A longer silence or replica age is sent as
+ * UINT32_MAX milliseconds, and a longer unacknowledged time as this limit. */
+static const double ENCODED_TIME_MAX_S = 1e6;
 
 static u_int milliseconds(double seconds) {
-  return seconds > LONGEST_S ? UINT32_MAX : (u_int)(seconds * 1000);
+  return seconds > ENCODED_TIME_MAX_S ? UINT32_MAX : (u_int)(seconds * 1000);
 }
 
-/* Appends one record with its length; false: it cannot be encoded. */
+/* Appends one record preceded by its length. Returns false if the record cannot be encoded. */
 static bool append_record(struct tmx_buffer *out, tmx_heartbeat *heartbeat) {
   u_int size = (u_int)xdr_sizeof((xdrproc_t)xdr_tmx_heartbeat, heartbeat);
   char *record = tmx_allocate(1, size);
@@ -36,7 +38,7 @@
   return encoded;
 }
 
-/* XDR's records are not const, as decoding fills them; encoding only reads. */
+/* Casts away const because the XDR types are also used for decoding. Encoding only reads them. */
 static tmx_heartbeat_suspicion *suspicions_to_wire(const struct tmx_heartbeat_message *message) {
   tmx_heartbeat_suspicion *result = tmx_allocate(message->n_suspicions, sizeof *result);
   for (size_t i = 0; i < message->n_suspicions; i++) {
@@ -44,8 +46,9 @@
     result[i] = (tmx_heartbeat_suspicion){
         .id = (char *)suspicion->id,
         .silence_ms = milliseconds(suspicion->silence_s),
-        .probes_lost = suspicion->probes_lost > 0 ? (u_int)suspicion->probes_lost : 0,
-        .unacknowledged_ms = (u_int)(fmin(suspicion->unacknowledged_s, LONGEST_S) * 1000),
+        .probes_lost =
+            suspicion->consecutive_probes_lost > 0 ? (u_int)suspicion->consecutive_probes_lost : 0,
+        .unacknowledged_ms = (u_int)(fmin(suspicion->unacknowledged_s, ENCODED_TIME_MAX_S) * 1000),
         .spot_notice = suspicion->spot_notice};
   }
   return result;
@@ -60,16 +63,18 @@
                                     .alive = message->zones[i].alive};
 }
 
+/* Appends as many records as the suspicions need, and one record if there are none. */
 static void append_records(struct tmx_buffer *out, tmx_heartbeat *heartbeat,
                            tmx_heartbeat_suspicion *suspicions, size_t count) {
   size_t first = 0;
   do {
-    size_t rest = count - first;
-    size_t part = rest < TMX_HEARTBEAT_SUSPICIONS_MAX ? rest : TMX_HEARTBEAT_SUSPICIONS_MAX;
-    heartbeat->suspicions.suspicions_len = (u_int)part;
+    size_t remaining = count - first;
+    size_t record_count =
+        remaining < TMX_HEARTBEAT_SUSPICIONS_MAX ? remaining : TMX_HEARTBEAT_SUSPICIONS_MAX;
+    heartbeat->suspicions.suspicions_len = (u_int)record_count;
     heartbeat->suspicions.suspicions_val = suspicions + first;
     if (!append_record(out, heartbeat)) return;
-    first += part;
+    first += record_count;
   } while (first < count);
 }
 
@@ -90,7 +95,7 @@
 
 static struct tmx_suspicion suspicion_from_wire(const tmx_heartbeat_suspicion *wire) {
   struct tmx_suspicion suspicion = {.silence_s = wire->silence_ms / 1000.0,
-                                    .probes_lost = (int)wire->probes_lost,
+                                    .consecutive_probes_lost = (int)wire->probes_lost,
                                     .unacknowledged_s = wire->unacknowledged_ms / 1000.0,
                                     .spot_notice = wire->spot_notice};
   snprintf(suspicion.id, sizeof suspicion.id, "%s", wire->id);
--- a/src/peer/heartbeat_codec.h
+++ b/src/peer/heartbeat_codec.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * Encodes and decodes heartbeats: the XDR records of heartbeat.x, each after its length. No I/O.
+ * Encodes and decodes heartbeats: the XDR records of heartbeat.x, each preceded by its length. The
+ * functions do no I/O.
  */
 #ifndef TMX_HEARTBEAT_CODEC_H
 #define TMX_HEARTBEAT_CODEC_H
@@ -13,30 +14,32 @@
 #include "net/cbor.h"
 
 enum {
-  TMX_HEARTBEAT_PREFIX_BYTES = 4,       /**< the length before each record, big-endian */
-  TMX_HEARTBEAT_RECORD_MAX = 256 << 10, /**< bytes; a longer record is refused */
-  TMX_HEARTBEAT_NODE_BYTES = 64 + 1     /**< the longest name on the wire, and its end */
+  TMX_HEARTBEAT_PREFIX_BYTES = 4,       /**< size of the length prefix, which is big-endian */
+  TMX_HEARTBEAT_RECORD_MAX = 256 << 10, /**< maximum bytes of a record; a longer one is rejected */
+  TMX_HEARTBEAT_NODE_BYTES = 64 + 1     /**< longest name on the wire, and the terminating null */
 };
 
-/** What a controller says of itself and of its machines. */
+/** The state of a controller and of its machines, as sent to the other controllers. */
 struct tmx_heartbeat_message {
-  char node[TMX_HEARTBEAT_NODE_BYTES]; /**< the sender */
-  uint64_t revision;                   /**< of its replica */
-  uint64_t term;                       /**< of the view by which it owns its machines */
-  double replica_age_s;                /**< since its replica was last known to be fresh, seconds */
-  bool reaches_no_workers;             /**< it reaches hardly any of its machines */
-  struct tmx_suspicion *suspicions;    /**< of its machines; the caller frees them with free() */
-  size_t n_suspicions;                 /**< entries of `suspicions` */
-  struct tmx_zone_liveness zones[TMX_ZONES_MAX]; /**< of its machines, by zone of the settings */
+  char node[TMX_HEARTBEAT_NODE_BYTES]; /**< node name of the sender */
+  uint64_t revision;                   /**< revision of the sender's replica */
+  uint64_t term;                       /**< term of the view that determines its machines */
+  double replica_age_s;    /**< seconds since its replica was last known to be up to date */
+  bool reaches_no_workers; /**< it reaches almost none of its workers */
+  struct tmx_suspicion *suspicions; /**< suspected faults of its machines; released by the caller
+                                       with free() */
+  size_t n_suspicions;              /**< number of entries of `suspicions` */
+  struct tmx_zone_liveness zones[TMX_ZONES_MAX]; /**< liveness of its machines, by zone index */
 };
 
-/** Appends the message with its length. A record holds a bounded number of suspicions: more of them
- * go into further records, which every version takes as one heartbeat after another. */
+/** Appends the message as one or more records, each preceded by its length. The number of
+ * suspicions in a record is limited, so the remaining ones are sent in further records. Receivers
+ * of every version treat these as successive heartbeats. */
 void tmx_heartbeat_encode(struct tmx_buffer *out, const struct tmx_heartbeat_message *message,
                           const struct tmx_settings *settings);
 
-/** Reads one record, without its length. False: it is malformed, and there is nothing to free.
- * Zones that the settings do not name are left out. */
+/** Decodes one record, which excludes the length prefix. Returns false if the record is malformed;
+ * then there is nothing to free. Skips zones that are not in the settings. */
 bool tmx_heartbeat_decode(struct tmx_heartbeat_message *message, const uint8_t *record,
                           size_t length, const struct tmx_settings *settings);
 #endif
--- a/src/peer/incoming_connections.c
+++ b/src/peer/incoming_connections.c
@@ -26,9 +26,9 @@
   struct ev_loop *loop;
   int fd;
   ev_io accept_watcher;
-  tmx_record_cb take_record;
+  tmx_record_cb on_record;
   void *context;
-  struct incoming_connection *connections; /* the oldest first */
+  struct incoming_connection *connections; /* from oldest to newest */
   int count;
 };
 
@@ -42,10 +42,10 @@
   free(connection);
 }
 
-enum record_state { RECORD_INCOMPLETE, RECORD_TAKEN, RECORD_MALFORMED };
+enum record_state { RECORD_INCOMPLETE, RECORD_HANDLED, RECORD_MALFORMED };
 
-/* Takes the first record out of what was received, if it is there in full. */
-static enum record_state take_first_record(struct incoming_connection *connection) {
+/* Handles the first record in the receive buffer and removes it, if it is complete. */
+static enum record_state handle_first_record(struct incoming_connection *connection) {
   struct tmx_buffer *received = &connection->received;
   if (received->length < TMX_HEARTBEAT_PREFIX_BYTES) return RECORD_INCOMPLETE;
   uint32_t prefix;
@@ -54,11 +54,11 @@
   if (length > TMX_HEARTBEAT_RECORD_MAX) return RECORD_MALFORMED;
   if (received->length < end) return RECORD_INCOMPLETE;
   const uint8_t *record = received->data + TMX_HEARTBEAT_PREFIX_BYTES;
-  if (!connection->owner->take_record(connection->owner->context, record, length))
+  if (!connection->owner->on_record(connection->owner->context, record, length))
     return RECORD_MALFORMED;
   memmove(received->data, received->data + end, received->length - end);
   received->length -= end;
-  return RECORD_TAKEN;
+  return RECORD_HANDLED;
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
@@ -74,8 +74,8 @@
   }
   tmx_buffer_append(&connection->received, bytes, (size_t)count);
   enum record_state state;
-  do state = take_first_record(connection);
-  while (state == RECORD_TAKEN);
+  do state = handle_first_record(connection);
+  while (state == RECORD_HANDLED);
   if (state == RECORD_MALFORMED) close_connection(connection);
 }
 
@@ -84,7 +84,7 @@
   struct tmx_incoming_connections *incoming = watcher->data;
   int fd = accept4(incoming->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) return;
-  /* Peers are few, so among this many connections the oldest is likely dead. */
+  /* There are only a few peers, so with this many connections the oldest is probably dead. */
   if (incoming->count >= CONNECTIONS_MAX) close_connection(incoming->connections);
   struct incoming_connection *connection = tmx_allocate(1, sizeof *connection);
   connection->owner = incoming;
@@ -96,7 +96,8 @@
   incoming->count++;
 }
 
-/* A socket that listens on the address; -1: that is not possible. */
+/* Returns a socket that listens on the address, or -1 if the address is invalid or cannot be
+ * listened on. */
 static int listen_on(const char *text) {
   struct sockaddr_in address;
   int reuse = 1;
@@ -113,14 +114,14 @@
 
 struct tmx_incoming_connections *tmx_incoming_connections_new(struct ev_loop *loop,
                                                               const char *address,
-                                                              tmx_record_cb take_record,
+                                                              tmx_record_cb on_record,
                                                               void *context) {
   int fd = listen_on(address);
   if (fd < 0) return NULL;
   struct tmx_incoming_connections *incoming = tmx_allocate(1, sizeof *incoming);
   incoming->loop = loop;
   incoming->fd = fd;
-  incoming->take_record = take_record;
+  incoming->on_record = on_record;
   incoming->context = context;
   ev_io_init(&incoming->accept_watcher, on_accept, fd, EV_READ);
   incoming->accept_watcher.data = incoming;
--- a/src/peer/outgoing_connection.c
+++ b/src/peer/outgoing_connection.c
@@ -21,32 +21,33 @@
   ev_io_stop(connection->loop, &connection->write_watcher);
   close(connection->fd);
   connection->fd = -1;
-  connection->unsent.length = connection->sent = 0;
+  connection->send_buffer.length = connection->sent_bytes = 0;
 }
 
 void tmx_outgoing_connection_release(struct tmx_outgoing_connection *connection) {
   close_connection(connection);
-  tmx_buffer_free(&connection->unsent);
+  tmx_buffer_free(&connection->send_buffer);
 }
 
-static void note_refusal(struct tmx_outgoing_connection *connection, int error, double now) {
+static void record_refusal(struct tmx_outgoing_connection *connection, int error, double now) {
   if (error != ECONNREFUSED) return;
   connection->refused_at = now;
-  connection->refusals++;
+  connection->consecutive_refusals++;
 }
 
-/* False: the attempt to connect failed, and the connection is closed. */
+/* Completes an attempt to connect. Returns false if the attempt failed; the connection is then
+ * closed. */
 static bool finish_connecting(struct tmx_outgoing_connection *connection) {
   int error = 0;
   socklen_t length = sizeof error;
   getsockopt(connection->fd, SOL_SOCKET, SO_ERROR, &error, &length);
   if (error) {
-    note_refusal(connection, error, tmx_clock_steady());
+    record_refusal(connection, error, tmx_clock_steady());
     close_connection(connection);
     return false;
   }
   connection->connecting = false;
-  connection->refusals = 0;
+  connection->consecutive_refusals = 0;
   return true;
 }
 
@@ -54,17 +55,17 @@
   (void)events;
   struct tmx_outgoing_connection *connection = watcher->data;
   if (connection->connecting && !finish_connecting(connection)) return;
-  while (connection->sent < connection->unsent.length) {
-    ssize_t count = send(connection->fd, connection->unsent.data + connection->sent,
-                         connection->unsent.length - connection->sent, MSG_NOSIGNAL);
+  while (connection->sent_bytes < connection->send_buffer.length) {
+    ssize_t count = send(connection->fd, connection->send_buffer.data + connection->sent_bytes,
+                         connection->send_buffer.length - connection->sent_bytes, MSG_NOSIGNAL);
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
     if (count <= 0) {
       close_connection(connection);
       return;
     }
-    connection->sent += (size_t)count;
+    connection->sent_bytes += (size_t)count;
   }
-  connection->unsent.length = connection->sent = 0;
+  connection->send_buffer.length = connection->sent_bytes = 0;
   ev_io_stop(loop, &connection->write_watcher);
 }
 
@@ -75,7 +76,7 @@
   connection->blocked_since = now;
   if (connect(fd, (struct sockaddr *)&connection->address, sizeof connection->address) &&
       errno != EINPROGRESS) {
-    note_refusal(connection, errno, now);
+    record_refusal(connection, errno, now);
     close(fd);
     return;
   }
@@ -87,7 +88,7 @@
 }
 
 void tmx_outgoing_connection_maintain(struct tmx_outgoing_connection *connection, double now) {
-  if (!connection->unsent.length && !connection->connecting) connection->blocked_since = now;
+  if (!connection->send_buffer.length && !connection->connecting) connection->blocked_since = now;
   if (connection->fd >= 0 && now - connection->blocked_since > TMX_HEARTBEAT_LOST_S)
     close_connection(connection);
   if (connection->fd < 0) open_connection(connection, now);
@@ -95,7 +96,7 @@
 
 void tmx_outgoing_connection_send(struct tmx_outgoing_connection *connection,
                                   const struct tmx_buffer *bytes) {
-  if (connection->fd < 0 || connection->connecting || connection->unsent.length) return;
-  tmx_buffer_append(&connection->unsent, bytes->data, bytes->length);
+  if (connection->fd < 0 || connection->connecting || connection->send_buffer.length) return;
+  tmx_buffer_append(&connection->send_buffer, bytes->data, bytes->length);
   ev_io_start(connection->loop, &connection->write_watcher);
 }
--- a/src/peer/outgoing_connection.h
+++ b/src/peer/outgoing_connection.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The connection on which heartbeats go to one peer. It is opened again whenever it breaks or has
- * been blocked for long. Loop's thread only.
+ * The connection for sending heartbeats to one peer. It is reopened when it breaks or has been
+ * blocked for too long. Only the event loop's thread may call these functions.
  */
 #ifndef TMX_OUTGOING_CONNECTION_H
 #define TMX_OUTGOING_CONNECTION_H
@@ -11,30 +11,33 @@
 
 #include "net/cbor.h"
 
-/** The connection to one peer. Times are of the monotonic clock, seconds. */
+/** The connection to one peer. Times are in seconds on the monotonic clock. */
 struct tmx_outgoing_connection {
-  struct ev_loop *loop;       /**< not owned */
-  struct sockaddr_in address; /**< of the peer */
-  int fd;                     /**< the socket, owned; -1: closed */
-  bool connecting;            /**< the attempt to connect has not ended yet */
-  ev_io write_watcher;        /**< for the end of an attempt to connect, and for room to send */
-  struct tmx_buffer unsent;   /**< the latest bytes to be sent, owned */
-  size_t sent;                /**< bytes of `unsent` that have been sent */
-  double blocked_since;       /**< of what is unsent, or of the attempt to connect */
-  int refusals;               /**< in a row, of attempts to connect */
-  double refused_at;          /**< the latest refusal */
+  struct ev_loop *loop;          /**< not owned */
+  struct sockaddr_in address;    /**< address of the peer */
+  int fd;                        /**< socket, owned; -1: the connection is closed */
+  bool connecting;               /**< an attempt to connect is in progress */
+  ev_io write_watcher;           /**< signals that an attempt to connect has ended or that the
+                                      socket accepts more data */
+  struct tmx_buffer send_buffer; /**< the heartbeat that is being sent, owned */
+  size_t sent_bytes;             /**< number of bytes of `send_buffer` that have been sent */
+  double blocked_since;          /**< time since which the unsent data or the attempt to connect has
+                                      been pending */
+  int consecutive_refusals;      /**< consecutive attempts to connect that were refused */
+  double refused_at;             /**< time of the latest refusal */
 };
 
-/** Prepares a closed connection to the address. */
+/** Initialises a zeroed connection to the address, without opening it. */
 void tmx_outgoing_connection_init(struct tmx_outgoing_connection *connection, struct ev_loop *loop,
                                   const char *address);
-/** Closes the connection and frees what is unsent. */
+/** Closes the connection and frees the send buffer. */
 void tmx_outgoing_connection_release(struct tmx_outgoing_connection *connection);
 
-/** Closes the connection if it has been blocked for long, and opens it if it is closed. */
+/** Closes the connection if it has been blocked for longer than TMX_HEARTBEAT_LOST_S, and opens it
+ * if it is closed. */
 void tmx_outgoing_connection_maintain(struct tmx_outgoing_connection *connection, double now);
-/** Sends the bytes, or drops them if the connection is closed or blocked: the peer gets the next
- * heartbeat instead. */
+/** Starts to send the bytes. Drops them if the connection is not established or earlier bytes are
+ * still unsent; the peer then receives a later heartbeat instead. */
 void tmx_outgoing_connection_send(struct tmx_outgoing_connection *connection,
                                   const struct tmx_buffer *bytes);
 #endif
--- a/src/peer/peer_queries.c
+++ b/src/peer/peer_queries.c
@@ -1,11 +1,11 @@
-/* What the failure detector asks about peers: answers from their latest heartbeats. */
+/* Queries about the peers, answered from their latest heartbeats. */
 #include <string.h>
 
 #include "base/clock.h"
 #include "peer/peers_internal.h"
 
-/* A single refusal does not count: only so many in a row do. */
-enum { REFUSALS_MIN = 2 };
+/* Minimum number of consecutive refusals. A single refused connection does not count. */
+enum { CONSECUTIVE_REFUSALS_MIN = 2 };
 
 struct tmx_peer *tmx_peers_find(const struct tmx_peers *peers, const char *node) {
   for (size_t i = 0; i < peers->count; i++)
@@ -23,7 +23,7 @@
   const struct tmx_peer *peer = tmx_peers_find(peers, node);
   if (!peer) return false;
   double now = tmx_clock_steady();
-  return peer->outgoing.refusals >= REFUSALS_MIN &&
+  return peer->outgoing.consecutive_refusals >= CONSECUTIVE_REFUSALS_MIN &&
          now - peer->outgoing.refused_at < 2 * TMX_HEARTBEAT_DEAD_S &&
          now - peer->heartbeat_at > TMX_HEARTBEAT_DEAD_S;
 }
@@ -37,20 +37,20 @@
   return false;
 }
 
-double tmx_peers_store_age(const struct tmx_peers *peers) {
-  double freshest = TMX_PEER_NEVER_HEARD_S, now = tmx_clock_steady();
+double tmx_peers_freshest_replica_age(const struct tmx_peers *peers) {
+  double freshest_age_s = TMX_PEER_NEVER_HEARD_S, now = tmx_clock_steady();
   for (size_t i = 0; i < peers->count; i++) {
     const struct tmx_peer *peer = &peers->peers[i];
-    double age = peer->replica_age_s + (now - peer->heartbeat_at);
-    if (peer->heartbeat_at && age < freshest) freshest = age;
+    double age_s = peer->replica_age_s + (now - peer->heartbeat_at);
+    if (peer->heartbeat_at && age_s < freshest_age_s) freshest_age_s = age_s;
   }
-  return freshest;
+  return freshest_age_s;
 }
 
-bool tmx_peers_lost_store_alone(const struct tmx_peers *peers) {
+bool tmx_peers_store_lost_only_here(const struct tmx_peers *peers) {
   double own_age_s = tmx_clock_steady() - tmx_store_fresh_as_of(peers->store);
   if (peers->replica->loaded && own_age_s < TMX_STORE_LOST_S) return false;
-  return tmx_peers_store_age(peers) < TMX_STORE_LOST_S / 2;
+  return tmx_peers_freshest_replica_age(peers) < TMX_STORE_LOST_S / 2;
 }
 
 bool tmx_peers_reports_no_workers(const struct tmx_peers *peers, const char *node) {
@@ -62,7 +62,8 @@
 const struct tmx_zone_liveness *tmx_peers_zone_liveness(const struct tmx_peers *peers,
                                                         const char *node) {
   const struct tmx_peer *peer = tmx_peers_find(peers, node);
-  /* By an older view other machines were its own, so it counted others than now. */
+  /* Under an older view the peer owned other machines, so its counts do not describe its present
+   * ones. */
   if (!peer || peer->term < peers->replica->view.term) return NULL;
   return peer->zone_liveness;
 }
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -12,19 +12,19 @@
 static void take_heartbeat(struct tmx_peers *peers, struct tmx_peer *peer,
                            const struct tmx_heartbeat_message *message) {
   peer->heartbeat_at = tmx_clock_steady();
-  peer->outgoing.refusals = 0;
+  peer->outgoing.consecutive_refusals = 0;
   peer->replica_age_s = message->replica_age_s;
   peer->term = message->term;
   if (message->revision > peers->replica->revision) tmx_store_note_peer_ahead(peers->store);
   peer->reaches_no_workers = message->reaches_no_workers;
   memcpy(peer->zone_liveness, message->zones, sizeof peer->zone_liveness);
   for (size_t i = 0; i < message->n_suspicions; i++)
-    peers->source.take_suspicion(peers->source.context, peer->name, message->term,
-                                 &message->suspicions[i]);
+    peers->source.on_suspicion(peers->source.context, peer->name, message->term,
+                               &message->suspicions[i]);
 }
 
-/* Heartbeats of controllers that the settings do not name are read and ignored. */
-static bool take_record(void *context, const uint8_t *record, size_t length) {
+/* Handles a received record. Ignores heartbeats of controllers that are not in the settings. */
+static bool handle_record(void *context, const uint8_t *record, size_t length) {
   struct tmx_peers *peers = context;
   struct tmx_heartbeat_message message;
   if (!tmx_heartbeat_decode(&message, record, length, peers->settings)) return false;
@@ -46,12 +46,12 @@
   list->suspicions[list->count++] = *suspicion;
 }
 
-/* The caller frees the suspicions. */
+/* Returns the message to send. The caller frees its suspicions. */
 static struct tmx_heartbeat_message compose_message(const struct tmx_peers *peers, double now) {
   const struct tmx_peers_source *source = &peers->source;
   const struct tmx_settings *settings = peers->settings;
   struct suspicion_list list = {0};
-  source->each_suspicion(source->context, append_suspicion, &list);
+  source->for_each_suspicion(source->context, append_suspicion, &list);
   struct tmx_heartbeat_message message = {
       .revision = peers->replica->revision,
       .term = peers->replica->view.term,
@@ -88,7 +88,7 @@
   const struct tmx_settings *settings = dependencies->settings;
   struct tmx_peers *peers = tmx_allocate(1, sizeof *peers);
   peers->incoming =
-      tmx_incoming_connections_new(dependencies->loop, settings->peer_listen, take_record, peers);
+      tmx_incoming_connections_new(dependencies->loop, settings->peer_listen, handle_record, peers);
   if (!peers->incoming) {
     free(peers);
     return NULL;
--- a/src/scheduler/delta_collection.c
+++ b/src/scheduler/delta_collection.c
@@ -62,7 +62,7 @@
  * dependencies are in use. */
 static size_t max_operations(const struct tmx_scheduler *scheduler) {
   const struct tmx_settings *settings = scheduler->settings;
-  double value_bytes = (double)tmx_value_room(settings) * (settings->txn_ops - 1);
+  double value_bytes = (double)tmx_value_json_length_max(settings) * (settings->txn_ops - 1);
   double typical_length =
       scheduler->replica->dependencies_in_use ? TMX_ITEM_TYPICAL : TMX_LINE_TYPICAL;
   return (size_t)(fmin(value_bytes, TMX_TRANSACTION_BYTES) / typical_length);
--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -11,7 +11,7 @@
                          int max_writes) {
   memset(batch, 0, sizeof *batch);
   batch->scheduler = scheduler;
-  batch->value_json_max = tmx_value_room(scheduler->settings);
+  batch->value_json_max = tmx_value_json_length_max(scheduler->settings);
   batch->grouping_enabled = scheduler->replica->dependencies_in_use;
   batch->writes_left = max_writes;
   tmx_transaction_require_version(&batch->transaction, TMX_KEY_HEAD,
@@ -143,6 +143,6 @@
   tmx_transaction_require_version(&batch->transaction, key, job->version);
   batch->value_buffer.length = 0;
   tmx_job_encode_final(&batch->value_buffer, job, outcome, ended_at,
-                       tmx_value_room(batch->scheduler->settings));
+                       tmx_value_json_length_max(batch->scheduler->settings));
   tmx_transaction_put(&batch->transaction, key, &batch->value_buffer, 0);
 }
--- a/src/scheduler/pending_submission.c
+++ b/src/scheduler/pending_submission.c
@@ -16,7 +16,7 @@
 /* Counts the puts that the submission needs: one for the record, and one for each value
  * that its lines need. */
 static int count_values(const struct tmx_pending_submission *pending) {
-  size_t value_bytes = tmx_value_room(pending->scheduler->settings), used = value_bytes;
+  size_t value_bytes = tmx_value_json_length_max(pending->scheduler->settings), used = value_bytes;
   int n_values = 1;
   char line[TMX_LINE_MAX];
   uint32_t position = pending->n_dependencies_in_record;
@@ -43,7 +43,7 @@
   pending->scheduler = scheduler;
   pending->n_dependencies_in_record = tmx_job_encode_open(
       &pending->record, submission->id, &submission->spec, submission->submitted_at,
-      &submission->dependencies, tmx_value_room(settings));
+      &submission->dependencies, tmx_value_json_length_max(settings));
   pending->record_json_length = tmx_json_length(&pending->record);
   copy_ids(&pending->dependencies, &submission->dependencies);
   pending->n_values = count_values(pending);
@@ -60,7 +60,7 @@
 
 bool tmx_pending_submission_is_too_large(const struct tmx_pending_submission *pending) {
   const struct tmx_settings *settings = pending->scheduler->settings;
-  size_t value_bytes = tmx_value_room(settings);
+  size_t value_bytes = tmx_value_json_length_max(settings);
   return pending->record_json_length > value_bytes || pending->n_values > settings->txn_ops - 1 ||
          (size_t)pending->n_values * (value_bytes + TMX_JSON_FRAME) > TMX_TRANSACTION_BYTES;
 }
--- a/src/store/snapshot_writer.c
+++ b/src/store/snapshot_writer.c
@@ -117,7 +117,7 @@
 static void encode_record(const struct tmx_settings *settings, const struct tmx_job *job,
                           struct position *position, struct tmx_buffer *record) {
   const struct tmx_job_ids *dependencies = &job->dependencies.named;
-  size_t max_length = tmx_value_room(settings);
+  size_t max_length = tmx_value_json_length_max(settings);
   struct tmx_job_spec spec = job->spec;
   spec.n_types =
       tmx_job_types_within(job->id, &job->spec, job->submitted_at, dependencies, max_length);
@@ -201,7 +201,7 @@
  * remain; if so, the next page starts with the first of them. */
 static bool fill_page(const struct tmx_snapshot_writer *writer, struct page *page,
                       struct position *position) {
-  size_t max_length = tmx_value_room(writer->settings);
+  size_t max_length = tmx_value_json_length_max(writer->settings);
   struct item item = {.record = {0}};
   bool more;
   page->jobs.length = page->lines.length = 0;
@@ -235,7 +235,8 @@
 enum tmx_snapshot_result tmx_snapshot_writer_add_pages(struct tmx_snapshot_writer *writer,
                                                        struct tmx_transaction *transaction,
                                                        int max_puts) {
-  size_t max_page_length = tmx_value_room(writer->settings) + TMX_JSON_FRAME, total_length = 0;
+  size_t max_page_length = tmx_value_json_length_max(writer->settings) + TMX_JSON_FRAME,
+         total_length = 0;
   struct position position = writer->committed;
   struct page page = {.n_jobs = 0};
   bool more = true;
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -16,7 +16,8 @@
   store->loop = loop;
   store->settings = settings;
   store->replica = replica;
-  store->request_connections = tmx_http_client_new(loop, settings->state, REQUEST_CONNECTIONS);
+  store->request_connections =
+      tmx_http_client_new(loop, settings->store_address, REQUEST_CONNECTIONS);
   tmx_write_budget_init(&store->write_budget, tmx_clock_steady());
   tmx_lease_init(&store->lease);
   tmx_registration_init(store);
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -101,7 +101,7 @@
 
 static void open_connection(struct tmx_store *store) {
   store->watch.connection =
-      tmx_http_client_new(store->loop, store->settings->state, WATCH_CONNECTIONS);
+      tmx_http_client_new(store->loop, store->settings->store_address, WATCH_CONNECTIONS);
 }
 
 void tmx_watch_reopen(struct tmx_store *store) {
--- a/src/user/cancellations.c
+++ b/src/user/cancellations.c
@@ -47,7 +47,8 @@
   char key[TMX_KEY_MAX + 1];
   snprintf(key, sizeof key, TMX_KEY_JOB "%s", request->id);
   tmx_transaction_require_version(&transaction, key, job->version);
-  tmx_job_encode_final(&value, job, TMX_JOB_CANCELLED, 0, tmx_value_room(users->settings));
+  tmx_job_encode_final(&value, job, TMX_JOB_CANCELLED, 0,
+                       tmx_value_json_length_max(users->settings));
   tmx_transaction_put(&transaction, key, &value, 0);
   tmx_transaction_advance_head(&transaction, users->settings->node_name);
   tmx_buffer_free(&value);
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -68,7 +68,7 @@
   for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
        task = task->next)
     if (task->job->outcome && !tmx_worker_reports_task(worker, task) &&
-        now - task->job->outcome_after > tmx_fresh_bound(settings))
+        now - task->job->outcome_after > tmx_renewal_replica_age_max(settings))
       return true;
   return false;
 }
@@ -118,7 +118,8 @@
     return redirected_at && since_redirect < TMX_FAILOVER_WITHIN_S;
   struct tmx_suspicion suspicion;
   return worker->machine && tmx_workers_find_suspicion(workers, worker->machine, &suspicion) &&
-         suspicion.silence_s > TMX_FAILOVER_SILENT_S && suspicion.probes_lost >= TMX_PROBES_LOST;
+         suspicion.silence_s > TMX_FAILOVER_SILENT_S &&
+         suspicion.consecutive_probes_lost >= TMX_PROBES_LOST;
 }
 
 static void park_request(struct tmx_worker *worker, struct tmx_http_request *request, double now) {
@@ -219,7 +220,7 @@
     return;
   }
   /* Other controllers still reach the store and serve the machines of this one. */
-  if (tmx_peers_lost_store_alone(workers->peers)) {
+  if (tmx_peers_store_lost_only_here(workers->peers)) {
     reply_redirect(request, NULL);
     return;
   }
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -38,11 +38,12 @@
 static bool get_own_suspicion(const struct tmx_worker *worker, double now,
                               struct tmx_suspicion *suspicion) {
   suspicion->silence_s = tmx_worker_silence(worker, now);
-  suspicion->probes_lost = worker->probing.consecutive_lost;
+  suspicion->consecutive_probes_lost = worker->probing.consecutive_lost;
   suspicion->unacknowledged_s = unacknowledged_seconds(worker, now);
   suspicion->spot_notice = worker->report.spot_notice;
   memcpy(suspicion->id, worker->id, sizeof suspicion->id);
-  return suspicion->probes_lost || suspicion->unacknowledged_s > 0 || suspicion->spot_notice ||
+  return suspicion->consecutive_probes_lost || suspicion->unacknowledged_s > 0 ||
+         suspicion->spot_notice ||
          suspicion->silence_s > tmx_worker_silence_limit(worker->workers->settings);
 }
 
--- a/src/worker/worker_connection.c
+++ b/src/worker/worker_connection.c
@@ -25,7 +25,7 @@
 }
 
 void tmx_workers_close_idle_connections(struct tmx_workers *workers) {
-  int max = tmx_sockets_out(workers->settings);
+  int max = tmx_worker_sockets_max(workers->settings);
   if (workers->n_connections <= max) return;
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) {
--- a/src/worker/worker_connection.h
+++ b/src/worker/worker_connection.h
@@ -12,7 +12,7 @@
 struct tmx_http_client *tmx_worker_connect(struct tmx_worker *worker, const char *address);
 /** Closes the connection, if there is one. Requests in flight end without a callback. */
 void tmx_worker_disconnect(struct tmx_worker *worker);
-/** Closes idle connections when more are open than tmx_sockets_out() allows, until 80 % of that
- * limit are left. */
+/** Closes idle connections when more are open than tmx_worker_sockets_max() allows, until 80 % of
+ * that limit are left. */
 void tmx_workers_close_idle_connections(struct tmx_workers *workers);
 #endif
--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -240,7 +240,7 @@
   char err[128];
   *settings =
       (struct tmx_settings){.n_teams = TEAMS, .write_rps = 1000, .value_kb = 16, .ram_mb = 4096};
-  tmx_operator_defaults(&settings->operators);
+  tmx_operator_settings_set_defaults(&settings->operators);
   settings->operators.admission.enabled = true;
   settings->operators.admission.backlog_s = 200;
   for (int i = 0; i < TEAMS; i++) snprintf(settings->teams[i].name, TMX_NAME_MAX, "team-%d", i);
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -64,7 +64,7 @@
                            "location", settings->zone, "listen", address(node[index].port),
                            "peer_listen", settings->peer_listen, "peers", peers, "services",
                            "state", address(link_port(links[index][TO_STATE])), "cloud",
-                           settings->cloud, "cluster", cluster_json(settings));
+                           settings->cloud_address, "cluster", cluster_json(settings));
   int fd = mkstemp(strcpy(settings_path[index], "/tmp/tmx-cluster-XXXXXX"));
   FILE *file = fd >= 0 ? fdopen(fd, "w") : NULL;
   if (!file || json_dumpf(root, file, 0)) abort();
@@ -86,7 +86,7 @@
     node[k].port = fake_listen_port(k);
   }
   for (int k = 0; k < count; k++) {
-    links[k][TO_STATE] = link_new(test_loop, port_of(settings[k].state));
+    links[k][TO_STATE] = link_new(test_loop, port_of(settings[k].store_address));
     links[k][TO_USERS] = link_new(test_loop, node[k].port);
     links[k][TO_WORKERS] = link_new(test_loop, node[k].port);
     for (int i = 0; i < count; i++)
--- a/tests/fake_controllers.c
+++ b/tests/fake_controllers.c
@@ -53,15 +53,15 @@
 
 void fake_settings(struct tmx_settings *settings, int index, int count) {
   memset(settings, 0, sizeof *settings);
-  tmx_operator_defaults(&settings->operators);
+  tmx_operator_settings_set_defaults(&settings->operators);
   snprintf(settings->node_name, sizeof settings->node_name, "hand-%d", index);
   strcpy(settings->zone, "a");
   strcpy(settings->listen, "127.0.0.1:0");
   snprintf(settings->peer_listen, sizeof settings->peer_listen, "127.0.0.1:%d",
            heartbeat_ports[index].port);
-  snprintf(settings->state, sizeof settings->state, "127.0.0.1:%d",
+  snprintf(settings->store_address, sizeof settings->store_address, "127.0.0.1:%d",
            tmx_http_server_port(fake_store.endpoints[index].server));
-  snprintf(settings->cloud, sizeof settings->cloud, "127.0.0.1:%d",
+  snprintf(settings->cloud_address, sizeof settings->cloud_address, "127.0.0.1:%d",
            tmx_http_server_port(fake_cloud.server));
   for (int i = 0; i < count; i++) {
     if (i == index) continue;
--- a/tests/test_admission_policy.c
+++ b/tests/test_admission_policy.c
@@ -18,7 +18,7 @@
 
 static struct tmx_settings platform(void) {
   struct tmx_settings s = {.n_teams = 2, .write_rps = 1000, .value_kb = 16, .ram_mb = 128};
-  tmx_operator_defaults(&s.operators);
+  tmx_operator_settings_set_defaults(&s.operators);
   strcpy(s.teams[0].name, "t");
   strcpy(s.teams[1].name, "u");
   strcpy(s.objectives[0].class_name, "c");
@@ -208,8 +208,8 @@
   assert_non_null(f);
   fputs(text, f);
   fclose(f);
-  tmx_operator_defaults(&settings->operators);
-  bool ok = tmx_operator_load(&settings->operators, path, err, cap) &&
+  tmx_operator_settings_set_defaults(&settings->operators);
+  bool ok = tmx_operator_settings_load(&settings->operators, path, err, cap) &&
             tmx_admission_resolve(settings, err, cap);
   remove(path);
   return ok;
@@ -246,7 +246,8 @@
   }
   assert_true(load_operator(&s, "[admission]\nenabled = true\n[admission.team_shares]\nt = 0.8\n",
                             err, sizeof err));
-  assert_true(s.operators.admission.share[0] > 0.79 && s.operators.admission.share[1] < 0.21);
+  assert_true(s.operators.admission.share_by_team[0] > 0.79 &&
+              s.operators.admission.share_by_team[1] < 0.21);
   assert_true(load_operator(&s, "headroom = 0.1\n", err, sizeof err));
   assert_false(s.operators.admission.enabled);
 }
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -18,8 +18,9 @@
 static struct tmx_http_server *rental_server;
 
 static void through_relays(struct tmx_settings *settings) {
-  snprintf(settings->state, sizeof settings->state, "%s", store.address);
-  if (rental.address[0]) snprintf(settings->cloud, sizeof settings->cloud, "%s", rental.address);
+  snprintf(settings->store_address, sizeof settings->store_address, "%s", store.address);
+  if (rental.address[0])
+    snprintf(settings->cloud_address, sizeof settings->cloud_address, "%s", rental.address);
   settings->operators.idle_return_s = 1;
   settings->teams[0].cpus_max = 1000;
 }
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -18,8 +18,9 @@
 /* Whether the leader has settled and the owner suspects the machine, and what the owner says. */
 #define SUSPICION(settled, by_owner, silence, lost, unacknowledged) \
   .leader_settled = (settled), .suspected = (by_owner),             \
-  .suspicion = {                                                    \
-      .silence_s = (silence), .probes_lost = (lost), .unacknowledged_s = (unacknowledged)}
+  .suspicion = {.silence_s = (silence),                             \
+                .consecutive_probes_lost = (lost),                  \
+                .unacknowledged_s = (unacknowledged)}
 #define DEAD SUSPICION(true, true, 2, TMX_PROBES_LOST, 0)
 #define SILENT_FOR(silence) SUSPICION(true, true, silence, TMX_PROBES_LOST, 0), .has_tasks = true
 #define UNREACHED_FOR(unacknowledged) \
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -332,8 +332,9 @@
   job.spec.n_types = TMX_TYPES_MAX;
   for (size_t i = 0; i < TMX_TYPES_MAX; i++) memset(job.spec.types[i], 'y', TMX_ID_MAX - 1);
   job.spec.cpus = job.spec.mem_gb = job.spec.image_gb = 1.0 / 3;
-  tmx_job_encode_final(&buffer, &job, TMX_JOB_DONE, 1.7e9 + 0.654321, tmx_value_room(&settings));
-  assert_true(tmx_json_length(&buffer) <= tmx_value_room(&settings));
+  tmx_job_encode_final(&buffer, &job, TMX_JOB_DONE, 1.7e9 + 0.654321,
+                       tmx_value_json_length_max(&settings));
+  assert_true(tmx_json_length(&buffer) <= tmx_value_json_length_max(&settings));
   struct tmx_job_record record;
   cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
   assert_true(tmx_job_decode(value, &record));
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -87,7 +87,8 @@
              valid_settings, tight[i], cancel[i], rest + 4);
     assert_int_equal(tmx_settings_parse(&settings, text, err, sizeof err), i != 0);
     if (i)
-      assert_true(tmx_fresh_bound(&settings) + settings.lease_s * (1 + TMX_CLOCK_DRIFT) <
+      assert_true(tmx_renewal_replica_age_max(&settings) +
+                      settings.lease_s * (1 + TMX_CLOCK_DRIFT) <
                   settings.cancel_s);
   }
   /* more than a table has room for is refused, not truncated */
@@ -132,8 +133,8 @@
   FILE *file = fdopen(fd, "w");
   fputs(text, file);
   fclose(file);
-  tmx_operator_defaults(&operators);
-  bool loaded = tmx_operator_load(&operators, path, err, cap);
+  tmx_operator_settings_set_defaults(&operators);
+  bool loaded = tmx_operator_settings_load(&operators, path, err, cap);
   remove(path);
   return loaded;
 }
