--- a/src/admission/admission_rates.c
+++ b/src/admission/admission_rates.c
@@ -33,7 +33,8 @@
   rates.per_s[TMX_ADMISSION_CPU] = cpus * TMX_MILLI;
   rates.per_s[TMX_ADMISSION_GPU] = gpus * TMX_MILLI;
   rates.per_s[TMX_ADMISSION_MACHINE_MEMORY] = mem_gb * TMX_MB_PER_GB;
-  rates.per_s[TMX_ADMISSION_LOG] = puts * TMX_LINE_PUTS_SHARE * (double)tmx_value_room(settings);
+  rates.per_s[TMX_ADMISSION_LOG] =
+      puts * TMX_LINE_PUTS_SHARE * (double)tmx_value_json_length_max(settings);
   rates.per_s[TMX_ADMISSION_PUTS] = puts * TMX_FINAL_STATE_PUTS_SHARE;
   rates.per_s[TMX_ADMISSION_CONTROLLER_MEMORY] =
       held_bytes / settings->operators.admission.backlog_s;
