--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -9,8 +9,8 @@
 #include "base/memory.h"
 #include "controller/controller_internal.h"
 
-/* Runs after the callbacks of one turn of the loop, when all events of the turn have been applied.
- */
+/* libev calls this after the callbacks of a loop iteration, before the loop waits again. By then
+ * all events of the iteration have been applied. */
 static void on_prepare(struct ev_loop *loop, ev_prepare *watcher, int events) {
   (void)loop;
   (void)events;
@@ -19,12 +19,13 @@
   tmx_scheduler_process_submissions(controller->scheduler);
 }
 
-/* A controller that comes back from a network partition hears the others one after the other: the
- * last one to be heard is not lost. So it judges nobody by what it missed. */
+/* When a network partition heals, the heartbeats of the peers arrive one after the other, so the
+ * peer that is heard last has not necessarily failed. The failure detector therefore ignores
+ * a peer's silence until TMX_PEER_SILENCE_S after the latest impairment. */
 static void note_impairment(struct tmx_controller *controller, double now, bool loop_was_late) {
   bool store_lost = now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_LOST_S;
   if (loop_was_late || store_lost || !tmx_peers_any_alive(controller->peers))
-    controller->impaired_at = now;
+    controller->last_impaired_at = now;
 }
 
 static void tick_election(struct tmx_controller *controller) {
@@ -41,7 +42,7 @@
   struct tmx_controller *controller = watcher->data;
   double now = tmx_clock_steady();
   double late_s = tmx_loop_monitor_tick(&controller->loop_monitor, now);
-  if (late_s > 0) tmx_log(TMX_LOG_INFO, "loop: %.2f s late", late_s);
+  if (late_s > 0) tmx_log(TMX_LOG_INFO, "event loop: tick was %.2f s late", late_s);
   note_impairment(controller, now, late_s > 0);
   tmx_peers_tick(controller->peers);
   tick_election(controller);
@@ -53,7 +54,8 @@
   tmx_admission_control_tick(controller->admission);
 }
 
-/* Modules below the workers get these in place of the workers, which are made after them. */
+/* Callbacks for the scheduler and the peers module. Both are created before the workers module and
+ * so cannot hold a pointer to it. */
 
 static size_t collect_completions(void *context, struct tmx_operation *operations, size_t max) {
   const struct tmx_controller *controller = context;
@@ -155,14 +157,14 @@
   controller->cloud = tmx_cloud_new(&dependencies);
 }
 
-static void make_users(struct tmx_controller *controller) {
-  struct tmx_users_dependencies dependencies = {.settings = &controller->settings,
-                                                .replica = &controller->replica,
-                                                .store = controller->store,
-                                                .catalog = &controller->catalog,
-                                                .admission = controller->admission,
-                                                .scheduler = controller->scheduler};
-  controller->users = tmx_users_new(&dependencies);
+static void make_user_api(struct tmx_controller *controller) {
+  struct tmx_user_api_dependencies dependencies = {.settings = &controller->settings,
+                                                   .replica = &controller->replica,
+                                                   .store = controller->store,
+                                                   .catalog = &controller->catalog,
+                                                   .admission = controller->admission,
+                                                   .scheduler = controller->scheduler};
+  controller->user_api = tmx_user_api_new(&dependencies);
 }
 
 static void make_server(struct tmx_controller *controller) {
@@ -197,7 +199,7 @@
   if (!failed) {
     make_workers(controller);
     make_cloud(controller);
-    make_users(controller);
+    make_user_api(controller);
     make_server(controller);
     if (!controller->server) failed = "listen";
   }
@@ -219,7 +221,7 @@
   tmx_compaction_free(controller->compaction);
   tmx_store_free(controller->store);
   if (controller->peers) tmx_peers_free(controller->peers);
-  if (controller->users) tmx_users_free(controller->users);
+  if (controller->user_api) tmx_user_api_free(controller->user_api);
   if (controller->workers) tmx_workers_free(controller->workers);
   controller->replica.on_cleared = NULL;
   tmx_replica_clear(&controller->replica);
--- a/src/controller/controller_internal.h
+++ b/src/controller/controller_internal.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * State and functions that the files of src/controller share. Loop's thread only.
+ * State and functions shared by the files of src/controller. All functions must be called on the
+ * event loop's thread.
  */
 #ifndef TMX_CONTROLLER_INTERNAL_H
 #define TMX_CONTROLLER_INTERNAL_H
@@ -19,42 +20,44 @@
 #include "user/user_api.h"
 #include "worker/workers.h"
 
-/** State of one controller process, with its modules. */
+/** The state of one controller process and its modules. */
 struct tmx_controller {
   struct ev_loop *loop;                 /**< not owned */
-  struct tmx_settings settings;         /**< a copy */
+  struct tmx_settings settings;         /**< the controller's own copy */
   struct tmx_replica replica;           /**< the local copy of the stored state */
   struct tmx_machine_catalog catalog;   /**< filled by the cloud module */
-  struct tmx_loop_monitor loop_monitor; /**< whether the event loop runs on time */
-  struct tmx_authority authority;       /**< whether this controller may act */
-  /** Owned; NULL: every submission that can run is admitted. */
+  struct tmx_loop_monitor loop_monitor; /**< detects stalls of the event loop */
+  struct tmx_authority authority;       /**< decides whether this controller may act */
+  /** Owned. NULL if admission control is disabled: every submission that can run is admitted. */
   struct tmx_admission_control *admission;
   struct tmx_store *store;               /**< owned */
   struct tmx_view_manager *view_manager; /**< owned */
   struct tmx_scheduler *scheduler;       /**< owned */
-  struct tmx_peers *peers;               /**< owned; NULL while the controller is being made */
-  struct tmx_workers *workers;           /**< owned; NULL while the controller is being made */
-  struct tmx_cloud *cloud;               /**< owned; NULL while the controller is being made */
-  struct tmx_users *users;               /**< owned; NULL while the controller is being made */
+  struct tmx_peers *peers;               /**< owned; NULL until created by tmx_controller_new() */
+  struct tmx_workers *workers;           /**< owned; NULL until created by tmx_controller_new() */
+  struct tmx_cloud *cloud;               /**< owned; NULL until created by tmx_controller_new() */
+  struct tmx_user_api *user_api;         /**< owned; NULL until created by tmx_controller_new() */
   struct tmx_compaction *compaction;     /**< owned */
-  struct tmx_http_server *server;        /**< owned; for users and workers */
-  ev_timer tick_timer;                   /**< runs the ticks of the modules, every TMX_TICK_S */
-  ev_prepare prepare; /**< sends what was gathered, before the loop waits for events */
-  double started_at;  /**< monotonic clock, seconds */
-  double impaired_at; /**< monotonic clock, seconds: until then the loop was late, or the store or
-                         all peers were out of reach */
+  struct tmx_http_server *server;        /**< owned; serves users, workers and health checks */
+  ev_timer tick_timer;                   /**< calls the modules' tick functions every TMX_TICK_S */
+  ev_prepare prepare;      /**< sends queued commands and submissions before the loop waits */
+  double started_at;       /**< when the controller was created, monotonic clock, seconds */
+  double last_impaired_at; /**< latest tick at which the loop was late, or the store or all peers
+                              were unreachable; monotonic clock, seconds; 0: never */
 };
 
-/** Passes the replica's changes on to scheduler, workers and admission. replica_events.c */
+/** Registers callbacks that forward the replica's changes to the scheduler, the workers module and
+ * admission control. Defined in replica_events.c. */
 void tmx_controller_observe_replica(struct tmx_controller *controller);
-/** Evidence of the failure detector for the view; valid as long as the controller.
- * peer_observation.c */
+/** Returns the functions through which the view manager consults the failure detector. They remain
+ * valid until the controller is freed. Defined in peer_observation.c. */
 struct tmx_view_observer tmx_controller_view_observer(const struct tmx_controller *controller);
-/** Whether the leader, as the replica names it, is suspected to have failed. false also if there is
- * none, if it is this controller, or if this one reaches hardly any of its workers.
- * peer_observation.c */
+/** Returns whether the leader according to the replica is suspected to have failed. Returns false
+ * if there is no leader, if this controller is the leader, or if this controller cannot reach most
+ * of its own workers (tmx_workers_are_unreachable()). Defined in peer_observation.c. */
 bool tmx_controller_leader_is_suspected(const struct tmx_controller *controller);
-/** Handler of the HTTP server; `arg` is the controller. Hands each request to users or workers, or
- * answers 404. request_router.c */
+/** Request handler of the HTTP server; `arg` is the controller. Answers health checks, passes other
+ * requests to the users' API or the workers module, and answers 404 for unknown paths. Defined in
+ * request_router.c. */
 void tmx_controller_handle_request(void *arg, struct tmx_http_request *request);
 #endif
--- a/src/controller/peer_observation.c
+++ b/src/controller/peer_observation.c
@@ -1,4 +1,5 @@
-/* Evidence for the failure detector: how the other registered controllers look from this one. */
+/* Collects the evidence that this controller has about the other registered controllers and passes
+ * it to the failure detector. */
 #include <math.h>
 #include <string.h>
 
@@ -36,7 +37,7 @@
       .reports_no_workers = tmx_peers_reports_no_workers(controller->peers, node),
       .silence_s = tmx_peers_silence(controller->peers, node),
       .last_batch_age_s = now - tmx_replica_last_batch_at(&controller->replica, node),
-      .observed_for_s = now - fmax(since, controller->impaired_at)};
+      .observed_for_s = now - fmax(since, controller->last_impaired_at)};
   return tmx_peer_is_suspected(census, &evidence);
 }
 
@@ -45,7 +46,8 @@
       .context = (void *)controller, .observe_peers = observe_peers, .is_suspected = is_suspected};
 }
 
-/* A controller that reaches hardly any workers itself does not judge the leader. */
+/* A controller that cannot reach most of its workers does not suspect the leader, because the fault
+ * may be its own connectivity. */
 bool tmx_controller_leader_is_suspected(const struct tmx_controller *controller) {
   const struct tmx_replica *replica = &controller->replica;
   if (!replica->leader_version || !strcmp(replica->leader, controller->settings.node_name) ||
--- a/src/controller/replica_events.c
+++ b/src/controller/replica_events.c
@@ -1,4 +1,4 @@
-/* Passes the replica's changes on to the modules that work on it. */
+/* Forwards the replica's changes to the scheduler, the workers module and admission control. */
 #include "controller/controller_internal.h"
 
 static void on_machine_changed(void *arg, struct tmx_machine *machine) {
@@ -23,7 +23,8 @@
   tmx_admission_control_job_started(controller->admission, job);
 }
 
-/* The jobs' planners are derived from the members of the view. */
+/* The members of the view determine which controller plans each job, so every open job is marked as
+ * changed. */
 static void on_view_changed(void *arg) {
   struct tmx_controller *controller = arg;
   struct tmx_job *job, *next_job;
--- a/src/controller/request_router.c
+++ b/src/controller/request_router.c
@@ -1,4 +1,4 @@
-/* Routes the requests of users, workers and health checks. */
+/* Routes HTTP requests to the users' API and the workers module, and answers health checks. */
 #include <http_parser.h>
 #include <string.h>
 
@@ -6,7 +6,8 @@
 #include "controller/controller_internal.h"
 #include "tmx/wire.h"
 
-/* Users are sent to another controller sooner than workers: nothing of theirs runs here. */
+/* The load balancer stops sending users here under conditions in which the controller still serves
+ * workers, because no user depends on a particular controller. */
 static bool is_ready(const struct tmx_controller *controller) {
   if (!tmx_authority_may_act(&controller->authority) ||
       tmx_peers_lost_store_alone(controller->peers))
@@ -28,6 +29,6 @@
     tmx_http_reply(request, is_ready(controller) ? 200 : 503, NULL, 0);
   else if (!strcmp(request->path, WP_REPORT))
     handle_heartbeat(controller, request);
-  else if (!tmx_users_handle(controller->users, request))
+  else if (!tmx_user_api_handle(controller->user_api, request))
     tmx_http_reply(request, 404, NULL, 0);
 }
--- a/src/user/submission_reader.c
+++ b/src/user/submission_reader.c
@@ -15,15 +15,15 @@
          tmx_job_ids_parse(map, &submission->dependencies);
 }
 
-enum tmx_submission_form tmx_user_submission_read(const struct tmx_http_request *http,
-                                                  struct tmx_submission *submission) {
-  enum tmx_submission_form form = TMX_SUBMISSION_FORM_UNNAMED;
+enum tmx_submission_syntax tmx_user_submission_read(const struct tmx_http_request *http,
+                                                    struct tmx_submission *submission) {
+  enum tmx_submission_syntax syntax = TMX_SUBMISSION_SYNTAX_NO_ID;
   cbor_item_t *map = tmx_cbor_parse(http->body, http->body_len);
   if (map && read_id(map, submission))
-    form =
-        read_content(map, submission) ? TMX_SUBMISSION_FORM_VALID : TMX_SUBMISSION_FORM_MALFORMED;
+    syntax =
+        read_content(map, submission) ? TMX_SUBMISSION_SYNTAX_VALID : TMX_SUBMISSION_SYNTAX_INVALID;
   tmx_cbor_free(map);
-  return form;
+  return syntax;
 }
 
 void tmx_user_submission_free(struct tmx_submission *submission) {
--- a/src/user/submission_validation.c
+++ b/src/user/submission_validation.c
@@ -4,9 +4,10 @@
 
 #include "replica/placement_caps.h"
 
+/* tolerance for rounding errors, in CPUs, GPUs or GB */
 static const double size_tolerance = 1e-6;
 
-/* A service needs all its replicas at once, any other job one task at a time. */
+/* A service must run all its tasks at the same time; any other job can run them one by one. */
 static bool is_within_team_limits(const struct tmx_team_settings *team,
                                   const struct tmx_job_spec *spec) {
   double n_concurrent = spec->service ? spec->tasks : 1;
@@ -20,14 +21,14 @@
          spec->mem_gb <= type->mem_gb + size_tolerance;
 }
 
-enum tmx_spec_validity tmx_user_validate_spec(const struct tmx_users *users,
+enum tmx_spec_validity tmx_user_validate_spec(const struct tmx_user_api *api,
                                               const struct tmx_job_spec *spec) {
-  const struct tmx_machine_catalog *catalog = users->catalog;
-  int team = tmx_team_index(users->settings, spec->team);
+  const struct tmx_machine_catalog *catalog = api->catalog;
+  int team = tmx_team_index(api->settings, spec->team);
   if (team < 0) return TMX_SPEC_NEVER_RUNNABLE;
-  if (!is_within_team_limits(&users->settings->teams[team], spec)) return TMX_SPEC_NEVER_RUNNABLE;
+  if (!is_within_team_limits(&api->settings->teams[team], spec)) return TMX_SPEC_NEVER_RUNNABLE;
   if (!catalog->n_types) return TMX_SPEC_UNDECIDED;
-  int zone = spec->zone[0] ? tmx_zone_index(users->settings, spec->zone) : -1;
+  int zone = spec->zone[0] ? tmx_zone_index(api->settings, spec->zone) : -1;
   if (spec->zone[0] && zone < 0) return TMX_SPEC_NEVER_RUNNABLE;
   for (size_t i = 0; i < catalog->n_types; i++) {
     const struct tmx_machine_type *type = &catalog->types[i];
@@ -45,7 +46,8 @@
     const char *id = submission->dependencies.ids[i];
     const struct tmx_job *job = tmx_job_find(replica, id);
     if (!strcmp(id, submission->id)) return TMX_DEPENDENCIES_NEVER_DONE;
-    if (job && job->spec.service) return TMX_DEPENDENCIES_NEVER_DONE; /* it ends by cancellation */
+    if (job && job->spec.service)
+      return TMX_DEPENDENCIES_NEVER_DONE; /* ends only by cancellation */
     if (!job) validity = TMX_DEPENDENCIES_UNKNOWN;
   }
   return validity;
--- a/src/user/submission_validation.h
+++ b/src/user/submission_validation.h
@@ -1,28 +1,30 @@
 /** @file
- * Whether a submission could ever run. Pure functions of settings, catalog and replica. */
+ * Validates submissions: decides whether a job could ever run. The functions depend only on the
+ * settings, the machine catalog and the replica, and change none of them. Loop's thread only. */
 #ifndef TMX_SUBMISSION_VALIDATION_H
 #define TMX_SUBMISSION_VALIDATION_H
 #include "user/user_internal.h"
 
-/** Whether a job could ever run, by its specification. */
+/** Whether a job's specification allows it to run. */
 enum tmx_spec_validity {
-  TMX_SPEC_RUNNABLE,       /**< on some machine type */
-  TMX_SPEC_NEVER_RUNNABLE, /**< team or zone unknown, over the team's limit, or no type fits */
-  TMX_SPEC_UNDECIDED,      /**< the machine types are not known yet */
+  TMX_SPEC_RUNNABLE,       /**< at least one machine type fits */
+  TMX_SPEC_NEVER_RUNNABLE, /**< unknown team or zone, team limit exceeded, or no type fits */
+  TMX_SPEC_UNDECIDED,      /**< the cloud has not sent its machine types yet */
 };
-/** Whether team, zone and sizes of the job allow it to run on some type of machine. */
-enum tmx_spec_validity tmx_user_validate_spec(const struct tmx_users *users,
+/** Returns whether a job of this team, zone and task size could run on any machine type that it
+ * allows. */
+enum tmx_spec_validity tmx_user_validate_spec(const struct tmx_user_api *api,
                                               const struct tmx_job_spec *spec);
 
-/** Whether a job could ever start, by the jobs that it depends on. */
+/** Whether a job's dependencies allow it to start. */
 enum tmx_dependency_validity {
-  TMX_DEPENDENCIES_VALID,      /**< all are known; none is the job itself or a service */
-  TMX_DEPENDENCIES_UNKNOWN,    /**< a job that it names is not known to this replica */
-  TMX_DEPENDENCIES_NEVER_DONE, /**< it would wait for itself, or for a service */
+  TMX_DEPENDENCIES_VALID,      /**< all are in the replica; none is the job itself or a service */
+  TMX_DEPENDENCIES_UNKNOWN,    /**< at least one is not in the replica */
+  TMX_DEPENDENCIES_NEVER_DONE, /**< the job depends on itself or on a service */
 };
-/** Whether the dependencies of a submission are known and can finish.
- * Jobs are never forgotten, so an id once known stays known; that one is unknown is certain only
- * after a read of the state that began after the request came. */
+/** Returns whether the dependencies of a submission exist and can finish. Jobs are never removed,
+ * so a dependency that exists continues to exist. That a dependency does not exist is certain only
+ * after a linearizable read that began after the request was received. */
 enum tmx_dependency_validity tmx_user_validate_dependencies(
     const struct tmx_replica *replica, const struct tmx_submission *submission);
 #endif
--- a/src/user/submissions.c
+++ b/src/user/submissions.c
@@ -11,9 +11,10 @@
 
 void tmx_user_request_reply_overload(const struct tmx_user_request *request) {
   if (tmx_log_enabled(TMX_LOG_DEBUG))
-    tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: backlog %.1f s of %.1f s", request->id,
+    tmx_log(TMX_LOG_DEBUG,
+            "user: submission of %s refused with 503: backlog %.1f s, ceiling %.1f s", request->id,
             request->admission_decision.backlog_s, request->admission_decision.ceiling_s);
-  tmx_admission_control_count_answer(request->users->admission, &request->admission_request,
+  tmx_admission_control_count_answer(request->api->admission, &request->admission_request,
                                      request->admission_decision.result);
   tmx_http_reply(request->http, 503, NULL,
                  tmx_admission_control_retry_after(&request->admission_decision));
@@ -25,25 +26,25 @@
             (tmx_clock_steady() - request->received_at) * 1000);
   tmx_user_reply_state(request->http, 201, request->id,
                        request->depends_on_cancelled ? WV_CANCELLED : WV_PENDING);
-  tmx_admission_control_count_answer(request->users->admission, &request->admission_request,
+  tmx_admission_control_count_answer(request->api->admission, &request->admission_request,
                                      TMX_ADMITTED);
 }
 
-/* Its team or class has no room. One that was accepted by another controller is answered as such
- * all the same: the state is read before it is refused. */
+/* The team or the class has reached its ceiling. The state is read before the refusal, because
+ * another controller may have accepted the job already. */
 static bool read_state_before_refusal(struct tmx_user_request *request) {
   static const struct tmx_job_ids no_dependencies;
   request->admission_decision = tmx_admission_control_decide(
-      request->users->admission, &request->admission_request, &no_dependencies);
+      request->api->admission, &request->admission_request, &no_dependencies);
   request->if_unknown = TMX_UNKNOWN_JOB_OVERLOAD;
   return tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S);
 }
 
-/* The job is known already: its state is read before it is told. */
+/* The job is in the replica already. The read ensures that the response is up to date. */
 static bool read_state_of_known_job(struct tmx_user_request *request) {
   request->if_unknown = TMX_UNKNOWN_JOB_RETRY;
   if (!tmx_user_request_read_state(request, TMX_SUBMIT_WAIT_S)) return false;
-  tmx_store_expedite_read_index(request->users->store);
+  tmx_store_expedite_read_index(request->api->store);
   return true;
 }
 
@@ -58,20 +59,20 @@
       tmx_user_request_reply_overload(request);
       break;
     case TMX_SUBMISSION_NOT_COMMITTED:
-      tmx_user_reply_unavailable(request->http, "not committed in time");
+      tmx_user_reply_unavailable(request->http, "submission not committed");
       break;
     case TMX_SUBMISSION_ALREADY_COMMITTED:
       if (read_state_of_known_job(request)) return;
-      tmx_user_reply_unavailable(request->http, "not known whether committed");
+      tmx_user_reply_unavailable(request->http, "outcome of the submission unknown");
       break;
     case TMX_SUBMISSION_OUTCOME_UNKNOWN:
-      tmx_user_reply_unavailable(request->http, "not known whether committed");
+      tmx_user_reply_unavailable(request->http, "outcome of the submission unknown");
       break;
   }
   tmx_user_request_finish(request);
 }
 
-/* A job that is done stays done: only the others need to be stored. */
+/* Removes the dependencies that are done. Done is a final state, so they need not be stored. */
 static void remove_done(const struct tmx_replica *replica, struct tmx_job_ids *ids) {
   uint32_t n = 0;
   for (uint32_t i = 0; i < ids->count; i++) {
@@ -93,16 +94,17 @@
 
 static enum tmx_submit_result queue_submission(struct tmx_user_request *request,
                                                struct tmx_submission *submission) {
-  const struct tmx_users *users = request->users;
-  remove_done(users->replica, &submission->dependencies);
-  request->depends_on_cancelled = contains_cancelled(users->replica, &submission->dependencies);
-  if (users->n_waiting > TMX_USER_QUEUE) return TMX_SUBMIT_QUEUE_FULL;
-  return tmx_scheduler_submit(users->scheduler, submission, TMX_SUBMIT_WAIT_S,
-                              on_submission_settled, request);
+  const struct tmx_user_api *api = request->api;
+  remove_done(api->replica, &submission->dependencies);
+  request->depends_on_cancelled = contains_cancelled(api->replica, &submission->dependencies);
+  if (api->n_waiting > TMX_USER_QUEUE) return TMX_SUBMIT_QUEUE_FULL;
+  return tmx_scheduler_submit(api->scheduler, submission, TMX_SUBMIT_WAIT_S, on_submission_settled,
+                              request);
 }
 
-/* Hands a submission, all of whose dependencies are known, over to the log. One that is too large
- * may have been accepted, with another body, by another controller. */
+/* Queues a submission, whose dependencies are all in the replica, for the log. If it is too large,
+ * the state is read before it is rejected, because another controller may have accepted the same
+ * job ID with another body. */
 static void send_submission(struct tmx_user_request *request) {
   struct tmx_submission *submission = request->submission;
   request->submission = NULL;
@@ -118,12 +120,12 @@
     case TMX_SUBMIT_QUEUE_FULL:
       break;
   }
-  tmx_user_reply_unavailable(request->http, "too many submissions");
+  tmx_user_reply_unavailable(request->http, "submission not queued");
   tmx_user_request_finish(request);
 }
 
 void tmx_user_request_submit(struct tmx_user_request *request) {
-  const struct tmx_replica *replica = request->users->replica;
+  const struct tmx_replica *replica = request->api->replica;
   if (tmx_user_validate_dependencies(replica, request->submission) == TMX_DEPENDENCIES_VALID) {
     send_submission(request);
     return;
@@ -132,23 +134,23 @@
   tmx_user_request_finish(request);
 }
 
-/* What is known before the state is read. */
+/* What to do with a submission, decided from the replica before any read of the state. */
 enum early_decision {
-  EARLY_SEND,   /* the submission goes to the log at once */
-  EARLY_VERIFY, /* a dependency is not known here: the state is read, and the submission kept */
-  EARLY_REFUSE, /* the state is read, then it is refused as the request tells, if not known */
+  EARLY_SEND,   /* queue the submission for the log */
+  EARLY_VERIFY, /* a dependency is not in the replica: read the state, then validate again */
+  EARLY_REFUSE, /* read the state; if the job is still unknown, refuse it by `if_unknown` */
 };
 
 static enum early_decision refuse(struct tmx_user_request *request,
-                                  enum tmx_unknown_job_step step) {
-  request->if_unknown = step;
+                                  enum tmx_unknown_job_action action) {
+  request->if_unknown = action;
   return EARLY_REFUSE;
 }
 
-static enum early_decision decide_admission(const struct tmx_users *users,
+static enum early_decision decide_admission(const struct tmx_user_api *api,
                                             struct tmx_user_request *request) {
   const struct tmx_submission *submission = request->submission;
-  switch (tmx_user_validate_dependencies(users->replica, submission)) {
+  switch (tmx_user_validate_dependencies(api->replica, submission)) {
     case TMX_DEPENDENCIES_NEVER_DONE:
       return refuse(request, TMX_UNKNOWN_JOB_REJECTED);
     case TMX_DEPENDENCIES_UNKNOWN:
@@ -158,19 +160,19 @@
       break;
   }
   request->admission_decision = tmx_admission_control_decide(
-      users->admission, &request->admission_request, &submission->dependencies);
+      api->admission, &request->admission_request, &submission->dependencies);
   return request->admission_decision.result == TMX_ADMITTED
              ? EARLY_SEND
              : refuse(request, TMX_UNKNOWN_JOB_OVERLOAD);
 }
 
-static enum early_decision decide_early(const struct tmx_users *users,
+static enum early_decision decide_early(const struct tmx_user_api *api,
                                         struct tmx_user_request *request,
-                                        enum tmx_submission_form form) {
+                                        enum tmx_submission_syntax syntax) {
   const struct tmx_submission *submission = request->submission;
-  if (tmx_job_find(users->replica, submission->id)) return refuse(request, TMX_UNKNOWN_JOB_RETRY);
-  if (form != TMX_SUBMISSION_FORM_VALID) return refuse(request, TMX_UNKNOWN_JOB_MALFORMED);
-  switch (tmx_user_validate_spec(users, &submission->spec)) {
+  if (tmx_job_find(api->replica, submission->id)) return refuse(request, TMX_UNKNOWN_JOB_RETRY);
+  if (syntax != TMX_SUBMISSION_SYNTAX_VALID) return refuse(request, TMX_UNKNOWN_JOB_MALFORMED);
+  switch (tmx_user_validate_spec(api, &submission->spec)) {
     case TMX_SPEC_NEVER_RUNNABLE:
       return refuse(request, TMX_UNKNOWN_JOB_REJECTED);
     case TMX_SPEC_UNDECIDED:
@@ -179,45 +181,46 @@
       break;
   }
   request->admission_request = tmx_admission_control_request(
-      users->admission, &submission->spec, tmx_team_index(users->settings, submission->spec.team));
-  return decide_admission(users, request);
+      api->admission, &submission->spec, tmx_team_index(api->settings, submission->spec.team));
+  return decide_admission(api, request);
 }
 
-/* Takes the submission over. */
-static void start_submission(struct tmx_users *users, struct tmx_http_request *http,
-                             struct tmx_submission *submission, enum tmx_submission_form form) {
+/* Takes ownership of the submission. */
+static void start_submission(struct tmx_user_api *api, struct tmx_http_request *http,
+                             struct tmx_submission *submission, enum tmx_submission_syntax syntax) {
   struct tmx_user_request request = {.kind = TMX_USER_SUBMIT, .submission = submission};
   memcpy(request.id, submission->id, sizeof request.id);
   submission->submitted_at = tmx_clock_wall();
-  switch (decide_early(users, &request, form)) {
+  switch (decide_early(api, &request, syntax)) {
     case EARLY_SEND:
-      send_submission(tmx_user_request_new(users, http, &request));
+      send_submission(tmx_user_request_new(api, http, &request));
       break;
     case EARLY_VERIFY:
-      tmx_user_request_wait(users, http, &request);
+      tmx_user_request_defer(api, http, &request);
       break;
     case EARLY_REFUSE:
       tmx_user_submission_free(submission);
       request.submission = NULL;
-      tmx_user_request_wait(users, http, &request);
+      tmx_user_request_defer(api, http, &request);
       break;
   }
 }
 
-/* A known job is answered before any validation: what was accepted stays accepted. A final state
- * never changes, so it needs no read of the state. */
-void tmx_user_submit(struct tmx_users *users, struct tmx_http_request *http) {
+/* A job that exists is answered before any validation, so that a repeated submission of an accepted
+ * job is never rejected. A final state never changes, so a job that has ended is answered without a
+ * read of the state. */
+void tmx_user_submit(struct tmx_user_api *api, struct tmx_http_request *http) {
   struct tmx_submission *submission = tmx_allocate(1, sizeof *submission);
-  enum tmx_submission_form form = tmx_user_submission_read(http, submission);
+  enum tmx_submission_syntax syntax = tmx_user_submission_read(http, submission);
   struct tmx_job *job = NULL;
-  if (form == TMX_SUBMISSION_FORM_UNNAMED)
+  if (syntax == TMX_SUBMISSION_SYNTAX_NO_ID)
     tmx_http_reply(http, 400, NULL, 0);
-  else if (!users->replica->loaded || !tmx_store_is_reachable(users->store))
-    tmx_user_reply_unavailable(http, "no state");
-  else if ((job = tmx_job_find(users->replica, submission->id)) && job->outcome)
+  else if (!api->replica->loaded || !tmx_store_is_reachable(api->store))
+    tmx_user_reply_unavailable(http, "replica not loaded or store unreachable");
+  else if ((job = tmx_job_find(api->replica, submission->id)) && job->outcome)
     tmx_user_reply_job(http, job);
   else {
-    start_submission(users, http, submission, form);
+    start_submission(api, http, submission, syntax);
     return;
   }
   tmx_user_submission_free(submission);
--- a/src/user/user_answers.c
+++ b/src/user/user_answers.c
@@ -6,10 +6,10 @@
 #include "tmx/wire.h"
 #include "user/user_internal.h"
 
-void tmx_user_reply_unavailable(struct tmx_http_request *http, const char *why) {
+void tmx_user_reply_unavailable(struct tmx_http_request *http, const char *reason) {
   if (tmx_log_enabled(TMX_LOG_DEBUG))
-    tmx_log(TMX_LOG_DEBUG, "user: %s refused for now: %s",
-            http->method == HTTP_POST ? "request" : "poll", why);
+    tmx_log(TMX_LOG_DEBUG, "user: %s refused with 503: %s",
+            http->method == HTTP_POST ? "request" : "poll", reason);
   tmx_http_reply(http, 503, NULL, tmx_retry_after());
 }
 
--- a/src/user/user_api.h
+++ b/src/user/user_api.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * The users' interface: submissions, polls and cancellations. Loop's thread only.
+ * The users' API: submissions, polls and cancellations of jobs over HTTP. All functions must be
+ * called on the event loop's thread.
  */
 #ifndef TMX_USER_API_H
 #define TMX_USER_API_H
@@ -12,23 +13,24 @@
 #include "scheduler/scheduler.h"
 #include "store/store.h"
 
-/** The users' interface of one controller. */
-struct tmx_users;
+/** The users' API of one controller. */
+struct tmx_user_api;
 
-/** What the module works on; all of it must outlive it. */
-struct tmx_users_dependencies {
+/** Dependencies of the module; all of them must outlive it. */
+struct tmx_user_api_dependencies {
   const struct tmx_settings *settings;       /**< teams, zones and limits */
-  struct tmx_replica *replica;               /**< the jobs that are known */
-  struct tmx_store *store;                   /**< reads the state anew and commits cancellations */
-  const struct tmx_machine_catalog *catalog; /**< machine types that jobs may need */
-  struct tmx_admission_control *admission;   /**< NULL: everything that can run is admitted */
-  struct tmx_scheduler *scheduler;           /**< takes the submissions that are to be committed */
+  struct tmx_replica *replica;               /**< the jobs in the log */
+  struct tmx_store *store;                   /**< linearizable reads; commits cancellations */
+  const struct tmx_machine_catalog *catalog; /**< machine types that jobs can run on */
+  struct tmx_admission_control *admission;   /**< NULL: every job that can run is admitted */
+  struct tmx_scheduler *scheduler;           /**< commits submissions */
 };
 
-/** Makes the interface; the caller frees it with tmx_users_free. Never NULL. */
-struct tmx_users *tmx_users_new(const struct tmx_users_dependencies *dependencies);
-/** Frees the interface. No callback of the store or of the scheduler may come for it after this. */
-void tmx_users_free(struct tmx_users *users);
-/** Answers the request now or later, once; false: the path is not one of users. */
-bool tmx_users_handle(struct tmx_users *users, struct tmx_http_request *request);
+/** Creates the API, which the caller frees with tmx_user_api_free(). Never returns NULL. */
+struct tmx_user_api *tmx_user_api_new(const struct tmx_user_api_dependencies *dependencies);
+/** Frees the API. The store and the scheduler must not call back for its requests afterwards. */
+void tmx_user_api_free(struct tmx_user_api *api);
+/** Handles a request and answers it exactly once, at once or later. Returns false, without an
+ * answer, if the path does not belong to the users' API. */
+bool tmx_user_api_handle(struct tmx_user_api *api, struct tmx_http_request *request);
 #endif
--- a/src/user/waiting_request.c
+++ b/src/user/waiting_request.c
@@ -6,25 +6,26 @@
 #include "user/submission_reader.h"
 #include "user/user_internal.h"
 
-struct tmx_user_request *tmx_user_request_new(struct tmx_users *users,
+struct tmx_user_request *tmx_user_request_new(struct tmx_user_api *api,
                                               struct tmx_http_request *http,
                                               const struct tmx_user_request *request) {
   struct tmx_user_request *copy = tmx_allocate(1, sizeof *copy);
   *copy = *request;
-  copy->users = users;
+  copy->api = api;
   copy->http = http;
   copy->received_at = tmx_clock_steady();
-  users->n_waiting++;
+  api->n_waiting++;
   return copy;
 }
 
 void tmx_user_request_finish(struct tmx_user_request *request) {
-  request->users->n_waiting--;
+  request->api->n_waiting--;
   tmx_user_submission_free(request->submission);
   free(request);
 }
 
-/* The job is not known, and all that was committed before the request came is. */
+/* The replica does not contain the job, although it contains everything that was committed before
+ * the request was received. */
 static void continue_unknown_job(struct tmx_user_request *request) {
   switch (request->if_unknown) {
     case TMX_UNKNOWN_JOB_NOT_FOUND:
@@ -64,11 +65,11 @@
 static void on_state_read(void *arg, bool ok) {
   struct tmx_user_request *request = arg;
   if (!ok) {
-    tmx_user_reply_unavailable(request->http, "the state was not read in time");
+    tmx_user_reply_unavailable(request->http, "read of the state timed out");
     tmx_user_request_finish(request);
     return;
   }
-  struct tmx_job *job = tmx_job_find(request->users->replica, request->id);
+  struct tmx_job *job = tmx_job_find(request->api->replica, request->id);
   if (job)
     continue_known_job(request, job);
   else
@@ -76,38 +77,41 @@
 }
 
 bool tmx_user_request_read_state(struct tmx_user_request *request, double within_s) {
-  return tmx_store_read_index(request->users->store, within_s, on_state_read, request);
+  return tmx_store_read_index(request->api->store, within_s, on_state_read, request);
 }
 
-/* When more ask than can be answered, polls about a job of which somebody was told lately go last,
- * so that none stays without an answer however many others ask. */
-static int max_waiting(const struct tmx_users *users, const struct tmx_user_request *request) {
-  const struct tmx_job *job = tmx_job_find(users->replica, request->id);
-  bool first = request->kind != TMX_USER_POLL ||
-               (job && tmx_clock_steady() - job->answered_at > TMX_POLL_FAIR_S);
-  return first ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2;
+/* Returns the number of waiting requests from which on this one is refused. Only half of the queue
+ * is open to polls of unknown jobs and of jobs whose state was sent to a user within
+ * TMX_POLL_FAIR_S. The other half keeps room for other requests, so that overload does not leave
+ * any job unanswered for long. */
+static int max_waiting(const struct tmx_user_api *api, const struct tmx_user_request *request) {
+  const struct tmx_job *job = tmx_job_find(api->replica, request->id);
+  bool has_priority = request->kind != TMX_USER_POLL ||
+                      (job && tmx_clock_steady() - job->answered_at > TMX_POLL_FAIR_S);
+  return has_priority ? TMX_USER_QUEUE : TMX_USER_QUEUE / 2;
 }
 
-/* Where the state is out of reach nothing can be decided: the sender goes elsewhere at once. */
-static const char *reason_not_to_wait(const struct tmx_users *users,
-                                      const struct tmx_user_request *request) {
-  if (!tmx_store_is_reachable(users->store)) return "no state";
-  if (users->n_waiting >= max_waiting(users, request)) return "too many wait";
+/* Returns why the request is refused at once, or NULL. While the store is unreachable no read can
+ * complete, and an early refusal lets the client try another controller. */
+static const char *refusal_reason(const struct tmx_user_api *api,
+                                  const struct tmx_user_request *request) {
+  if (!tmx_store_is_reachable(api->store)) return "store unreachable";
+  if (api->n_waiting >= max_waiting(api, request)) return "too many waiting requests";
   return NULL;
 }
 
-void tmx_user_request_wait(struct tmx_users *users, struct tmx_http_request *http,
-                           const struct tmx_user_request *request) {
-  const char *reason = reason_not_to_wait(users, request);
+void tmx_user_request_defer(struct tmx_user_api *api, struct tmx_http_request *http,
+                            const struct tmx_user_request *request) {
+  const char *reason = refusal_reason(api, request);
   if (reason) {
     tmx_user_submission_free(request->submission);
     tmx_user_reply_unavailable(http, reason);
     return;
   }
   double within_s = request->kind == TMX_USER_POLL ? TMX_USER_WAIT_S : TMX_SUBMIT_WAIT_S;
-  struct tmx_user_request *waiting = tmx_user_request_new(users, http, request);
+  struct tmx_user_request *waiting = tmx_user_request_new(api, http, request);
   waiting->deadline = tmx_clock_steady() + within_s;
   if (tmx_user_request_read_state(waiting, within_s)) return;
-  tmx_user_reply_unavailable(http, "too many wait for the state");
+  tmx_user_reply_unavailable(http, "too many waiting reads");
   tmx_user_request_finish(waiting);
 }
