--- a/src/cloud/catalog_reader.c
+++ b/src/cloud/catalog_reader.c
@@ -8,9 +8,9 @@
 
 static void read_zones(const struct tmx_settings *settings, const cbor_item_t *zones,
                        struct tmx_machine_type *type) {
-  for (size_t i = 0; i < tmx_cbor_list_length(zones); i++) {
+  for (size_t i = 0; i < tmx_cbor_array_length(zones); i++) {
     char name[TMX_NAME_MAX];
-    if (!tmx_cbor_as_text(tmx_cbor_list_at(zones, i), name, sizeof name)) continue;
+    if (!tmx_cbor_as_text(tmx_cbor_array_at(zones, i), name, sizeof name)) continue;
     int zone = tmx_zone_index(settings, name);
     if (zone >= 0) type->zones[zone] = true;
   }
@@ -72,11 +72,11 @@
   cloud->catalog_read_in_flight = false;
   cbor_item_t *map = status == 200 ? tmx_cbor_parse(body, length) : NULL;
   const cbor_item_t *types = tmx_cbor_get(map, W_TYPES);
-  size_t offered = tmx_cbor_list_length(types);
+  size_t offered = tmx_cbor_array_length(types);
   struct tmx_machine_catalog catalog = {.n_types = 0};
   for (size_t i = 0; i < offered && catalog.n_types < TMX_TYPES_MAX; i++)
     catalog.n_types +=
-        read_type(cloud->settings, tmx_cbor_list_at(types, i), &catalog.types[catalog.n_types]);
+        read_type(cloud->settings, tmx_cbor_array_at(types, i), &catalog.types[catalog.n_types]);
   if (catalog.n_types) {
     if (!cloud->catalog->n_types) log_first_catalog(catalog.n_types, offered);
     replace_catalog(cloud, &catalog);
--- a/src/cloud/deletion_request.c
+++ b/src/cloud/deletion_request.c
@@ -67,7 +67,7 @@
   struct tmx_buffer body = {0};
   tmx_cbor_put_map(&body, 1);
   tmx_cbor_put_text(&body, W_MACHINES);
-  tmx_cbor_put_list(&body, request->count);
+  tmx_cbor_put_array(&body, request->count);
   for (size_t i = 0; i < request->count; i++) tmx_cbor_put_text(&body, request->ids[i]);
   bool sent = tmx_cloud_api_call(api, "POST", WP_DELETE, &body, on_response, request);
   tmx_buffer_free(&body);
--- a/src/cloud/inventory.c
+++ b/src/cloud/inventory.c
@@ -92,8 +92,8 @@
   char previous_cursor[TMX_ID_MAX];
   memcpy(previous_cursor, inventory->cursor, sizeof previous_cursor);
   const cbor_item_t *machines = tmx_cbor_get(page, W_MACHINES);
-  for (size_t i = 0; i < tmx_cbor_list_length(machines); i++)
-    read_entry(inventory, tmx_cbor_list_at(machines, i), now);
+  for (size_t i = 0; i < tmx_cbor_array_length(machines); i++)
+    read_entry(inventory, tmx_cbor_array_at(machines, i), now);
   bool more = false;
   tmx_cbor_get_bool(page, W_MORE, &more);
   tmx_cbor_free(page);
--- a/src/cloud/rental.c
+++ b/src/cloud/rental.c
@@ -44,9 +44,9 @@
   struct tmx_cloud *cloud = request->cloud;
   double now = tmx_clock_steady();
   uint32_t granted = 0;
-  for (size_t i = 0; i < tmx_cbor_list_length(machines); i++) {
+  for (size_t i = 0; i < tmx_cbor_array_length(machines); i++) {
     char id[TMX_ID_MAX];
-    if (!tmx_cbor_as_text(tmx_cbor_list_at(machines, i), id, sizeof id)) continue;
+    if (!tmx_cbor_as_text(tmx_cbor_array_at(machines, i), id, sizeof id)) continue;
     add_rented_instance(request, id, now);
     granted++;
   }
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,5 +1,5 @@
 /** @file
- * Socket addresses in text form, as the settings and the wire carry them. */
+ * Parses socket addresses in the text form that the settings and network messages use. */
 #ifndef TMX_ADDRESS_H
 #define TMX_ADDRESS_H
 #include <stdbool.h>
@@ -7,10 +7,10 @@
 struct sockaddr_in;
 
 /**
- * Parses an IPv4 address with its port, such as 10.0.0.1:8080. The port is not checked for its
- * range; whoever reads an address from the settings does that.
- * @return false if the text has no port or the host is not a dotted IPv4 address. `address` is
- *         then zeroed or partly filled.
+ * Parses an IPv4 address with its port, such as 10.0.0.1:8080. This function does not check
+ * the range of the port; the reader of the settings does.
+ * @return false if the text has no colon before a port, or if the host is not an IPv4 address in
+ *         dotted-decimal notation. `address` is then zeroed or partly filled.
  */
 bool tmx_parse_address(const char *text, struct sockaddr_in *address);
 #endif
--- a/src/net/buffer.c
+++ b/src/net/buffer.c
@@ -5,13 +5,13 @@
 
 #include "base/memory.h"
 
-/* bytes; most messages fit, so most buffers are allocated once */
-enum { FIRST_CAPACITY = 256 };
+/* bytes; most messages fit, so most buffers need a single allocation */
+enum { INITIAL_CAPACITY = 256 };
 
 void tmx_buffer_append(struct tmx_buffer *buffer, const void *bytes, size_t length) {
   size_t needed = buffer->length + length;
   if (needed > buffer->capacity) {
-    size_t wanted = needed > FIRST_CAPACITY ? needed : FIRST_CAPACITY;
+    size_t wanted = needed > INITIAL_CAPACITY ? needed : INITIAL_CAPACITY;
     buffer->data = tmx_grow(buffer->data, &buffer->capacity, wanted, 1);
   }
   if (length) memcpy(buffer->data + buffer->length, bytes, length);
--- a/src/net/cbor.h
+++ b/src/net/cbor.h
@@ -1,5 +1,6 @@
 /** @file
- * CBOR through libcbor: the buffer, the writer, the reader and the length as JSON. */
+ * CBOR based on libcbor. Includes the buffer, the writer, the reader and the computation of the
+ * length as JSON. */
 #ifndef TMX_CBOR_H
 #define TMX_CBOR_H
 #include "net/buffer.h"
--- a/src/net/cbor_check.c
+++ b/src/net/cbor_check.c
@@ -3,34 +3,36 @@
 #include "net/cbor_check_internal.h"
 #include "tmx/constants.h"
 
-/* The members that a level still needs, when only a break ends it. */
+/* The count of remaining items for an array or map of indefinite length, which ends at a break. */
 #define INDEFINITE UINT64_MAX
 
-/* State of the pass: the maps and lists that are open. */
+/* State of the check: the nesting of the maps and arrays that are open at the current token. */
 struct token_check {
-  int depth;
+  int depth; /* number of open maps and arrays */
   bool is_refused;
-  size_t bytes_left;                /* from the token at hand to the end */
-  uint64_t missing[TMX_CBOR_DEPTH]; /* items still to come at each open level */
+  size_t bytes_left; /* from the start of the current token to the end of the message */
+  uint64_t remaining[TMX_CBOR_DEPTH]; /* items that each open map or array still needs */
 };
 
-/* An item has ended; so do the levels whose last member it was. */
+/* Counts one complete item. If it is the last one of a map or array of definite length, that map or
+ * array is complete too and counts as an item of the level that encloses it. */
 static void end_item(struct token_check *check) {
-  while (check->depth > 0 && check->missing[check->depth - 1] != INDEFINITE) {
-    if (--check->missing[check->depth - 1] > 0) return;
+  while (check->depth > 0 && check->remaining[check->depth - 1] != INDEFINITE) {
+    if (--check->remaining[check->depth - 1] > 0) return;
     check->depth--;
   }
 }
 
-static void open_level(struct token_check *check, uint64_t members) {
+static void open_level(struct token_check *check, uint64_t count) {
   bool is_too_deep = check->depth >= TMX_CBOR_DEPTH;
-  bool claims_too_much = members != INDEFINITE && members > check->bytes_left;
-  if (is_too_deep || claims_too_much)
+  /* Each item has at least one byte, so a larger count cannot be genuine. */
+  bool exceeds_message = count != INDEFINITE && count > check->bytes_left;
+  if (is_too_deep || exceeds_message)
     check->is_refused = true;
-  else if (members == 0)
+  else if (count == 0)
     end_item(check);
   else
-    check->missing[check->depth++] = members;
+    check->remaining[check->depth++] = count;
 }
 
 static void on_uint8(void *context, uint8_t value) {
@@ -76,9 +78,10 @@
   end_item(context);
 }
 
-static void on_list(void *context, size_t count) { open_level(context, count); }
+static void on_array(void *context, size_t count) { open_level(context, count); }
 
-/* A map has two items for each member; a count that would overflow is refused all the same. */
+/* A map has two items per pair. A count whose double could overflow is replaced by SIZE_MAX / 2,
+ * which exceeds the length of any message, so that open_level refuses it. */
 static void on_map(void *context, size_t count) {
   open_level(context, count > SIZE_MAX / 4 ? SIZE_MAX / 2 : count * 2);
 }
@@ -87,7 +90,7 @@
 
 static void on_break(void *context) {
   struct token_check *check = context;
-  if (check->depth == 0 || check->missing[check->depth - 1] != INDEFINITE) {
+  if (check->depth == 0 || check->remaining[check->depth - 1] != INDEFINITE) {
     check->is_refused = true;
     return;
   }
@@ -120,7 +123,7 @@
                                                       .byte_string_start = refuse,
                                                       .string = on_text,
                                                       .string_start = refuse,
-                                                      .array_start = on_list,
+                                                      .array_start = on_array,
                                                       .indef_array_start = on_indefinite_level,
                                                       .map_start = on_map,
                                                       .indef_map_start = on_indefinite_level,
@@ -138,7 +141,8 @@
   size_t position = 0;
   do {
     if (position >= length) return false;
-    /* The callback for a token needs the room behind it; its head has at least one byte. */
+    /* The callbacks compare the item count of a map or array with this number. It includes the head
+     * of the current token, which has at least one byte. */
     check.bytes_left = length - position;
     struct cbor_decoder_result token =
         cbor_stream_decode(bytes + position, length - position, &token_callbacks, &check);
--- a/src/net/cbor_reader.c
+++ b/src/net/cbor_reader.c
@@ -19,7 +19,8 @@
   return cbor_isa_string(item) && cbor_string_is_definite(item);
 }
 
-/* null, undefined, true and false share one type of item in libcbor with the floats */
+/* Also accepts undefined. libcbor represents null, undefined, true, false and floats by one item
+ * type. */
 static bool is_null(const cbor_item_t *item) {
   return cbor_isa_float_ctrl(item) && cbor_float_ctrl_is_ctrl(item) && !cbor_is_bool(item);
 }
@@ -37,12 +38,12 @@
   return NULL;
 }
 
-size_t tmx_cbor_list_length(const cbor_item_t *list) {
-  return list && cbor_isa_array(list) ? cbor_array_size(list) : 0;
+size_t tmx_cbor_array_length(const cbor_item_t *array) {
+  return array && cbor_isa_array(array) ? cbor_array_size(array) : 0;
 }
 
-const cbor_item_t *tmx_cbor_list_at(const cbor_item_t *list, size_t index) {
-  return cbor_array_handle(list)[index];
+const cbor_item_t *tmx_cbor_array_at(const cbor_item_t *array, size_t index) {
+  return cbor_array_handle(array)[index];
 }
 
 bool tmx_cbor_as_text(const cbor_item_t *item, char *out, size_t capacity) {
--- a/src/net/cbor_writer.c
+++ b/src/net/cbor_writer.c
@@ -3,7 +3,7 @@
 #include <cbor.h>
 #include <string.h>
 
-/* bytes; the longest head of an item has nine */
+/* bytes; the longest head of an item has 9 */
 enum { HEAD_MAX = 16 };
 
 void tmx_cbor_put_map(struct tmx_buffer *buffer, size_t count) {
@@ -11,7 +11,7 @@
   tmx_buffer_append(buffer, head, cbor_encode_map_start(count, head, sizeof head));
 }
 
-void tmx_cbor_put_list(struct tmx_buffer *buffer, size_t count) {
+void tmx_cbor_put_array(struct tmx_buffer *buffer, size_t count) {
   uint8_t head[HEAD_MAX];
   tmx_buffer_append(buffer, head, cbor_encode_array_start(count, head, sizeof head));
 }
@@ -28,7 +28,7 @@
   tmx_buffer_append(buffer, head, cbor_encode_uint(value, head, sizeof head));
 }
 
-void tmx_cbor_put_number(struct tmx_buffer *buffer, double value) {
+void tmx_cbor_put_double(struct tmx_buffer *buffer, double value) {
   uint8_t head[HEAD_MAX];
   tmx_buffer_append(buffer, head, cbor_encode_double(value, head, sizeof head));
 }
@@ -53,9 +53,9 @@
   tmx_cbor_put_u64(buffer, value);
 }
 
-void tmx_cbor_put_number_field(struct tmx_buffer *buffer, const char *key, double value) {
+void tmx_cbor_put_double_field(struct tmx_buffer *buffer, const char *key, double value) {
   tmx_cbor_put_text(buffer, key);
-  tmx_cbor_put_number(buffer, value);
+  tmx_cbor_put_double(buffer, value);
 }
 
 void tmx_cbor_put_bool_field(struct tmx_buffer *buffer, const char *key, bool value) {
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,6 +1,6 @@
 /** @file
- * HTTP/1.1 on one libev loop, parsed by http-parser: server, client and the addresses of both.
- * Bodies are CBOR. */
+ * HTTP/1.1 on a libev event loop. Includes the server, the client and the parsing of addresses, and
+ * CBOR, which is the format of all message bodies. */
 #ifndef TMX_HTTP_H
 #define TMX_HTTP_H
 #include "net/address.h"
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -17,11 +17,11 @@
 #include "tmx/constants.h"
 
 enum {
-  READ_BYTES = 32768,              /* received at once, at most */
-  HEAD_BYTES = TMX_PATH_MAX + 256, /* of a request */
+  READ_BYTES = 32768,              /* read by one recv call, at most */
+  HEAD_BYTES = TMX_PATH_MAX + 256, /* request line and headers, at most */
 };
 
-/* A connection to the server, and the request that is under way on it if it is busy. */
+/* A connection to the server. A busy connection has exactly one request in progress. */
 struct connection {
   struct tmx_http_client *client;
   int fd;
@@ -33,7 +33,7 @@
   ev_timer timeout;
   http_parser parser;
   struct tmx_buffer output, body;
-  size_t sent; /* bytes of `output` */
+  size_t sent; /* bytes of `output` that the kernel has accepted */
   tmx_http_response_cb callback;
   void *callback_arg;
   struct connection *prev, *next;
@@ -60,15 +60,16 @@
   free(connection);
 }
 
-/* Closes the connection and reports the failure to the request under way, if there is one. */
-static void fail_connection(struct connection *connection, enum tmx_http_no_response outcome) {
+/* Closes the connection and reports the failure to the callback of its request, if there is one. */
+static void fail_connection(struct connection *connection, enum tmx_http_failure failure) {
   tmx_http_response_cb callback = connection->is_busy ? connection->callback : NULL;
   void *arg = connection->callback_arg;
   close_connection(connection);
-  if (callback) callback(arg, (int)outcome, NULL, 0);
+  if (callback) callback(arg, (int)failure, NULL, 0);
 }
 
-/* An error ends the parse, and with it the request: the response is too large. */
+/* The return value 1 makes the parser fail, so that a response above TMX_REPLY_MAX bytes fails its
+ * request. */
 static int on_body_part(http_parser *parser, const char *part, size_t length) {
   struct connection *connection = parser->data;
   if (connection->body.length + length > TMX_REPLY_MAX) return 1;
@@ -90,10 +91,11 @@
 static void on_timeout(struct ev_loop *loop, ev_timer *watcher, int events) {
   (void)loop;
   (void)events;
-  fail_connection(watcher->data, TMX_HTTP_NO_ANSWER);
+  fail_connection(watcher->data, TMX_HTTP_NO_RESPONSE);
 }
 
-/* The connection is free, or closed, before the callback: it may call again or free the client. */
+/* Makes the connection available again, or closes it, before the callback runs, because the
+ * callback may start another request or free the client. */
 static void deliver_response(struct connection *connection) {
   int status = (int)connection->parser.status_code;
   struct tmx_buffer body = connection->body;
@@ -113,19 +115,19 @@
   struct connection *connection = watcher->data;
   char received[READ_BYTES];
   ssize_t count = recv(connection->fd, received, sizeof received, 0);
-  if (count < 0 && tmx_socket_receive_again()) return;
+  if (count < 0 && tmx_socket_can_retry_receive()) return;
   if (count <= 0 || !connection->is_busy) {
-    fail_connection(connection, TMX_HTTP_NO_ANSWER);
+    fail_connection(connection, TMX_HTTP_NO_RESPONSE);
     return;
   }
   http_parser_execute(&connection->parser, &response_callbacks, received, (size_t)count);
   if (connection->is_response_complete)
     deliver_response(connection);
   else if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK)
-    fail_connection(connection, TMX_HTTP_NO_ANSWER);
+    fail_connection(connection, TMX_HTTP_NO_RESPONSE);
 }
 
-/* false: nobody accepted the connection */
+/* Returns false if the connection attempt failed. */
 static bool finish_connecting(struct connection *connection) {
   int error = 0;
   socklen_t length = sizeof error;
@@ -151,7 +153,7 @@
       ev_io_start(loop, &connection->writable);
       break;
     case TMX_SEND_FAILED:
-      fail_connection(connection, TMX_HTTP_NO_ANSWER);
+      fail_connection(connection, TMX_HTTP_NO_RESPONSE);
       break;
   }
 }
@@ -173,12 +175,13 @@
   free(client);
 }
 
-/* A connection that is on its way to the server; NULL if all are taken or none can be opened. */
+/* Starts to connect to the server. Returns NULL if `max_connections` are open already or if the
+ * socket cannot be opened or connected. */
 static struct connection *open_connection(struct tmx_http_client *client) {
   if (client->connection_count >= client->max_connections) return NULL;
   int fd = tmx_socket_open();
   if (fd < 0) return NULL;
-  tmx_socket_disable_delay(fd);
+  tmx_socket_set_nodelay(fd);
   struct connection *connection = tmx_allocate(1, sizeof *connection);
   connection->client = client;
   connection->fd = fd;
@@ -199,7 +202,7 @@
   return connection;
 }
 
-static struct connection *find_free_connection(const struct tmx_http_client *client) {
+static struct connection *find_idle_connection(const struct tmx_http_client *client) {
   struct connection *connection;
   DL_FOREACH(client->connections, connection) {
     if (!connection->is_busy) return connection;
@@ -207,7 +210,7 @@
   return NULL;
 }
 
-/* false: the path is too long */
+/* Encodes the request into `output`. Returns false if the path is too long. */
 static bool write_request(struct connection *connection, const char *method, const char *path,
                           const struct tmx_buffer *body) {
   char head[HEAD_BYTES];
@@ -222,8 +225,8 @@
   return true;
 }
 
-static void expect_response(struct connection *connection, tmx_http_response_cb callback,
-                            void *arg) {
+static void prepare_for_response(struct connection *connection, tmx_http_response_cb callback,
+                                 void *arg) {
   connection->is_busy = true;
   connection->is_response_complete = false;
   connection->callback = callback;
@@ -236,17 +239,17 @@
 bool tmx_http_client_call(struct tmx_http_client *client, const char *method, const char *path,
                           const struct tmx_buffer *body, double timeout,
                           tmx_http_response_cb callback, void *arg) {
-  struct connection *connection = find_free_connection(client);
+  struct connection *connection = find_idle_connection(client);
   if (!connection) connection = open_connection(client);
   if (!connection) return false;
   if (!write_request(connection, method, path, body)) {
     close_connection(connection);
     return false;
   }
-  expect_response(connection, callback, arg);
+  prepare_for_response(connection, callback, arg);
   connection->timeout.repeat = timeout;
   ev_timer_again(client->loop, &connection->timeout);
-  /* Sent from the loop, so that a failure never calls back from here. */
+  /* The loop sends the request, so that a failure never runs the callback within this call. */
   ev_io_start(client->loop, &connection->writable);
   return true;
 }
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -16,12 +16,12 @@
 #include "net/socket_internal.h"
 
 enum {
-  READ_BYTES = 16384,        /* received at once, at most */
-  KEPT_OUTPUT_BYTES = 16384, /* a larger output buffer is freed once it is sent */
-  LISTEN_BACKLOG = 512,      /* connections that wait to be accepted */
-  ACCEPTED_AT_ONCE = 32,     /* so that a burst of connections does not hold up the loop */
-  HEAD_BYTES = 256,          /* of a response */
-  RETRY_AFTER_BYTES = 48,    /* of the Retry-After line */
+  READ_BYTES = 16384,             /* read by one recv call, at most */
+  RETAINED_OUTPUT_BYTES = 16384,  /* a larger output buffer is freed once it is sent */
+  LISTEN_BACKLOG = 512,           /* connections that wait to be accepted */
+  MAX_ACCEPTS_PER_ITERATION = 32, /* keeps a burst of connections from blocking the loop */
+  HEAD_BYTES = 256,               /* status line and headers of a response, at most */
+  RETRY_AFTER_BYTES = 48,         /* the Retry-After header line, at most */
 };
 
 struct tmx_http_connection {
@@ -33,13 +33,13 @@
   char path[TMX_PATH_MAX];
   size_t path_length;
   struct tmx_buffer body, output;
-  size_t sent;                      /* bytes of `output` */
-  struct tmx_http_request *request; /* the one that the handler has not answered */
+  size_t sent;                      /* bytes of `output` that the kernel has accepted */
+  struct tmx_http_request *request; /* the request that the handler has not answered yet, or NULL */
   bool is_body_too_long;
   bool is_request_complete;
   bool close_after_reply;
-  ev_tstamp used_at;                       /* its latest whole request, or when it was opened */
-  struct tmx_http_connection *prev, *next; /* the longest unused first */
+  ev_tstamp last_used_at; /* arrival of the last complete request, or opening if there is none */
+  struct tmx_http_connection *prev, *next; /* links of `connections` */
 };
 
 struct tmx_http_server {
@@ -48,10 +48,10 @@
   int port;
   int connection_count, max_connections;
   double idle_s;
-  ev_io acceptable;
+  ev_io accept_watcher;
   tmx_http_handler handler;
   void *handler_arg;
-  struct tmx_http_connection *connections;
+  struct tmx_http_connection *connections; /* least recently used first */
 };
 
 static void close_connection(struct tmx_http_connection *connection) {
@@ -128,7 +128,7 @@
                                                        .on_body = on_body_part,
                                                        .on_message_complete = on_request_complete};
 
-/* Sends what is pending; false: the connection was closed and freed. */
+/* Sends the pending output. Returns false if it closed and freed the connection. */
 static bool flush_output(struct tmx_http_connection *connection) {
   struct ev_loop *loop = connection->server->loop;
   switch (tmx_socket_send(connection->fd, &connection->output, &connection->sent)) {
@@ -143,7 +143,7 @@
   }
   ev_io_stop(loop, &connection->writable);
   connection->output.length = connection->sent = 0;
-  if (connection->output.capacity > KEPT_OUTPUT_BYTES) tmx_buffer_free(&connection->output);
+  if (connection->output.capacity > RETAINED_OUTPUT_BYTES) tmx_buffer_free(&connection->output);
   if (!connection->close_after_reply) return true;
   close_connection(connection);
   return false;
@@ -169,14 +169,15 @@
   if (body && body->length) tmx_buffer_append(&connection->output, body->data, body->length);
 }
 
-/* Answers without asking the handler and closes the connection. */
+/* Sends an error response without calling the handler, then closes the connection. */
 static void reject_request(struct tmx_http_connection *connection, enum http_status status) {
   connection->close_after_reply = true;
   append_response(connection, (int)status, NULL, 0);
   flush_output(connection);
 }
 
-/* The body moves into the request, so the connection starts with an empty one again. */
+/* Creates the request for the handler. Ownership of the body moves from the connection to the
+ * request. */
 static struct tmx_http_request *take_request(struct tmx_http_connection *connection) {
   struct tmx_http_request *request = tmx_allocate(1, sizeof *request);
   request->conn = connection;
@@ -191,7 +192,7 @@
 
 static void move_to_most_recently_used(struct tmx_http_connection *connection) {
   struct tmx_http_server *server = connection->server;
-  connection->used_at = ev_now(server->loop);
+  connection->last_used_at = ev_now(server->loop);
   DL_DELETE(server->connections, connection);
   DL_APPEND(server->connections, connection);
 }
@@ -205,7 +206,7 @@
     return;
   }
   struct tmx_http_request *request = take_request(connection);
-  /* One request at a time: the next one waits in the socket. */
+  /* A connection handles one request at a time. The next one waits in the kernel's buffer. */
   ev_io_stop(server->loop, &connection->readable);
   restart_idle_timer(connection, server->idle_s);
   move_to_most_recently_used(connection);
@@ -218,7 +219,7 @@
   struct tmx_http_connection *connection = watcher->data;
   char received[READ_BYTES];
   ssize_t count = recv(connection->fd, received, sizeof received, 0);
-  if (count < 0 && tmx_socket_receive_again()) return;
+  if (count < 0 && tmx_socket_can_retry_receive()) return;
   if (count <= 0) {
     close_connection(connection);
     return;
@@ -226,7 +227,8 @@
   http_parser *parser = &connection->parser;
   size_t parsed = http_parser_execute(parser, &request_callbacks, received, (size_t)count);
   if (connection->is_request_complete) {
-    /* Requests are not pipelined: what follows a whole request is dropped with the connection. */
+    /* Pipelining is not supported: data after a complete request is discarded, and the connection
+     * is closed after the response. */
     if (parsed < (size_t)count) connection->close_after_reply = true;
     handle_complete_request(connection);
   } else if (connection->is_body_too_long) {
@@ -251,13 +253,15 @@
   free(request);
 }
 
-/* All connections are taken: the one that was unused longest makes room. Workers that went to
- * another controller, or were cut off, leave connections behind that nobody will use again; users
- * must not be refused for them. false: all were in use a moment ago. */
-static bool evict_unused_connection(struct tmx_http_server *server) {
+/* Closes the least recently used idle connection, to make room for a new one when the limit is
+ * reached. Workers that moved to another controller or lost their network leave connections behind
+ * that nobody uses again, and users must not be refused because of these. Returns false if every
+ * connection was used within the last TMX_IDLE_LEAST_S seconds or still has an unanswered request
+ * or unsent output. */
+static bool evict_idle_connection(struct tmx_http_server *server) {
   struct tmx_http_connection *connection;
   DL_FOREACH(server->connections, connection) {
-    if (ev_now(server->loop) - connection->used_at < TMX_IDLE_LEAST_S) return false;
+    if (ev_now(server->loop) - connection->last_used_at < TMX_IDLE_LEAST_S) return false;
     if (connection->request || connection->output.length) continue;
     close_connection(connection);
     return true;
@@ -278,7 +282,7 @@
   connection->writable.data = connection;
   connection->idle_timer.data = connection;
   ev_io_start(server->loop, &connection->readable);
-  connection->used_at = ev_now(server->loop);
+  connection->last_used_at = ev_now(server->loop);
   restart_idle_timer(connection, server->idle_s);
   DL_APPEND(server->connections, connection);
   server->connection_count++;
@@ -288,20 +292,21 @@
   (void)loop;
   (void)events;
   struct tmx_http_server *server = watcher->data;
-  for (int i = 0; i < ACCEPTED_AT_ONCE; i++) {
+  for (int i = 0; i < MAX_ACCEPTS_PER_ITERATION; i++) {
     int fd = accept4(server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     bool is_full = server->connection_count >= server->max_connections;
-    if (is_full && !evict_unused_connection(server)) {
+    if (is_full && !evict_idle_connection(server)) {
       close(fd);
       continue;
     }
-    tmx_socket_disable_delay(fd);
+    tmx_socket_set_nodelay(fd);
     open_connection(server, fd);
   }
 }
 
-/* Binds and listens; `address` becomes the one that was bound. -1: it cannot be had. */
+/* Opens a socket that listens on `address` and stores the bound address there. Returns -1 if that
+ * fails. */
 static int open_listening_socket(struct sockaddr_in *address) {
   int fd = tmx_socket_open(), enabled = 1;
   if (fd < 0) return -1;
@@ -329,15 +334,15 @@
   server->idle_s = idle_s;
   server->handler = handler;
   server->handler_arg = arg;
-  ev_io_init(&server->acceptable, on_acceptable, fd, EV_READ);
-  server->acceptable.data = server;
-  ev_io_start(loop, &server->acceptable);
+  ev_io_init(&server->accept_watcher, on_acceptable, fd, EV_READ);
+  server->accept_watcher.data = server;
+  ev_io_start(loop, &server->accept_watcher);
   return server;
 }
 
 void tmx_http_server_free(struct tmx_http_server *server) {
   while (server->connections) close_connection(server->connections);
-  ev_io_stop(server->loop, &server->acceptable);
+  ev_io_stop(server->loop, &server->accept_watcher);
   close(server->fd);
   free(server);
 }
--- a/src/net/json_length.h
+++ b/src/net/json_length.h
@@ -1,16 +1,17 @@
 /** @file
- * The length of CBOR as JSON: the state service counts values and transactions that way. Numbers
- * are several times as long as in CBOR. The lengths are upper bounds, not exact: separators count
- * as two characters, and a character that may be escaped counts as escaped. */
+ * Computes the length of CBOR data as JSON, because the limits of the state service on values and
+ * transactions apply to their JSON form. Numbers are several times as long there as in CBOR. The
+ * lengths are upper bounds: each separator counts as two bytes, and each character that JSON may
+ * escape counts as escaped. */
 #ifndef TMX_JSON_LENGTH_H
 #define TMX_JSON_LENGTH_H
 #include <stddef.h>
 
 #include "net/buffer.h"
 
-/** Characters of the encoded items that follow one another in `buffer`; a huge number, larger than
- *  any limit, if the buffer does not hold CBOR. */
+/** Returns an upper bound in bytes for the JSON form of the CBOR items in `buffer`, which follow
+ * one another. Returns a number that exceeds every limit if the buffer does not hold valid CBOR. */
 size_t tmx_json_length(const struct tmx_buffer *buffer);
-/** Characters of a text of `length` bytes, with its quotes. */
+/** Returns an upper bound in bytes for the JSON string of a text of `length` bytes, with quotes. */
 size_t tmx_json_text_length(const char *text, size_t length);
 #endif
--- a/src/net/socket.c
+++ b/src/net/socket.c
@@ -10,12 +10,12 @@
 
 int tmx_socket_open(void) { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 
-void tmx_socket_disable_delay(int fd) {
+void tmx_socket_set_nodelay(int fd) {
   int enabled = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
-bool tmx_socket_receive_again(void) { return would_block() || errno == EINTR; }
+bool tmx_socket_can_retry_receive(void) { return would_block() || errno == EINTR; }
 
 enum tmx_send_result tmx_socket_send(int fd, const struct tmx_buffer *pending, size_t *sent) {
   while (*sent < pending->length) {
--- a/src/net/socket_internal.h
+++ b/src/net/socket_internal.h
@@ -7,19 +7,21 @@
 
 #include "net/buffer.h"
 
-/** How far tmx_socket_send got. */
+/** Outcome of tmx_socket_send. */
 enum tmx_send_result {
-  TMX_SEND_COMPLETE, /**< every byte was handed to the kernel */
-  TMX_SEND_BLOCKED,  /**< the socket is full: go on when it is writable */
-  TMX_SEND_FAILED,   /**< the connection is broken */
+  TMX_SEND_COMPLETE, /**< the kernel accepted every byte */
+  TMX_SEND_BLOCKED,  /**< the send buffer is full: continue when the socket is writable */
+  TMX_SEND_FAILED,   /**< the connection failed */
 };
 
-/** A non-blocking TCP socket, closed on exec; -1 if the system has none to give. */
+/** Opens a non-blocking TCP socket that is closed on exec. Returns -1 on failure. */
 int tmx_socket_open(void);
-/** Sends small messages at once: the peers exchange requests and responses, not streams. */
-void tmx_socket_disable_delay(int fd);
-/** Whether a receive that returned -1 can be repeated, judged by `errno`. */
-bool tmx_socket_receive_again(void);
-/** Sends `pending` from `*sent` on and advances `*sent`. */
+/** Disables Nagle's algorithm (TCP_NODELAY), so that small messages are sent without delay: the
+ *  connections carry requests and responses, not streams. */
+void tmx_socket_set_nodelay(int fd);
+/** Returns whether a receive call that returned -1 can be retried, according to `errno`. */
+bool tmx_socket_can_retry_receive(void);
+/** Sends the bytes of `pending` from offset `*sent` on. Advances `*sent` by the bytes that the
+ * kernel accepted. */
 enum tmx_send_result tmx_socket_send(int fd, const struct tmx_buffer *pending, size_t *sent);
 #endif
--- a/src/replica/apply_log.c
+++ b/src/replica/apply_log.c
@@ -174,10 +174,10 @@
 
 void tmx_replica_apply_log_value(struct tmx_replica *replica, const cbor_item_t *value) {
   const cbor_item_t *jobs = tmx_log_value_jobs(value), *lines = tmx_log_value_lines(value);
-  for (size_t i = 0; i < tmx_cbor_list_length(jobs); i++)
-    tmx_replica_apply_job_record(replica, tmx_cbor_list_at(jobs, i), 0);
-  for (size_t i = 0; i < tmx_cbor_list_length(lines); i++) {
+  for (size_t i = 0; i < tmx_cbor_array_length(jobs); i++)
+    tmx_replica_apply_job_record(replica, tmx_cbor_array_at(jobs, i), 0);
+  for (size_t i = 0; i < tmx_cbor_array_length(lines); i++) {
     char line[TMX_LINE_MAX];
-    if (tmx_cbor_as_text(tmx_cbor_list_at(lines, i), line, sizeof line)) apply_line(replica, line);
+    if (tmx_cbor_as_text(tmx_cbor_array_at(lines, i), line, sizeof line)) apply_line(replica, line);
   }
 }
--- a/src/replica/job_ids.c
+++ b/src/replica/job_ids.c
@@ -35,11 +35,11 @@
   memset(ids, 0, sizeof *ids);
   if (!list) return true;
   if (!cbor_isa_array(list)) return false;
-  size_t n = tmx_cbor_list_length(list);
+  size_t n = tmx_cbor_array_length(list);
   if (!n) return true;
   ids->ids = tmx_allocate(n, sizeof *ids->ids);
   for (size_t i = 0; i < n; i++)
-    if (!tmx_cbor_as_text(tmx_cbor_list_at(list, i), ids->ids[i], TMX_ID_MAX) ||
+    if (!tmx_cbor_as_text(tmx_cbor_array_at(list, i), ids->ids[i], TMX_ID_MAX) ||
         !tmx_job_id_is_valid(ids->ids[i])) {
       tmx_job_ids_free(ids);
       return false;
--- a/src/replica/job_record.c
+++ b/src/replica/job_record.c
@@ -48,19 +48,19 @@
   if (value >= 0 && value < 4e9 && value == (double)(uint64_t)value)
     tmx_cbor_put_u64(buffer, (uint64_t)value);
   else
-    tmx_cbor_put_number(buffer, value);
+    tmx_cbor_put_double(buffer, value);
 }
 
 /* Appends the head of a list of `fields` entries, and its first RECORD_FIELDS entries. */
 static void encode_basic_fields(struct tmx_buffer *buffer, size_t fields, const char *id,
                                 const struct tmx_job_spec *spec, double submitted, int outcome) {
-  tmx_cbor_put_list(buffer, fields);
+  tmx_cbor_put_array(buffer, fields);
   tmx_cbor_put_text(buffer, id);
   tmx_cbor_put_text(buffer, spec->class);
   tmx_cbor_put_text(buffer, spec->team);
   tmx_cbor_put_text(buffer, spec->image);
   tmx_cbor_put_text(buffer, spec->zone);
-  tmx_cbor_put_list(buffer, spec->n_types);
+  tmx_cbor_put_array(buffer, spec->n_types);
   for (size_t i = 0; i < spec->n_types; i++) tmx_cbor_put_text(buffer, spec->types[i]);
   tmx_cbor_put_u64(buffer, flags_of(spec));
   tmx_cbor_put_u64(buffer, (uint64_t)spec->priority);
@@ -73,7 +73,7 @@
   put_compact_number(buffer, spec->checkpoint_s);
   put_compact_number(buffer, spec->checkpoint_save_s);
   put_compact_number(buffer, spec->deadline_s);
-  tmx_cbor_put_number(buffer, submitted);
+  tmx_cbor_put_double(buffer, submitted);
   tmx_cbor_put_u64(buffer, (uint64_t)outcome);
 }
 
@@ -143,7 +143,7 @@
   if (!end_known) return;
   tmx_cbor_put_text(buffer, ""); /* RECORD_PREREQUISITE_IDS */
   tmx_cbor_put_u64(buffer, 0);   /* RECORD_N_PREREQUISITES */
-  tmx_cbor_put_number(buffer, ended);
+  tmx_cbor_put_double(buffer, ended);
 }
 
 /* The size and team of an ended job are always kept: its tasks that are still on machines count
@@ -165,15 +165,15 @@
 }
 
 static bool decode_text(const cbor_item_t *list, size_t position, char *out, size_t capacity) {
-  return tmx_cbor_as_text(tmx_cbor_list_at(list, position), out, capacity);
+  return tmx_cbor_as_text(tmx_cbor_array_at(list, position), out, capacity);
 }
 
 static bool decode_u64(const cbor_item_t *list, size_t position, uint64_t *out) {
-  return tmx_cbor_as_u64(tmx_cbor_list_at(list, position), out);
+  return tmx_cbor_as_u64(tmx_cbor_array_at(list, position), out);
 }
 
 static bool decode_number(const cbor_item_t *list, size_t position, double *out) {
-  return tmx_cbor_as_number(tmx_cbor_list_at(list, position), out);
+  return tmx_cbor_as_number(tmx_cbor_array_at(list, position), out);
 }
 
 static bool decode_names(const cbor_item_t *list, struct tmx_job_record *record) {
@@ -186,7 +186,7 @@
 }
 
 static bool decode_types(const cbor_item_t *types, struct tmx_job_spec *spec) {
-  for (; spec->n_types < tmx_cbor_list_length(types) && spec->n_types < TMX_TYPES_MAX;
+  for (; spec->n_types < tmx_cbor_array_length(types) && spec->n_types < TMX_TYPES_MAX;
        spec->n_types++)
     if (!decode_text(types, spec->n_types, spec->types[spec->n_types], TMX_ID_MAX)) return false;
   return true;
@@ -219,8 +219,8 @@
 }
 
 static bool decode_dependencies(const cbor_item_t *list, struct tmx_job_record *record) {
-  if (tmx_cbor_list_length(list) < RECORD_FIELDS_ALL) return true;
-  record->prerequisite_ids = tmx_cbor_list_at(list, RECORD_PREREQUISITE_IDS);
+  if (tmx_cbor_array_length(list) < RECORD_FIELDS_ALL) return true;
+  record->prerequisite_ids = tmx_cbor_array_at(list, RECORD_PREREQUISITE_IDS);
   return cbor_isa_string(record->prerequisite_ids) &&
          decode_u64(list, RECORD_N_PREREQUISITES, &record->n_prerequisites) &&
          record->n_prerequisites <= TMX_BODY_MAX &&
@@ -229,8 +229,8 @@
 
 bool tmx_job_decode(const cbor_item_t *list, struct tmx_job_record *record) {
   memset(record, 0, sizeof *record);
-  return tmx_cbor_list_length(list) >= RECORD_FIELDS && decode_names(list, record) &&
-         decode_types(tmx_cbor_list_at(list, RECORD_TYPES), &record->spec) &&
+  return tmx_cbor_array_length(list) >= RECORD_FIELDS && decode_names(list, record) &&
+         decode_types(tmx_cbor_array_at(list, RECORD_TYPES), &record->spec) &&
          decode_counts(list, &record->spec) &&
          decode_number(list, RECORD_SUBMITTED, &record->submitted_at) &&
          decode_u64(list, RECORD_OUTCOME, &record->outcome) &&
--- a/src/replica/job_spec.c
+++ b/src/replica/job_spec.c
@@ -47,10 +47,10 @@
 static bool parse_machine_types(const cbor_item_t *map, struct tmx_job_spec *spec) {
   const cbor_item_t *types = tmx_cbor_get(map, W_TYPES);
   if (!types) return true;
-  const size_t n = tmx_cbor_list_length(types);
+  const size_t n = tmx_cbor_array_length(types);
   if (!cbor_isa_array(types) || !n || n > TMX_TYPES_MAX) return false;
   for (size_t i = 0; i < n; i++)
-    if (!tmx_cbor_as_text(tmx_cbor_list_at(types, i), spec->types[i], sizeof spec->types[i]))
+    if (!tmx_cbor_as_text(tmx_cbor_array_at(types, i), spec->types[i], sizeof spec->types[i]))
       return false;
   spec->n_types = n;
   return true;
--- a/src/replica/log_codec.c
+++ b/src/replica/log_codec.c
@@ -91,12 +91,12 @@
   tmx_cbor_put_map(buffer, (size_t)(n_jobs > 0) + (size_t)(n_lines > 0));
   if (n_jobs) {
     tmx_cbor_put_text(buffer, VALUE_JOBS);
-    tmx_cbor_put_list(buffer, n_jobs);
+    tmx_cbor_put_array(buffer, n_jobs);
     tmx_buffer_append(buffer, jobs->data, jobs->length);
   }
   if (n_lines) {
     tmx_cbor_put_text(buffer, VALUE_LINES);
-    tmx_cbor_put_list(buffer, n_lines);
+    tmx_cbor_put_array(buffer, n_lines);
     tmx_buffer_append(buffer, lines->data, lines->length);
   }
 }
--- a/src/replica/view.c
+++ b/src/replica/view.c
@@ -23,7 +23,7 @@
     tmx_cbor_put_text(&ids, view->overrides[i].machine);
     n++;
   }
-  tmx_cbor_put_list(buffer, n);
+  tmx_cbor_put_array(buffer, n);
   tmx_buffer_append(buffer, ids.data, ids.length);
   tmx_buffer_free(&ids);
 }
@@ -42,7 +42,7 @@
     n += 2;
   }
   free(written);
-  tmx_cbor_put_list(buffer, n);
+  tmx_cbor_put_array(buffer, n);
   tmx_buffer_append(buffer, list.data, list.length);
   tmx_buffer_free(&list);
 }
@@ -52,7 +52,7 @@
   tmx_cbor_put_bool_field(buffer, "local", view->zones_partitioned);
   tmx_cbor_put_u64_field(buffer, "term", view->term);
   tmx_cbor_put_text(buffer, "members");
-  tmx_cbor_put_list(buffer, view->n_members);
+  tmx_cbor_put_array(buffer, view->n_members);
   for (size_t i = 0; i < view->n_members; i++) {
     tmx_cbor_put_map(buffer, 2);
     tmx_cbor_put_text_field(buffer, "name", view->members[i].name);
@@ -63,8 +63,8 @@
 }
 
 static void decode_members(struct tmx_view *view, const cbor_item_t *members) {
-  for (size_t i = 0; i < tmx_cbor_list_length(members) && view->n_members < TMX_MEMBERS_MAX; i++) {
-    const cbor_item_t *item = tmx_cbor_list_at(members, i);
+  for (size_t i = 0; i < tmx_cbor_array_length(members) && view->n_members < TMX_MEMBERS_MAX; i++) {
+    const cbor_item_t *item = tmx_cbor_array_at(members, i);
     struct tmx_member *member = &view->members[view->n_members];
     if (tmx_cbor_get_text(item, "name", member->name, sizeof member->name) &&
         tmx_cbor_get_u64(item, "inc", &member->incarnation))
@@ -86,14 +86,14 @@
 
 static void decode_overrides(struct tmx_view *view, const cbor_item_t *list) {
   size_t n = 0;
-  for (size_t i = 1; i < tmx_cbor_list_length(list); i += 2)
-    n += tmx_cbor_list_length(tmx_cbor_list_at(list, i));
+  for (size_t i = 1; i < tmx_cbor_array_length(list); i += 2)
+    n += tmx_cbor_array_length(tmx_cbor_array_at(list, i));
   /* one spare entry: decode_override() writes a malformed override behind the last valid one */
   view->overrides = tmx_allocate(n + 1, sizeof *view->overrides);
-  for (size_t i = 0; i + 1 < tmx_cbor_list_length(list); i += 2) {
-    const cbor_item_t *machines = tmx_cbor_list_at(list, i + 1);
-    for (size_t k = 0; k < tmx_cbor_list_length(machines); k++)
-      decode_override(view, tmx_cbor_list_at(list, i), tmx_cbor_list_at(machines, k));
+  for (size_t i = 0; i + 1 < tmx_cbor_array_length(list); i += 2) {
+    const cbor_item_t *machines = tmx_cbor_array_at(list, i + 1);
+    for (size_t k = 0; k < tmx_cbor_array_length(machines); k++)
+      decode_override(view, tmx_cbor_array_at(list, i), tmx_cbor_array_at(machines, k));
   }
 }
 
--- a/src/store/initial_load.c
+++ b/src/store/initial_load.c
@@ -28,8 +28,8 @@
 }
 
 static void append_entries(struct tmx_initial_load *load, const cbor_item_t *items) {
-  for (size_t i = 0; i < tmx_cbor_list_length(items); i++) {
-    const cbor_item_t *item = tmx_cbor_list_at(items, i);
+  for (size_t i = 0; i < tmx_cbor_array_length(items); i++) {
+    const cbor_item_t *item = tmx_cbor_array_at(items, i);
     char key[TMX_PATH_MAX];
     uint64_t version;
     if (!tmx_cbor_get_text(item, W_KEY, key, sizeof key) ||
@@ -78,7 +78,7 @@
   tmx_cbor_get_bool(page, W_MORE, &has_next);
   append_page(load, page);
   append_entries(load, items);
-  if (has_next && tmx_cbor_list_length(items))
+  if (has_next && tmx_cbor_array_length(items))
     tmx_initial_load_request_page(store);
   else
     finish_load(store, revision);
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -20,7 +20,7 @@
 #include "store/write_budget.h"
 #include "tmx/constants.h"
 
-/** Status of a store response: an HTTP status, or a code of enum tmx_http_no_response. */
+/** Status of a store response: an HTTP status, or a code of enum tmx_http_failure. */
 enum tmx_response_status {
   TMX_STATUS_NOT_CONNECTED = -1,      /**< connecting failed: not executed */
   TMX_STATUS_OK = 200,                /**< executed */
--- a/src/store/transaction.c
+++ b/src/store/transaction.c
@@ -110,10 +110,10 @@
 static void encode_transaction(struct tmx_buffer *body, const struct tmx_transaction *transaction) {
   tmx_cbor_put_map(body, 2);
   tmx_cbor_put_text(body, W_IF);
-  tmx_cbor_put_list(body, (size_t)transaction->n_conditions);
+  tmx_cbor_put_array(body, (size_t)transaction->n_conditions);
   tmx_buffer_append(body, transaction->conditions.data, transaction->conditions.length);
   tmx_cbor_put_text(body, W_THEN);
-  tmx_cbor_put_list(body, (size_t)transaction->n_operations);
+  tmx_cbor_put_array(body, (size_t)transaction->n_operations);
   tmx_buffer_append(body, transaction->operations.data, transaction->operations.length);
 }
 
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -29,10 +29,10 @@
 }
 
 static void apply_events(struct tmx_store *store, const cbor_item_t *events) {
-  size_t n_events = tmx_cbor_list_length(events);
+  size_t n_events = tmx_cbor_array_length(events);
   store->replica->now = tmx_clock_steady();
   tmx_write_budget_record_events(tmx_store_refill_write_budget(store), (double)n_events);
-  for (size_t i = 0; i < n_events; i++) apply_event(store->replica, tmx_cbor_list_at(events, i));
+  for (size_t i = 0; i < n_events; i++) apply_event(store->replica, tmx_cbor_array_at(events, i));
 }
 
 /* The next poll is sent at once if this controller's share of the request rate allows it, because a
--- a/src/worker/commands.c
+++ b/src/worker/commands.c
@@ -37,7 +37,7 @@
   tmx_cbor_put_text_field(buffer, W_OP, operation);
   tmx_cbor_put_text_field(buffer, W_TASK, task);
   tmx_cbor_put_u64_field(buffer, W_ATTEMPT, attempt.attempt);
-  if (grace_s >= 0) tmx_cbor_put_number_field(buffer, W_GRACE, grace_s);
+  if (grace_s >= 0) tmx_cbor_put_double_field(buffer, W_GRACE, grace_s);
   list->count++;
 }
 
@@ -115,7 +115,7 @@
   tmx_cbor_put_u64_field(&body, W_TOKEN, tmx_worker_token(worker));
   tmx_cbor_put_u64_field(&body, W_SESSION, worker->report.session);
   tmx_cbor_put_text(&body, W_COMMANDS);
-  tmx_cbor_put_list(&body, list->count);
+  tmx_cbor_put_array(&body, list->count);
   if (list->count) tmx_buffer_append(&body, list->encoded.data, list->encoded.length);
   worker->commands.in_flight = tmx_http_client_call(worker->connection.client, "POST", WP_COMMANDS,
                                                     &body, timeout_s, callback, worker);
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -27,7 +27,7 @@
   tmx_cbor_put_map(&body, 2);
   tmx_cbor_put_u64_field(&body, W_TOKEN, token);
   tmx_cbor_put_text(&body, W_COMMANDS);
-  tmx_cbor_put_list(&body, list->count);
+  tmx_cbor_put_array(&body, list->count);
   if (list->count) tmx_buffer_append(&body, list->encoded.data, list->encoded.length);
   tmx_http_reply(request, 200, &body, 0);
   tmx_buffer_free(&body);
--- a/src/worker/report_intake.c
+++ b/src/worker/report_intake.c
@@ -82,10 +82,10 @@
 
 /* Returns an array that the caller owns; NULL if any of the tasks is malformed. */
 static struct tmx_reported_task *parse_reported_tasks(const cbor_item_t *list, size_t *count) {
-  *count = tmx_cbor_list_length(list);
+  *count = tmx_cbor_array_length(list);
   struct tmx_reported_task *tasks = tmx_allocate(*count + 1, sizeof *tasks);
   for (size_t i = 0; i < *count; i++) {
-    if (parse_reported_task(tmx_cbor_list_at(list, i), &tasks[i])) continue;
+    if (parse_reported_task(tmx_cbor_array_at(list, i), &tasks[i])) continue;
     free(tasks);
     return NULL;
   }
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -26,7 +26,7 @@
   cloud->pages_served++;
   tmx_cbor_put_map(buffer, 2);
   tmx_cbor_put_text(buffer, W_MACHINES);
-  tmx_cbor_put_list(buffer, count);
+  tmx_cbor_put_array(buffer, count);
   for (size_t i = 1; i <= count; i++) {
     snprintf(id, sizeof id, "n-%zu", LIST_FROM + first + i);
     tmx_cbor_put_map(buffer, 6);
@@ -35,7 +35,7 @@
     tmx_cbor_put_text_field(buffer, W_ZONE, "a");
     tmx_cbor_put_bool_field(buffer, W_SPOT, false);
     tmx_cbor_put_text_field(buffer, W_STATE, WV_BOOTING);
-    tmx_cbor_put_number_field(buffer, W_AGE, 1);
+    tmx_cbor_put_double_field(buffer, W_AGE, 1);
   }
   tmx_cbor_put_bool_field(buffer, W_MORE, left > count);
 }
@@ -43,19 +43,19 @@
 static void list_types(struct tmx_buffer *buffer) {
   tmx_cbor_put_map(buffer, 1);
   tmx_cbor_put_text(buffer, W_TYPES);
-  tmx_cbor_put_list(buffer, 1);
+  tmx_cbor_put_array(buffer, 1);
   tmx_cbor_put_map(buffer, 10);
   tmx_cbor_put_text_field(buffer, W_NAME, "big");
-  tmx_cbor_put_number_field(buffer, W_CPUS, 16);
-  tmx_cbor_put_number_field(buffer, W_GPUS, 0);
-  tmx_cbor_put_number_field(buffer, W_MEM, 64);
-  tmx_cbor_put_number_field(buffer, W_CACHE_GB, 50);
-  tmx_cbor_put_number_field(buffer, W_FETCH, 1);
-  tmx_cbor_put_number_field(buffer, W_PRICE, 1);
-  tmx_cbor_put_number_field(buffer, W_SPOT_PRICE, 0.4);
-  tmx_cbor_put_number_field(buffer, W_BOOT_S, 30);
+  tmx_cbor_put_double_field(buffer, W_CPUS, 16);
+  tmx_cbor_put_double_field(buffer, W_GPUS, 0);
+  tmx_cbor_put_double_field(buffer, W_MEM, 64);
+  tmx_cbor_put_double_field(buffer, W_CACHE_GB, 50);
+  tmx_cbor_put_double_field(buffer, W_FETCH, 1);
+  tmx_cbor_put_double_field(buffer, W_PRICE, 1);
+  tmx_cbor_put_double_field(buffer, W_SPOT_PRICE, 0.4);
+  tmx_cbor_put_double_field(buffer, W_BOOT_S, 30);
   tmx_cbor_put_text(buffer, W_ZONES);
-  tmx_cbor_put_list(buffer, 1);
+  tmx_cbor_put_array(buffer, 1);
   tmx_cbor_put_text(buffer, "a");
 }
 
@@ -66,9 +66,9 @@
   }
   cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
   const cbor_item_t *list = tmx_cbor_get(map, W_MACHINES);
-  for (size_t i = 0; i < tmx_cbor_list_length(list) && cloud->deletions < FAKE_CLOUD_DELETED_MAX;
+  for (size_t i = 0; i < tmx_cbor_array_length(list) && cloud->deletions < FAKE_CLOUD_DELETED_MAX;
        i++)
-    tmx_cbor_as_text(tmx_cbor_list_at(list, i), cloud->deleted[cloud->deletions++], TMX_ID_MAX);
+    tmx_cbor_as_text(tmx_cbor_array_at(list, i), cloud->deleted[cloud->deletions++], TMX_ID_MAX);
   tmx_cbor_free(map);
   tmx_http_reply(request, 200, NULL, 0);
 }
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -107,7 +107,7 @@
   tmx_cbor_put_map(&buffer, 2);
   tmx_cbor_put_u64_field(&buffer, W_REVISION, fake_store.revision);
   tmx_cbor_put_text(&buffer, W_EVENTS);
-  tmx_cbor_put_list(&buffer, count);
+  tmx_cbor_put_array(&buffer, count);
   tmx_buffer_append(&buffer, changes.data, changes.length);
   tmx_http_reply(watch->request, 200, &buffer, 0);
   tmx_buffer_free(&buffer);
--- a/tests/fake_store_limits.c
+++ b/tests/fake_store_limits.c
@@ -11,8 +11,8 @@
 
 static json_t *array_as_json(const cbor_item_t *item) {
   json_t *array = json_array();
-  for (size_t i = 0; i < tmx_cbor_list_length(item); i++)
-    json_array_append_new(array, as_json(tmx_cbor_list_at(item, i)));
+  for (size_t i = 0; i < tmx_cbor_array_length(item); i++)
+    json_array_append_new(array, as_json(tmx_cbor_array_at(item, i)));
   return array;
 }
 
@@ -51,12 +51,12 @@
 }
 
 bool fake_store_is_oversized(const cbor_item_t *operations) {
-  size_t count = tmx_cbor_list_length(operations);
+  size_t count = tmx_cbor_array_length(operations);
   size_t count_max = fake_store.transaction_operations_max;
   size_t bytes_max = fake_store.value_json_bytes_max;
   if (count_max && count > count_max) return true;
   for (size_t i = 0; bytes_max && i < count; i++) {
-    const cbor_item_t *value = tmx_cbor_get(tmx_cbor_list_at(operations, i), W_VALUE);
+    const cbor_item_t *value = tmx_cbor_get(tmx_cbor_array_at(operations, i), W_VALUE);
     if (value && json_bytes(value) > bytes_max) return true;
   }
   return false;
--- a/tests/fake_store_log.c
+++ b/tests/fake_store_log.c
@@ -13,8 +13,9 @@
     if (strncmp(entry->key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) continue;
     cbor_item_t *map = tmx_cbor_parse(entry->value, entry->len);
     const cbor_item_t *lines = tmx_cbor_get(map, "ops");
-    for (size_t j = 0; j < tmx_cbor_list_length(lines); j++)
-      if (tmx_cbor_as_text(tmx_cbor_list_at(lines, j), line, sizeof line)) callback(argument, line);
+    for (size_t j = 0; j < tmx_cbor_array_length(lines); j++)
+      if (tmx_cbor_as_text(tmx_cbor_array_at(lines, j), line, sizeof line))
+        callback(argument, line);
     tmx_cbor_free(map);
   }
 }
--- a/tests/fake_store_read.c
+++ b/tests/fake_store_read.c
@@ -73,7 +73,7 @@
   }
   tmx_cbor_put_map(&buffer, 3);
   tmx_cbor_put_text(&buffer, W_ITEMS);
-  tmx_cbor_put_list(&buffer, count);
+  tmx_cbor_put_array(&buffer, count);
   tmx_buffer_append(&buffer, items.data, items.length);
   tmx_cbor_put_bool_field(&buffer, W_MORE, more);
   tmx_cbor_put_u64_field(&buffer, W_REVISION, fake_store.revision);
--- a/tests/fake_store_transaction.c
+++ b/tests/fake_store_transaction.c
@@ -29,8 +29,8 @@
 
 static bool writes(const cbor_item_t *operations, const char *prefix) {
   char key[TMX_KEY_MAX + 1];
-  for (size_t i = 0; i < tmx_cbor_list_length(operations); i++)
-    if (tmx_cbor_get_text(tmx_cbor_list_at(operations, i), W_PUT, key, sizeof key) &&
+  for (size_t i = 0; i < tmx_cbor_array_length(operations); i++)
+    if (tmx_cbor_get_text(tmx_cbor_array_at(operations, i), W_PUT, key, sizeof key) &&
         has_prefix(key, prefix))
       return true;
   return false;
@@ -38,8 +38,8 @@
 
 static bool uses_expired_lease(const cbor_item_t *operations) {
   uint64_t lease;
-  for (size_t i = 0; i < tmx_cbor_list_length(operations); i++)
-    if (tmx_cbor_get_u64(tmx_cbor_list_at(operations, i), W_LEASE, &lease) && lease &&
+  for (size_t i = 0; i < tmx_cbor_array_length(operations); i++)
+    if (tmx_cbor_get_u64(tmx_cbor_array_at(operations, i), W_LEASE, &lease) && lease &&
         fake_store_lease_expired(lease))
       return true;
   return false;
@@ -47,10 +47,10 @@
 
 static bool conditions_hold(const cbor_item_t *conditions) {
   char key[TMX_KEY_MAX + 1];
-  for (size_t i = 0; i < tmx_cbor_list_length(conditions); i++) {
+  for (size_t i = 0; i < tmx_cbor_array_length(conditions); i++) {
     uint64_t version = 0;
-    assert_true(tmx_cbor_get_text(tmx_cbor_list_at(conditions, i), W_KEY, key, sizeof key));
-    assert_true(tmx_cbor_get_u64(tmx_cbor_list_at(conditions, i), W_VERSION, &version));
+    assert_true(tmx_cbor_get_text(tmx_cbor_array_at(conditions, i), W_KEY, key, sizeof key));
+    assert_true(tmx_cbor_get_u64(tmx_cbor_array_at(conditions, i), W_VERSION, &version));
     const struct fake_entry *entry = fake_store_find(key);
     if ((entry ? entry->version : 0) != version) return false;
   }
@@ -68,8 +68,8 @@
 static bool apply_operations(const struct fake_endpoint *endpoint, const cbor_item_t *operations) {
   char key[TMX_KEY_MAX + 1];
   bool lose_response = false;
-  for (size_t i = 0; i < tmx_cbor_list_length(operations); i++) {
-    const cbor_item_t *operation = tmx_cbor_list_at(operations, i);
+  for (size_t i = 0; i < tmx_cbor_array_length(operations); i++) {
+    const cbor_item_t *operation = tmx_cbor_array_at(operations, i);
     uint64_t lease = 0;
     tmx_cbor_get_u64(operation, W_LEASE, &lease);
     if (tmx_cbor_get_text(operation, W_PUT, key, sizeof key)) {
--- a/tests/fake_users.c
+++ b/tests/fake_users.c
@@ -65,17 +65,17 @@
   tmx_cbor_put_text_field(buffer, W_KIND, job->kind ? job->kind : WV_ARRAY);
   tmx_cbor_put_text_field(buffer, W_PRIORITY, job->priority ? job->priority : "normal");
   tmx_cbor_put_u64_field(buffer, W_TASKS, job->tasks);
-  tmx_cbor_put_number_field(buffer, W_CPUS, job->cpus);
-  tmx_cbor_put_number_field(buffer, W_GPUS, 0);
-  tmx_cbor_put_number_field(buffer, W_MEM, 1);
+  tmx_cbor_put_double_field(buffer, W_CPUS, job->cpus);
+  tmx_cbor_put_double_field(buffer, W_GPUS, 0);
+  tmx_cbor_put_double_field(buffer, W_MEM, 1);
   tmx_cbor_put_bool_field(buffer, W_ONE_ZONE, false);
   tmx_cbor_put_bool_field(buffer, W_SPREAD, false);
   tmx_cbor_put_bool_field(buffer, W_SPOT, false);
   tmx_cbor_put_text_field(buffer, W_IMAGE, "img");
-  tmx_cbor_put_number_field(buffer, W_IMAGE_GB, 0.1);
-  tmx_cbor_put_number_field(buffer, W_ESTIMATE, job->estimate_s > 0 ? job->estimate_s : 10);
-  tmx_cbor_put_number_field(buffer, W_CHECKPOINT, 0);
-  tmx_cbor_put_number_field(buffer, W_SAVE, 0);
+  tmx_cbor_put_double_field(buffer, W_IMAGE_GB, 0.1);
+  tmx_cbor_put_double_field(buffer, W_ESTIMATE, job->estimate_s > 0 ? job->estimate_s : 10);
+  tmx_cbor_put_double_field(buffer, W_CHECKPOINT, 0);
+  tmx_cbor_put_double_field(buffer, W_SAVE, 0);
 }
 
 int submit_job(struct tmx_controller *controller, const struct fake_job *job) {
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -23,7 +23,7 @@
   tmx_cbor_put_u64_field(buffer, W_SEQ, worker->sequence);
   tmx_cbor_put_u64_field(buffer, W_TOKEN, worker->token);
   tmx_cbor_put_text(buffer, W_TASKS);
-  tmx_cbor_put_list(buffer, worker->n_tasks);
+  tmx_cbor_put_array(buffer, worker->n_tasks);
   for (size_t i = 0; i < worker->n_tasks; i++) {
     bool ended = !strcmp(worker->tasks[i].state, WV_EXITED);
     tmx_cbor_put_map(buffer, ended ? 4 : 3);
@@ -55,14 +55,14 @@
   const cbor_item_t *list = tmx_cbor_get(map, W_COMMANDS);
   worker->n_commands_received = 0;
   for (size_t i = 0;
-       i < tmx_cbor_list_length(list) && worker->n_commands_received < FAKE_WORKER_COMMANDS_MAX;
+       i < tmx_cbor_array_length(list) && worker->n_commands_received < FAKE_WORKER_COMMANDS_MAX;
        i++) {
     struct fake_command *command = &worker->commands_received[worker->n_commands_received++];
     uint64_t attempt = 0;
-    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_OP, command->operation,
+    tmx_cbor_get_text(tmx_cbor_array_at(list, i), W_OP, command->operation,
                       sizeof command->operation);
-    tmx_cbor_get_text(tmx_cbor_list_at(list, i), W_TASK, command->task, sizeof command->task);
-    tmx_cbor_get_u64(tmx_cbor_list_at(list, i), W_ATTEMPT, &attempt);
+    tmx_cbor_get_text(tmx_cbor_array_at(list, i), W_TASK, command->task, sizeof command->task);
+    tmx_cbor_get_u64(tmx_cbor_array_at(list, i), W_ATTEMPT, &attempt);
     command->attempt = (uint32_t)attempt;
   }
 }
--- a/tests/test_admission_control.c
+++ b/tests/test_admission_control.c
@@ -279,7 +279,7 @@
   char id[TMX_ID_MAX];
   unsigned n = 0;
   int status = 201;
-  tmx_cbor_put_list(&list, 1);
+  tmx_cbor_put_array(&list, 1);
   tmx_cbor_put_text(&list, "wk-000001");
   for (; n < 100 && status == 201; n++) {
     snprintf(id, sizeof id, "wk-%06u", 700000 + n);
--- a/tests/test_cbor.c
+++ b/tests/test_cbor.c
@@ -18,7 +18,7 @@
   tmx_cbor_put_map(&buffer, 4);
   tmx_cbor_put_text_field(&buffer, "a", "text");
   tmx_cbor_put_u64_field(&buffer, "b", UINT64_MAX);
-  tmx_cbor_put_number_field(&buffer, "c", 4.5);
+  tmx_cbor_put_double_field(&buffer, "c", 4.5);
   tmx_cbor_put_bool_field(&buffer, "d", true);
   cbor_item_t *map = tmx_cbor_parse(buffer.data, buffer.length);
   assert_non_null(map);
@@ -66,7 +66,7 @@
 static void encode_submission(struct tmx_buffer *buffer, const struct tmx_job_spec *spec) {
   tmx_cbor_put_map(buffer, 18);
   tmx_cbor_put_text_field(buffer, W_ID, "wk-1");
-  tmx_cbor_put_number_field(buffer, W_GPUS, spec->gpus);
+  tmx_cbor_put_double_field(buffer, W_GPUS, spec->gpus);
   tmx_cbor_put_bool_field(buffer, W_ONE_ZONE, spec->same_zone);
   tmx_cbor_put_bool_field(buffer, W_SPREAD, spec->spread);
   tmx_cbor_put_bool_field(buffer, W_SPOT, spec->spot_allowed);
@@ -75,16 +75,16 @@
   tmx_cbor_put_text_field(buffer, W_KIND, WV_ARRAY);
   tmx_cbor_put_text_field(buffer, W_PRIORITY, "high");
   tmx_cbor_put_u64_field(buffer, W_TASKS, spec->tasks);
-  tmx_cbor_put_number_field(buffer, W_CPUS, spec->cpus);
-  tmx_cbor_put_number_field(buffer, W_MEM, spec->mem_gb);
+  tmx_cbor_put_double_field(buffer, W_CPUS, spec->cpus);
+  tmx_cbor_put_double_field(buffer, W_MEM, spec->mem_gb);
   tmx_cbor_put_text_field(buffer, W_IMAGE, spec->image);
-  tmx_cbor_put_number_field(buffer, W_IMAGE_GB, spec->image_gb);
+  tmx_cbor_put_double_field(buffer, W_IMAGE_GB, spec->image_gb);
   tmx_cbor_put_text(buffer, W_TYPES);
-  tmx_cbor_put_list(buffer, spec->n_types);
+  tmx_cbor_put_array(buffer, spec->n_types);
   for (size_t i = 0; i < spec->n_types; i++) tmx_cbor_put_text(buffer, spec->types[i]);
-  tmx_cbor_put_number_field(buffer, W_ESTIMATE, spec->estimate_s);
-  tmx_cbor_put_number_field(buffer, W_CHECKPOINT, spec->checkpoint_s);
-  tmx_cbor_put_number_field(buffer, W_SAVE, spec->checkpoint_save_s);
+  tmx_cbor_put_double_field(buffer, W_ESTIMATE, spec->estimate_s);
+  tmx_cbor_put_double_field(buffer, W_CHECKPOINT, spec->checkpoint_s);
+  tmx_cbor_put_double_field(buffer, W_SAVE, spec->checkpoint_save_s);
 }
 
 /* With a fixed seed: up to five random bytes of a valid submission are changed. */
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -268,13 +268,13 @@
 static void submit_with_long_lists(void) {
   struct tmx_buffer awaits = {0}, types = {0}, body = {0};
   char id[TMX_ID_MAX];
-  tmx_cbor_put_list(&awaits, 20);
+  tmx_cbor_put_array(&awaits, 20);
   for (unsigned i = 0; i < 20; i++) {
     snprintf(id, sizeof id, "wk-1%05u", i);
     assert_int_equal(submit_simple_job(first_controller, id, WV_ARRAY, 1, 1, "t"), 201);
     tmx_cbor_put_text(&awaits, id);
   }
-  tmx_cbor_put_list(&types, 30);
+  tmx_cbor_put_array(&types, 30);
   for (unsigned i = 0; i < 30; i++) {
     snprintf(id, sizeof id, i ? "type-with-a-long-name-%02u" : "big", i);
     tmx_cbor_put_text(&types, id);
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -14,7 +14,7 @@
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
   size_t count = tmx_log_line_split(copy, name, 8);
-  tmx_cbor_put_list(&list, count);
+  tmx_cbor_put_array(&list, count);
   for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
   encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -11,7 +11,7 @@
 static void encode_submission_with_types(struct tmx_buffer *buffer, const char *id, int count) {
   struct tmx_buffer types = {0};
   char type[TMX_ID_MAX];
-  tmx_cbor_put_list(&types, (size_t)count);
+  tmx_cbor_put_array(&types, (size_t)count);
   for (int i = 0; i < count; i++) {
     snprintf(type, sizeof type, i ? "a type with a rather long %02d" : "big", i);
     tmx_cbor_put_text(&types, type);
@@ -28,7 +28,7 @@
   char copy[256], *name[8];
   snprintf(copy, sizeof copy, "%s", names);
   size_t count = tmx_log_line_split(copy, name, 8);
-  tmx_cbor_put_list(&list, count);
+  tmx_cbor_put_array(&list, count);
   for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
   encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
@@ -184,7 +184,7 @@
   tmx_cbor_put_text(&list, "wk-000001");
   assert_int_equal(submit_with_list(&list), 400);
   list.length = 0;
-  tmx_cbor_put_list(&list, 1);
+  tmx_cbor_put_array(&list, 1);
   tmx_cbor_put_u64(&list, 1);
   assert_int_equal(submit_with_list(&list), 400);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000009", "job-1").status, 400);
@@ -211,7 +211,7 @@
 static struct tmx_buffer encode_many_ids(int count) {
   struct tmx_buffer list = {0};
   char id[TMX_ID_MAX];
-  tmx_cbor_put_list(&list, (size_t)count);
+  tmx_cbor_put_array(&list, (size_t)count);
   for (int i = 0; i < count; i++) {
     snprintf(id, sizeof id, "wk-%06d", 1000 + i);
     tmx_cbor_put_text(&list, id);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -69,7 +69,7 @@
   struct tmx_buffer buffer = {0};
   tmx_cbor_put_map(&buffer, 1);
   tmx_cbor_put_text(&buffer, "ops");
-  tmx_cbor_put_list(&buffer, 1);
+  tmx_cbor_put_array(&buffer, 1);
   tmx_cbor_put_text(&buffer, "m n-1 127.0.0.1:1 big a 0 0");
   put(TMX_KEY_BATCH "h/m", version, &buffer);
 }
@@ -78,7 +78,7 @@
   char key[64];
   tmx_cbor_put_map(&buffer, 1);
   tmx_cbor_put_text(&buffer, "ops");
-  tmx_cbor_put_list(&buffer, 1);
+  tmx_cbor_put_array(&buffer, 1);
   tmx_cbor_put_text(&buffer, line);
   snprintf(key, sizeof key, TMX_KEY_BATCH "h/%s", seq);
   put(key, version, &buffer);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -136,7 +136,7 @@
   assert_string_equal(poll_job(first_controller, "wk-000004").state, WV_CANCELLED);
   /* and jobs may await those that production accepted */
   struct tmx_buffer list = {0}, body = {0};
-  tmx_cbor_put_list(&list, 2);
+  tmx_cbor_put_array(&list, 2);
   tmx_cbor_put_text(&list, "wk-000003");
   tmx_cbor_put_text(&list, "wk-000001");
   encode_submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
@@ -157,7 +157,7 @@
 enum { PRODUCTION_RECORD = 19 }; /* entries of a job's record */
 
 static void record_as_production_reads(const cbor_item_t *job) {
-  assert_int_equal(tmx_cbor_list_length(job), PRODUCTION_RECORD);
+  assert_int_equal(tmx_cbor_array_length(job), PRODUCTION_RECORD);
 }
 
 static void line_as_production_reads(const char *line) {
@@ -171,10 +171,10 @@
 static void lines_as_production_reads(const cbor_item_t *value) {
   char line[TMX_LINE_MAX];
   const cbor_item_t *ops = tmx_cbor_get(value, "ops"), *jobs = tmx_cbor_get(value, "jobs");
-  for (size_t i = 0; i < tmx_cbor_list_length(jobs); i++)
-    record_as_production_reads(tmx_cbor_list_at(jobs, i));
-  for (size_t i = 0; i < tmx_cbor_list_length(ops); i++) {
-    assert_true(tmx_cbor_as_text(tmx_cbor_list_at(ops, i), line, sizeof line));
+  for (size_t i = 0; i < tmx_cbor_array_length(jobs); i++)
+    record_as_production_reads(tmx_cbor_array_at(jobs, i));
+  for (size_t i = 0; i < tmx_cbor_array_length(ops); i++) {
+    assert_true(tmx_cbor_as_text(tmx_cbor_array_at(ops, i), line, sizeof line));
     line_as_production_reads(line);
   }
   assert_int_equal(cbor_map_size(value), (jobs != NULL) + (ops != NULL));
--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -123,7 +123,7 @@
   tmx_buffer_append(&body, "\xa1\x62", 2);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 400);
   tmx_buffer_free(&body);
-  tmx_cbor_put_list(&body, 0);
+  tmx_cbor_put_array(&body, 0);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 400);
   tmx_buffer_free(&body);
   assert_int_equal(send_request(first_controller, "GET", WP_JOBS "/nothing", NULL).status, 404);
@@ -238,7 +238,7 @@
   encode_submission(&valid, "wk-000001", "batch", 1, 2, "t");
   tmx_cbor_put_map(&large, 18);
   tmx_cbor_put_text(&large, W_TYPES);
-  tmx_cbor_put_list(&list, TMX_TYPES_MAX);
+  tmx_cbor_put_array(&list, TMX_TYPES_MAX);
   for (int i = 0; i < TMX_TYPES_MAX; i++) tmx_cbor_put_text(&list, "big");
   tmx_buffer_append(&large, list.data, list.length);
   tmx_buffer_append(&large, valid.data + 1, valid.length - 1);
