--- a/tests/test_compaction.c
+++ b/tests/test_compaction.c
@@ -1,4 +1,5 @@
-/* Log compaction keeps what counts, and small values hold many submissions. */
+/* Log compaction preserves the state of jobs and machines, and batches respect the size limit of
+ * values. */
 #include "controller_fixture.h"
 
 #include <stdio.h>
@@ -18,8 +19,8 @@
   return true;
 }
 
-/* Compaction loses nothing: a controller that starts from the pages alone knows attempts, results
- * and what runs where, and starts nothing a second time. */
+/* Guards against state lost in a compaction: a controller that starts from the pages alone must
+ * know the attempts, results and placements of all tasks. Otherwise it would start a task twice. */
 static void compaction_keeps_jobs_and_placements(void **state) {
   (void)state;
   register_worker_at(first_controller);
@@ -52,7 +53,7 @@
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
-  /* log keys are written over from here on: another start still finds a complete log */
+  /* From here on log keys are reused. A further restart must still find a complete log. */
   struct tmx_log_key *key, *next_key;
   bool reused = false;
   HASH_ITER(hh, first_controller->replica.batch_keys, key, next_key)
@@ -71,20 +72,21 @@
   *(int *)arg = status;
 }
 
-/* Many submissions at once go into values as large as the state service takes. It counts them as
- * JSON, in which numbers are several times as long: a batch that it refuses for its size would come
- * again and again, and block the whole log. The pages of a compaction hold the same. */
-static void many_submissions_fit_small_values(void **state) {
+/* Many concurrent submissions are written in values up to the state service's size limit. The
+ * service measures a value as JSON, where a number is several times as long as in CBOR. A batch
+ * that it rejects for its size would be retried forever and block the log. The same limit applies
+ * to the pages of a compaction. */
+static void many_submissions_respect_the_value_limit(void **state) {
   (void)state;
-  enum { MANY = 150 };
-  static int status[MANY];
-  struct tmx_http_client *clients[MANY];
+  enum { SUBMISSIONS = 150 };
+  static int status[SUBMISSIONS];
+  struct tmx_http_client *clients[SUBMISSIONS];
   char addr[32], id[32];
   first_controller->settings.value_kb = 4;
   fake_store.value_json_bytes_max = 4096;
   tmx_compaction_set_threshold(first_controller->compaction, 3);
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(first_controller->server));
-  for (int i = 0; i < MANY; i++) {
+  for (int i = 0; i < SUBMISSIONS; i++) {
     struct tmx_buffer buffer = {0};
     snprintf(id, sizeof id, "wk-%06d", i);
     encode_submission(&buffer, id, "batch", 3, 1.0 / 3, "t");
@@ -94,12 +96,12 @@
         tmx_http_client_call(clients[i], "POST", WP_JOBS, &buffer, 5, store_status, &status[i]));
     tmx_buffer_free(&buffer);
   }
-  for (int i = 0, busy = 1; i < 400 && busy; i++) {
+  for (int i = 0, unanswered = 1; i < 400 && unanswered; i++) {
     run_loop_for(0.01);
-    busy = 0;
-    for (int k = 0; k < MANY; k++) busy += status[k] == -2;
+    unanswered = 0;
+    for (int k = 0; k < SUBMISSIONS; k++) unanswered += status[k] == -2;
   }
-  for (int i = 0; i < MANY; i++) {
+  for (int i = 0; i < SUBMISSIONS; i++) {
     assert_int_equal(status[i], 201);
     tmx_http_client_free(clients[i]);
   }
@@ -110,9 +112,9 @@
 
 static bool is_loaded(void *arg) { return ((struct tmx_controller *)arg)->replica.loaded; }
 
-/* A compaction ends while a controller that starts reads the keys: it has the compaction point
- * before, and the pages of that one are dropped, and keys of batches written over, before it comes
- * to them. What was in them is known all the same. */
+/* A compaction completes while a starting controller loads the keys. The controller has read the
+ * previous compaction point; before it reads that point's pages they are deleted, and batch keys
+ * are overwritten. Unless it reads the keys again, it misses what they held. */
 static void keys_are_read_again_when_the_compaction_point_moves(void **state) {
   (void)state;
   register_worker(&worker);
@@ -120,26 +122,27 @@
   wait_for_starts(1);
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
-  uint64_t mark = first_controller->replica.compaction_point;
-  assert_true(mark > 0);
+  uint64_t previous_point = first_controller->replica.compaction_point;
+  assert_true(previous_point > 0);
   tmx_compaction_set_threshold(first_controller->compaction, 1000);
-  run_loop_for(3); /* what the first compaction replaces is dropped */
+  run_loop_for(3); /* until the keys that the first compaction replaced are deleted */
   struct fake_endpoint *endpoint = &fake_store.endpoints[1];
   endpoint->page_entries_max = 1;
   strcpy(endpoint->hold_reads_from, TMX_KEY_COMPACTION);
   second_controller = start_controller(1, 2);
   for (int i = 0; i < 400 && !endpoint->held_read; i++) run_loop_for(0.02);
-  const struct tmx_http_request *held = endpoint->held_read;
-  assert_non_null(held);
+  const struct tmx_http_request *held_request = endpoint->held_read;
+  assert_non_null(held_request);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
   tmx_compaction_set_threshold(first_controller->compaction, 0);
-  for (int i = 0; i < 600 && first_controller->replica.compaction_point == mark; i++)
+  for (int i = 0; i < 600 && first_controller->replica.compaction_point == previous_point; i++)
     run_loop_for(0.02);
-  assert_true(first_controller->replica.compaction_point > mark);
+  assert_true(first_controller->replica.compaction_point > previous_point);
   tmx_compaction_set_threshold(first_controller->compaction, 1000);
   run_loop_for(1);
   endpoint->page_entries_max = 0;
-  assert_ptr_equal(endpoint->held_read, held); /* it was not given up in the meantime */
+  /* The read has not been abandoned in the meantime. */
+  assert_ptr_equal(endpoint->held_read, held_request);
   fake_release_held_read(endpoint);
   assert_true(run_loop_until(is_loaded, second_controller));
   assert_int_equal(second_controller->replica.compaction_point,
@@ -155,8 +158,8 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(compaction_keeps_jobs_and_placements, setup_one_controller,
                                       teardown_controllers),
-      cmocka_unit_test_setup_teardown(many_submissions_fit_small_values, setup_one_controller,
-                                      teardown_controllers),
+      cmocka_unit_test_setup_teardown(many_submissions_respect_the_value_limit,
+                                      setup_one_controller, teardown_controllers),
       cmocka_unit_test_setup_teardown(keys_are_read_again_when_the_compaction_point_moves,
                                       setup_one_controller, teardown_controllers),
   };
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -1,5 +1,5 @@
-/* Jobs that depend on others, from the submission to the last end. Each test fails if its guard is
- * taken out. */
+/* Scheduling of jobs with prerequisites, from the submission to the end of the last task. Each test
+ * fails if the check that it covers is removed from the code. */
 #include "controller_fixture.h"
 
 #include <stdio.h>
@@ -7,41 +7,42 @@
 
 #include "tmx/wire.h"
 
-/* A list of ids, each a text, set apart by spaces in `names`. */
+/* Submits a job of one task with the given prerequisites; their ids are separated by spaces. */
 static struct fake_answer submit_with_dependencies(struct tmx_controller *controller,
-                                                   const char *id, const char *names) {
-  struct tmx_buffer list = {0}, body = {0};
-  char copy[256], *name[8];
-  snprintf(copy, sizeof copy, "%s", names);
-  size_t count = tmx_log_line_split(copy, name, 8);
-  tmx_cbor_put_list(&list, count);
-  for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
-  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
+                                                   const char *id, const char *prerequisite_ids) {
+  struct tmx_buffer encoded_ids = {0}, body = {0};
+  char text[256], *ids[8];
+  snprintf(text, sizeof text, "%s", prerequisite_ids);
+  size_t count = tmx_log_line_split(text, ids, 8);
+  tmx_cbor_put_list(&encoded_ids, count);
+  for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&encoded_ids, ids[i]);
+  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &encoded_ids);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
-  tmx_buffer_free(&list);
+  tmx_buffer_free(&encoded_ids);
   tmx_buffer_free(&body);
   return answer;
 }
 
-static void assert_accepted(const char *id, const char *names) {
-  struct fake_answer answer = submit_with_dependencies(first_controller, id, names);
+static void assert_accepted(const char *id, const char *prerequisite_ids) {
+  struct fake_answer answer = submit_with_dependencies(first_controller, id, prerequisite_ids);
   assert_int_equal(answer.status, 201);
   assert_string_equal(answer.state, WV_PENDING);
 }
 
 static void assert_stays_pending(const char *id, double duration_s) {
-  unsigned begun = worker.executed_starts;
-  double passed = 0;
-  while (passed < duration_s) {
+  unsigned starts_before = worker.executed_starts;
+  double elapsed_s = 0;
+  while (elapsed_s < duration_s) {
     run_loop_for(0.2);
     report_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
-    passed += 0.2;
+    elapsed_s += 0.2;
   }
-  assert_int_equal(worker.executed_starts, begun);
+  assert_int_equal(worker.executed_starts, starts_before);
 }
 
-/* too_early: no task of a job begins before all that it awaits are done in the log. */
+/* Guards against tasks that start too early: no task of a job may start before the log shows all
+ * prerequisites of the job as done. */
 static void no_task_starts_before_its_dependencies_are_done(void **state) {
   (void)state;
   register_worker(&worker);
@@ -62,23 +63,25 @@
   wait_for_job_state("wk-000004", WV_DONE);
 }
 
-/* A job waits for its own team's limit only once it is released. */
+/* A blocked job must not count towards its team's limit. If it did, the team's runnable jobs would
+ * have to wait for a job that cannot start. */
 static void blocked_jobs_use_no_quota(void **state) {
   (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   wait_for_starts(1);
-  for (int i = 2; i < 8; i++) { /* six times 2 CPUs of a limit of 8 */
+  for (int i = 2; i < 8; i++) { /* six times 2 CPUs; the team's limit is 8 */
     char id[TMX_ID_BYTES];
     snprintf(id, sizeof id, "wk-00000%d", i);
     assert_accepted(id, "wk-000001");
   }
   assert_int_equal(submit_simple_job(first_controller, "wk-000009", WV_ARRAY, 3, 2, "t"), 201);
-  wait_for_starts(4); /* the limit is full with what may run */
+  wait_for_starts(4); /* the runnable tasks use the whole limit */
   assert_string_equal(poll_job(first_controller, "wk-000009").state, WV_RUNNING);
 }
 
-/* orphaned: at whichever controller a job is cancelled, all that needs it is cancelled with it. */
+/* Guards against orphaned dependents: when a job is cancelled, every controller must report all its
+ * direct and indirect dependents as cancelled. */
 static void a_cancellation_reaches_all_dependents(void **state) {
   (void)state;
   register_worker(&worker);
@@ -94,20 +97,22 @@
     assert_string_equal(cancel_job(controller, "wk-000003").state, WV_CANCELLED);
     assert_int_equal(submit_with_dependencies(controller, "wk-000003", "wk-000002").status, 200);
   }
-  struct fake_answer late = submit_with_dependencies(second_controller, "wk-000004", "wk-000003");
-  assert_int_equal(late.status, 201);
-  assert_string_equal(late.state, WV_CANCELLED);
+  struct fake_answer late_submission =
+      submit_with_dependencies(second_controller, "wk-000004", "wk-000003");
+  assert_int_equal(late_submission.status, 201);
+  assert_string_equal(late_submission.state, WV_CANCELLED);
   assert_string_equal(poll_job(first_controller, "wk-000004").state, WV_CANCELLED);
 }
 
-/* The leader ends after the last end is in the log and before the next job is placed. */
-static void a_released_job_runs_when_the_leader_ends(void **state) {
+/* The leader stops after the end of the prerequisite is committed and before the dependent job is
+ * placed. After its restart it must place that job. */
+static void a_released_job_runs_after_the_leader_restarts(void **state) {
   (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
   wait_for_starts(1);
-  fake_store.endpoints[0].freeze_watch = true; /* it will not see its own commit */
+  fake_store.endpoints[0].freeze_watch = true; /* the controller does not see its own commit */
   complete_task("wk-000001/0", 1);
   for (int i = 0; i < 200 && !fake_log_contains("e wk-000001/0 1 d"); i++) run_loop_for(0.02);
   assert_true(fake_log_contains("e wk-000001/0 1 d"));
@@ -124,9 +129,9 @@
   assert_int_equal(worker.executed_starts, 2);
 }
 
-/* The cancellation is confirmed, and the store is unreachable from then on: the jobs after it are
- * cancelled for every controller that knows of it, and for one that starts later. */
-static void a_cancellation_at_an_outage_reaches_dependents(void **state) {
+/* The store becomes unreachable right after a cancellation is confirmed. The controller that knows
+ * of the cancellation, and one that starts later, must still report the dependents as cancelled. */
+static void a_cancellation_reaches_dependents_despite_a_store_outage(void **state) {
   (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
@@ -142,9 +147,10 @@
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
 }
 
-/* The answer to a cancellation and the last end meet: whichever is committed first decides for the
- * job after it. */
-static void a_cancellation_at_the_end_of_a_dependency_gets_one_answer(void **state) {
+/* A cancellation races with the end of the job's last task. Whichever is committed first determines
+ * the outcome, also for the dependent job. Here the end is committed but the store's response to it
+ * is lost. */
+static void a_cancellation_that_races_with_completion_has_one_outcome(void **state) {
   (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
@@ -163,15 +169,15 @@
   wait_for_job_state("wk-000002", WV_DONE);
 }
 
-/* A late copy of a report names an end of the awaited task's earlier attempt: it releases nothing.
- */
+/* A late report that names another attempt of the prerequisite's task must not release the
+ * dependent job. */
 static void a_late_report_releases_no_job(void **state) {
   (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
   wait_for_starts(1);
-  complete_task("wk-000001/0", 7); /* an attempt that was never made */
+  complete_task("wk-000001/0", 7); /* no such attempt was started */
   assert_stays_pending("wk-000002", 2);
 }
 
@@ -183,11 +189,11 @@
                                       teardown_controllers),
       cmocka_unit_test_setup_teardown(a_cancellation_reaches_all_dependents,
                                       setup_two_settled_controllers, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_released_job_runs_when_the_leader_ends,
+      cmocka_unit_test_setup_teardown(a_released_job_runs_after_the_leader_restarts,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_cancellation_at_an_outage_reaches_dependents,
+      cmocka_unit_test_setup_teardown(a_cancellation_reaches_dependents_despite_a_store_outage,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_cancellation_at_the_end_of_a_dependency_gets_one_answer,
+      cmocka_unit_test_setup_teardown(a_cancellation_that_races_with_completion_has_one_outcome,
                                       setup_one_controller, teardown_controllers),
       cmocka_unit_test_setup_teardown(a_late_report_releases_no_job, setup_one_controller,
                                       teardown_controllers),
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -1,4 +1,5 @@
-/* Dependencies in the log: compaction, restarts, long lists and lowered limits of the store. */
+/* Storage of dependencies in the log: compaction, restarts, long lists of prerequisites and lowered
+ * limits of the store. */
 #include "controller_fixture.h"
 
 #include <stdio.h>
@@ -7,7 +8,7 @@
 #include "replica/placement_caps.h"
 #include "tmx/wire.h"
 
-/* A submission that allows so many types, "big" among them. */
+/* Encodes a submission that allows `count` machine types, one of them "big". */
 static void encode_submission_with_types(struct tmx_buffer *buffer, const char *id, int count) {
   struct tmx_buffer types = {0};
   char type[TMX_ID_BYTES];
@@ -21,38 +22,38 @@
   tmx_buffer_free(&types);
 }
 
-/* A list of ids, each a text, set apart by spaces in `names`. */
+/* Submits a job of one task with the given prerequisites; their ids are separated by spaces. */
 static struct fake_answer submit_with_dependencies(struct tmx_controller *controller,
-                                                   const char *id, const char *names) {
-  struct tmx_buffer list = {0}, body = {0};
-  char copy[256], *name[8];
-  snprintf(copy, sizeof copy, "%s", names);
-  size_t count = tmx_log_line_split(copy, name, 8);
-  tmx_cbor_put_list(&list, count);
-  for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
-  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
+                                                   const char *id, const char *prerequisite_ids) {
+  struct tmx_buffer encoded_ids = {0}, body = {0};
+  char text[256], *ids[8];
+  snprintf(text, sizeof text, "%s", prerequisite_ids);
+  size_t count = tmx_log_line_split(text, ids, 8);
+  tmx_cbor_put_list(&encoded_ids, count);
+  for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&encoded_ids, ids[i]);
+  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &encoded_ids);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
-  tmx_buffer_free(&list);
+  tmx_buffer_free(&encoded_ids);
   tmx_buffer_free(&body);
   return answer;
 }
 
-static void assert_accepted(const char *id, const char *names) {
-  struct fake_answer answer = submit_with_dependencies(first_controller, id, names);
+static void assert_accepted(const char *id, const char *prerequisite_ids) {
+  struct fake_answer answer = submit_with_dependencies(first_controller, id, prerequisite_ids);
   assert_int_equal(answer.status, 201);
   assert_string_equal(answer.state, WV_PENDING);
 }
 
 static void assert_stays_pending(const char *id, double duration_s) {
-  unsigned begun = worker.executed_starts;
-  double passed = 0;
-  while (passed < duration_s) {
+  unsigned starts_before = worker.executed_starts;
+  double elapsed_s = 0;
+  while (elapsed_s < duration_s) {
     run_loop_for(0.2);
     report_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
-    passed += 0.2;
+    elapsed_s += 0.2;
   }
-  assert_int_equal(worker.executed_starts, begun);
+  assert_int_equal(worker.executed_starts, starts_before);
 }
 
 static bool all_outcomes_are_stored(void *arg) {
@@ -61,8 +62,8 @@
   return !controller->replica.n_unstored_outcomes;
 }
 
-/* What follows from a cancellation gets a final state of its own; a compaction in between keeps it.
- */
+/* The cancellation of a dependent is derived from that of its prerequisite and is then stored as a
+ * final state of its own. A restart must find it. */
 static void derived_outcomes_survive_compaction_and_restarts(void **state) {
   (void)state;
   register_worker(&worker);
@@ -78,8 +79,10 @@
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
 }
 
-/* While puts are scarce nobody writes that final state. A compaction meanwhile keeps the job and
- * the names that it was derived from, as the batch that held them is written over. */
+/* When the write budget is short, the final state of a cancelled dependent is not stored for a
+ * while. The batch with the dependent's record is overwritten after a compaction, which must
+ * therefore keep the job and the ids of its prerequisites: the cancellation is derived from them.
+ */
 static void a_derived_outcome_survives_compaction_before_it_is_stored(void **state) {
   (void)state;
   register_worker(&worker);
@@ -87,8 +90,10 @@
   assert_accepted("wk-000002", "wk-000001");
   wait_for_starts(1);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  first_controller->replica.n_unstored_outcomes = 0; /* as if no put were ever to spare for it */
-  fake_drop(TMX_KEY_JOB "wk-000002");                /* as if it had come with a batch */
+  /* As if the write budget had never sufficed for the final state. */
+  first_controller->replica.n_unstored_outcomes = 0;
+  /* As if the job had been written in a batch only. */
+  fake_drop(TMX_KEY_JOB "wk-000002");
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
   assert_true(first_controller->replica.compaction_point > 0);
@@ -98,9 +103,10 @@
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
 }
 
-/* The log of a chain that is half done is compacted, and the controller restarted: what is done
- * counts, what is not done blocks, and nothing starts twice. */
-static void chains_survive_compaction_half_done(void **state) {
+/* The log of a half-finished chain of jobs is compacted and the controller restarted. Finished jobs
+ * must count as done, unfinished ones must still block their dependents, and no task may start
+ * twice. */
+static void half_finished_chains_survive_compaction(void **state) {
   (void)state;
   register_worker(&worker);
   assert_accepted("wk-000001", "");
@@ -135,27 +141,29 @@
   fake_free_watches();
 }
 
-/* The commit is seen while the request waits for a read of the state: the names are judged then. */
-static void a_dependency_is_known_when_named_at_once(void **state) {
+/* The prerequisite's commit arrives while the request waits for a read of the store. The
+ * prerequisites must be validated after that read. */
+static void a_dependency_committed_during_the_request_is_accepted(void **state) {
   (void)state;
-  ev_timer thaw;
+  ev_timer unfreeze_timer;
   register_worker(&worker);
   fake_store.endpoints[0].freeze_watch = true;
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
-  ev_timer_init(&thaw, end_watch_freeze, 0.3, 0);
-  ev_timer_start(test_loop, &thaw);
+  ev_timer_init(&unfreeze_timer, end_watch_freeze, 0.3, 0);
+  ev_timer_start(test_loop, &unfreeze_timer);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000002", "wk-000001").status,
                    201);
 }
 
-/* Accepted a moment ago at another controller, whose commit has not been seen here. */
+/* Another controller has just accepted the prerequisite, and this controller has not seen the
+ * commit yet. It must not reject the dependent job for an unknown prerequisite. */
 static void a_dependency_is_found_before_it_is_replicated(void **state) {
   (void)state;
   register_worker(&worker);
   fake_store.endpoints[0].freeze_watch = true;
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000002", "wk-000001").status,
-                   503); /* never a 422 */
+                   503); /* must not be 422, as the prerequisite exists */
   fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000002", "wk-000001").status,
@@ -164,12 +172,12 @@
                    422);
   fake_store.endpoints[0].refuse = true;
   int status = submit_with_dependencies(first_controller, "wk-000004", "wk-000777").status;
-  assert_int_equal(status, 503); /* it cannot be decided now */
+  assert_int_equal(status, 503); /* the store is unreachable, so the id cannot be validated */
 }
 
-static int submit_with_list(const struct tmx_buffer *list) {
+static int submit_with_list(const struct tmx_buffer *encoded_ids) {
   struct tmx_buffer body = {0};
-  encode_submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
+  encode_submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", encoded_ids);
   int status = send_request(first_controller, "POST", WP_JOBS, &body).status;
   tmx_buffer_free(&body);
   return status;
@@ -201,7 +209,7 @@
   assert_int_equal(
       tmx_job_find(&first_controller->replica, "wk-000003")->dependencies.prerequisite_ids.count,
       1);
-  /* what is known is answered before anything is judged */
+  /* A job that is known already is answered before its prerequisites are validated. */
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000003", "job-1").status, 200);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000003", "wk-000777").status,
                    200);
@@ -219,18 +227,18 @@
   return list;
 }
 
-/* More names than a value holds are split over the keys of one transaction; more than a
- * transaction holds are refused. Neither is ever half there, and a compaction splits them as well.
- */
+/* Prerequisites that exceed one value are split over several keys of one transaction; those that
+ * exceed a transaction are rejected. A list must never be stored in part. A compaction splits it as
+ * well. */
 static void dependencies_may_span_several_values(void **state) {
   (void)state;
-  enum { SOME = 650, FAR_TOO_MANY = 1300 };
+  enum { WITHIN_LIMIT = 650, ABOVE_LIMIT = 1300 };
   register_worker(&worker);
   first_controller->settings.value_kb = 1;
   first_controller->settings.txn_ops = 8;
   fake_store.value_json_bytes_max = 1024;
   fake_store.transaction_operations_max = 8;
-  for (int i = 0; i < FAR_TOO_MANY; i++) { /* as another controller would have accepted them */
+  for (int i = 0; i < ABOVE_LIMIT; i++) { /* as if another controller had accepted the jobs */
     char id[TMX_ID_BYTES], key[TMX_KEY_MAX];
     struct tmx_job_spec spec = {.tasks = 1, .cpus = 2, .mem_gb = 1, .deadline_s = -1};
     struct tmx_buffer job = {0};
@@ -242,39 +250,39 @@
     tmx_buffer_free(&job);
   }
   run_loop_for(0.5);
-  struct tmx_buffer list = encode_many_ids(FAR_TOO_MANY);
+  struct tmx_buffer list = encode_many_ids(ABOVE_LIMIT);
   assert_int_equal(submit_with_list(&list), 422);
   tmx_buffer_free(&list);
-  list = encode_many_ids(SOME);
-  first_controller->settings.write_rps =
-      4; /* fewer puts available than it needs: it is sent whole all the same */
+  list = encode_many_ids(WITHIN_LIMIT);
+  /* The write budget is less than the transaction needs; it must still be sent as a whole. */
+  first_controller->settings.write_rps = 4;
   assert_int_equal(submit_with_list(&list), 201);
   first_controller->settings.write_rps = 1000;
   tmx_buffer_free(&list);
   const struct tmx_job *pending = tmx_job_find(&first_controller->replica, "wk-000009");
-  assert_int_equal(pending->dependencies.n_unfinished, SOME);
+  assert_int_equal(pending->dependencies.n_unfinished, WITHIN_LIMIT);
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 3000 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
   assert_true(first_controller->replica.compaction_point > 0);
   tmx_compaction_set_threshold(first_controller->compaction, 100000);
   restart_first_controller();
   pending = tmx_job_find(&first_controller->replica, "wk-000009");
-  assert_int_equal(pending->dependencies.n_unfinished, SOME);
+  assert_int_equal(pending->dependencies.n_unfinished, WITHIN_LIMIT);
   assert_int_equal(fake_store.oversized_transactions, 0);
 }
 
-/* The limits fall without notice while work is under way. Everything keeps within the smaller ones
- * from the start, so nothing is refused, and all comes to its end. */
-static void lowered_limits_hold_up_nothing(void **state) {
+/* The store lowers its limits without notice while jobs run. The controller keeps to the lower
+ * limits from the start, so the store rejects no transaction and all jobs complete. */
+static void lowered_store_limits_block_no_job(void **state) {
   (void)state;
   first_controller->settings.value_kb = 1;
   first_controller->settings.txn_ops = 4;
   register_worker(&worker);
-  char id[TMX_ID_BYTES], before[TMX_ID_BYTES] = "";
+  char id[TMX_ID_BYTES], previous_id[TMX_ID_BYTES] = "";
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
-    assert_accepted(id, before);
-    if (i % 3 != 2) strcpy(before, id);
+    assert_accepted(id, previous_id);
+    if (i % 3 != 2) strcpy(previous_id, id);
     if (i == 5) {
       fake_store.value_json_bytes_max = 1024;
       fake_store.transaction_operations_max = 4;
@@ -303,15 +311,15 @@
 
 static bool all_accepted(void *arg) { return *(unsigned *)arg == TYPED_JOBS; }
 
-/* A job whose record names more types than the lowered limit leaves room for does not block a
- * compaction, and keeps all of its types. */
+/* The value limit is lowered below the size of a job record with many machine types. The record
+ * must not block a compaction, and the job must keep all its types. */
 static void a_record_above_a_lowered_limit_is_compacted(void **state) {
   (void)state;
   char type[TMX_ID_BYTES];
   unsigned answered = 0;
   register_worker(&worker);
   struct tmx_http_client *client = client_of(first_controller);
-  for (int i = 1; i <= TYPED_JOBS; i++) { /* so many at once go with a batch */
+  for (int i = 1; i <= TYPED_JOBS; i++) { /* concurrent submissions are written in a batch */
     struct tmx_buffer body = {0};
     char id[TMX_ID_BYTES];
     snprintf(id, sizeof id, "wk-%06d", i);
@@ -321,15 +329,16 @@
   }
   assert_true(run_loop_until(all_accepted, &answered));
   tmx_http_client_free(client);
-  assert_null(fake_get(TMX_KEY_JOB "wk-000001")); /* it has no key of its own to be read from */
+  /* The job has no key of its own, only its entry in the batch. */
+  assert_null(fake_get(TMX_KEY_JOB "wk-000001"));
   first_controller->settings.value_kb = 1;
   fake_store.value_json_bytes_max = 1024;
-  uint64_t folded = first_controller->replica.compaction_point;
+  uint64_t previous_point = first_controller->replica.compaction_point;
   tmx_compaction_set_threshold(first_controller->compaction, 0);
-  for (int i = 0; i < 100 && first_controller->replica.compaction_point == folded; i++)
+  for (int i = 0; i < 100 && first_controller->replica.compaction_point == previous_point; i++)
     run_loop_for(0.2);
   tmx_compaction_set_threshold(first_controller->compaction, 1000);
-  assert_true(first_controller->replica.compaction_point > folded);
+  assert_true(first_controller->replica.compaction_point > previous_point);
   restart_first_controller();
   const struct tmx_job *job = tmx_job_find(&first_controller->replica, "wk-000001");
   assert_int_equal(job->spec.n_types, 30);
@@ -347,9 +356,9 @@
                                       setup_one_controller, teardown_controllers),
       cmocka_unit_test_setup_teardown(a_derived_outcome_survives_compaction_before_it_is_stored,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(chains_survive_compaction_half_done, setup_one_controller,
+      cmocka_unit_test_setup_teardown(half_finished_chains_survive_compaction, setup_one_controller,
                                       teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_dependency_is_known_when_named_at_once,
+      cmocka_unit_test_setup_teardown(a_dependency_committed_during_the_request_is_accepted,
                                       setup_two_settled_controllers, teardown_controllers),
       cmocka_unit_test_setup_teardown(a_dependency_is_found_before_it_is_replicated,
                                       setup_two_settled_controllers, teardown_controllers),
@@ -357,7 +366,7 @@
                                       teardown_controllers),
       cmocka_unit_test_setup_teardown(dependencies_may_span_several_values, setup_one_controller,
                                       teardown_controllers),
-      cmocka_unit_test_setup_teardown(lowered_limits_hold_up_nothing, setup_one_controller,
+      cmocka_unit_test_setup_teardown(lowered_store_limits_block_no_job, setup_one_controller,
                                       teardown_controllers),
       cmocka_unit_test_setup_teardown(a_record_above_a_lowered_limit_is_compacted,
                                       setup_one_controller, teardown_controllers),
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -1,5 +1,5 @@
-/* Dependencies between jobs, on the replica alone: what the log says of one job is derived for
- * those that await it, at once, after a load and after a compaction. */
+/* Dependencies between jobs in a replica: the state of a job determines that of its dependents,
+ * whether the replica follows the log, loads it or reads compacted keys. */
 #include "test.h"
 
 #include <math.h>
@@ -59,22 +59,24 @@
   return key;
 }
 
-/* A job that awaits the given ids, separated by spaces. */
-static void put_spec(const char *id, const struct tmx_job_spec *spec, double submitted,
-                     const char *names) {
-  struct tmx_job_ids awaits = {.ids = calloc(8, TMX_ID_BYTES)};
+/* Applies the record of a job with the given prerequisites; their ids are separated by spaces. */
+static void put_spec(const char *id, const struct tmx_job_spec *spec, double submitted_at,
+                     const char *prerequisite_ids) {
+  struct tmx_job_ids prerequisites = {.ids = calloc(8, TMX_ID_BYTES)};
   struct tmx_buffer buffer = {0};
-  char copy[256], *name[8];
-  snprintf(copy, sizeof copy, "%s", names);
-  awaits.count = (uint32_t)tmx_log_line_split(copy, name, 8);
-  for (uint32_t i = 0; i < awaits.count; i++) snprintf(awaits.ids[i], TMX_ID_BYTES, "%s", name[i]);
-  assert_int_equal(tmx_job_encode_open(&buffer, id, spec, submitted, &awaits, 2000), awaits.count);
-  tmx_job_ids_free(&awaits);
+  char text[256], *ids[8];
+  snprintf(text, sizeof text, "%s", prerequisite_ids);
+  prerequisites.count = (uint32_t)tmx_log_line_split(text, ids, 8);
+  for (uint32_t i = 0; i < prerequisites.count; i++)
+    snprintf(prerequisites.ids[i], TMX_ID_BYTES, "%s", ids[i]);
+  assert_int_equal(tmx_job_encode_open(&buffer, id, spec, submitted_at, &prerequisites, 2000),
+                   prerequisites.count);
+  tmx_job_ids_free(&prerequisites);
   apply(job_key(id), &buffer);
 }
-static void put(const char *id, const char *names) {
+static void put(const char *id, const char *prerequisite_ids) {
   struct tmx_job_spec spec = plain_spec();
-  put_spec(id, &spec, 100, names);
+  put_spec(id, &spec, 100, prerequisite_ids);
 }
 
 static struct tmx_job *job(const char *id) {
@@ -83,9 +85,9 @@
   return job;
 }
 
-static void end(const char *id, int fin, double ended_at) {
+static void end(const char *id, int outcome, double ended_at) {
   struct tmx_buffer buffer = {0};
-  tmx_job_encode_final(&buffer, job(id), fin, ended_at, 2000);
+  tmx_job_encode_final(&buffer, job(id), outcome, ended_at, 2000);
   apply(job_key(id), &buffer);
 }
 
@@ -97,7 +99,7 @@
   apply(TMX_KEY_BATCH "h/1", &buffer);
 }
 
-static bool placeable(const char *id) {
+static bool can_be_placed(const char *id) {
   struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .attempt = 1};
   struct tmx_operation_check check;
   snprintf(operation.job, sizeof operation.job, "%s", id);
@@ -109,25 +111,27 @@
   return tmx_operation_check_apply(&check, &operation);
 }
 
-/* too_early: no line that places a blocked job passes the check, whoever planned it. */
-static void a_job_is_blocked_until_all_it_awaits_are_done(void **state) {
+/* Guards against tasks that start too early: the check of operations must reject every placement of
+ * a blocked job, whichever controller planned it. */
+static void a_job_is_blocked_until_its_dependencies_are_done(void **state) {
   (void)state;
   put("wk-a", "");
   put("wk-b", "");
   put("wk-c", "wk-a wk-b");
   assert_true(tmx_job_is_blocked(job("wk-c")));
-  assert_true(replica.waiting_cpus == 4); /* of a and b: c asks for nothing yet */
-  assert_false(placeable("wk-c"));
+  assert_true(replica.waiting_cpus == 4); /* of wk-a and wk-b; the blocked wk-c is not included */
+  assert_false(can_be_placed("wk-c"));
   end("wk-a", TMX_JOB_DONE, 150);
-  assert_false(placeable("wk-c"));
+  assert_false(can_be_placed("wk-c"));
   end("wk-b", TMX_JOB_DONE, 170);
   assert_false(tmx_job_is_blocked(job("wk-c")));
   assert_true(job("wk-c")->released_at == 170);
   assert_true(replica.waiting_cpus == 2);
-  assert_true(placeable("wk-c"));
+  assert_true(can_be_placed("wk-c"));
 }
 
-/* orphaned: one cancellation ends all that needs the job, directly or not, at its own revision. */
+/* Guards against orphaned dependents: a cancellation must cancel all direct and indirect dependents
+ * at the same revision. */
 static void cancellation_reaches_the_end_of_the_chain(void **state) {
   (void)state;
   put("wk-a", "");
@@ -144,11 +148,11 @@
   end("wk-b", TMX_JOB_CANCELLED, 0);
   tmx_replica_prune_unstored_outcomes(&replica);
   assert_int_equal(replica.n_unstored_outcomes, 2);
-  end("wk-d", TMX_JOB_DONE, 160); /* comes too late for the others */
+  end("wk-d", TMX_JOB_DONE, 160); /* after the cancellation; it must not change the dependents */
   assert_int_equal(job("wk-e")->outcome, TMX_JOB_CANCELLED);
 }
 
-static void a_job_that_awaits_a_cancelled_one_is_cancelled(void **state) {
+static void a_new_dependent_of_a_cancelled_job_is_cancelled(void **state) {
   (void)state;
   put("wk-a", "");
   put("wk-b", "");
@@ -159,8 +163,9 @@
   assert_int_equal(job("wk-d")->outcome, TMX_JOB_CANCELLED);
 }
 
-/* A cancellation at the last end: the job's key lets one of the two win, and all follow it. */
-static void a_done_job_releases_those_that_await_it(void **state) {
+/* When a cancellation races with the end of the last task, the job's key accepts one of the two. If
+ * the end is first, the dependents are released. */
+static void a_done_job_releases_its_dependents(void **state) {
   (void)state;
   put("wk-a", "");
   put("wk-b", "wk-a");
@@ -177,33 +182,35 @@
   assert_true(replica.loaded);
 }
 
-static cbor_item_t *encoded(const char *id, const char *names, int fin, double ended) {
-  struct tmx_job_ids awaits = {.ids = calloc(1, TMX_ID_BYTES), .count = names[0] != 0};
+static cbor_item_t *encode_job_value(const char *id, const char *prerequisite_id, int outcome,
+                                     double ended_at) {
+  struct tmx_job_ids prerequisites = {.ids = calloc(1, TMX_ID_BYTES),
+                                      .count = prerequisite_id[0] != 0};
   struct tmx_job_spec spec = plain_spec();
   struct tmx_buffer buffer = {0};
   struct tmx_job job = {.spec = spec, .submitted_at = 100};
   snprintf(job.id, sizeof job.id, "%s", id);
-  snprintf(awaits.ids[0], TMX_ID_BYTES, "%s", names);
-  if (fin)
-    tmx_job_encode_final(&buffer, &job, fin, ended, 2000);
+  snprintf(prerequisites.ids[0], TMX_ID_BYTES, "%s", prerequisite_id);
+  if (outcome)
+    tmx_job_encode_final(&buffer, &job, outcome, ended_at, 2000);
   else
-    tmx_job_encode_open(&buffer, id, &spec, 100, &awaits, 2000);
+    tmx_job_encode_open(&buffer, id, &spec, 100, &prerequisites, 2000);
   cbor_item_t *value = tmx_cbor_parse(buffer.data, buffer.length);
-  tmx_job_ids_free(&awaits);
+  tmx_job_ids_free(&prerequisites);
   tmx_buffer_free(&buffer);
   return value;
 }
 
-/* A controller that starts reads keys in another order than they were written. Release and
- * cancellation are the same as on those that saw it happen, the time of the release too. */
+/* A starting controller reads keys in another order than they were written. It must derive the same
+ * releases, release times and cancellations as the controllers that followed the log. */
 static void a_load_derives_the_same_states(void **state) {
   (void)state;
   struct tmx_store_entry items[] = {
-      {TMX_KEY_JOB "wk-a", 9, encoded("wk-a", "", TMX_JOB_DONE, 180)},
-      {TMX_KEY_JOB "wk-b", 2, encoded("wk-b", "wk-a", 0, 0)},
-      {TMX_KEY_JOB "wk-c", 1, encoded("wk-c", "wk-d", 0, 0)},
-      {TMX_KEY_JOB "wk-d", 3, encoded("wk-d", "wk-e", 0, 0)},
-      {TMX_KEY_JOB "wk-e", 8, encoded("wk-e", "", TMX_JOB_CANCELLED, 0)},
+      {TMX_KEY_JOB "wk-a", 9, encode_job_value("wk-a", "", TMX_JOB_DONE, 180)},
+      {TMX_KEY_JOB "wk-b", 2, encode_job_value("wk-b", "wk-a", 0, 0)},
+      {TMX_KEY_JOB "wk-c", 1, encode_job_value("wk-c", "wk-d", 0, 0)},
+      {TMX_KEY_JOB "wk-d", 3, encode_job_value("wk-d", "wk-e", 0, 0)},
+      {TMX_KEY_JOB "wk-e", 8, encode_job_value("wk-e", "", TMX_JOB_CANCELLED, 0)},
   };
   size_t count = sizeof items / sizeof items[0];
   load_all(items, count);
@@ -215,28 +222,28 @@
   for (size_t i = 0; i < count; i++) tmx_cbor_free((cbor_item_t *)items[i].value);
 }
 
-/* Ids without room in the record come in lines: until all are there the job is blocked, and lines
- * that are applied again change nothing. */
+/* Prerequisite ids that do not fit into the job's record follow in log lines. The job must be
+ * blocked until all ids are read, and a line that is applied twice must change nothing. */
 static void a_job_is_blocked_until_all_its_dependency_lines_are_read(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
-  struct tmx_job_ids awaits = {.ids = calloc(400, TMX_ID_BYTES), .count = 400};
+  struct tmx_job_ids prerequisites = {.ids = calloc(400, TMX_ID_BYTES), .count = 400};
   struct tmx_buffer buffer = {0};
   char line[TMX_LOG_LINE_BYTES];
   for (uint32_t i = 0; i < 400; i++) {
-    snprintf(awaits.ids[i], TMX_ID_BYTES, "wk-%06u", i);
-    put(awaits.ids[i], "");
+    snprintf(prerequisites.ids[i], TMX_ID_BYTES, "wk-%06u", i);
+    put(prerequisites.ids[i], "");
   }
-  uint32_t written = tmx_job_encode_open(&buffer, "wk-last", &spec, 100, &awaits, 900);
+  uint32_t written = tmx_job_encode_open(&buffer, "wk-last", &spec, 100, &prerequisites, 900);
   assert_true(tmx_json_length(&buffer) <= 900);
   assert_in_range(written, 50, 399);
   apply(job_key("wk-last"), &buffer);
   uint32_t second = written;
-  tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &second);
-  while (written < awaits.count) {
+  tmx_dependency_line_print(line, sizeof line, "wk-last", &prerequisites, &second);
+  while (written < prerequisites.count) {
     assert_true(tmx_job_is_blocked(job("wk-last")));
     assert_null(job("wk-last")->dependencies.prerequisites);
-    tmx_dependency_line_print(line, sizeof line, "wk-last", &awaits, &written);
+    tmx_dependency_line_print(line, sizeof line, "wk-last", &prerequisites, &written);
     assert_true(strlen(line) < TMX_LOG_LINE_BYTES);
     put_lines(line);
     put_lines(line);
@@ -244,15 +251,15 @@
   assert_int_equal(job("wk-last")->dependencies.n_unfinished, 400);
   for (uint32_t i = 0; i < 400; i++) {
     assert_true(tmx_job_is_blocked(job("wk-last")));
-    end(awaits.ids[i], TMX_JOB_DONE, 110);
+    end(prerequisites.ids[i], TMX_JOB_DONE, 110);
   }
   assert_false(tmx_job_is_blocked(job("wk-last")));
-  tmx_job_ids_free(&awaits);
+  tmx_job_ids_free(&prerequisites);
 }
 
-/* The last job's priority and deadline count for all before it, less the runs in between, and no
- * more once it is gone. */
-static void jobs_inherit_the_urgency_of_those_that_await_them(void **state) {
+/* A job inherits the priority and the deadline of its dependents, the deadline less the run times
+ * in between. A cancelled dependent must no longer count. */
+static void jobs_inherit_the_urgency_of_their_dependents(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
   put("wk-a", "");
@@ -277,48 +284,49 @@
   assert_true(isinf(job("wk-a")->urgency.due_at));
 }
 
-/* Long chains and wide fans cost what they contain, and nothing recurses. */
-static void a_cancellation_passes_long_chains_and_wide_fans(void **state) {
+/* The cancellation of a long chain with a wide fan-out must take time in proportion to the number
+ * of jobs, and must not recurse, so that a long chain cannot overflow the stack. */
+static void a_cancellation_reaches_long_chains_and_wide_fan_outs(void **state) {
   (void)state;
-  enum { CHAIN = 20000, FAN = 5000 };
-  char id[TMX_ID_BYTES], before[TMX_ID_BYTES] = "";
+  enum { CHAIN = 20000, FAN_OUT = 5000 };
+  char id[TMX_ID_BYTES], previous_id[TMX_ID_BYTES] = "";
   for (int i = 0; i < CHAIN; i++) {
     snprintf(id, sizeof id, "wk-c%d", i);
-    put(id, before);
-    strcpy(before, id);
+    put(id, previous_id);
+    strcpy(previous_id, id);
   }
-  for (int i = 0; i < FAN; i++) {
+  for (int i = 0; i < FAN_OUT; i++) {
     snprintf(id, sizeof id, "wk-f%d", i);
-    put(id, before);
+    put(id, previous_id);
   }
   end("wk-c0", TMX_JOB_CANCELLED, 0);
-  assert_int_equal(replica.n_unstored_outcomes, CHAIN - 1 + FAN);
+  assert_int_equal(replica.n_unstored_outcomes, CHAIN - 1 + FAN_OUT);
   assert_int_equal(job("wk-f4999")->outcome, TMX_JOB_CANCELLED);
 }
 
-/* The version in production reads records of 19 entries: those of jobs that await nothing and are
- * awaited by none must have just these. */
-static void records_without_dependencies_keep_the_production_form(void **state) {
+/* The version in production reads records of 19 entries. The record of a job without prerequisites
+ * and dependents must have exactly these. */
+static void records_without_dependencies_keep_the_production_format(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
   struct tmx_job_ids none = {0};
-  struct tmx_buffer before = {0}, now = {0};
-  tmx_job_encode(&before, "wk-a", &spec, 100, TMX_JOB_OPEN);
-  tmx_job_encode_open(&now, "wk-a", &spec, 100, &none, 2000);
-  assert_int_equal(now.length, before.length);
-  assert_memory_equal(now.data, before.data, now.length);
+  struct tmx_buffer expected = {0}, actual = {0};
+  tmx_job_encode(&expected, "wk-a", &spec, 100, TMX_JOB_OPEN);
+  tmx_job_encode_open(&actual, "wk-a", &spec, 100, &none, 2000);
+  assert_int_equal(actual.length, expected.length);
+  assert_memory_equal(actual.data, expected.data, actual.length);
   put("wk-a", "");
-  before.length = now.length = 0;
-  tmx_job_encode(&before, "wk-a", &spec, 100, TMX_JOB_DONE);
-  tmx_job_encode_final(&now, job("wk-a"), TMX_JOB_DONE, 0, 2000);
-  assert_int_equal(now.length, before.length);
-  assert_memory_equal(now.data, before.data, now.length);
+  expected.length = actual.length = 0;
+  tmx_job_encode(&expected, "wk-a", &spec, 100, TMX_JOB_DONE);
+  tmx_job_encode_final(&actual, job("wk-a"), TMX_JOB_DONE, 0, 2000);
+  assert_int_equal(actual.length, expected.length);
+  assert_memory_equal(actual.data, expected.data, actual.length);
   assert_false(replica.dependencies_in_use);
-  tmx_buffer_free(&before);
-  tmx_buffer_free(&now);
+  tmx_buffer_free(&expected);
+  tmx_buffer_free(&actual);
 }
 
-/* A job that was accepted under a larger limit must still come to its final state. */
+/* A job that was accepted under a larger value limit must still get its final state stored. */
 static void a_final_state_fits_the_smallest_value(void **state) {
   (void)state;
   struct tmx_job job = {.spec = plain_spec(), .submitted_at = 1.7e9 + 0.123456};
@@ -346,56 +354,61 @@
   tmx_buffer_free(&buffer);
 }
 
-/* Operations of one job that share a line mean what they mean each in a line of its own. */
+/* Appends the operation as a line of its own to the text that `arg` points to. */
 static void append_operation(void *arg, const struct tmx_operation *operation) {
-  char line[TMX_LOG_LINE_BYTES], *all = arg;
+  char line[TMX_LOG_LINE_BYTES], *lines = arg;
   tmx_operation_print(line, sizeof line, operation);
-  snprintf(all + strlen(all), 512 - strlen(all), "%s;", line);
+  snprintf(lines + strlen(lines), 512 - strlen(lines), "%s;", line);
 }
-static void a_line_of_several_operations_means_each_of_them(void **state) {
+
+/* A group line, which holds several operations of one job, must be equivalent to one line for each
+ * operation. */
+static void a_group_line_is_equivalent_to_its_operations(void **state) {
   (void)state;
-  char all[512] = "";
-  tmx_log_line_for_each_operation("P wk-1 2 0:n-1 7:n-2", append_operation, all);
-  tmx_log_line_for_each_operation("E wk-1 2 d 0 3", append_operation, all);
-  tmx_log_line_for_each_operation("e wk-1/4 1 l", append_operation, all);
-  assert_string_equal(all, "p wk-1/0 2 n-1;p wk-1/7 2 n-2;e wk-1/0 2 d;e wk-1/3 2 d;e wk-1/4 1 l;");
-  all[0] = 0; /* a malformed line holds no operation */
+  char lines[512] = "";
+  tmx_log_line_for_each_operation("P wk-1 2 0:n-1 7:n-2", append_operation, lines);
+  tmx_log_line_for_each_operation("E wk-1 2 d 0 3", append_operation, lines);
+  tmx_log_line_for_each_operation("e wk-1/4 1 l", append_operation, lines);
+  assert_string_equal(lines,
+                      "p wk-1/0 2 n-1;p wk-1/7 2 n-2;e wk-1/0 2 d;e wk-1/3 2 d;e wk-1/4 1 l;");
+  lines[0] = 0; /* a malformed line yields no operation */
   static const char *const malformed[] = {
       "P wk-1 2",     "P wk-1 2 0",  "P wk-1 x 0:n-1", "PP wk-1 2 0:n-1",
       "E wk-1 2 d x", "P wk-1 2 0:", "E wk-1 2 d 1:n"};
   for (size_t i = 0; i < sizeof malformed / sizeof *malformed; i++)
-    tmx_log_line_for_each_operation(malformed[i], append_operation, all);
-  assert_string_equal(all, "");
-  struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 7, .attempt = 2}, other;
+    tmx_log_line_for_each_operation(malformed[i], append_operation, lines);
+  assert_string_equal(lines, "");
+  struct tmx_operation operation = {.kind = TMX_OPERATION_PLACE, .task = 7, .attempt = 2},
+                       next_attempt;
   strcpy(operation.job, "wk-1");
   strcpy(operation.machine, "n-2");
-  int length = tmx_operation_group_head_print(all, sizeof all, &operation);
-  tmx_operation_group_item_print(all + length, sizeof all - (size_t)length, &operation);
-  assert_string_equal(all, "P wk-1 2 7:n-2");
-  other = operation;
-  other.attempt = 3;
-  assert_false(tmx_operation_same_group(&operation, &other));
+  int length = tmx_operation_group_head_print(lines, sizeof lines, &operation);
+  tmx_operation_group_item_print(lines + length, sizeof lines - (size_t)length, &operation);
+  assert_string_equal(lines, "P wk-1 2 7:n-2");
+  next_attempt = operation;
+  next_attempt.attempt = 3;
+  assert_false(tmx_operation_same_group(&operation, &next_attempt));
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(a_job_is_blocked_until_all_it_awaits_are_done, setup,
+      cmocka_unit_test_setup_teardown(a_job_is_blocked_until_its_dependencies_are_done, setup,
                                       teardown),
       cmocka_unit_test_setup_teardown(cancellation_reaches_the_end_of_the_chain, setup, teardown),
-      cmocka_unit_test_setup_teardown(a_job_that_awaits_a_cancelled_one_is_cancelled, setup,
+      cmocka_unit_test_setup_teardown(a_new_dependent_of_a_cancelled_job_is_cancelled, setup,
                                       teardown),
-      cmocka_unit_test_setup_teardown(a_done_job_releases_those_that_await_it, setup, teardown),
+      cmocka_unit_test_setup_teardown(a_done_job_releases_its_dependents, setup, teardown),
       cmocka_unit_test_setup_teardown(a_load_derives_the_same_states, setup, teardown),
       cmocka_unit_test_setup_teardown(a_job_is_blocked_until_all_its_dependency_lines_are_read,
                                       setup, teardown),
-      cmocka_unit_test_setup_teardown(jobs_inherit_the_urgency_of_those_that_await_them, setup,
-                                      teardown),
-      cmocka_unit_test_setup_teardown(a_cancellation_passes_long_chains_and_wide_fans, setup,
+      cmocka_unit_test_setup_teardown(jobs_inherit_the_urgency_of_their_dependents, setup,
                                       teardown),
-      cmocka_unit_test_setup_teardown(a_line_of_several_operations_means_each_of_them, setup,
+      cmocka_unit_test_setup_teardown(a_cancellation_reaches_long_chains_and_wide_fan_outs, setup,
                                       teardown),
-      cmocka_unit_test_setup_teardown(records_without_dependencies_keep_the_production_form, setup,
+      cmocka_unit_test_setup_teardown(a_group_line_is_equivalent_to_its_operations, setup,
                                       teardown),
+      cmocka_unit_test_setup_teardown(records_without_dependencies_keep_the_production_format,
+                                      setup, teardown),
       cmocka_unit_test_setup_teardown(a_final_state_fits_the_smallest_value, setup, teardown),
   };
   return RUN_TESTS(tests);
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -1,4 +1,4 @@
-/* What would appear only with thousands of machines: growth past every former bound. */
+/* Faults that appear only with thousands of machines: sizes above former fixed limits. */
 #include "fake.h"
 
 #include <stdio.h>
@@ -29,29 +29,30 @@
   return 0;
 }
 
-/* Lines of the log as another controller would have written them, many in one batch. */
-static void put_lines(const char *form, size_t from, size_t count) {
-  static unsigned batches;
-  enum { A_BATCH = 1000 };
+/* Writes `count` log lines in large batches, as another controller would write them. `format` gets
+ * the number of each line, starting with `first`. */
+static void put_lines(const char *format, size_t first, size_t count) {
+  static unsigned n_batches;
+  enum { BATCH_LINES = 1000 };
   char key[64], line[TMX_LOG_LINE_BYTES];
-  for (size_t sent = 0; sent < count; sent += A_BATCH) {
-    size_t part = count - sent < A_BATCH ? count - sent : A_BATCH;
+  for (size_t written = 0; written < count; written += BATCH_LINES) {
+    size_t batch_lines = count - written < BATCH_LINES ? count - written : BATCH_LINES;
     struct tmx_buffer list = {0}, value = {0};
-    for (size_t i = 0; i < part; i++) {
-      snprintf(line, sizeof line, form, from + sent + i);
+    for (size_t i = 0; i < batch_lines; i++) {
+      snprintf(line, sizeof line, format, first + written + i);
       tmx_cbor_put_text(&list, line);
     }
-    tmx_log_value_encode(&value, NULL, 0, &list, part);
-    snprintf(key, sizeof key, TMX_KEY_BATCH "other/%06x", batches++);
+    tmx_log_value_encode(&value, NULL, 0, &list, batch_lines);
+    snprintf(key, sizeof key, TMX_KEY_BATCH "other/%06x", n_batches++);
     fake_put(key, &value);
     tmx_buffer_free(&list);
     tmx_buffer_free(&value);
   }
 }
 
-/* A heartbeat's record has room for 2,048 suspected machines. Where an owner has more, further
- * records follow, and the leader hears of all of them. */
-static void doubts_beyond_one_record(void **state) {
+/* A heartbeat record holds at most 2,048 suspected machines. An owner that suspects more sends
+ * further records. If they were lost, the leader would never replace the machines in them. */
+static void suspicions_beyond_one_record_reach_the_other_controller(void **state) {
   (void)state;
   enum { MACHINES = 5000 };
   first_controller = start_controller(0, 2);
@@ -59,29 +60,29 @@
   second_controller = start_controller(1, 2);
   assert_true(run_loop_until(fake_controller_is_ready, second_controller));
   put_lines("m n-1%05zu 127.0.0.1:1 big a 0 0", 0, MACHINES);
-  run_loop_for(8); /* none of them reports */
+  run_loop_for(8); /* none of the machines sends a heartbeat */
   struct tmx_machine *machine, *next;
-  size_t of_other = 0, heard_of = 0;
+  size_t owned_by_other = 0, known_suspicions = 0;
   struct tmx_suspicion suspicion;
   HASH_ITER(hh, second_controller->replica.machines, machine, next) {
     if (machine->owner == tmx_authority_member_index(&second_controller->authority)) continue;
-    of_other++;
-    heard_of += tmx_workers_find_suspicion(second_controller->workers, machine, &suspicion);
+    owned_by_other++;
+    known_suspicions += tmx_workers_find_suspicion(second_controller->workers, machine, &suspicion);
   }
-  assert_true(of_other > TMX_HEARTBEAT_SUSPICIONS_MAX);
-  assert_int_equal(heard_of, of_other);
+  assert_true(owned_by_other > TMX_HEARTBEAT_SUSPICIONS_MAX);
+  assert_int_equal(known_suspicions, owned_by_other);
 }
 
-/* Machines came and went by the thousand: a late report of one that is long gone does not bring it
- * back. */
-static void gone_thousands_of_machines_ago(void **state) {
+/* A late heartbeat of a removed machine must not register the machine again, even after thousands
+ * of other machines were removed. */
+static void a_late_heartbeat_does_not_restore_a_removed_machine(void **state) {
   (void)state;
-  enum { GONE = 20000 };
+  enum { REMOVED = 20000 };
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   fake_worker_send_heartbeat(&worker, first_controller);
   uint64_t token = worker.token;
-  put_lines("x n-%06zu", 1, GONE);
+  put_lines("x n-%06zu", 1, REMOVED);
   run_loop_for(0.5);
   assert_true(tmx_machine_was_removed(&first_controller->replica, "n-000001"));
   worker.token = token;
@@ -92,8 +93,9 @@
   assert_null(tmx_machine_find(&first_controller->replica, "n-000001"));
 }
 
-/* More machines report than were ever allowed for at once. */
-static void more_workers_than_before(void **state) {
+/* More machines are registered than the former limit allowed. A further machine's heartbeat must be
+ * accepted. */
+static void a_heartbeat_is_accepted_among_thousands_of_machines(void **state) {
   (void)state;
   enum { MACHINES = 9000 };
   struct tmx_buffer body = {0};
@@ -107,23 +109,26 @@
   tmx_buffer_free(&body);
 }
 
-static size_t listed(void) { return HASH_COUNT(first_controller->cloud->inventory.instances); }
+static size_t listed_instances(void) {
+  return HASH_COUNT(first_controller->cloud->inventory.instances);
+}
 
-/* A listing of many pages is read to its end, also when it grows between them. */
-static void listing_of_many_pages(void **state) {
+/* The cloud's list of instances must be read to its last page, also when it grows between two
+ * pages. */
+static void a_growing_instance_list_is_read_to_its_last_page(void **state) {
   (void)state;
   fake_cloud.listed_machines = 6100;
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   for (int i = 0; i < 100 && fake_cloud.pages_served < 5; i++) run_loop_for(0.1);
   fake_cloud.listed_machines = 6900;
-  for (int i = 0; i < 400 && listed() < 6900; i++) run_loop_for(0.1);
-  assert_int_equal(listed(), 6900);
+  for (int i = 0; i < 400 && listed_instances() < 6900; i++) run_loop_for(0.1);
+  assert_int_equal(listed_instances(), 6900);
 }
 
-/* A listing that announces more pages and repeats the same names is given up, and read anew later.
- */
-static void listing_that_does_not_go_on(void **state) {
+/* A list that announces further pages but repeats the same ids must be abandoned and read again
+ * later. Otherwise the controller would request the same page in an endless loop. */
+static void an_instance_list_that_repeats_a_page_is_abandoned(void **state) {
   (void)state;
   fake_cloud.listed_machines = 2000;
   fake_cloud.repeat_first_page = true;
@@ -131,17 +136,23 @@
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   fake_cloud.pages_served = 0;
   run_loop_for(10);
-  assert_in_range(fake_cloud.pages_served, 2, 14); /* two a pass, a pass each 2 s */
-  assert_int_equal(listed(), 500);
+  /* two pages for each read of the list, one read every 2 s */
+  assert_in_range(fake_cloud.pages_served, 2, 14);
+  assert_int_equal(listed_instances(), 500);
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(doubts_beyond_one_record, setup, teardown),
-      cmocka_unit_test_setup_teardown(gone_thousands_of_machines_ago, setup, teardown),
-      cmocka_unit_test_setup_teardown(more_workers_than_before, setup, teardown),
-      cmocka_unit_test_setup_teardown(listing_of_many_pages, setup, teardown),
-      cmocka_unit_test_setup_teardown(listing_that_does_not_go_on, setup, teardown),
+      cmocka_unit_test_setup_teardown(suspicions_beyond_one_record_reach_the_other_controller,
+                                      setup, teardown),
+      cmocka_unit_test_setup_teardown(a_late_heartbeat_does_not_restore_a_removed_machine, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(a_heartbeat_is_accepted_among_thousands_of_machines, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(a_growing_instance_list_is_read_to_its_last_page, setup,
+                                      teardown),
+      cmocka_unit_test_setup_teardown(an_instance_list_that_repeats_a_page_is_abandoned, setup,
+                                      teardown),
   };
   return RUN_TESTS(tests);
 }
--- a/tests/test_scale_out_plan.c
+++ b/tests/test_scale_out_plan.c
@@ -1,4 +1,4 @@
-/* Scale-out for what waits, and the choice of spot machines. */
+/* Scale-out for waiting tasks, and the placement of tasks on spot machines. */
 #include "planned_cluster.h"
 #include "test.h"
 
@@ -18,45 +18,46 @@
   struct tmx_demand demand = {&spec, 1, -1, 0};
   struct tmx_offer offers[2] = {{&small, 0, false, 0.2}, {&big, 0, false, 1.0}};
   struct tmx_scale_out choices[4];
-  struct tmx_scale_out_input situation = {
+  struct tmx_scale_out_input input = {
       .demands = &demand, .n_demands = 1, .offers = offers, .n_offers = 2, .provisioned_cpus = 10};
-  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 1);
+  assert_int_equal(tmx_plan_scale_out(&input, choices, 4), 1);
   assert_int_equal(choices[0].offer, 0);
   assert_int_equal(choices[0].count, 1);
-  /* what is on its way is counted */
-  struct tmx_provisioned_machine coming = {&small, 0, false, 4, 0, 16};
-  situation.provisioned = &coming;
-  situation.n_provisioned = 1;
-  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 0);
-  /* a service never gets a spot machine */
+  /* a machine that is booting counts as capacity */
+  struct tmx_provisioned_machine booting = {&small, 0, false, 4, 0, 16};
+  input.provisioned = &booting;
+  input.n_provisioned = 1;
+  assert_int_equal(tmx_plan_scale_out(&input, choices, 4), 0);
+  /* no spot machine is rented for a service */
   struct tmx_offer spot = {&small, 0, true, 0.05};
-  situation.n_provisioned = 0;
-  situation.offers = &spot;
-  situation.n_offers = 1;
-  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 0);
-  /* a large demand does not wait until the cheapest offer is exhausted */
+  input.n_provisioned = 0;
+  input.offers = &spot;
+  input.n_offers = 1;
+  assert_int_equal(tmx_plan_scale_out(&input, choices, 4), 0);
+  /* a large demand uses further offers at once rather than waiting for the cheapest one */
   demand.tasks = 2000;
-  situation.offers = offers;
-  situation.n_offers = 2;
-  assert_int_equal(tmx_plan_scale_out(&situation, choices, 4), 2);
+  input.offers = offers;
+  input.n_offers = 2;
+  assert_int_equal(tmx_plan_scale_out(&input, choices, 4), 2);
   assert_int_equal(choices[0].count, TMX_SCALE_OUT_OFFER_MACHINES_MAX);
   assert_int_equal(choices[1].count, TMX_SCALE_OUT_OFFER_MACHINES_MAX);
 }
 
-/* Arrays leave ordinary machines to others; a task that could not be run once more before its job's
- * next aim does not go where machines are taken back. */
-static void spot_machines_take_what_can_be_lost(void **state) {
+/* A task of an array is placed on a spot machine, which leaves on-demand machines to other jobs. If
+ * a second run would end after the job's next completion target, or if the job is a service, it is
+ * placed on an on-demand machine, as a spot machine may be reclaimed. */
+static void only_tasks_that_can_be_rerun_use_spot_machines(void **state) {
   (void)state;
-  for (int k = 0; k < 3; k++) {
+  for (int variant = 0; variant < 3; variant++) {
     struct planned_cluster *cluster = make_cluster(2, 1, 1);
     cluster->machines[1].spot = true;
-    add_job(cluster, 0, k == 2, 1, 2)->spot_allowed = k < 2;
+    add_job(cluster, 0, variant == 2, 1, 2)->spot_allowed = variant < 2;
     cluster->jobs[0].next_completion_target_s = 250;
-    cluster->jobs[0].expected_run_s = k ? 150 : 40;
+    cluster->jobs[0].expected_run_s = variant ? 150 : 40;
     struct tmx_round_output output;
     run_round(cluster, &output);
     assert_int_equal(output.n_operations, 1);
-    assert_string_equal(output.operations[0].machine, cluster->machines[!k].id);
+    assert_string_equal(output.operations[0].machine, cluster->machines[!variant].id);
     free(output.operations);
     free_cluster(cluster);
   }
@@ -65,7 +66,7 @@
 int main(void) {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(scale_out_follows_waiting_demand),
-      cmocka_unit_test(spot_machines_take_what_can_be_lost),
+      cmocka_unit_test(only_tasks_that_can_be_rerun_use_spot_machines),
   };
   return RUN_TESTS(tests);
 }
