--- a/src/worker/fencing.c
+++ b/src/worker/fencing.c
@@ -34,7 +34,7 @@
   struct tmx_worker_ownership *ownership = &worker->ownership;
   /* The term is the same if the replica was cleared and read again. A heartbeat response with
    * starts may then be in flight with the same token that the worker has seen, so a higher token is
-   * needed (test_leader_change: tokens_stay_valid_when_the_same_view_is_read_again). */
+   * needed (test_leader_change: a_replica_reload_in_the_same_view_raises_the_token). */
   if (term == ownership->as_of_term) raise_token(ownership);
   ownership->required_token = tmx_worker_token(worker);
   ownership->report_may_predate_ownership = true;
@@ -62,7 +62,7 @@
  * (test_task_lifecycle: an_unanswered_command_raises_the_token). required_session is set to the
  * latest session each time: if an earlier unanswered command was sent for an earlier session, the
  * end of that session does not void this command (test_late_messages:
- * a_late_command_of_a_later_session_proves_no_end). */
+ * a_session_end_does_not_void_a_later_command). */
 void tmx_worker_fence_unanswered_command(struct tmx_worker *worker) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
   if (tmx_worker_acknowledges_owner(worker)) ownership->required_since = tmx_clock_steady();
@@ -121,7 +121,7 @@
 /* The attempt may still be started by a command with a token below the required one (test_fencing:
  * late_commands_of_the_former_owner_are_fenced), or by a start of this owner that is in flight: in
  * a direct command, or in a heartbeat response (test_late_messages:
- * a_probe_that_overtakes_an_answer_changes_nothing). */
+ * a_probe_that_overtakes_a_response_ends_no_attempt). */
 bool tmx_worker_absence_proves_end(const struct tmx_worker *worker) {
   return earlier_commands_are_void(worker) && !worker->commands.in_flight &&
          !worker->commands.is_unanswered && !worker->commands.starts_unconfirmed;
@@ -129,8 +129,8 @@
 
 /* A new owner cannot tell a late copy of a report from a new report, even if the copy is of an
  * earlier session. The worker may have forgotten the attempt with that session and started it again
- * (test_late_messages: a_late_report_of_an_earlier_session_proves_no_end). Only a completed attempt
- * stays completed, because the worker keeps its result. */
+ * (test_late_messages: a_late_report_of_an_earlier_session_ends_no_attempt). Only a completed
+ * attempt stays completed, because the worker keeps its result. */
 bool tmx_worker_end_is_proven(const struct tmx_worker *worker, char end_reason) {
   return end_reason == TMX_END_DONE || !worker->ownership.report_may_predate_ownership;
 }
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -35,7 +35,7 @@
 
 /* Responds as the owner: renews the lease, unless the worker has a newer owner. A stale heartbeat
  * was overtaken by the response to a probe, and its worker still awaits a response
- * (test_late_messages: a_probe_that_overtakes_a_report_proves_no_end); or it is a late copy, to
+ * (test_late_messages: a_report_overtaken_by_a_probe_renews_the_lease); or it is a late copy, to
  * which no worker awaits a response. Renewing the lease is safe in both cases, because the worker
  * counts its lease from the time at which it sent the heartbeat. */
 static void reply_as_owner(struct tmx_worker *worker, struct tmx_http_request *request,
@@ -62,7 +62,7 @@
  * since. A controller that renews the lease on behalf of the owner does not raise the token, so
  * that the start can still be executed and the task runs until the lease ends. The lease must
  * therefore not be renewed beyond the time limit of a cancellation (test_cancellation:
- * no_lease_is_kept_for_a_delayed_start). */
+ * no_lease_outlasts_a_cancellation_with_a_delayed_start). */
 static bool is_late_start_possible(const struct tmx_worker *worker, double now) {
   const struct tmx_settings *settings = worker->workers->settings;
   for (const struct tmx_task *task = worker->machine ? worker->machine->tasks : NULL; task;
@@ -213,7 +213,7 @@
   }
   /* A controller that cannot reach the store does not learn of cancellations elsewhere, so it may
    * renew leases only within the time limit of a cancellation (test_cancellation:
-   * a_cancellation_holds_while_the_store_is_cut_off; test_cancellation:
+   * a_cancellation_holds_while_the_store_is_unreachable; test_cancellation:
    * no_lease_outlasts_a_cancellation_in_a_store_outage). */
   if (!tmx_authority_may_act(workers->authority)) {
     tmx_http_reply(request, 503, NULL, 1);
@@ -229,7 +229,7 @@
     return;
   }
   /* A late copy of an earlier session: no worker awaits its response (test_late_messages:
-   * a_probe_that_overtakes_a_report_proves_no_end). */
+   * a_report_overtaken_by_a_probe_renews_the_lease). */
   if (ingest.session < worker->report.session) {
     reply_redirect(request, NULL);
     return;
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -67,8 +67,9 @@
 
 /* Checks a machine that this controller owns and returns whether it is usable. A machine that
  * responds and sends no heartbeats is not usable (test_machine_failure:
- * a_machine_that_cannot_report_is_replaced). Neither is one that sends heartbeats and does not
- * respond (test_machine_failure: a_machine_that_is_heard_and_not_reached_is_replaced). */
+ * a_responsive_machine_without_heartbeats_is_replaced). Neither is one that sends heartbeats and
+ * does not respond (test_machine_failure:
+ * an_unresponsive_machine_that_sends_heartbeats_is_replaced). */
 static bool check_own_machine(struct tmx_worker *worker, struct health_check *check) {
   const struct tmx_settings *settings = worker->workers->settings;
   struct tmx_reachability *reachability = &check->reachability;
--- a/src/worker/report_intake.c
+++ b/src/worker/report_intake.c
@@ -108,7 +108,7 @@
       liveness->heartbeat_at = worker->workers->last_heartbeat_at = now;
       /* A new heartbeat proves that the response to the previous one was executed or dropped. The
        * response to a probe does not, since it may overtake a heartbeat response in flight
-       * (test_late_messages: a_probe_that_overtakes_an_answer_changes_nothing). */
+       * (test_late_messages: a_probe_that_overtakes_a_response_ends_no_attempt). */
       worker->commands.starts_unconfirmed = false;
       break;
     case TMX_REPORT_FROM_RESPONSE:
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -27,7 +27,7 @@
   /* The worker may respond and yet be unable to send heartbeats. Direct commands do not renew its
    * lease, so its tasks have been killed by now, and new ones would be killed a lease later. If
    * most machines send no heartbeats, it is this controller that is unreachable
-   * (test_machine_failure: a_machine_that_cannot_report_is_replaced). */
+   * (test_machine_failure: a_responsive_machine_without_heartbeats_is_replaced). */
   double heartbeat_age = tmx_worker_heartbeat_age(worker, now);
   if (heartbeat_age > settings->lease_s && !worker->workers->most_send_no_heartbeats)
     unacknowledged_s = fmax(unacknowledged_s, heartbeat_age);
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -1,4 +1,5 @@
-/* Cancellations during other failures: a confirmed cancellation is final, whatever fails. */
+/* Cancellations during other failures. A confirmed cancellation is final: the tasks of the job end
+ * within cancel_s, and none of them starts again. */
 #include "controller_fixture.h"
 
 #include <stdio.h>
@@ -7,12 +8,17 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* The scenario "gap": the store refuses the leader alone, another controller confirms a
- * cancellation, then the store is down for all, for longer than cancel_s, and the worker keeps
- * reporting to its old owner. Whatever any of them answers, no lease outlasts the time of the
- * cancellation, and nothing of the job starts. slow_s: in place of the refusal the owner's reads
- * are answered so late, and its watch shows no change. */
-static void play_gap(double slow_s) {
+/* Guards against a lease that is renewed for too long after another controller has confirmed a
+ * cancellation. The store refuses the requests of the machine's owner only, the other controller
+ * confirms the cancellation, and then the store is unavailable to both for longer than cancel_s.
+ * The worker sends heartbeats to both controllers throughout. No lease that a response renews may
+ * end later than cancel_s after the confirmation, unless the response stops the tasks, and no task
+ * of the job may start. The scenario "gap" covers the same failure with the leader in place of the
+ * owner.
+ *
+ * If read_delay_s is not 0, the store serves the owner in the first part instead of refusing its
+ * requests, but responds to its reads after that many seconds, and its watch shows no changes. */
+static void check_leases_after_cancellation(double read_delay_s) {
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_for_starts(2);
@@ -20,63 +26,68 @@
                                 first_controller->settings.node_name);
   struct tmx_controller *owner = first_is_owner ? first_controller : second_controller,
                         *other = first_is_owner ? second_controller : first_controller;
-  struct fake_endpoint *endpoint = &fake_store.endpoints[first_is_owner ? 0 : 1];
-  double lease = first_controller->settings.lease_s, cancel = first_controller->settings.cancel_s;
-  worker.fails_commands = true; /* stops sent by command do not arrive */
-  endpoint->read_delay_s = slow_s;
-  endpoint->refuse = !slow_s;
-  endpoint->freeze_watch = slow_s > 0;
+  struct fake_endpoint *owner_endpoint = &fake_store.endpoints[first_is_owner ? 0 : 1];
+  double lease_s = first_controller->settings.lease_s,
+         cancel_s = first_controller->settings.cancel_s;
+  worker.fails_commands = true; /* direct commands that stop tasks fail */
+  owner_endpoint->read_delay_s = read_delay_s;
+  owner_endpoint->refuse = !read_delay_s;
+  owner_endpoint->freeze_watch = read_delay_s > 0;
   run_loop_for(0.3);
-  unsigned reads = endpoint->reads;
-  for (int i = 0; slow_s && i < 1000 && endpoint->reads == reads; i++) run_loop_for(0.005);
+  unsigned reads_before = owner_endpoint->reads;
+  for (int i = 0; read_delay_s && i < 1000 && owner_endpoint->reads == reads_before; i++)
+    run_loop_for(0.005);
   assert_string_equal(cancel_job(other, "wk-000001").state, WV_CANCELLED);
-  double confirmed = tmx_clock_steady(), renewed = confirmed;
-  if (slow_s) run_loop_for(slow_s + 0.3); /* the read that began just before is answered only now */
+  double confirmed_at = tmx_clock_steady(), renewed_at = confirmed_at;
+  if (read_delay_s)
+    run_loop_for(read_delay_s + 0.3); /* until the response to the read above has arrived */
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
-  unsigned begun = worker.executed_starts, answered = 0;
-  double passed = 0;
-  while (passed < cancel + 5) {
-    struct tmx_controller *asked[] = {owner, other};
+  unsigned starts_before = worker.executed_starts, accepted_heartbeats = 0;
+  double elapsed_s = 0;
+  while (elapsed_s < cancel_s + 5) {
+    struct tmx_controller *controllers[] = {owner, other};
     for (int i = 0; i < 2; i++) {
-      double sent = tmx_clock_steady();
-      fake_worker_send_heartbeat(&worker, asked[i]);
+      double sent_at = tmx_clock_steady();
+      fake_worker_send_heartbeat(&worker, controllers[i]);
       if (worker.report_status != 200 || worker.response_token < worker.token) continue;
-      answered++;
+      accepted_heartbeats++;
       assert_false(fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1));
       if (fake_worker_was_commanded(&worker, WV_STOP, "wk-000001/0", 1))
-        continue; /* executed with the same answer */
-      renewed = sent;
+        continue; /* the same response stops the task */
+      renewed_at = sent_at;
     }
     run_loop_for(0.12);
     tmx_clock_advance(0.38);
-    passed += 0.5;
+    elapsed_s += 0.5;
   }
-  assert_true(answered > 0); /* running work went on for a while */
-  assert_true(renewed + lease * (1 + TMX_CLOCK_DRIFT_SHARE_MAX) < confirmed + cancel);
-  assert_int_equal(worker.executed_starts, begun);
+  assert_true(accepted_heartbeats > 0); /* running tasks kept their lease for a while */
+  assert_true(renewed_at + lease_s * (1 + TMX_CLOCK_DRIFT_SHARE_MAX) < confirmed_at + cancel_s);
+  assert_int_equal(worker.executed_starts, starts_before);
 }
 
 static void no_lease_outlasts_a_cancellation_in_a_store_outage(void **state) {
   (void)state;
-  play_gap(0);
+  check_leases_after_cancellation(0);
 }
 
 static void no_lease_outlasts_a_cancellation_with_slow_reads(void **state) {
   (void)state;
-  play_gap(1.9); /* just before they are given up */
+  /* Just below TMX_STORE_TIMEOUT_S, after which a read fails. */
+  check_leases_after_cancellation(1.9);
 }
 
-/* The same, and the leader does not reach the other controllers either. */
+/* Two controllers that do not reach each other. */
 static int setup_unreachable_peers(void **state) {
   fake_peers_unreachable = true;
   return setup_two_settled_controllers(state);
 }
 
-/* The owner's start is held up on its way, the job is cancelled through another controller, which
- * knows it, and then the store is unreachable and the owner ends. A controller that renews the
- * lease for the owner raises no token: the start may still be executed, and must not outlast the
- * cancellation. */
-static void no_lease_is_kept_for_a_delayed_start(void **state) {
+/* Guards against a delayed start that is executed long after the cancellation. The start of the
+ * machine's owner is in flight when the other controller confirms the cancellation. Then the store
+ * becomes unreachable and the owner terminates. The other controller renews the lease on behalf of
+ * the owner and does not raise the token, so the start can still be executed. It must therefore
+ * stop renewing the lease early enough for the lease to end within cancel_s. */
+static void no_lease_outlasts_a_cancellation_with_a_delayed_start(void **state) {
   (void)state;
   register_worker(&worker);
   worker.fails_commands = true;
@@ -85,9 +96,9 @@
   wait_for_unanswered_command(0);
   bool first_is_owner = !strcmp(tmx_machine_owner(&first_controller->replica, worker.id),
                                 first_controller->settings.node_name);
-  struct tmx_controller *keeper = first_is_owner ? second_controller : first_controller;
-  assert_string_equal(cancel_job(keeper, "wk-000001").state, WV_CANCELLED);
-  double confirmed = tmx_clock_steady();
+  struct tmx_controller *remaining = first_is_owner ? second_controller : first_controller;
+  assert_string_equal(cancel_job(remaining, "wk-000001").state, WV_CANCELLED);
+  double confirmed_at = tmx_clock_steady();
   run_loop_for(0.3);
   tmx_clock_advance(9);
   run_loop_for(0.5);
@@ -100,20 +111,20 @@
     second_controller = NULL;
   run_loop_for(0.2);
   assert_int_equal(fake_count_placed(), 1);
-  fake_worker_send_heartbeat(&worker, keeper);
+  fake_worker_send_heartbeat(&worker, remaining);
   tmx_clock_advance(TMX_STORE_UNREACHABLE_S);
-  fake_worker_send_heartbeat(&worker, keeper);
-  assert_int_equal(worker.report_status, 200); /* a lease from now on ends in time */
-  assert_true(tmx_clock_steady() + keeper->settings.lease_s <
-              confirmed + keeper->settings.cancel_s);
+  fake_worker_send_heartbeat(&worker, remaining);
+  assert_int_equal(worker.report_status, 200); /* this lease ends within cancel_s */
+  assert_true(tmx_clock_steady() + remaining->settings.lease_s <
+              confirmed_at + remaining->settings.cancel_s);
   tmx_clock_advance(7);
-  assert_true(tmx_authority_may_act(&keeper->authority));
-  fake_worker_send_heartbeat(&worker, keeper);
+  assert_true(tmx_authority_may_act(&remaining->authority));
+  fake_worker_send_heartbeat(&worker, remaining);
   assert_int_not_equal(worker.report_status, 200);
 }
 
-/* Without the state nothing starts, though leases are renewed: somebody may have cancelled the job.
- */
+/* Guards against the start of a cancelled job. A controller whose replica is stale may renew
+ * leases but must start nothing, because the job may have been cancelled elsewhere. */
 static void nothing_starts_on_a_stale_replica(void **state) {
   (void)state;
   register_worker(&worker);
@@ -122,8 +133,8 @@
   fake_store.endpoints[0].refuse = true;
   run_loop_for(0.2);
   tmx_clock_advance(TMX_START_REPLICA_AGE_MAX_S);
-  worker.session++; /* its lease lapsed: the task is missing, and the log says that it belongs there
-                     */
+  /* The lease expired: the worker lost the task, which the log still places on the machine. */
+  worker.session++;
   worker.n_tasks = 0;
   for (int i = 0; i < 3; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
@@ -141,9 +152,11 @@
   assert_int_equal(worker.executed_starts, 2);
 }
 
-/* A cancellation, a question and a repeated submission meet the last task's end, whose transaction
- * is carried out without an answer, or late, or not at all. The first of the two in the log is
- * final. */
+/* Guards against contradictory answers to users when a job is cancelled while its last task
+ * completes. For the first job the transaction with the completion is committed and its response is
+ * lost. For the second job it is answered with an error and executed after the cancellation, where
+ * it must conflict. Whichever of the two outcomes is first in the log is final: later polls,
+ * cancellations and repeated submissions return it, also after a restart. */
 static void a_cancellation_at_the_last_completion_gets_one_answer(void **state) {
   (void)state;
   static const char *ids[] = {"wk-000001", "wk-000002"};
@@ -166,7 +179,7 @@
     for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_response);
          i++)
       run_loop_for(0.005);
-    /* the cancellation's own key may have been the one that was held: it is repeated then */
+    /* The fault may have hit the transaction of the cancellation instead. The user then retries. */
     struct fake_answer answer = cancel_job(first_controller, ids[late]);
     for (int i = 0; i < 20 && answer.status != 200; i++)
       answer = cancel_job(first_controller, ids[late]);
@@ -192,13 +205,13 @@
   assert_int_equal(worker.executed_starts, 2);
 }
 
-/* A job is cancelled while another controller takes over from its owner: the owner ends between
- * the placement and the start, and the other controller confirms the cancellation before, while or
- * after it takes the machine. Nothing of the job starts after the confirmation, and its place is
- * free again. */
+/* Guards against the start of a cancelled job by the successor of the machine's owner. The owner
+ * terminates between the placement and the start, and the successor confirms the cancellation
+ * before, while or after it takes over the machine. Nothing of the job may start after the
+ * confirmation, and its capacity must become free again. */
 static void a_cancellation_holds_while_owners_change(void **state) {
   (void)state;
-  static const double after[] = {0, 0.5, 1.5, 3};
+  static const double delays_s[] = {0, 0.5, 1.5, 3};
   char id[32];
   register_worker(&worker);
   for (unsigned i = 0; i < 4; i++) {
@@ -211,14 +224,14 @@
     assert_int_equal(submit_simple_job(successor, id, "batch", 2, 2, "t"), 201);
     wait_for_placed(2);
     fake_drop(first_is_owner ? TMX_KEY_MEMBER "hand-0"
-                             : TMX_KEY_MEMBER "hand-1"); /* its lease is over */
+                             : TMX_KEY_MEMBER "hand-1"); /* as if its store lease had expired */
     stop_controller(owner);
     *(first_is_owner ? &first_controller : &second_controller) = NULL;
-    run_loop_for(after[i]);
+    run_loop_for(delays_s[i]);
     struct fake_answer answer = cancel_job(successor, id);
     for (int k = 0; k < 20 && answer.status == 503; k++) answer = cancel_job(successor, id);
     assert_string_equal(answer.state, WV_CANCELLED);
-    unsigned begun = worker.executed_starts;
+    unsigned starts_before = worker.executed_starts;
     worker.fails_commands = false;
     for (int k = 0; k < 400 && fake_count_placed(); k++) {
       run_loop_for(0.05);
@@ -226,7 +239,7 @@
       fake_worker_execute_commands(&worker);
     }
     assert_int_equal(fake_count_placed(), 0);
-    assert_int_equal(worker.executed_starts, begun);
+    assert_int_equal(worker.executed_starts, starts_before);
     *(first_is_owner ? &first_controller : &second_controller) =
         start_controller(first_is_owner ? 0 : 1, 2);
     assert_true(run_loop_until(fake_controller_is_ready,
@@ -236,15 +249,16 @@
   }
 }
 
-/* A controller that the state service refuses renews leases only as long as a cancellation
- * elsewhere allows, and sends workers away at once when it knows that others are served. */
-static void a_cancellation_holds_while_the_store_is_cut_off(void **state) {
+/* Guards against a lease that outlasts a cancellation elsewhere. A controller that cannot reach
+ * the store does not learn of cancellations, so it may renew leases only for as long as they end
+ * within cancel_s, and must reject requests of users and workers after that. */
+static void a_cancellation_holds_while_the_store_is_unreachable(void **state) {
   (void)state;
   register_worker_at(first_controller);
   fake_store.endpoints[0].refuse = true;
   run_loop_for(0.2);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_int_equal(worker.report_status, 200); /* fresh enough: running work goes on */
+  assert_int_equal(worker.report_status, 200); /* the replica is fresh enough to renew the lease */
   tmx_clock_advance(first_controller->settings.cancel_s - first_controller->settings.lease_s -
                     TMX_FRESHNESS_MARGIN_S + 0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
@@ -254,7 +268,7 @@
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
 }
 
-/* Cancelled: stopped, and nothing of it starts again. */
+/* The tasks of a cancelled job are stopped, and none of them starts again. */
 static void tasks_of_a_cancelled_job_are_stopped(void **state) {
   (void)state;
   register_worker_at(first_controller);
@@ -276,11 +290,12 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(no_lease_outlasts_a_cancellation_in_a_store_outage,
                                       setup_two_settled_controllers, teardown_controllers),
-      {"gap_without_peers", no_lease_outlasts_a_cancellation_in_a_store_outage,
-       setup_unreachable_peers, teardown_controllers, NULL},
+      {"no_lease_outlasts_a_cancellation_with_unreachable_peers",
+       no_lease_outlasts_a_cancellation_in_a_store_outage, setup_unreachable_peers,
+       teardown_controllers, NULL},
       cmocka_unit_test_setup_teardown(no_lease_outlasts_a_cancellation_with_slow_reads,
                                       setup_two_settled_controllers, teardown_controllers),
-      cmocka_unit_test_setup_teardown(no_lease_is_kept_for_a_delayed_start,
+      cmocka_unit_test_setup_teardown(no_lease_outlasts_a_cancellation_with_a_delayed_start,
                                       setup_two_settled_controllers, teardown_controllers),
       cmocka_unit_test_setup_teardown(nothing_starts_on_a_stale_replica, setup_one_controller,
                                       teardown_controllers),
@@ -288,7 +303,7 @@
                                       setup_one_controller, teardown_controllers),
       cmocka_unit_test_setup_teardown(a_cancellation_holds_while_owners_change,
                                       setup_two_settled_controllers, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_cancellation_holds_while_the_store_is_cut_off,
+      cmocka_unit_test_setup_teardown(a_cancellation_holds_while_the_store_is_unreachable,
                                       setup_one_controller, teardown_controllers),
       cmocka_unit_test_setup_teardown(tasks_of_a_cancelled_job_are_stopped, setup_one_controller,
                                       teardown_controllers),
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -1,63 +1,64 @@
-/* Suspicion of peers, and partitions of zones. */
+/* Suspicion of other controllers, and detection of partitioned zones. */
 #include "test.h"
 
 #include "membership/failure_detector.h"
 
-/* Who is left out: not everybody because connections are refused, not the others because this one
- * hears nobody, and nobody because the zones came apart. */
+/* Guards against suspecting healthy controllers. One that refuses connections is not suspected
+ * while its batches are recent. None is suspected for its silence by a controller that hears no
+ * other, or while the zones are partitioned from each other. */
 static void peers_are_suspected_by_evidence(void **state) {
   (void)state;
-  struct tmx_peer_census all = {.others = 4,
-                                .heard = 3,
-                                .same_zone = 2,
-                                .same_zone_heard = 2,
-                                .other_zones = 2,
-                                .other_zones_heard = 1};
-  struct tmx_peer_census none = {.others = 4, .same_zone = 2, .other_zones = 2};
-  struct tmx_peer_census apart = {
+  struct tmx_peer_census most_heard = {.others = 4,
+                                       .heard = 3,
+                                       .same_zone = 2,
+                                       .same_zone_heard = 2,
+                                       .other_zones = 2,
+                                       .other_zones_heard = 1};
+  struct tmx_peer_census none_heard = {.others = 4, .same_zone = 2, .other_zones = 2};
+  struct tmx_peer_census partitioned = {
       .others = 4, .heard = 2, .same_zone = 2, .same_zone_heard = 2, .other_zones = 2};
   struct tmx_peer_evidence evidence = {
       .silence_s = 60, .last_batch_age_s = 60, .observed_for_s = 60};
-  assert_true(tmx_peer_is_suspected(&all, &evidence));
-  assert_false(tmx_peer_is_suspected(&none, &evidence));
-  assert_false(tmx_zones_are_partitioned(&none));
-  assert_true(tmx_zones_are_partitioned(&apart));
-  assert_false(tmx_peer_is_suspected(&apart, &evidence));
-  evidence.observed_for_s = 1; /* a new leader hears first */
-  assert_false(tmx_peer_is_suspected(&all, &evidence));
+  assert_true(tmx_peer_is_suspected(&most_heard, &evidence));
+  assert_false(tmx_peer_is_suspected(&none_heard, &evidence));
+  assert_false(tmx_zones_are_partitioned(&none_heard));
+  assert_true(tmx_zones_are_partitioned(&partitioned));
+  assert_false(tmx_peer_is_suspected(&partitioned, &evidence));
+  evidence.observed_for_s = 1; /* a new leader has not observed for long enough */
+  assert_false(tmx_peer_is_suspected(&most_heard, &evidence));
   evidence.refuses_connections = true;
-  assert_true(tmx_peer_is_suspected(&none, &evidence));
-  evidence.last_batch_age_s = 0.5; /* it refuses, and its batches come */
-  assert_false(tmx_peer_is_suspected(&none, &evidence));
-  struct tmx_peer_evidence cut = {
+  assert_true(tmx_peer_is_suspected(&none_heard, &evidence));
+  evidence.last_batch_age_s = 0.5; /* a recent batch proves that it is alive */
+  assert_false(tmx_peer_is_suspected(&none_heard, &evidence));
+  struct tmx_peer_evidence workers_unreachable = {
       .reports_no_workers = true, .silence_s = 0.1, .last_batch_age_s = 0.1};
-  assert_true(tmx_peer_is_suspected(&all, &cut));
+  assert_true(tmx_peer_is_suspected(&most_heard, &workers_unreachable));
 }
 
-/* A zone that falls silent is asked one machine after the other: the first ones are lost while most
- * have not been asked, and none of them may be taken for dead. */
-static void a_zone_partition_is_told_from_dead_machines(void **state) {
+/* Guards against treating the machines of an unreachable zone as dead. Machines are probed one
+ * after the other, so the first ones are lost while most of them have not been probed yet. */
+static void a_zone_partition_is_distinguished_from_dead_machines(void **state) {
   (void)state;
-  struct tmx_zone_liveness first = {.machines = 800, .lost = 1};
-  struct tmx_zone_liveness some = {.machines = 800, .lost = 60, .alive = 12};
-  struct tmx_zone_liveness dead = {.machines = 800, .lost = 90, .alive = 300};
-  struct tmx_zone_liveness one = {.machines = 800, .lost = 1, .alive = 300};
-  struct tmx_zone_liveness pair = {.machines = 2, .lost = 1, .alive = 1};
-  struct tmx_zone_liveness alone = {.machines = 1, .lost = 1};
-  struct tmx_zone_liveness well = {.machines = 800};
-  assert_true(tmx_zone_is_partitioned(&first));
-  assert_true(tmx_zone_is_partitioned(&some));
-  assert_false(tmx_zone_is_partitioned(&dead));
-  assert_false(tmx_zone_is_partitioned(&one));
-  assert_false(tmx_zone_is_partitioned(&pair));
-  assert_false(tmx_zone_is_partitioned(&alone));
-  assert_false(tmx_zone_is_partitioned(&well));
+  struct tmx_zone_liveness first_lost = {.machines = 800, .lost = 1};
+  struct tmx_zone_liveness few_alive = {.machines = 800, .lost = 60, .alive = 12};
+  struct tmx_zone_liveness more_alive_than_lost = {.machines = 800, .lost = 90, .alive = 300};
+  struct tmx_zone_liveness one_lost = {.machines = 800, .lost = 1, .alive = 300};
+  struct tmx_zone_liveness pair_half_lost = {.machines = 2, .lost = 1, .alive = 1};
+  struct tmx_zone_liveness single_lost = {.machines = 1, .lost = 1};
+  struct tmx_zone_liveness none_lost = {.machines = 800};
+  assert_true(tmx_zone_is_partitioned(&first_lost));
+  assert_true(tmx_zone_is_partitioned(&few_alive));
+  assert_false(tmx_zone_is_partitioned(&more_alive_than_lost));
+  assert_false(tmx_zone_is_partitioned(&one_lost));
+  assert_false(tmx_zone_is_partitioned(&pair_half_lost));
+  assert_false(tmx_zone_is_partitioned(&single_lost));
+  assert_false(tmx_zone_is_partitioned(&none_lost));
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(peers_are_suspected_by_evidence),
-      cmocka_unit_test(a_zone_partition_is_told_from_dead_machines),
+      cmocka_unit_test(a_zone_partition_is_distinguished_from_dead_machines),
   };
   return RUN_TESTS(tests);
 }
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -1,4 +1,4 @@
-/* Fencing tokens and leases: a former owner or leader changes nothing any more. */
+/* Fencing tokens and leases: messages and batches of a former owner or leader have no effect. */
 #include "controller_fixture.h"
 
 #include <stdio.h>
@@ -7,7 +7,8 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* A start of the earlier owner may still be under way: its successor takes no task to be absent
+/* Guards against freeing the capacity of a task that may still start. A start of the former owner
+ * may be in flight when its successor takes over. The successor must not treat the attempt as ended
  * before the worker has seen the successor's token. */
 static void late_commands_of_the_former_owner_are_fenced(void **state) {
   (void)state;
@@ -21,33 +22,36 @@
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  uint64_t before = worker.token;
+  uint64_t token_before = worker.token;
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(worker.token > before); /* the late command would be refused from here on */
+  assert_true(worker.token > token_before); /* the worker now rejects the late command */
   run_loop_for(0.5);
   assert_int_equal(fake_count_placed(), 1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
 
-/* Two controllers that both act as the leader: every batch was planned on all before it. */
-static void a_deposed_leader_places_nothing(void **state) {
+/* Guards against placements beyond the quota while two controllers both consider themselves the
+ * leader. The watch of the deposed leader is frozen, so it does not learn of its successor. Each
+ * batch must conflict unless it was planned with all earlier batches known. */
+static void a_quota_holds_with_two_acting_leaders(void **state) {
   (void)state;
   struct tmx_buffer value = {0};
   char id[32];
   register_worker_at_owner();
-  struct tmx_controller *old = tmx_store_is_leader(first_controller->store) ? first_controller
-                                                                            : second_controller,
-                        *other = old == first_controller ? second_controller : first_controller;
-  assert_true(tmx_store_is_leader(old->store));
-  fake_store.endpoints[old == first_controller ? 0 : 1].freeze_watch = true;
+  struct tmx_controller *deposed = tmx_store_is_leader(first_controller->store) ? first_controller
+                                                                                : second_controller,
+                        *successor =
+                            deposed == first_controller ? second_controller : first_controller;
+  assert_true(tmx_store_is_leader(deposed->store));
+  fake_store.endpoints[deposed == first_controller ? 0 : 1].freeze_watch = true;
   tmx_cbor_put_map(&value, 2);
-  tmx_cbor_put_text_field(&value, "name", other->settings.node_name);
-  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(other->store));
+  tmx_cbor_put_text_field(&value, "name", successor->settings.node_name);
+  tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(successor->store));
   fake_put(TMX_KEY_LEADER, &value);
   tmx_buffer_free(&value);
-  for (int i = 0; i < 300 && !tmx_store_is_leader(other->store); i++) run_loop_for(0.02);
-  assert_true(tmx_store_is_leader(other->store) && tmx_store_is_leader(old->store));
+  for (int i = 0; i < 300 && !tmx_store_is_leader(successor->store); i++) run_loop_for(0.02);
+  assert_true(tmx_store_is_leader(successor->store) && tmx_store_is_leader(deposed->store));
   for (int i = 0; i < 6; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     submit_simple_job(i % 2 ? first_controller : second_controller, id, "batch", 1, 2, "t");
@@ -65,7 +69,8 @@
   for (size_t i = 0; i < worker.n_tasks; i++) assert_int_equal(worker.tasks[i].attempt, 1);
 }
 
-/* A worker whose lease lapsed has forgotten its tasks; the attempt is started there again. */
+/* A worker whose lease expired has lost its tasks and begins a new session. The same attempt must
+ * be started there again, and a late copy of a report of the earlier session must be ignored. */
 static void a_worker_that_lost_its_lease_starts_a_new_session(void **state) {
   (void)state;
   register_worker_at(first_controller);
@@ -77,7 +82,7 @@
   fake_worker_execute_commands(&worker);
   for (int i = 0; i < 100 && worker.executed_starts < 2; i++) run_loop_for(0.02);
   assert_int_equal(worker.executed_starts, 2);
-  /* a late copy of a report of the earlier session says nothing */
+  /* A late copy of a report of the earlier session. */
   uint64_t session = worker.session, sequence = worker.sequence;
   worker.session = 1;
   worker.sequence = 1;
@@ -89,7 +94,8 @@
   assert_int_equal(fake_count_placed(), 1);
 }
 
-/* The token of another, newer owner: this controller must not keep the worker. */
+/* Guards against two owners that both keep a worker. The higher token shows that the worker has a
+ * newer owner, so this controller must redirect the worker. */
 static void a_higher_token_is_not_answered_with_200(void **state) {
   (void)state;
   register_worker_at(first_controller);
@@ -98,11 +104,12 @@
   assert_int_equal(worker.report_status, 421);
 }
 
-/* Two controllers on copies of different age: what they place together stays in the limit. */
-static void a_quota_holds_over_two_controllers(void **state) {
+/* Guards against placements beyond the quota when two controllers have replicas of different age.
+ * The jobs are submitted to both controllers while the watch of one is frozen. */
+static void a_quota_holds_across_two_controllers(void **state) {
   (void)state;
   register_worker_at_owner();
-  fake_store.endpoints[1].freeze_watch = true; /* b lags from here on */
+  fake_store.endpoints[1].freeze_watch = true; /* its replica becomes stale */
   char id[32];
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
@@ -111,17 +118,18 @@
   run_loop_for(0.3);
   fake_store.endpoints[1].freeze_watch = false;
   fake_free_watches();
-  for (int i = 0, full = 0; i < 300 && full < 20; i++) {
+  for (int i = 0, rounds_at_quota = 0; i < 300 && rounds_at_quota < 20; i++) {
     run_loop_for(0.03);
-    full += fake_count_placed() == 4;
-    assert_in_range(fake_count_placed(), 0, 4); /* 4 tasks of 2 CPUs are the limit of 8 */
+    rounds_at_quota += fake_count_placed() == 4;
+    assert_in_range(fake_count_placed(), 0, 4); /* 4 tasks of 2 CPUs use the quota of 8 CPUs */
   }
   assert_int_equal(fake_count_placed(), 4);
 }
 
-/* A zone is cut off from everything: its workers' owner is outside, and no view can be written. The
- * controller inside keeps their leases as long as a cancellation elsewhere allows, starts nothing,
- * and stops what it knows to be cancelled. */
+/* Guards against the loss of running tasks when a zone is partitioned from the store and from the
+ * owner of its workers. No view can be written, so the controller in the zone must renew the leases
+ * on behalf of the owner, for as long as they end within cancel_s of a cancellation elsewhere. It
+ * must start nothing, and must stop the tasks that it knows to be cancelled. */
 static void a_lease_is_renewed_for_an_unreachable_owner(void **state) {
   (void)state;
   register_worker_at_owner();
@@ -133,8 +141,8 @@
   run_loop_for(0.3);
   bool first_is_owner = !strcmp(tmx_machine_owner(&first_controller->replica, worker.id),
                                 first_controller->settings.node_name);
-  struct tmx_controller *inside = first_is_owner ? second_controller : first_controller;
-  assert_int_equal(tmx_job_find(&inside->replica, "wk-000002")->outcome, TMX_JOB_CANCELLED);
+  struct tmx_controller *remaining = first_is_owner ? second_controller : first_controller;
+  assert_int_equal(tmx_job_find(&remaining->replica, "wk-000002")->outcome, TMX_JOB_CANCELLED);
   fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
   stop_controller(first_is_owner ? first_controller : second_controller);
   if (first_is_owner)
@@ -142,19 +150,20 @@
   else
     second_controller = NULL;
   run_loop_for(0.3);
-  fake_worker_send_heartbeat(&worker, inside);
-  assert_int_equal(worker.report_status, 421); /* the owner may be back in a moment */
+  fake_worker_send_heartbeat(&worker, remaining);
+  assert_int_equal(worker.report_status, 421); /* the owner may be unreachable only briefly */
   tmx_clock_advance(TMX_STORE_UNREACHABLE_S);
-  fake_worker_set_task(&worker, "wk-000002/0", 1, WV_RUNNING,
-                       NULL); /* it has not heard of the cancellation */
-  uint64_t token = worker.token;
-  fake_worker_send_heartbeat(&worker, inside);
+  /* The worker has not received the stop of the cancelled job. */
+  fake_worker_set_task(&worker, "wk-000002/0", 1, WV_RUNNING, NULL);
+  uint64_t token_before = worker.token;
+  fake_worker_send_heartbeat(&worker, remaining);
   assert_int_equal(worker.report_status, 200);
-  assert_int_equal(worker.response_token, token);
+  assert_int_equal(worker.response_token, token_before);
   assert_int_equal(worker.n_commands_received, 1);
   assert_true(fake_worker_was_commanded(&worker, WV_STOP, "wk-000002/0", 1));
-  tmx_clock_advance(inside->settings.cancel_s - inside->settings.lease_s - TMX_FRESHNESS_MARGIN_S);
-  fake_worker_send_heartbeat(&worker, inside);
+  tmx_clock_advance(remaining->settings.cancel_s - remaining->settings.lease_s -
+                    TMX_FRESHNESS_MARGIN_S);
+  fake_worker_send_heartbeat(&worker, remaining);
   assert_int_equal(worker.report_status, 503);
 }
 
@@ -162,13 +171,13 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test_setup_teardown(late_commands_of_the_former_owner_are_fenced,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_deposed_leader_places_nothing, setup_two_controllers,
+      cmocka_unit_test_setup_teardown(a_quota_holds_with_two_acting_leaders, setup_two_controllers,
                                       teardown_controllers),
       cmocka_unit_test_setup_teardown(a_worker_that_lost_its_lease_starts_a_new_session,
                                       setup_one_controller, teardown_controllers),
       cmocka_unit_test_setup_teardown(a_higher_token_is_not_answered_with_200, setup_one_controller,
                                       teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_quota_holds_over_two_controllers, setup_two_controllers,
+      cmocka_unit_test_setup_teardown(a_quota_holds_across_two_controllers, setup_two_controllers,
                                       teardown_controllers),
       cmocka_unit_test_setup_teardown(a_lease_is_renewed_for_an_unreachable_owner,
                                       setup_two_controllers, teardown_controllers),
--- a/tests/test_late_messages.c
+++ b/tests/test_late_messages.c
@@ -1,4 +1,5 @@
-/* Commands, reports and transactions that arrive late or out of order prove nothing wrong. */
+/* Commands, reports and transactions that arrive late or out of order, or whose responses are lost,
+ * lead to no wrong conclusion. */
 #include "controller_fixture.h"
 
 #include <string.h>
@@ -6,9 +7,11 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* A command that got no answer is fenced by a token or by the end of the session that it was for.
- * The next one may be for a later session: the end of the earlier one says nothing of it. */
-static void a_late_command_of_a_later_session_proves_no_end(void **state) {
+/* Guards against freeing the capacity of a task that may still start. A command without a response
+ * becomes void once the worker has seen a higher token, or once the session for which it was sent
+ * has ended. If a second command without a response was sent for a later session, the end of the
+ * earlier session does not void it. */
+static void a_session_end_does_not_void_a_later_command(void **state) {
   (void)state;
   register_worker(&worker);
   worker.fails_commands = true;
@@ -16,39 +19,42 @@
   wait_for_placed(1);
   wait_for_unanswered_command(0);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  uint64_t old = worker.token;
+  uint64_t old_token = worker.token;
   worker.session++;
-  fake_worker_send_heartbeat(
-      &worker, first_controller); /* a later session: the first command can no longer run */
-  worker.token = old;             /* the answer is lost */
+  /* The end of the session voids the first command. The response is lost, so that the worker does
+   * not see the higher token. */
+  fake_worker_send_heartbeat(&worker, first_controller);
+  worker.token = old_token;
   wait_for_placed(0);
-  unsigned before = worker.command_requests;
+  unsigned requests_before = worker.command_requests;
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
   wait_for_placed(1);
-  wait_for_unanswered_command(before); /* for this session, by a token that it would still accept */
+  /* The second command is for this session, and the worker would still accept its token. */
+  wait_for_unanswered_command(requests_before);
   assert_string_equal(cancel_job(first_controller, "wk-000002").state, WV_CANCELLED);
-  worker.token = old;
+  worker.token = old_token;
   fake_worker_send_heartbeat(&worker, first_controller);
-  worker.token = old;
-  assert_stays_placed(1, 0.6);                           /* it may start yet */
-  fake_worker_send_heartbeat(&worker, first_controller); /* this answer arrives: a higher token */
-  assert_true(worker.token > old);
+  worker.token = old_token;
+  assert_stays_placed(1, 0.6); /* the second command may still be executed */
+  fake_worker_send_heartbeat(&worker, first_controller); /* this response arrives */
+  assert_true(worker.token > old_token);
   fake_worker_send_heartbeat(&worker, first_controller);
   wait_for_placed(0);
 }
 
-/* An attempt failed, and its end was not committed; the lease lapsed, and it was started once more
- * in the next session. To a controller that has just come a copy of the earlier session's report
- * looks new: the end that it names is not this one's. */
-static void a_late_report_of_an_earlier_session_proves_no_end(void **state) {
+/* Guards against a late copy of a report that ends a running attempt. The attempt failed and its
+ * end was not committed. Then the lease expired and the same attempt was started again in the next
+ * session. To a controller that has just started, a copy of the earlier session's report looks new,
+ * but the end in it is not that of the running attempt. */
+static void a_late_report_of_an_earlier_session_ends_no_attempt(void **state) {
   (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_for_starts(1);
   fake_store.endpoints[0].refuse = true;
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_ERROR);
-  struct fake_worker copy = worker;
-  copy.sequence = ++worker.sequence;
+  struct fake_worker late_copy = worker;
+  late_copy.sequence = ++worker.sequence;
   stop_controller(first_controller);
   fake_store.endpoints[0].refuse = false;
   worker.session++;
@@ -60,10 +66,10 @@
     fake_worker_execute_commands(&worker);
     run_loop_for(0.05);
   }
-  assert_int_equal(worker.executed_starts, 2); /* it runs, as the same attempt */
+  assert_int_equal(worker.executed_starts, 2); /* the attempt was started again */
   worker.unresponsive = true;
   restart_first_controller();
-  fake_worker_send_heartbeat(&copy, first_controller);
+  fake_worker_send_heartbeat(&late_copy, first_controller);
   assert_stays_placed(1, 0.8);
   assert_false(fake_log_contains("e wk-000001/0 1 e"));
   worker.unresponsive = false;
@@ -73,38 +79,41 @@
     run_loop_for(0.1);
   }
   assert_int_equal(fake_count_placed(), 1);
-  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_ERROR); /* this one is its own */
+  /* The failure of the running attempt itself must be logged. */
+  fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_ERROR);
   fake_worker_send_heartbeat(&worker, first_controller);
   for (int i = 0; i < 200 && !fake_log_contains("e wk-000001/0 1 e"); i++) run_loop_for(0.02);
   assert_true(fake_log_contains("e wk-000001/0 1 e"));
 }
 
-/* A probe's answer overtakes a report on its way. The worker still waits for the answer to it: it
- * is not sent elsewhere, its lease is renewed, and what is cancelled is stopped; nothing is started
- * by it. */
-static void a_probe_that_overtakes_a_report_proves_no_end(void **state) {
+/* Guards against a lost lease when the response to a probe overtakes a heartbeat in flight. The
+ * heartbeat then carries an older report, but the worker still awaits its response. The response
+ * must renew the lease and stop cancelled tasks, and must neither redirect the worker nor start
+ * anything. A heartbeat of an earlier session is redirected instead. */
+static void a_report_overtaken_by_a_probe_renews_the_lease(void **state) {
   (void)state;
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
   wait_for_starts(1);
-  struct fake_worker sent = worker;
-  uint64_t seq = worker.sequence;
-  for (int i = 0; i < 300 && worker.sequence < seq + 3; i++) run_loop_for(0.02);
-  assert_true(worker.sequence >= seq + 3);
+  struct fake_worker delayed = worker;
+  uint64_t sequence_before = worker.sequence;
+  for (int i = 0; i < 300 && worker.sequence < sequence_before + 3; i++) run_loop_for(0.02);
+  assert_true(worker.sequence >= sequence_before + 3);
   worker.fails_commands = true;
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   run_loop_for(0.2);
-  fake_worker_send_heartbeat(&sent, first_controller);
-  assert_int_equal(sent.report_status, 200);
-  assert_true(fake_worker_was_commanded(&sent, WV_STOP, "wk-000001/0", 1));
-  sent.session--; /* not so one of an earlier session */
-  fake_worker_send_heartbeat(&sent, first_controller);
-  assert_int_equal(sent.report_status, 421);
+  fake_worker_send_heartbeat(&delayed, first_controller);
+  assert_int_equal(delayed.report_status, 200);
+  assert_true(fake_worker_was_commanded(&delayed, WV_STOP, "wk-000001/0", 1));
+  delayed.session--; /* as a late copy of an earlier session */
+  fake_worker_send_heartbeat(&delayed, first_controller);
+  assert_int_equal(delayed.report_status, 421);
 }
 
-/* A batch that got no answer is carried out after newer ones of the same controller: what it rested
- * on is no longer there. */
-static void a_batch_committed_late_is_placed_once(void **state) {
+/* Guards against placing tasks twice, and against a cancellation of a job that is already done. A
+ * batch without a response is executed after newer batches of the same controller. Its conditions
+ * no longer hold, so the store must reject it. */
+static void late_transactions_are_rejected_as_conflicts(void **state) {
   (void)state;
   register_worker(&worker);
   struct fake_endpoint *endpoint = &fake_store.endpoints[0];
@@ -115,7 +124,7 @@
   assert_non_null(endpoint->late_transaction);
   assert_int_equal(fake_execute_late_transaction(endpoint), 409);
   assert_stays_placed(2, 0.3);
-  /* and so is a cancellation of a job that ended in the meantime */
+  /* The same for a cancellation of a job that completes before the transaction is executed. */
   strcpy(endpoint->late_transaction_key, TMX_KEY_JOB "wk-000001");
   endpoint->next_transaction_is_late = true;
   assert_int_equal(cancel_job(first_controller, "wk-000001").status, 503);
@@ -127,12 +136,13 @@
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
 }
 
-/* The put of a controller's own key got no answer, and is carried out after the one that counts.
- * Its run is then another in the key than here: it registers anew instead of waiting for ever. */
-static void a_late_registration_is_repeated(void **state) {
+/* Guards against a controller that waits forever to become a member. A put of its member key got no
+ * response and is executed after the put that set its incarnation. The key then shows another
+ * incarnation, so the controller must register again. */
+static void a_controller_registers_again_after_a_late_registration(void **state) {
   (void)state;
   register_worker(&worker);
-  uint64_t run = tmx_store_incarnation(first_controller->store);
+  uint64_t incarnation = tmx_store_incarnation(first_controller->store);
   struct tmx_buffer value = {0};
   tmx_cbor_put_map(&value, 1);
   tmx_cbor_put_text_field(&value, "listen", first_controller->settings.listen);
@@ -140,7 +150,7 @@
   tmx_buffer_free(&value);
   run_loop_for(0.1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
-  assert_true(tmx_store_incarnation(first_controller->store) > run);
+  assert_true(tmx_store_incarnation(first_controller->store) > incarnation);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   for (int i = 0; i < 100 && !worker.executed_starts; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
@@ -150,22 +160,24 @@
   assert_int_equal(worker.executed_starts, 1);
 }
 
-/* Refused alone for longer than its lease, it comes back and learns from the first put that the
- * lease is over: it does not try again with it until a renewal says so. */
-static void a_controller_registers_anew_after_lease_expiry(void **state) {
+/* Guards against repeated puts under an expired lease. The store lease of the controller expires
+ * without its knowledge. The first put that the store refuses must tell the controller so: it must
+ * replace the lease and register again, without another put under the expired lease. */
+static void a_controller_registers_again_after_lease_expiry(void **state) {
   (void)state;
-  uint64_t run = tmx_store_incarnation(first_controller->store);
+  uint64_t incarnation = tmx_store_incarnation(first_controller->store);
   fake_store.leases_expired_up_to = fake_store.leases_granted;
   fake_drop(TMX_KEY_MEMBER "hand-0");
   run_loop_for(0.3);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
-  assert_true(tmx_store_incarnation(first_controller->store) > run);
+  assert_true(tmx_store_incarnation(first_controller->store) > incarnation);
   assert_int_equal(fake_store.expired_lease_refusals, 1);
 }
 
-/* A probe's answer may overtake the answer to a report that carries a start: it is no proof that
- * the start will not run. Only the next report is. */
-static void a_probe_that_overtakes_an_answer_changes_nothing(void **state) {
+/* Guards against freeing the capacity of a task that may still start. The response to a probe can
+ * overtake the response to a heartbeat that carries a start. The probe therefore does not prove
+ * that the start was dropped; only the next heartbeat does. */
+static void a_probe_that_overtakes_a_response_ends_no_attempt(void **state) {
   (void)state;
   register_worker_at(first_controller);
   worker.fails_commands = true;
@@ -174,21 +186,22 @@
   for (int i = 0; i < 100 && !worker.command_requests; i++) run_loop_for(0.02);
   run_loop_for(0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(
-      fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1)); /* not executed yet */
+  /* The response carries the start, which the worker has not executed yet. */
+  assert_true(fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1));
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  uint64_t seq = worker.sequence;
-  for (int i = 0; i < 300 && worker.sequence < seq + 2; i++) run_loop_for(0.02);
-  assert_true(worker.sequence >= seq + 2); /* probes were answered */
+  uint64_t sequence_before = worker.sequence;
+  for (int i = 0; i < 300 && worker.sequence < sequence_before + 2; i++) run_loop_for(0.02);
+  assert_true(worker.sequence >= sequence_before + 2); /* the worker responded to probes */
   run_loop_for(0.4);
   assert_int_equal(fake_count_placed(), 1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
 
-/* The answer to a commit is lost: no answer says what is not known. A submission is known
- * as soon as the log shows it; the user does not wait for the answer. */
-static void a_lost_commit_response_accepts_once(void **state) {
+/* Guards against wrong answers to users when the response to a commit is lost. While the outcome is
+ * unknown the answer is 503, and a retry finds the job. If there is no response at all, the
+ * submission is confirmed as soon as the log shows it, without waiting for the response. */
+static void a_job_is_accepted_once_if_the_commit_response_is_lost(void **state) {
   (void)state;
   fake_store.endpoints[0].lose_next_response = true;
   strcpy(fake_store.endpoints[0].lost_response_key, TMX_KEY_JOB);
@@ -200,16 +213,17 @@
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   fake_store.endpoints[0].lose_next_response = fake_store.endpoints[0].withhold_lost_response =
       true;
-  double start = tmx_clock_steady();
+  double submitted_at = tmx_clock_steady();
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 200);
-  assert_true(tmx_clock_steady() - start < TMX_STORE_TIMEOUT_S / 2);
-  run_loop_for(TMX_STORE_TIMEOUT_S +
-               0.2); /* the commit's own answer is given up on, and changes nothing */
+  assert_true(tmx_clock_steady() - submitted_at < TMX_STORE_TIMEOUT_S / 2);
+  /* The timeout of the commit must change nothing. */
+  run_loop_for(TMX_STORE_TIMEOUT_S + 0.2);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 200);
 }
 
-/* A lost answer to a batch: what it placed is found in the log, once. */
-static void a_lost_batch_response_places_once(void **state) {
+/* Guards against placing tasks twice when the response to a batch is lost. The controller must find
+ * the placements of the batch in the log. */
+static void a_batch_is_placed_once_if_its_response_is_lost(void **state) {
   (void)state;
   register_worker_at(first_controller);
   fake_store.endpoints[0].lose_next_response = true;
@@ -223,24 +237,24 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(a_late_command_of_a_later_session_proves_no_end,
+      cmocka_unit_test_setup_teardown(a_session_end_does_not_void_a_later_command,
+                                      setup_one_controller, teardown_controllers),
+      cmocka_unit_test_setup_teardown(a_late_report_of_an_earlier_session_ends_no_attempt,
+                                      setup_one_controller, teardown_controllers),
+      cmocka_unit_test_setup_teardown(a_report_overtaken_by_a_probe_renews_the_lease,
+                                      setup_one_controller, teardown_controllers),
+      cmocka_unit_test_setup_teardown(late_transactions_are_rejected_as_conflicts,
+                                      setup_one_controller, teardown_controllers),
+      cmocka_unit_test_setup_teardown(a_controller_registers_again_after_a_late_registration,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_late_report_of_an_earlier_session_proves_no_end,
+      cmocka_unit_test_setup_teardown(a_controller_registers_again_after_lease_expiry,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_probe_that_overtakes_a_report_proves_no_end,
+      cmocka_unit_test_setup_teardown(a_probe_that_overtakes_a_response_ends_no_attempt,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_batch_committed_late_is_placed_once, setup_one_controller,
-                                      teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_late_registration_is_repeated, setup_one_controller,
-                                      teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_controller_registers_anew_after_lease_expiry,
+      cmocka_unit_test_setup_teardown(a_job_is_accepted_once_if_the_commit_response_is_lost,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_probe_that_overtakes_an_answer_changes_nothing,
+      cmocka_unit_test_setup_teardown(a_batch_is_placed_once_if_its_response_is_lost,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_lost_commit_response_accepts_once, setup_one_controller,
-                                      teardown_controllers),
-      cmocka_unit_test_setup_teardown(a_lost_batch_response_places_once, setup_one_controller,
-                                      teardown_controllers),
   };
   return RUN_TESTS(tests);
 }
