--- a/tests/admission_history.c
+++ b/tests/admission_history.c
@@ -10,44 +10,47 @@
 
 enum { ENTRIES_MAX = 2000, JOBS_MAX = 512, TEAMS = 3, CLASSES = 40 };
 
-struct entry { /* of the log */
+/* An entry of the log. */
+struct log_entry {
   char key[64];
   struct tmx_buffer value;
 };
-struct copy { /* a replica with its accounts */
+/* A replica with its admission accounts. */
+struct replica_copy {
   struct tmx_replica replica;
   struct tmx_backlog backlog;
 };
 struct history {
   struct tmx_settings settings;
   struct tmx_resource_rates rates;
-  struct entry entries[ENTRIES_MAX];
+  struct log_entry entries[ENTRIES_MAX];
   size_t n_entries;
-  struct copy live, followed;
+  struct replica_copy live, /* applies each entry when it is appended */
+      followed;             /* loaded midway, applies the later entries at the end */
   unsigned n_jobs;
-  double allowance; /* what newcomers took beyond their ceilings, s */
+  double empty_account_load_s; /* load admitted to accounts without open jobs, seconds */
   struct admission_report report;
 };
 
-static void open_copy(struct copy *copy, const struct tmx_settings *settings) {
+static void open_copy(struct replica_copy *copy, const struct tmx_settings *settings) {
   tmx_replica_init(&copy->replica, settings);
   tmx_backlog_init(&copy->backlog, settings);
   copy->replica.backlog = &copy->backlog;
 }
 
-static void read_entry(struct copy *copy, const struct entry *entry, size_t at) {
+static void read_entry(struct replica_copy *copy, const struct log_entry *entry, size_t index) {
   cbor_item_t *value = tmx_cbor_parse(entry->value.data, entry->value.length);
-  tmx_replica_apply(&copy->replica, entry->key, at + 1, value);
+  tmx_replica_apply(&copy->replica, entry->key, index + 1, value);
   tmx_cbor_free(value);
 }
 
-static struct entry *append(struct history *h, const char *key) {
-  struct entry *entry = &h->entries[h->n_entries++];
+static struct log_entry *append_entry(struct history *h, const char *key) {
+  struct log_entry *entry = &h->entries[h->n_entries++];
   snprintf(entry->key, sizeof entry->key, "%s", key);
   return entry;
 }
 
-static void committed(struct history *h) {
+static void apply_last_entry(struct history *h) {
   read_entry(&h->live, &h->entries[h->n_entries - 1], h->n_entries - 1);
 }
 
@@ -56,12 +59,12 @@
   char key[64];
   tmx_cbor_put_text(&list, line);
   snprintf(key, sizeof key, TMX_KEY_BATCH "h/%zu", h->n_entries);
-  tmx_log_value_encode(&append(h, key)->value, NULL, 0, &list, 1);
+  tmx_log_value_encode(&append_entry(h, key)->value, NULL, 0, &list, 1);
   tmx_buffer_free(&list);
-  committed(h);
+  apply_last_entry(h);
 }
 
-/* ------------------------------------------------------------ steps */
+/* ------------------------------------------------------------ events */
 
 static struct tmx_job_spec make_spec(uint32_t step) {
   struct tmx_job_spec spec = {.cpus = 1 + step % 4, .mem_gb = 1, .priority = TMX_PRIORITY_NORMAL};
@@ -76,50 +79,51 @@
   return spec;
 }
 
-static double sum(const struct history *h) {
+static double backlog_seconds(const struct history *h) {
   return tmx_total_backlog_seconds(&h->live.backlog, &h->rates);
 }
 
 static double smallest_reserve(const struct history *h) {
-  const struct tmx_admission_settings *own = &h->settings.operators.admission;
-  double parties = (double)(h->live.backlog.n_listed + 1);
-  return own->backlog_s * pow(own->reserve, 3) / TEAMS / parties / TMX_HASHED_ACCOUNTS;
+  const struct tmx_admission_settings *admission = &h->settings.operators.admission;
+  double class_groups = (double)(h->live.backlog.n_listed + 1);
+  return admission->backlog_s * pow(admission->reserve, 3) / TEAMS / class_groups /
+         TMX_HASHED_ACCOUNTS;
 }
 
-static void judge(struct history *h, const struct tmx_job_spec *spec, const char *id) {
-  struct tmx_admission_request x = {
+static void decide_submission(struct history *h, const struct tmx_job_spec *spec, const char *id) {
+  struct tmx_admission_request request = {
       .team = tmx_team_index(&h->settings, spec->team),
       .account = tmx_backlog_account_index(&h->live.backlog, spec->class),
       .load = tmx_job_load(spec, spec->tasks)};
   struct tmx_admission_decision decision =
-      tmx_admission_decide(&h->settings, &h->live.backlog, NULL, &h->rates, &x);
-  bool newcomer = !h->live.backlog.accounts[x.team][x.account].n_open_jobs;
-  double charge = tmx_load_seconds(&x.load, &h->rates);
+      tmx_admission_decide(&h->settings, &h->live.backlog, NULL, &h->rates, &request);
+  bool account_is_empty = !h->live.backlog.accounts[request.team][request.account].n_open_jobs;
+  double charge = tmx_load_seconds(&request.load, &h->rates);
   h->report.submitted++;
   if (decision.result != TMX_ADMITTED) {
     h->report.refused++;
-    h->report.newcomers_refused += newcomer;
-    h->report.refused_without_load += sum(h) + charge <= smallest_reserve(h);
+    h->report.first_submissions_refused += account_is_empty;
+    h->report.refused_without_load += backlog_seconds(h) + charge <= smallest_reserve(h);
     return;
   }
-  if (newcomer) h->allowance += charge;
+  if (account_is_empty) h->empty_account_load_s += charge;
   char key[64];
   snprintf(key, sizeof key, TMX_KEY_JOB "%s", id);
-  tmx_job_encode(&append(h, key)->value, id, spec, 100, TMX_JOB_OPEN);
-  committed(h);
+  tmx_job_encode(&append_entry(h, key)->value, id, spec, 100, TMX_JOB_OPEN);
+  apply_last_entry(h);
   h->n_jobs++;
-  double limit = h->settings.operators.admission.backlog_s + h->allowance;
-  h->report.over_bound += sum(h) > limit + 1e-6;
+  double limit = h->settings.operators.admission.backlog_s + h->empty_account_load_s;
+  h->report.bound_violations += backlog_seconds(h) > limit + 1e-6;
 }
 
-static struct tmx_job *some_job(struct history *h, uint32_t step) {
+static struct tmx_job *pick_job(struct history *h, uint32_t step) {
   char id[TMX_ID_BYTES];
   if (!h->n_jobs) return NULL;
   snprintf(id, sizeof id, "wk-%06u", step % h->n_jobs);
   return tmx_job_find(&h->live.replica, id);
 }
 
-static void move_task(struct history *h, struct tmx_job *job, uint32_t step) {
+static void place_or_end_task(struct history *h, struct tmx_job *job, uint32_t step) {
   char line[TMX_LOG_LINE_BYTES];
   if (!job || job->outcome || !job->tasks) return;
   uint32_t index = step / 3 % job->spec.tasks;
@@ -139,32 +143,32 @@
   commit_line(h, line);
 }
 
-static void cancel(struct history *h, struct tmx_job *job) {
+static void cancel_open_job(struct history *h, struct tmx_job *job) {
   char key[64];
   if (!job || job->outcome) return;
   snprintf(key, sizeof key, TMX_KEY_JOB "%s", job->id);
-  tmx_job_encode_final(&append(h, key)->value, job, TMX_JOB_CANCELLED, 0, 4000);
-  committed(h);
+  tmx_job_encode_final(&append_entry(h, key)->value, job, TMX_JOB_CANCELLED, 0, 4000);
+  apply_last_entry(h);
 }
 
-static void take_step(struct history *h, uint32_t step) {
+static void run_step(struct history *h, uint32_t step) {
   char id[TMX_ID_BYTES];
   uint32_t kind = step % 16, rest = step / 16;
   if (h->n_entries + 1 >= ENTRIES_MAX) return;
   if (kind < 9 && h->n_jobs < JOBS_MAX) {
     struct tmx_job_spec spec = make_spec(rest);
     snprintf(id, sizeof id, "wk-%06u", h->n_jobs);
-    judge(h, &spec, id);
+    decide_submission(h, &spec, id);
   } else if (kind < 15) {
-    move_task(h, some_job(h, rest), rest);
+    place_or_end_task(h, pick_job(h, rest), rest);
   } else {
-    cancel(h, some_job(h, rest));
+    cancel_open_job(h, pick_job(h, rest));
   }
 }
 
 /* ------------------------------------------------------------ other replicas */
 
-static bool alike(const struct copy *x, const struct copy *y) {
+static bool accounts_equal(const struct replica_copy *x, const struct replica_copy *y) {
   for (size_t team = 0; team < TEAMS; team++)
     for (size_t i = 0; i < TMX_ACCOUNTS_MAX; i++) {
       const struct tmx_account *one = &x->backlog.accounts[team][i];
@@ -176,8 +180,8 @@
   return true;
 }
 
-/* Reads the latest value of every key, in the order of a load; ends as of that revision. */
-static void load(const struct history *h, struct copy *copy, size_t n) {
+/* Loads a replica at revision `n`: the latest value of each key in the first `n` entries. */
+static void load_replica(const struct history *h, struct replica_copy *copy, size_t n) {
   struct tmx_store_entry *items = calloc(n + 1, sizeof *items);
   cbor_item_t **values = calloc(n + 1, sizeof(cbor_item_t *));
   size_t n_items = 0;
@@ -205,8 +209,8 @@
   ++*n;
 }
 
-/* A replica that reads nothing but pages of the live one, and final states. */
-static void load_folded(const struct history *h, struct copy *copy) {
+/* Loads a replica from one page of a compaction of the live replica. */
+static void load_compacted(const struct history *h, struct replica_copy *copy) {
   struct tmx_buffer jobs = {0}, list = {0}, page = {0};
   size_t n_jobs = 0, n = 0;
   char line[TMX_LOG_LINE_BYTES];
@@ -259,29 +263,29 @@
   commit_line(h, "m n-1 127.0.0.1:1 big a 0 0");
 }
 
-static bool differs(struct history *h, struct copy *copy) {
-  bool differ = !alike(&h->live, copy);
+static bool compare_and_clear(struct history *h, struct replica_copy *copy) {
+  bool differ = !accounts_equal(&h->live, copy);
   tmx_replica_clear(&copy->replica);
   return differ;
 }
 
-struct admission_report admission_history(const uint32_t *steps, size_t n, size_t load_at) {
+struct admission_report run_admission_history(const uint32_t *steps, size_t n, size_t load_at) {
   struct history *h = calloc(1, sizeof *h);
-  struct copy *copy = calloc(1, sizeof *copy);
+  struct replica_copy *copy = calloc(1, sizeof *copy);
   if (!h || !copy) abort();
   open_history(h);
   size_t loaded = 0;
   for (size_t i = 0; i < n; i++) {
-    take_step(h, steps[i]);
-    if (i == load_at) load(h, &h->followed, loaded = h->n_entries);
+    run_step(h, steps[i]);
+    if (i == load_at) load_replica(h, &h->followed, loaded = h->n_entries);
   }
   for (size_t i = loaded; loaded && i < h->n_entries; i++)
     read_entry(&h->followed, &h->entries[i], i);
-  if (loaded) h->report.live_replica_differs = differs(h, &h->followed);
-  load(h, copy, h->n_entries);
-  h->report.loaded_replica_differs = differs(h, copy);
-  load_folded(h, copy);
-  h->report.folded_replica_differs = differs(h, copy);
+  if (loaded) h->report.live_replica_differs = compare_and_clear(h, &h->followed);
+  load_replica(h, copy, h->n_entries);
+  h->report.loaded_replica_differs = compare_and_clear(h, copy);
+  load_compacted(h, copy);
+  h->report.compacted_replica_differs = compare_and_clear(h, copy);
   struct admission_report report = h->report;
   tmx_replica_clear(&h->live.replica);
   for (size_t i = 0; i < h->n_entries; i++) tmx_buffer_free(&h->entries[i].value);
--- a/tests/cluster/cluster_load.c
+++ b/tests/cluster/cluster_load.c
@@ -191,7 +191,7 @@
   int result;
   while ((result = poptGetNextOpt(options_context)) == 'd' && n_failures < TROUBLES_MAX)
     failures[n_failures++] = failure;
-  if (result != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
+  if (result != -1 || nodes < 1 || nodes > FAKE_CONTROLLERS_MAX || machines < 1 || seconds < 1) {
     fprintf(stderr, "cluster_load: %s\n", result < -1 ? poptStrerror(result) : "out of range");
     exit(2);
   }
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -21,12 +21,12 @@
 struct link_failure {
   double ends_at; /* 0: there is none */
 };
-struct node node[FAKE_NODES];
+struct node node[FAKE_CONTROLLERS_MAX];
 static int n_nodes;
 static const char *operator_path;
-static char settings_path[FAKE_NODES][64];
-static struct link *links[FAKE_NODES][DESTINATIONS + FAKE_NODES];
-static struct link_failure failures[FAKE_NODES][DESTINATIONS];
+static char settings_path[FAKE_CONTROLLERS_MAX][64];
+static struct link *links[FAKE_CONTROLLERS_MAX][DESTINATIONS + FAKE_CONTROLLERS_MAX];
+static struct link_failure failures[FAKE_CONTROLLERS_MAX][DESTINATIONS];
 
 /* The links of a controller to its peers follow those to the other destinations. */
 static struct link *peer_link(int from, int to) { return links[from][DESTINATIONS + to]; }
@@ -76,7 +76,7 @@
 
 void nodes_open(int count, const char *operator_config,
                 void (*adjust)(struct tmx_settings *settings), int connections) {
-  static struct tmx_settings settings[FAKE_NODES];
+  static struct tmx_settings settings[FAKE_CONTROLLERS_MAX];
   char addr[32];
   n_nodes = count;
   operator_path = operator_config;
--- a/tests/cluster/nodes.h
+++ b/tests/cluster/nodes.h
@@ -18,7 +18,7 @@
 };
 
 /** By index; those behind the count of nodes_open are empty. */
-extern struct node node[FAKE_NODES];
+extern struct node node[FAKE_CONTROLLERS_MAX];
 
 /** Starts the controllers, with links between them, the store, the users and the workers.
  *  @param operator_config path of a TOML file for all of them; NULL: none
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -94,7 +94,7 @@
                           .cpus = kind->cpus,
                           .estimate_s = kind->run_s};
   struct tmx_buffer buffer = {0};
-  encode_submission_of(&buffer, &body);
+  encode_job_submission(&buffer, &body);
   job->sent_at = tmx_clock_steady();
   job->busy = tmx_http_client_call(some_node(), "POST", WP_JOBS, &buffer, submit_timeout_s,
                                    on_submitted, job);
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -39,7 +39,7 @@
       history_begin(now->id, now->tasks[i].task, now->tasks[i].attempt);
       if (setup.on_begin) setup.on_begin(now->tasks[i].task);
     } else if (ran && !runs) {
-      history_end(now->id, now->tasks[i].task, now->tasks[i].attempt, now->tasks[i].why);
+      history_end(now->id, now->tasks[i].task, now->tasks[i].attempt, now->tasks[i].reason);
     }
   }
   worker->reported_before = worker->agent;
@@ -63,7 +63,7 @@
     return;
   }
   uint64_t had_token = worker->agent.token;
-  fake_worker_take_response(&worker->agent, status, body, len);
+  fake_worker_handle_response(&worker->agent, status, body, len);
   if (status == 421) {
     int node_named = worker->agent.redirected_to[0] ? atoi(worker->agent.redirected_to + 5) : -1;
     worker->next_report_at = now + (node_named < 0 || node_named == worker->node ? 1 : 0.2);
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -94,7 +94,7 @@
 
 void register_worker_at_owner(void) {
   for (int i = 0; i < 10 && !worker_is_registered_at(first_controller); i++) {
-    report_to_owner();
+    report_worker_to_owner();
     assert_int_equal(worker.report_status, 200);
     run_loop_for(0.1);
   }
@@ -102,34 +102,34 @@
   assert_true(run_loop_until(worker_is_registered_at, second_controller));
 }
 
-void report_to_owner(void) { report_to_owner_of(&worker); }
+void report_worker_to_owner(void) { report_to_owner_of(&worker); }
 
 void complete_running_tasks(void) {
   for (size_t i = 0; i < worker.n_tasks; i++) {
     if (strcmp(worker.tasks[i].state, WV_RUNNING)) continue;
     snprintf(worker.tasks[i].state, sizeof worker.tasks[i].state, WV_EXITED);
-    snprintf(worker.tasks[i].why, sizeof worker.tasks[i].why, WV_DONE);
+    snprintf(worker.tasks[i].reason, sizeof worker.tasks[i].reason, WV_DONE);
   }
-  report_to_owner();
+  report_worker_to_owner();
   fake_worker_execute_commands(&worker);
 }
 
 void complete_task(const char *task, uint32_t attempt) {
   fake_worker_set_task(&worker, task, attempt, WV_EXITED, WV_DONE);
-  report_to_owner();
+  report_worker_to_owner();
 }
 
 static bool has_started(void *count) { return worker.executed_starts >= *(unsigned *)count; }
 void wait_for_starts(unsigned count) { assert_true(run_loop_until(has_started, &count)); }
 
-static bool has_placed(void *count) { return fake_count_placed() == *(unsigned *)count; }
+static bool has_placed(void *count) { return fake_count_placed_tasks() == *(unsigned *)count; }
 void wait_for_placed(unsigned count) { assert_true(run_loop_until(has_placed, &count)); }
 
 void assert_stays_placed(unsigned count, double seconds) {
   double passed = 0;
   while (passed < seconds) {
     run_loop_for(0.1);
-    assert_int_equal(fake_count_placed(), count);
+    assert_int_equal(fake_count_placed_tasks(), count);
     passed += 0.1;
   }
 }
@@ -157,12 +157,12 @@
 
 bool any_task_is_placed(void *unused) {
   (void)unused;
-  return fake_count_placed() > 0;
+  return fake_count_placed_tasks() > 0;
 }
 
 bool no_task_is_placed(void *unused) {
   (void)unused;
-  return fake_count_placed() == 0;
+  return fake_count_placed_tasks() == 0;
 }
 
 bool any_task_was_started(void *unused) {
@@ -170,7 +170,7 @@
   return worker.executed_starts > 0;
 }
 
-bool first_knows_outcome(void *job_id) {
+bool first_controller_knows_outcome(void *job_id) {
   const struct tmx_job *job = tmx_job_find(&first_controller->replica, job_id);
   return job && job->outcome;
 }
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -1,7 +1,8 @@
-/** The scripted peers of a controller: its store, its cloud, its workers and its users. They speak
- *  the protocols of the real ones over loopback, run on the event loop of the test, and fail on
- *  demand. This header includes those of all of them; fake_start and fake_stop bracket a test.
- *  Everything here belongs to the thread of the test. */
+/** @file
+ *  Fakes of everything that a controller talks to: the store, the cloud, workers and users. They
+ *  use the real protocols over loopback, run on the event loop of the test, and fail on demand.
+ *  This header includes the headers of all fakes. A test calls fake_start first and fake_stop last.
+ *  All functions are called on the thread of the test. */
 #ifndef TMX_FAKE_H
 #define TMX_FAKE_H
 #include "test.h"
@@ -13,10 +14,10 @@
 #include "fake_users.h"
 #include "fake_worker.h"
 
-/** Starts the store and the cloud, empty, and reserves the ports of the controllers. */
+/** Starts an empty store and cloud, and reserves the heartbeat ports of the controllers. */
 void fake_start(void);
-/** Stops the store and the cloud and resets what a test set for the controllers. The test has
- *  stopped its controllers before. */
+/** Stops the store and the cloud, and resets fake_adjust_settings and fake_peers_unreachable. The
+ *  test stops its controllers first. */
 void fake_stop(void);
 
 #endif
--- a/tests/fake_clock.c
+++ b/tests/fake_clock.c
@@ -1,7 +1,7 @@
-/* The clock of the scripted tests. It stands still while anything is under way, in a socket or in
- * a planner's thread, and advances to the next timer when nothing is: a slow or busy machine, or a
- * sanitizer, changes no verdict. It takes the place of the C library's functions for this program
- * alone; libev asks them for the time and waits with them. */
+/* Simulated time for tests. The clock stands still while a socket has data or a planner thread is
+ * busy, and otherwise advances to the next timer. A slow or busy machine or a sanitizer therefore
+ * does not change the result of a test. The functions below replace those of the C library in the
+ * test program; libev reads the time and waits through them. */
 #include <errno.h>
 #include <sys/epoll.h>
 #include <sys/syscall.h>
@@ -12,27 +12,28 @@
 #include "fake_controllers.h"
 
 enum {
-  REALTIME_START_S = 1700000000, /* of the epoch; any */
-  MONOTONIC_START_S = 1000,      /* any */
-  ARRIVAL_MS = 1,                /* of real time: what was sent on loopback has arrived by then */
-  TURN_NS = 10000 /* a turn of the loop takes this; a timer is due only after its time */
+  REALTIME_START_S = 1700000000, /* arbitrary, seconds since the epoch */
+  MONOTONIC_START_S = 1000,      /* arbitrary, seconds */
+  LOOPBACK_WAIT_MS = 1,          /* real time in which data sent over loopback arrives */
+  /* Simulated time of one loop iteration: a timer fires only after its time has passed. */
+  ITERATION_NS = 10000
 };
 
-static long long passed_ns;
+static long long elapsed_ns; /* simulated time since the start */
 
 int clock_gettime(clockid_t clock_id, struct timespec *tp) {
   if (clock_id != CLOCK_MONOTONIC && clock_id != CLOCK_REALTIME)
     return (int)syscall(SYS_clock_gettime, clock_id, tp);
   tp->tv_sec =
-      (clock_id == CLOCK_REALTIME ? REALTIME_START_S : MONOTONIC_START_S) + passed_ns / 1000000000;
-  tp->tv_nsec = passed_ns % 1000000000;
+      (clock_id == CLOCK_REALTIME ? REALTIME_START_S : MONOTONIC_START_S) + elapsed_ns / 1000000000;
+  tp->tv_nsec = elapsed_ns % 1000000000;
   return 0;
 }
 
 int gettimeofday(struct timeval *tv, void *tz) {
   (void)tz;
-  tv->tv_sec = REALTIME_START_S + passed_ns / 1000000000;
-  tv->tv_usec = passed_ns % 1000000000 / 1000;
+  tv->tv_sec = REALTIME_START_S + elapsed_ns / 1000000000;
+  tv->tv_usec = elapsed_ns % 1000000000 / 1000;
   return 0;
 }
 
@@ -45,12 +46,13 @@
 
 int epoll_wait(int epfd, struct epoll_event *events, int maxevents, int timeout) {
   int count = poll_events(epfd, events, maxevents, 0);
-  passed_ns += TURN_NS;
-  if (count || !timeout) return count; /* 0: something is due, or a planner's thread is done */
+  elapsed_ns += ITERATION_NS;
+  /* With timeout 0 a timer is due or a planner thread has finished. */
+  if (count || !timeout) return count;
   while (!count && fake_any_planner_busy())
-    count = poll_events(epfd, events, maxevents, ARRIVAL_MS);
+    count = poll_events(epfd, events, maxevents, LOOPBACK_WAIT_MS);
   if (count) return count;
-  count = poll_events(epfd, events, maxevents, ARRIVAL_MS);
-  if (!count && timeout > 0) passed_ns += timeout * 1000000LL;
+  count = poll_events(epfd, events, maxevents, LOOPBACK_WAIT_MS);
+  if (!count && timeout > 0) elapsed_ns += timeout * 1000000LL;
   return count;
 }
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -14,21 +14,21 @@
 
 struct fake_cloud fake_cloud;
 
-enum { LIST_PAGE = 500, LIST_FROM = 100000 /* the number before that of the first machine */ };
+enum { LIST_PAGE_SIZE = 500, LIST_ID_BASE = 100000 /* ids start at the number after this one */ };
 
 static void list_machines(struct fake_cloud *cloud, const struct tmx_http_request *request,
                           struct tmx_buffer *buffer) {
   const char *from = strstr(request->path, "from=n-");
-  size_t first = from && !cloud->repeat_first_page ? strtoul(from + 7, NULL, 10) - LIST_FROM : 0;
-  size_t left = cloud->listed_machines > first ? cloud->listed_machines - first : 0;
-  size_t count = left < LIST_PAGE ? left : LIST_PAGE;
+  size_t first = from && !cloud->repeat_first_page ? strtoul(from + 7, NULL, 10) - LIST_ID_BASE : 0;
+  size_t remaining = cloud->listed_machines > first ? cloud->listed_machines - first : 0;
+  size_t count = remaining < LIST_PAGE_SIZE ? remaining : LIST_PAGE_SIZE;
   char id[TMX_ID_BYTES];
   cloud->pages_served++;
   tmx_cbor_put_map(buffer, 2);
   tmx_cbor_put_text(buffer, W_MACHINES);
   tmx_cbor_put_list(buffer, count);
   for (size_t i = 1; i <= count; i++) {
-    snprintf(id, sizeof id, "n-%zu", LIST_FROM + first + i);
+    snprintf(id, sizeof id, "n-%zu", LIST_ID_BASE + first + i);
     tmx_cbor_put_map(buffer, 6);
     tmx_cbor_put_text_field(buffer, W_ID, id);
     tmx_cbor_put_text_field(buffer, W_TYPE, "big");
@@ -37,7 +37,7 @@
     tmx_cbor_put_text_field(buffer, W_STATE, WV_BOOTING);
     tmx_cbor_put_number_field(buffer, W_AGE, 1);
   }
-  tmx_cbor_put_bool_field(buffer, W_HAS_NEXT, left > count);
+  tmx_cbor_put_bool_field(buffer, W_HAS_NEXT, remaining > count);
 }
 
 static void list_types(struct tmx_buffer *buffer) {
--- a/tests/fake_cloud.h
+++ b/tests/fake_cloud.h
@@ -1,5 +1,6 @@
-/** The scripted cloud. It has one machine type, "big", in zone "a"; it refuses to rent machines
- *  (503) and counts the requests. */
+/** @file
+ *  A fake of the cloud's API. It offers one machine type, "big", in zone "a". It answers each
+ *  request to rent machines with 503 and counts these requests. */
 #ifndef TMX_FAKE_CLOUD_H
 #define TMX_FAKE_CLOUD_H
 #include <stdbool.h>
@@ -7,24 +8,25 @@
 
 #include "controller/controller_internal.h"
 
-enum { FAKE_CLOUD_DELETED_MAX = 32 /**< ids of deleted machines that are kept */ };
+enum { FAKE_CLOUD_DELETED_MAX = 32 /**< capacity of fake_cloud.deleted */ };
 
 struct fake_cloud {
   struct tmx_http_server *server;
-  bool refuse_delete;                                 /**< deletions are answered with 503 */
-  unsigned deletions;                                 /**< machines deleted so far */
-  char deleted[FAKE_CLOUD_DELETED_MAX][TMX_ID_BYTES]; /**< their ids, in order */
-  unsigned rentals;                                   /**< requests to rent so far */
-  size_t listed_machines; /**< the list holds n-100001 and on, 500 a page; 0: it is empty */
-  bool repeat_first_page; /**< every page of the list is the first one */
-  unsigned pages_served;  /**< pages of the list answered so far */
+  bool refuse_delete; /**< deletion requests are answered with 503 */
+  unsigned deletions; /**< machines deleted so far, counted up to FAKE_CLOUD_DELETED_MAX */
+  /** Ids of deleted machines, in order of deletion. */
+  char deleted[FAKE_CLOUD_DELETED_MAX][TMX_ID_BYTES];
+  unsigned rentals;       /**< requests to rent machines so far */
+  size_t listed_machines; /**< length of the list, whose ids start at n-100001; 500 a page */
+  bool repeat_first_page; /**< each request for a page gets the first page */
+  unsigned pages_served;  /**< pages of the list sent so far */
 };
 
 extern struct fake_cloud fake_cloud;
 
-/** Starts the cloud with an empty list. Part of fake_start. */
+/** Starts the cloud with an empty machine list. Called by fake_start. */
 void fake_cloud_open(void);
-/** Stops it. Part of fake_stop. */
+/** Stops the cloud. Called by fake_stop. */
 void fake_cloud_close(void);
 
 #endif
--- a/tests/fake_controllers.c
+++ b/tests/fake_controllers.c
@@ -20,11 +20,12 @@
 
 bool fake_peers_unreachable;
 void (*fake_adjust_settings)(struct tmx_settings *settings);
-static struct reserved_port heartbeat_ports[FAKE_NODES];
-static struct reserved_port listen_ports[FAKE_NODES]; /* of users and workers; 0: not yet */
-static struct tmx_controller *running[FAKE_NODES];
+static struct reserved_port heartbeat_ports[FAKE_CONTROLLERS_MAX];
+static struct reserved_port
+    listen_ports[FAKE_CONTROLLERS_MAX]; /* for users and workers; port 0: not reserved yet */
+static struct tmx_controller *running[FAKE_CONTROLLERS_MAX];
 
-struct tmx_http_client *client_of(struct tmx_controller *controller) {
+struct tmx_http_client *new_controller_client(struct tmx_controller *controller) {
   char address[32];
   snprintf(address, sizeof address, "127.0.0.1:%d", tmx_http_server_port(controller->server));
   struct tmx_http_client *client = tmx_http_client_new(test_loop, address, CLIENT_CONNECTIONS);
@@ -32,8 +33,9 @@
   return client;
 }
 
-/* Peers must know one another's port beforehand. The socket stays bound, without listening, so
- * that no outgoing connection gets the port; a listener may still share it. */
+/* Controllers must know the ports of their peers before they start. The socket stays bound without
+ * listening, so that no outgoing connection is given the port. SO_REUSEADDR lets a listener bind
+ * the same port. */
 static struct reserved_port reserve_port(void) {
   struct sockaddr_in address = {.sin_family = AF_INET};
   socklen_t size = sizeof address;
@@ -89,7 +91,7 @@
 }
 
 struct tmx_controller *start_controller(int index, int count) {
-  static struct tmx_settings settings; /* the controller goes on to read them */
+  static struct tmx_settings settings; /* static because the controller keeps a pointer to it */
   char error[256];
   fake_settings(&settings, index, count);
   if (fake_adjust_settings) fake_adjust_settings(&settings);
@@ -100,7 +102,7 @@
 }
 
 void stop_controller(struct tmx_controller *controller) {
-  for (int i = 0; i < FAKE_NODES; i++)
+  for (int i = 0; i < FAKE_CONTROLLERS_MAX; i++)
     if (running[i] == controller) running[i] = NULL;
   tmx_controller_free(controller);
 }
@@ -112,17 +114,17 @@
 }
 
 bool fake_any_planner_busy(void) {
-  for (int i = 0; i < FAKE_NODES; i++)
+  for (int i = 0; i < FAKE_CONTROLLERS_MAX; i++)
     if (running[i] && tmx_scheduler_is_planning(running[i]->scheduler)) return true;
   return false;
 }
 
 void fake_controllers_open(void) {
-  for (int i = 0; i < FAKE_NODES; i++) heartbeat_ports[i] = reserve_port();
+  for (int i = 0; i < FAKE_CONTROLLERS_MAX; i++) heartbeat_ports[i] = reserve_port();
 }
 
 void fake_controllers_close(void) {
   fake_peers_unreachable = false;
   fake_adjust_settings = NULL;
-  for (int i = 0; i < FAKE_NODES; i++) close(heartbeat_ports[i].socket);
+  for (int i = 0; i < FAKE_CONTROLLERS_MAX; i++) close(heartbeat_ports[i].socket);
 }
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -20,13 +20,13 @@
 
 const struct fake_entry *fake_get(const char *key) { return fake_store_find(key); }
 
-static uint8_t *copy_of(const uint8_t *value, size_t length) {
+static uint8_t *copy_value(const uint8_t *value, size_t length) {
   uint8_t *copy = malloc(length);
   memcpy(copy, value, length);
   return copy;
 }
 
-/* value NULL: the key was dropped. */
+/* Records a change. `value` is NULL if the key was deleted. */
 static void add_event(const char *key, const uint8_t *value, size_t length) {
   fake_store.events =
       realloc(fake_store.events, (fake_store.n_events + 1) * sizeof *fake_store.events);
@@ -35,11 +35,11 @@
   snprintf(event->key, sizeof event->key, "%s", key);
   event->version = fake_store.revision;
   if (!value) return;
-  event->value = copy_of(value, length);
+  event->value = copy_value(value, length);
   event->length = length;
 }
 
-/* Adds an entry without a value where its key belongs in the order. */
+/* Inserts an entry without a value at its place in the key order. */
 static struct fake_entry *add_entry(const char *key) {
   fake_store.entries =
       realloc(fake_store.entries, (fake_store.n_entries + 1) * sizeof *fake_store.entries);
@@ -58,8 +58,8 @@
   struct fake_entry *entry = fake_store_find(key);
   if (!entry) entry = add_entry(key);
   free(entry->value);
-  entry->value = copy_of(value, length);
-  entry->len = length;
+  entry->value = copy_value(value, length);
+  entry->length = length;
   entry->version = fake_store.revision;
   entry->lease = lease;
   add_event(key, value, length);
@@ -87,14 +87,15 @@
   tmx_cbor_put_u64_field(buffer, W_VERSION, version);
 }
 
-/* Whether the watch must wait. One whose connection is gone is answered, so that it goes away. */
-static bool watch_waits(const struct fake_watch *watch) {
+/* Whether the watch stays pending. A watch with a closed connection is completed to free it. */
+static bool is_watch_pending(const struct fake_watch *watch) {
   const struct fake_endpoint *endpoint = &fake_store.endpoints[watch->endpoint];
   if (!watch->request->conn) return false;
-  return watch->from_revision >= fake_store.revision || endpoint->freeze_watch || endpoint->refuse;
+  return watch->from_revision >= fake_store.revision || endpoint->hold_watches ||
+         endpoint->unavailable;
 }
 
-static void answer_watch(const struct fake_watch *watch) {
+static void complete_watch(const struct fake_watch *watch) {
   struct tmx_buffer buffer = {0}, changes = {0};
   size_t count = 0;
   for (size_t i = 0; i < fake_store.n_events; i++) {
@@ -117,16 +118,16 @@
 void fake_store_serve_watches(void) {
   for (size_t i = 0; i < fake_store.n_watches;) {
     struct fake_watch watch = fake_store.watches[i];
-    if (watch_waits(&watch)) {
+    if (is_watch_pending(&watch)) {
       i++;
       continue;
     }
     fake_store.watches[i] = fake_store.watches[--fake_store.n_watches];
-    answer_watch(&watch);
+    complete_watch(&watch);
   }
 }
 
-void fake_free_watches(void) {
+void fake_answer_pending_watches(void) {
   fake_store.revision++;
   fake_store_serve_watches();
 }
@@ -137,17 +138,17 @@
   fake_store_serve_watches();
 }
 
-void fake_drop(const char *key) {
+void fake_delete(const char *key) {
   fake_store.revision++;
   fake_store_remove(key);
   fake_store_serve_watches();
 }
 
-static bool is_path(const struct tmx_http_request *request, const char *prefix) {
+static bool path_has_prefix(const struct tmx_http_request *request, const char *prefix) {
   return !strncmp(request->path, prefix, strlen(prefix));
 }
 
-static void take_watch(struct fake_endpoint *endpoint, struct tmx_http_request *request) {
+static void accept_watch(struct fake_endpoint *endpoint, struct tmx_http_request *request) {
   if (endpoint->expire_next_watch) {
     endpoint->expire_next_watch = false;
     tmx_http_reply(request, 410, NULL, 0);
@@ -164,13 +165,13 @@
 
 static void on_request(void *argument, struct tmx_http_request *request) {
   struct fake_endpoint *endpoint = argument;
-  if (is_path(request, WP_WATCH))
-    take_watch(endpoint, request);
-  else if (endpoint->refuse)
+  if (path_has_prefix(request, WP_WATCH))
+    accept_watch(endpoint, request);
+  else if (endpoint->unavailable)
     tmx_http_reply(request, 503, NULL, 0);
   else if (!strcmp(request->path, WP_TXN))
     fake_store_transact(endpoint, request, request->body, request->body_len);
-  else if (is_path(request, WP_LEASES))
+  else if (path_has_prefix(request, WP_LEASES))
     fake_store_answer_lease(request);
   else
     fake_store_answer_read(endpoint, request);
@@ -178,7 +179,7 @@
 
 void fake_store_open(void) {
   memset(&fake_store, 0, sizeof fake_store);
-  for (int i = 0; i < FAKE_NODES; i++) {
+  for (int i = 0; i < FAKE_CONTROLLERS_MAX; i++) {
     struct fake_endpoint *endpoint = &fake_store.endpoints[i];
     endpoint->store = &fake_store;
     endpoint->server = tmx_http_server_new(test_loop, "127.0.0.1:0", 200, 60, on_request, endpoint);
@@ -188,16 +189,16 @@
 
 void fake_store_close(void) {
   fake_store_answer_delayed_reads();
-  for (int i = 0; i < FAKE_NODES; i++) {
+  for (int i = 0; i < FAKE_CONTROLLERS_MAX; i++) {
     struct tmx_http_request *withheld = fake_store.endpoints[i].withheld_request;
     if (withheld) tmx_http_reply(withheld, 500, NULL, 0);
   }
   for (size_t i = 0; i < fake_store.n_watches; i++)
     tmx_http_reply(fake_store.watches[i].request, 503, NULL, 0);
   fake_store.n_watches = 0;
-  for (int i = 0; i < FAKE_NODES; i++) {
+  for (int i = 0; i < FAKE_CONTROLLERS_MAX; i++) {
     tmx_http_server_free(fake_store.endpoints[i].server);
-    free(fake_store.endpoints[i].late_transaction);
+    free(fake_store.endpoints[i].late_transaction_body);
   }
   for (size_t i = 0; i < fake_store.n_entries; i++) free(fake_store.entries[i].value);
   for (size_t i = 0; i < fake_store.n_events; i++) free(fake_store.events[i].value);
--- a/tests/fake_store_internal.h
+++ b/tests/fake_store_internal.h
@@ -1,40 +1,42 @@
-/** What the files of the scripted store share. */
+/** @file
+ *  Declarations shared by the source files of the fake store. */
 #ifndef TMX_FAKE_STORE_INTERNAL_H
 #define TMX_FAKE_STORE_INTERNAL_H
 #include "fake_store.h"
 
 #include "net/cbor.h"
 
-/** @return the entry of a key, NULL: there is none */
+/** Looks up a key.
+ *  @return the entry, valid until the next change of the store; NULL: no such key */
 struct fake_entry *fake_store_find(const char *key);
-/** Writes a key at the current revision, without an answer to the watches. */
+/** Writes a key at the current revision without completing watches. */
 void fake_store_write(const char *key, const uint8_t *value, size_t length, uint64_t lease);
-/** Drops a key at the current revision, without an answer to the watches. */
+/** Deletes a key at the current revision without completing watches. */
 void fake_store_remove(const char *key);
-/** Answers the watches that a change is due to. */
+/** Completes the watches that have changes to report. */
 void fake_store_serve_watches(void);
-/** Appends a key with its value and version, as reads and watches hold it.
- *  @param name the field that holds the key
- *  @param value NULL: the key was dropped */
+/** Appends a key, its value and its version in the form of read and watch responses.
+ *  @param field the name of the field that holds the key
+ *  @param value CBOR; NULL: the key was deleted */
 void fake_store_encode_entry(struct tmx_buffer *buffer, const char *field, const char *stored_key,
                              const uint8_t *value, size_t length, uint64_t version);
-/** Whether a transaction's operations pass the limits of the store. */
+/** Whether the operations of a transaction exceed the limits of the store. */
 bool fake_store_is_oversized(const cbor_item_t *operations);
 
-/** Answers a request for a lease, new or to be renewed. */
+/** Grants or renews a lease and responds. */
 void fake_store_answer_lease(struct tmx_http_request *request);
 /** Whether the lease has expired. */
 bool fake_store_lease_expired(uint64_t lease);
 
-/** Carries out a transaction.
- *  @param request answered; NULL: the transaction is late and nobody waits
- *  @return the status; 0: it was put off to be late */
+/** Runs a transaction and responds.
+ *  @param request NULL: the transaction is a late one, whose response was already sent
+ *  @return the status; 0: the transaction was stored to run later */
 int fake_store_transact(struct fake_endpoint *endpoint, struct tmx_http_request *request,
                         const uint8_t *body, size_t length);
 
-/** Carries out a read and answers it, now or after the endpoint's delay. */
+/** Runs a read and responds at once or after the endpoint's delay, or holds the request. */
 void fake_store_answer_read(struct fake_endpoint *endpoint, struct tmx_http_request *request);
-/** Answers the reads that are delayed still. */
+/** Sends the delayed read responses at once. */
 void fake_store_answer_delayed_reads(void);
 
 #endif
--- a/tests/fake_store_lease.c
+++ b/tests/fake_store_lease.c
@@ -1,4 +1,4 @@
-/* Leases of the scripted store. */
+/* Leases of the fake store. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -29,8 +29,8 @@
     if (!entry->lease || !fake_store_lease_expired(entry->lease)) continue;
     char key[TMX_KEY_MAX + 1];
     memcpy(key, entry->key, sizeof key);
-    fake_drop(key);
-    return; /* the drop moves the entries: the next call looks for the next one */
+    fake_delete(key);
+    return; /* the deletion moved the entries; the next call continues the search */
   }
 }
 
@@ -38,7 +38,7 @@
   struct tmx_buffer buffer = {0};
   const char *number = request->path + strlen(WP_LEASES);
   if (*number == '/') number++;
-  uint64_t lease = strtoull(number, NULL, 10); /* 0: a new one */
+  uint64_t lease = strtoull(number, NULL, 10); /* 0: grant a new lease */
   if (lease && fake_store.lease_expires_at && fake_store_lease_expired(lease)) {
     tmx_http_reply(request, 404, NULL, 0);
     return;
--- a/tests/fake_store_limits.c
+++ b/tests/fake_store_limits.c
@@ -1,4 +1,4 @@
-/* The limits of the real store, which counts a value's length as JSON. */
+/* The size limits of the fake store, which measures values by JSON length like the real store. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/fake_store_log.c
+++ b/tests/fake_store_log.c
@@ -1,4 +1,4 @@
-/* What the log in the scripted store holds. */
+/* Queries on the log that controllers write to the fake store. */
 #include <string.h>
 
 #include "fake_store_internal.h"
@@ -11,7 +11,7 @@
   for (size_t i = 0; i < fake_store.n_entries; i++) {
     const struct fake_entry *entry = &fake_store.entries[i];
     if (strncmp(entry->key, TMX_KEY_BATCH, strlen(TMX_KEY_BATCH))) continue;
-    cbor_item_t *map = tmx_cbor_parse(entry->value, entry->len);
+    cbor_item_t *map = tmx_cbor_parse(entry->value, entry->length);
     const cbor_item_t *lines = tmx_cbor_get(map, "ops");
     for (size_t j = 0; j < tmx_cbor_list_length(lines); j++)
       if (tmx_cbor_as_text(tmx_cbor_list_at(lines, j), line, sizeof line)) callback(argument, line);
@@ -31,7 +31,7 @@
   search->found |= !strcmp(line, search->line);
 }
 
-/* The operations of one job may share a line, so each is also compared by itself. */
+/* One line may hold several operations of a job, so each operation is also compared by itself. */
 static void compare_line(void *argument, const char *line) {
   struct search *search = argument;
   search->found |= !strcmp(line, search->line);
@@ -54,7 +54,7 @@
   tmx_log_line_for_each_operation(line, count_operation, argument);
 }
 
-unsigned fake_count_placed(void) {
+unsigned fake_count_placed_tasks(void) {
   unsigned count = 0;
   for_each_line(count_line, &count);
   return count;
--- a/tests/fake_store_transaction.c
+++ b/tests/fake_store_transaction.c
@@ -1,4 +1,5 @@
-/* Transactions of the scripted store: refused, applied, applied with a lost response, or late. */
+/* Transactions of the fake store: rejected, applied, applied with a lost response, or stored to run
+ * late. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -27,7 +28,7 @@
   return !strncmp(key, prefix, strlen(prefix));
 }
 
-static bool writes(const cbor_item_t *operations, const char *prefix) {
+static bool writes_key_with_prefix(const cbor_item_t *operations, const char *prefix) {
   char key[TMX_KEY_MAX + 1];
   for (size_t i = 0; i < tmx_cbor_list_length(operations); i++)
     if (tmx_cbor_get_text(tmx_cbor_list_at(operations, i), W_PUT, key, sizeof key) &&
@@ -64,7 +65,7 @@
   free(encoded);
 }
 
-/* Returns whether the transaction writes a key whose response is to be lost. */
+/* Returns whether the response to the transaction must be lost. */
 static bool apply_operations(const struct fake_endpoint *endpoint, const cbor_item_t *operations) {
   char key[TMX_KEY_MAX + 1];
   bool lose_response = false;
@@ -73,7 +74,7 @@
     uint64_t lease = 0;
     tmx_cbor_get_u64(operation, W_LEASE, &lease);
     if (tmx_cbor_get_text(operation, W_PUT, key, sizeof key)) {
-      assert_int_equal(cbor_map_size(operation), lease ? 3 : 2); /* it has no other fields */
+      assert_int_equal(cbor_map_size(operation), lease ? 3 : 2); /* a put has no other fields */
       write_value(key, tmx_cbor_get(operation, W_VALUE), lease);
       lose_response |= endpoint->lose_next_response && has_prefix(key, endpoint->lost_response_key);
     } else if (tmx_cbor_get_text(operation, W_DELETE, key, sizeof key)) {
@@ -83,7 +84,7 @@
   return lose_response;
 }
 
-/* A status of 500 says nothing of what became of the transaction. */
+/* The client cannot tell from status 500 whether the transaction was applied. */
 static void lose_response(struct fake_endpoint *endpoint, struct tmx_http_request *request) {
   endpoint->lose_next_response = false;
   if (endpoint->withhold_lost_response && !endpoint->withheld_request)
@@ -92,11 +93,11 @@
     tmx_http_reply(request, 500, NULL, 0);
 }
 
-static void put_off(struct fake_endpoint *endpoint, struct tmx_http_request *request,
-                    const uint8_t *body, size_t length) {
+static void store_late_transaction(struct fake_endpoint *endpoint, struct tmx_http_request *request,
+                                   const uint8_t *body, size_t length) {
   endpoint->next_transaction_is_late = false;
-  endpoint->late_transaction = malloc(length);
-  memcpy(endpoint->late_transaction, body, length);
+  endpoint->late_transaction_body = malloc(length);
+  memcpy(endpoint->late_transaction_body, body, length);
   endpoint->late_transaction_length = length;
   tmx_http_reply(request, 500, NULL, 0);
 }
@@ -112,8 +113,8 @@
     if (request) tmx_http_reply(request, 400, NULL, 0);
     status = 400;
   } else if (request && endpoint->next_transaction_is_late &&
-             writes(operations, endpoint->late_transaction_key)) {
-    put_off(endpoint, request, body, length);
+             writes_key_with_prefix(operations, endpoint->late_transaction_key)) {
+    store_late_transaction(endpoint, request, body, length);
     status = 0;
   } else if (!conditions_hold(tmx_cbor_get(map, W_IF))) {
     fake_store.conflicts++;
@@ -139,10 +140,10 @@
 }
 
 int fake_execute_late_transaction(struct fake_endpoint *endpoint) {
-  if (!endpoint->late_transaction) return 0;
-  int status = fake_store_transact(endpoint, NULL, endpoint->late_transaction,
+  if (!endpoint->late_transaction_body) return 0;
+  int status = fake_store_transact(endpoint, NULL, endpoint->late_transaction_body,
                                    endpoint->late_transaction_length);
-  free(endpoint->late_transaction);
-  endpoint->late_transaction = NULL;
+  free(endpoint->late_transaction_body);
+  endpoint->late_transaction_body = NULL;
   return status;
 }
--- a/tests/fake_users.c
+++ b/tests/fake_users.c
@@ -9,7 +9,7 @@
 #include "test.h"
 #include "tmx/wire.h"
 
-enum { USER_WAITS_S = 5 };
+enum { USER_TIMEOUT_S = 5 };
 
 static bool is_answered(void *argument) {
   const struct fake_answer *answer = argument;
@@ -28,36 +28,40 @@
 struct fake_answer send_request(struct tmx_controller *controller, const char *method,
                                 const char *path, const struct tmx_buffer *body) {
   struct fake_answer answer = {0};
-  struct tmx_http_client *client = client_of(controller);
-  assert_true(tmx_http_client_call(client, method, path, body, USER_WAITS_S, on_answer, &answer));
+  struct tmx_http_client *client = new_controller_client(controller);
+  assert_true(tmx_http_client_call(client, method, path, body, USER_TIMEOUT_S, on_answer, &answer));
   run_loop_until(is_answered, &answer);
-  struct fake_answer received = answer; /* to free the client may call on_answer once more */
+  struct fake_answer received = answer; /* freeing the client may call on_answer again */
   tmx_http_client_free(client);
   return received;
 }
 
 void encode_submission(struct tmx_buffer *buffer, const char *id, const char *kind, uint32_t tasks,
                        double cpus, const char *team) {
-  encode_submission_awaiting(buffer, id, kind, tasks, cpus, team, NULL);
+  encode_submission_with_dependencies(buffer, id, kind, tasks, cpus, team, NULL);
 }
 
-void encode_submission_awaiting(struct tmx_buffer *buffer, const char *id, const char *kind,
-                                uint32_t tasks, double cpus, const char *team,
-                                const struct tmx_buffer *awaits) {
-  struct fake_job job = {
-      .id = id, .kind = kind, .team = team, .tasks = tasks, .cpus = cpus, .awaits = awaits};
-  encode_submission_of(buffer, &job);
+void encode_submission_with_dependencies(struct tmx_buffer *buffer, const char *id,
+                                         const char *kind, uint32_t tasks, double cpus,
+                                         const char *team, const struct tmx_buffer *dependencies) {
+  struct fake_job job = {.id = id,
+                         .kind = kind,
+                         .team = team,
+                         .tasks = tasks,
+                         .cpus = cpus,
+                         .dependencies = dependencies};
+  encode_job_submission(buffer, &job);
 }
 
-void encode_submission_of(struct tmx_buffer *buffer, const struct fake_job *job) {
-  tmx_cbor_put_map(buffer, 17u + (job->awaits != NULL) + (job->types != NULL));
+void encode_job_submission(struct tmx_buffer *buffer, const struct fake_job *job) {
+  tmx_cbor_put_map(buffer, 17u + (job->dependencies != NULL) + (job->types != NULL));
   if (job->types) {
     tmx_cbor_put_text(buffer, W_TYPES);
     tmx_buffer_append(buffer, job->types->data, job->types->length);
   }
-  if (job->awaits) {
+  if (job->dependencies) {
     tmx_cbor_put_text(buffer, W_DEPENDENCIES);
-    tmx_buffer_append(buffer, job->awaits->data, job->awaits->length);
+    tmx_buffer_append(buffer, job->dependencies->data, job->dependencies->length);
   }
   tmx_cbor_put_text_field(buffer, W_ID, job->id);
   tmx_cbor_put_text_field(buffer, W_CLASS, job->class ? job->class : "c");
@@ -80,7 +84,7 @@
 
 int submit_job(struct tmx_controller *controller, const struct fake_job *job) {
   struct tmx_buffer buffer = {0};
-  encode_submission_of(&buffer, job);
+  encode_job_submission(&buffer, job);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &buffer);
   tmx_buffer_free(&buffer);
   return answer.status;
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -10,7 +10,7 @@
 #include "test.h"
 #include "tmx/wire.h"
 
-enum { WORKER_WAITS_S = 5 };
+enum { WORKER_TIMEOUT_S = 5 };
 
 void fake_worker_encode_report(const struct fake_worker *worker, struct tmx_buffer *buffer) {
   tmx_cbor_put_map(buffer, 9);
@@ -30,12 +30,12 @@
     tmx_cbor_put_text_field(buffer, W_TASK, worker->tasks[i].task);
     tmx_cbor_put_u64_field(buffer, W_ATTEMPT, worker->tasks[i].attempt);
     tmx_cbor_put_text_field(buffer, W_STATE, worker->tasks[i].state);
-    if (ended) tmx_cbor_put_text_field(buffer, W_REASON, worker->tasks[i].why);
+    if (ended) tmx_cbor_put_text_field(buffer, W_REASON, worker->tasks[i].reason);
   }
 }
 
 void fake_worker_set_task(struct fake_worker *worker, const char *task, uint32_t attempt,
-                          const char *state, const char *why) {
+                          const char *state, const char *reason) {
   size_t i;
   for (i = 0; i < worker->n_tasks; i++)
     if (!strcmp(worker->tasks[i].task, task) && worker->tasks[i].attempt == attempt) break;
@@ -47,11 +47,11 @@
   if (i == worker->n_tasks) worker->n_tasks++;
   snprintf(worker->tasks[i].task, sizeof worker->tasks[i].task, "%s", task);
   snprintf(worker->tasks[i].state, sizeof worker->tasks[i].state, "%s", state);
-  snprintf(worker->tasks[i].why, sizeof worker->tasks[i].why, "%s", why ? why : "");
+  snprintf(worker->tasks[i].reason, sizeof worker->tasks[i].reason, "%s", reason ? reason : "");
   worker->tasks[i].attempt = attempt;
 }
 
-static void take_commands(struct fake_worker *worker, const cbor_item_t *map) {
+static void decode_commands(struct fake_worker *worker, const cbor_item_t *map) {
   const cbor_item_t *list = tmx_cbor_get(map, W_COMMANDS);
   worker->n_commands_received = 0;
   for (size_t i = 0;
@@ -105,7 +105,7 @@
       status = 409;
     } else {
       worker->token = token;
-      take_commands(worker, map);
+      decode_commands(worker, map);
       fake_worker_execute_commands(worker);
       if (worker->on_command) worker->on_command(worker, token);
     }
@@ -127,8 +127,8 @@
            tmx_http_server_port(worker->server));
 }
 
-void fake_worker_take_response(struct fake_worker *worker, int status, const uint8_t *body,
-                               size_t length) {
+void fake_worker_handle_response(struct fake_worker *worker, int status, const uint8_t *body,
+                                 size_t length) {
   cbor_item_t *map = tmx_cbor_parse(body, length);
   worker->report_status = status;
   worker->redirected_to[0] = 0;
@@ -138,7 +138,7 @@
     tmx_cbor_get_u64(map, W_TOKEN, &worker->response_token);
     if (worker->response_token >= worker->token) {
       worker->token = worker->response_token;
-      take_commands(worker, map);
+      decode_commands(worker, map);
     }
   } else if (map) {
     tmx_cbor_get_text(map, W_OWNER, worker->redirected_to, sizeof worker->redirected_to);
@@ -146,7 +146,7 @@
   tmx_cbor_free(map);
 }
 
-/* A heartbeat whose answer the test waits for. */
+/* A heartbeat whose response the test waits for. */
 struct heartbeat {
   struct fake_worker *worker;
   bool answered;
@@ -155,7 +155,7 @@
 static void on_response(void *argument, int status, const uint8_t *body, size_t length) {
   struct heartbeat *heartbeat = argument;
   heartbeat->answered = true;
-  fake_worker_take_response(heartbeat->worker, status, body, length);
+  fake_worker_handle_response(heartbeat->worker, status, body, length);
 }
 
 static bool is_answered(void *argument) {
@@ -166,11 +166,11 @@
 void fake_worker_send_heartbeat(struct fake_worker *worker, struct tmx_controller *controller) {
   struct heartbeat heartbeat = {.worker = worker};
   struct tmx_buffer buffer = {0};
-  struct tmx_http_client *client = client_of(controller);
+  struct tmx_http_client *client = new_controller_client(controller);
   worker->sequence++;
   fake_worker_encode_report(worker, &buffer);
-  assert_true(tmx_http_client_call(client, "POST", WP_REPORT, &buffer, WORKER_WAITS_S, on_response,
-                                   &heartbeat));
+  assert_true(tmx_http_client_call(client, "POST", WP_REPORT, &buffer, WORKER_TIMEOUT_S,
+                                   on_response, &heartbeat));
   tmx_buffer_free(&buffer);
   assert_true(run_loop_until(is_answered, &heartbeat));
   tmx_http_client_free(client);
--- a/tests/fake_worker.h
+++ b/tests/fake_worker.h
@@ -1,5 +1,6 @@
-/** Scripted workers: the agents of machines. A worker sends a heartbeat when the test says so, and
- *  answers the commands and the probes of controllers at its own address at any time. */
+/** @file
+ *  Fake workers, the agents that run on machines. A worker sends a heartbeat only when the test
+ *  requests it. It answers commands and probes of controllers at its own address at any time. */
 #ifndef TMX_FAKE_WORKER_H
 #define TMX_FAKE_WORKER_H
 #include <stdbool.h>
@@ -10,8 +11,8 @@
 #include "controller/controller_internal.h"
 
 enum {
-  FAKE_WORKER_TASKS_MAX = 64,   /**< tasks that a worker reports, those that ended included */
-  FAKE_WORKER_COMMANDS_MAX = 64 /**< commands that it takes from one message */
+  FAKE_WORKER_TASKS_MAX = 64,   /**< maximum number of reported tasks, ended ones included */
+  FAKE_WORKER_COMMANDS_MAX = 64 /**< commands read from one message; more are ignored */
 };
 
 /** A command as the worker received it. */
@@ -24,56 +25,58 @@
 /** A task as the worker reports it. */
 struct fake_reported_task {
   char task[48];
-  char state[12]; /**< as on the wire */
-  char why[12];   /**< how it ended; empty: it has not */
+  char state[12];  /**< as on the wire */
+  char reason[12]; /**< how it ended; empty: not ended */
   uint32_t attempt;
 };
 
 struct fake_worker {
-  char id[TMX_ID_BYTES]; /**< of its machine */
-  char address[32];      /**< where it takes commands */
+  char id[TMX_ID_BYTES]; /**< id of the machine */
+  char address[32];      /**< listen address for commands and probes */
   struct tmx_http_server *server;
-  bool fails_commands; /**< answers commands with 500 and executes none; probes are answered */
-  bool unresponsive;   /**< answers commands and probes with 500 */
-  uint64_t session;    /**< of the agent's process: a later one has a larger number */
-  uint64_t sequence;   /**< of its latest report in this session */
-  uint64_t token;      /**< fencing token: the largest that it saw; older ones are refused */
+  bool fails_commands; /**< commands get 500 and are not executed; probes succeed */
+  bool unresponsive;   /**< commands and probes get 500 */
+  uint64_t session;    /**< number of the agent's process; a restart increases it */
+  uint64_t sequence;   /**< number of the latest report in this session */
+  uint64_t token;      /**< highest fencing token received; lower ones are rejected */
   struct fake_reported_task tasks[FAKE_WORKER_TASKS_MAX];
   size_t n_tasks;
 
-  int report_status;                  /**< of the answer to the latest heartbeat */
-  char redirected_to[TMX_NAME_BYTES]; /**< the controller that answer named; empty: none */
-  uint64_t response_token;            /**< fencing token in that answer */
+  int report_status;                  /**< HTTP status of the latest heartbeat's response */
+  char redirected_to[TMX_NAME_BYTES]; /**< owner named by that response; empty: none */
+  uint64_t response_token;            /**< fencing token in that response; 0: none */
 
-  struct fake_command commands_received[FAKE_WORKER_COMMANDS_MAX]; /**< not executed yet */
+  struct fake_command commands_received[FAKE_WORKER_COMMANDS_MAX]; /**< commands not executed yet */
   size_t n_commands_received;
-  unsigned command_requests; /**< requests with commands so far, the failed ones included */
+  unsigned command_requests; /**< command requests so far, failed ones included */
   unsigned executed_starts;  /**< tasks started so far */
-  /** Called after the commands of a controller with this token were executed; NULL: not. */
+  /** Called after the commands of a request with this fencing token have been executed; NULL: no
+   *  callback. */
   void (*on_command)(struct fake_worker *worker, uint64_t token);
 };
 
-/** Makes a worker without tasks, in its first session, which listens on an address of its own. The
- *  test frees worker->server. */
+/** Initializes a worker without tasks, in session 1, that listens on its own address. The test
+ *  frees worker->server. */
 void fake_worker_open(struct fake_worker *worker, const char *id);
 
-/** Sends a heartbeat to `controller` and runs the loop until its answer is taken. */
+/** Sends a heartbeat to `controller` and runs the loop until the response has been handled. */
 void fake_worker_send_heartbeat(struct fake_worker *worker, struct tmx_controller *controller);
-/** Appends the worker's report as it stands, for a test that sends it by its own means. */
+/** Appends the worker's current report, for a test that sends the report itself. */
 void fake_worker_encode_report(const struct fake_worker *worker, struct tmx_buffer *buffer);
-/** Takes the answer to a report that the test sent by its own means. */
-void fake_worker_take_response(struct fake_worker *worker, int status, const uint8_t *body,
-                               size_t length);
+/** Handles the response to a report that the test sent itself. */
+void fake_worker_handle_response(struct fake_worker *worker, int status, const uint8_t *body,
+                                 size_t length);
 
-/** Whether the latest answer held this command. */
+/** Whether this command was received and has not been executed yet. */
 bool fake_worker_was_commanded(const struct fake_worker *worker, const char *operation,
                                const char *task, uint32_t attempt);
-/** Executes the commands of the latest answer; the commands of a request are executed at once. */
+/** Executes the commands of the latest heartbeat response. Commands of a controller's request are
+ *  executed on receipt. */
 void fake_worker_execute_commands(struct fake_worker *worker);
 /** Sets how the worker reports an attempt of a task.
- *  @param state as on the wire; NULL: the attempt is reported no longer
- *  @param why how it ended; NULL: it has not */
+ *  @param state as on the wire; NULL: the attempt is removed from the report
+ *  @param reason how it ended, as on the wire; NULL: not ended */
 void fake_worker_set_task(struct fake_worker *worker, const char *task, uint32_t attempt,
-                          const char *state, const char *why);
+                          const char *state, const char *reason);
 
 #endif
--- a/tests/planned_cluster.c
+++ b/tests/planned_cluster.c
@@ -63,8 +63,8 @@
   record->tasks[record->n_tasks++] = (struct tmx_plan_task){(int)job, task, 1, since, stopping};
 }
 
-/* Gives the cluster to a new planner and plans a round; the cluster stays as it is. */
-struct tmx_planner *planner_of(const struct planned_cluster *cluster) {
+/* The delta holds copies, so the cluster keeps its own specifications and task lists. */
+struct tmx_planner *new_planner_for_cluster(const struct planned_cluster *cluster) {
   struct tmx_planner *planner = tmx_planner_new();
   struct tmx_planner_delta delta = {0};
   for (size_t i = 0; i < cluster->n_jobs; i++) {
@@ -87,7 +87,7 @@
 }
 
 void run_round(const struct planned_cluster *cluster, struct tmx_round_output *output) {
-  struct tmx_planner *planner = planner_of(cluster);
+  struct tmx_planner *planner = new_planner_for_cluster(cluster);
   tmx_planner_run_round(planner, &cluster->input, output);
   tmx_planner_free(planner);
 }
--- a/tests/sample_jobs.c
+++ b/tests/sample_jobs.c
@@ -17,7 +17,7 @@
   return spec;
 }
 
-void sample_awaits(struct tmx_job_ids *ids, uint32_t count) {
+void sample_dependencies(struct tmx_job_ids *ids, uint32_t count) {
   ids->count = count;
   ids->ids = calloc(count, sizeof *ids->ids);
   assert_non_null(ids->ids);
--- a/tests/test.h
+++ b/tests/test.h
@@ -1,4 +1,5 @@
-/* cmocka with what it needs, and the main part of every test program. */
+/** @file
+ *  Includes cmocka with the headers that it requires, and runs the tests of a test program. */
 #ifndef TMX_TEST_H
 #define TMX_TEST_H
 #include <setjmp.h>
@@ -11,8 +12,9 @@
 
 #include "base/log.h"
 
-/* Runs the tests of an array and returns the program's exit code. The variable TMX_TEST selects one
- * of them by name, LOG_LEVEL sets how much the controllers log: errors, if it is not set. */
+/** Runs an array of tests and evaluates to the exit code of the program. The environment variable
+ *  TMX_TEST is a cmocka filter that selects tests by name. LOG_LEVEL sets the log level of the
+ *  controllers, by default `error`. */
 #define RUN_TESTS(tests) run_selected_tests(#tests, tests, sizeof(tests) / sizeof *(tests))
 
 static inline int run_selected_tests(const char *group, const struct CMUnitTest *tests,
--- a/tests/test_admission_control.c
+++ b/tests/test_admission_control.c
@@ -121,7 +121,7 @@
     snprintf(id, sizeof id, "wk-%06d", i);
     struct fake_job job = {.id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1};
     struct tmx_buffer body = {0};
-    encode_submission_of(&body, &job);
+    encode_job_submission(&body, &job);
     assert_true(
         tmx_http_client_call(clients[i % 2], "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
     tmx_buffer_free(&body);
@@ -145,11 +145,11 @@
 
 static void a_lagging_replica_does_not_admit_by_old_shares(void **state) {
   (void)state;
-  fake_store.endpoints[1].freeze_watch = true;
+  fake_store.endpoints[1].hold_watches = true;
   unsigned n = flood(first_controller, "t", "c");
   for (unsigned i = 0; i < 10; i++) assert_int_equal(submit_some(second_controller, "t", "c"), 503);
-  fake_store.endpoints[1].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[1].hold_watches = false;
+  fake_answer_pending_watches();
   run_loop_for(3);
   assert_int_equal(submit_some(second_controller, "t", "c"), 503);
   assert_int_equal(first_controller->replica.backlog->accounts[0][0].n_open_jobs, n);
@@ -183,16 +183,16 @@
   struct fake_job job = {.id = "wk-900000", .class = "d", .team = "t", .tasks = 1, .cpus = 1};
   flood(second_controller, "t", "c");
   run_loop_for(0.5);
-  fake_store.endpoints[1].freeze_watch = true;
+  fake_store.endpoints[1].hold_watches = true;
   assert_int_equal(submit_job(first_controller, &job), 201);
   job.class = "c"; /* by another body, of the class that would be refused */
-  encode_submission_of(&body, &job);
-  struct tmx_http_client *client = client_of(second_controller);
+  encode_job_submission(&body, &job);
+  struct tmx_http_client *client = new_controller_client(second_controller);
   assert_true(tmx_http_client_call(client, "POST", WP_JOBS, &body, 5, on_one_of_many, &x));
   run_loop_for(0.3);
   assert_int_equal(x.answered, AT_ONCE - 1);
-  fake_store.endpoints[1].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[1].hold_watches = false;
+  fake_answer_pending_watches();
   assert_true(run_loop_until(all_answered, &x));
   assert_int_equal(x.known, 1);
   tmx_http_client_free(client);
@@ -223,10 +223,10 @@
 static void an_outage_in_the_surge_admits_nothing(void **state) {
   (void)state;
   for (int i = 0; i < 5; i++) assert_int_equal(submit_some(first_controller, "t", "c"), 201);
-  for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = true;
+  for (int k = 0; k < 2; k++) fake_store.endpoints[k].unavailable = true;
   run_loop_for(1);
   assert_int_equal(submit_some(first_controller, "t", "c"), 503);
-  for (int k = 0; k < 2; k++) fake_store.endpoints[k].refuse = false;
+  for (int k = 0; k < 2; k++) fake_store.endpoints[k].unavailable = false;
   run_loop_for(3);
   flood(first_controller, "t", "c");
   assert_int_equal(submit_some(second_controller, "t", "c"), 503);
@@ -284,7 +284,7 @@
   for (; n < 100 && status == 201; n++) {
     snprintf(id, sizeof id, "wk-%06u", 700000 + n);
     struct fake_job job = {
-        .id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1, .awaits = &list};
+        .id = id, .class = "c", .team = "t", .tasks = 4, .cpus = 1, .dependencies = &list};
     status = submit_job(first_controller, &job);
   }
   tmx_buffer_free(&list);
--- a/tests/test_admission_properties.cpp
+++ b/tests/test_admission_properties.cpp
@@ -14,7 +14,7 @@
 
 static admission_report play(const std::vector<uint32_t> &steps) {
   const size_t load_at = steps.empty() ? 0 : steps[0] % steps.size();
-  return admission_history(steps.data(), steps.size(), load_at);
+  return run_admission_history(steps.data(), steps.size(), load_at);
 }
 
 int main() {
@@ -23,17 +23,17 @@
     const admission_report report = play(long_history());
     RC_ASSERT(report.live_replica_differs == 0u);
     RC_ASSERT(report.loaded_replica_differs == 0u);
-    RC_ASSERT(report.folded_replica_differs == 0u);
+    RC_ASSERT(report.compacted_replica_differs == 0u);
   });
   ok &= rc::check("a newcomer is admitted, and nothing is refused without load", [] {
     const admission_report report = play(long_history());
     RC_CLASSIFY(report.refused > 0, "overload");
-    RC_ASSERT(report.newcomers_refused == 0u);
+    RC_ASSERT(report.first_submissions_refused == 0u);
     RC_ASSERT(report.refused_without_load == 0u);
   });
   ok &= rc::check("the sum stays under the bound, first jobs of accounts aside", [] {
     const admission_report report = play(long_history());
-    RC_ASSERT(report.over_bound == 0u);
+    RC_ASSERT(report.bound_violations == 0u);
   });
   return ok ? 0 : 1;
 }
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -24,15 +24,15 @@
   double lease = first_controller->settings.lease_s, cancel = first_controller->settings.cancel_s;
   worker.fails_commands = true; /* stops sent by command do not arrive */
   endpoint->read_delay_s = slow_s;
-  endpoint->refuse = !slow_s;
-  endpoint->freeze_watch = slow_s > 0;
+  endpoint->unavailable = !slow_s;
+  endpoint->hold_watches = slow_s > 0;
   run_loop_for(0.3);
   unsigned reads = endpoint->reads;
   for (int i = 0; slow_s && i < 1000 && endpoint->reads == reads; i++) run_loop_for(0.005);
   assert_string_equal(cancel_job(other, "wk-000001").state, WV_CANCELLED);
   double confirmed = tmx_clock_steady(), renewed = confirmed;
   if (slow_s) run_loop_for(slow_s + 0.3); /* the read that began just before is answered only now */
-  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = true;
   unsigned begun = worker.executed_starts, answered = 0;
   double passed = 0;
   while (passed < cancel + 5) {
@@ -92,14 +92,14 @@
   tmx_clock_advance(9);
   run_loop_for(0.5);
   worker.unresponsive = true;
-  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = true;
   stop_controller(first_is_owner ? first_controller : second_controller);
   if (first_is_owner)
     first_controller = NULL;
   else
     second_controller = NULL;
   run_loop_for(0.2);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   fake_worker_send_heartbeat(&worker, keeper);
   tmx_clock_advance(TMX_STORE_UNREACHABLE_S);
   fake_worker_send_heartbeat(&worker, keeper);
@@ -119,7 +119,7 @@
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
   wait_for_starts(1);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   run_loop_for(0.2);
   tmx_clock_advance(TMX_START_REPLICA_AGE_MAX_S);
   worker.session++; /* its lease lapsed: the task is missing, and the log says that it belongs there
@@ -132,7 +132,7 @@
     run_loop_for(0.1);
   }
   assert_int_equal(worker.executed_starts, 1);
-  fake_store.endpoints[0].refuse = false;
+  fake_store.endpoints[0].unavailable = false;
   for (int i = 0; i < 40 && worker.executed_starts < 2; i++) {
     run_loop_for(0.1);
     fake_worker_send_heartbeat(&worker, first_controller);
@@ -163,8 +163,8 @@
     snprintf(task, sizeof task, "%s/0", ids[late]);
     fake_worker_set_task(&worker, task, 1, WV_EXITED, WV_DONE);
     fake_worker_send_heartbeat(&worker, first_controller);
-    for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_response);
-         i++)
+    for (int i = 0;
+         i < 200 && (late ? !endpoint->late_transaction_body : endpoint->lose_next_response); i++)
       run_loop_for(0.005);
     /* the cancellation's own key may have been the one that was held: it is repeated then */
     struct fake_answer answer = cancel_job(first_controller, ids[late]);
@@ -210,8 +210,8 @@
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(submit_simple_job(successor, id, "batch", 2, 2, "t"), 201);
     wait_for_placed(2);
-    fake_drop(first_is_owner ? TMX_KEY_MEMBER "hand-0"
-                             : TMX_KEY_MEMBER "hand-1"); /* its lease is over */
+    fake_delete(first_is_owner ? TMX_KEY_MEMBER "hand-0"
+                               : TMX_KEY_MEMBER "hand-1"); /* its lease is over */
     stop_controller(owner);
     *(first_is_owner ? &first_controller : &second_controller) = NULL;
     run_loop_for(after[i]);
@@ -220,12 +220,12 @@
     assert_string_equal(answer.state, WV_CANCELLED);
     unsigned begun = worker.executed_starts;
     worker.fails_commands = false;
-    for (int k = 0; k < 400 && fake_count_placed(); k++) {
+    for (int k = 0; k < 400 && fake_count_placed_tasks(); k++) {
       run_loop_for(0.05);
       fake_worker_send_heartbeat(&worker, successor);
       fake_worker_execute_commands(&worker);
     }
-    assert_int_equal(fake_count_placed(), 0);
+    assert_int_equal(fake_count_placed_tasks(), 0);
     assert_int_equal(worker.executed_starts, begun);
     *(first_is_owner ? &first_controller : &second_controller) =
         start_controller(first_is_owner ? 0 : 1, 2);
@@ -241,7 +241,7 @@
 static void a_cancellation_holds_while_the_store_is_cut_off(void **state) {
   (void)state;
   register_worker_at(first_controller);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   run_loop_for(0.2);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_int_equal(worker.report_status, 200); /* fresh enough: running work goes on */
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -166,7 +166,7 @@
   record_call(&recording, "changes are followed", "GET /follow", NULL);
   record_call(&recording, "the revision is confirmed", "GET /kv?prefix=t/head", NULL);
   record_call(&recording, "the lease is renewed", "POST /holds/", NULL);
-  fake_drop("t/fold");
+  fake_delete("t/fold");
   assert_true(run_loop_until(drop_was_told, &exchange));
   record_exchange(&recording, "a key is dropped", exchange);
   recording_check(&recording, "store-calls-at-the-start.txt");
@@ -202,7 +202,7 @@
   record_commit(recording, "an end", "e wk-000001/0");
   struct tmx_buffer list = {0}, body = {0};
   encode_json(&list, "[\"wk-000001\"]");
-  encode_submission_awaiting(&body, "wk-000002", WV_ARRAY, 1, 1, "t", &list);
+  encode_submission_with_dependencies(&body, "wk-000002", WV_ARRAY, 1, 1, "t", &list);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
   record_commit(recording, "a submission that awaits another", "t/job/wk-000002");
   tmx_buffer_free(&list);
@@ -280,9 +280,13 @@
     snprintf(id, sizeof id, i ? "type-with-a-long-name-%02u" : "big", i);
     tmx_cbor_put_text(&types, id);
   }
-  struct fake_job job = {
-      .id = "wk-000001", .team = "t", .tasks = 1, .cpus = 1, .awaits = &awaits, .types = &types};
-  encode_submission_of(&body, &job);
+  struct fake_job job = {.id = "wk-000001",
+                         .team = "t",
+                         .tasks = 1,
+                         .cpus = 1,
+                         .dependencies = &awaits,
+                         .types = &types};
+  encode_job_submission(&body, &job);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
   tmx_buffer_free(&awaits);
   tmx_buffer_free(&types);
--- a/tests/test_compaction.c
+++ b/tests/test_compaction.c
@@ -50,7 +50,7 @@
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&worker, "wk-000001/2", 2, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  assert_true(run_loop_until(first_controller_knows_outcome, "wk-000001"));
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
   /* log keys are written over from here on: another start still finds a complete log */
   struct tmx_log_key *key, *next_key;
@@ -126,7 +126,7 @@
   run_loop_for(3); /* what the first compaction replaces is dropped */
   struct fake_endpoint *endpoint = &fake_store.endpoints[1];
   endpoint->page_entries_max = 1;
-  strcpy(endpoint->hold_reads_from, TMX_KEY_COMPACTION);
+  strcpy(endpoint->hold_reads_from_prefix, TMX_KEY_COMPACTION);
   second_controller = start_controller(1, 2);
   for (int i = 0; i < 400 && !endpoint->held_read; i++) run_loop_for(0.02);
   const struct tmx_http_request *held = endpoint->held_read;
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -16,7 +16,7 @@
   size_t count = tmx_log_line_split(copy, name, 8);
   tmx_cbor_put_list(&list, count);
   for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
-  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
+  encode_submission_with_dependencies(&body, id, WV_ARRAY, 1, 2, "t", &list);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
@@ -34,7 +34,7 @@
   double passed = 0;
   while (passed < duration_s) {
     run_loop_for(0.2);
-    report_to_owner();
+    report_worker_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
     passed += 0.2;
   }
@@ -107,17 +107,17 @@
   assert_accepted("wk-000001", "");
   assert_accepted("wk-000002", "wk-000001");
   wait_for_starts(1);
-  fake_store.endpoints[0].freeze_watch = true; /* it will not see its own commit */
+  fake_store.endpoints[0].hold_watches = true; /* it will not see its own commit */
   complete_task("wk-000001/0", 1);
   for (int i = 0; i < 200 && !fake_log_contains("e wk-000001/0 1 d"); i++) run_loop_for(0.02);
   assert_true(fake_log_contains("e wk-000001/0 1 d"));
   assert_int_equal(worker.executed_starts, 1);
   stop_controller(first_controller);
-  fake_store.endpoints[0].freeze_watch = false;
+  fake_store.endpoints[0].hold_watches = false;
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   for (int i = 0; i < 40 && worker.executed_starts < 2; i++) {
-    report_to_owner();
+    report_worker_to_owner();
     fake_worker_execute_commands(&worker);
     run_loop_for(0.2);
   }
@@ -134,10 +134,10 @@
   wait_for_starts(1);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   run_loop_for(0.05);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
   run_loop_for(3);
-  fake_store.endpoints[0].refuse = false;
+  fake_store.endpoints[0].unavailable = false;
   restart_first_controller();
   assert_string_equal(poll_job(first_controller, "wk-000002").state, WV_CANCELLED);
 }
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -17,7 +17,7 @@
     tmx_cbor_put_text(&types, type);
   }
   struct fake_job job = {.id = id, .team = "t", .tasks = 1, .cpus = 2, .types = &types};
-  encode_submission_of(buffer, &job);
+  encode_job_submission(buffer, &job);
   tmx_buffer_free(&types);
 }
 
@@ -30,7 +30,7 @@
   size_t count = tmx_log_line_split(copy, name, 8);
   tmx_cbor_put_list(&list, count);
   for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&list, name[i]);
-  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &list);
+  encode_submission_with_dependencies(&body, id, WV_ARRAY, 1, 2, "t", &list);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&list);
   tmx_buffer_free(&body);
@@ -48,7 +48,7 @@
   double passed = 0;
   while (passed < duration_s) {
     run_loop_for(0.2);
-    report_to_owner();
+    report_worker_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
     passed += 0.2;
   }
@@ -88,7 +88,7 @@
   wait_for_starts(1);
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   first_controller->replica.n_unstored_outcomes = 0; /* as if no put were ever to spare for it */
-  fake_drop(TMX_KEY_JOB "wk-000002");                /* as if it had come with a batch */
+  fake_delete(TMX_KEY_JOB "wk-000002");              /* as if it had come with a batch */
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
   assert_true(first_controller->replica.compaction_point > 0);
@@ -118,7 +118,7 @@
   double released = tmx_job_find(&first_controller->replica, "wk-000002")->released_at;
   restart_first_controller();
   assert_true(tmx_job_find(&first_controller->replica, "wk-000002")->released_at == released);
-  for (int i = 0; i < 10; i++) report_to_owner();
+  for (int i = 0; i < 10; i++) report_worker_to_owner();
   assert_stays_pending("wk-000003", 2);
   assert_stays_pending("wk-000004", 1);
   complete_task("wk-000002/0", 1);
@@ -131,8 +131,8 @@
   (void)loop;
   (void)timer;
   (void)events;
-  fake_store.endpoints[0].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[0].hold_watches = false;
+  fake_answer_pending_watches();
 }
 
 /* The commit is seen while the request waits for a read of the state: the names are judged then. */
@@ -140,7 +140,7 @@
   (void)state;
   ev_timer thaw;
   register_worker(&worker);
-  fake_store.endpoints[0].freeze_watch = true;
+  fake_store.endpoints[0].hold_watches = true;
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   ev_timer_init(&thaw, end_watch_freeze, 0.3, 0);
   ev_timer_start(test_loop, &thaw);
@@ -152,24 +152,24 @@
 static void a_dependency_is_found_before_it_is_replicated(void **state) {
   (void)state;
   register_worker(&worker);
-  fake_store.endpoints[0].freeze_watch = true;
+  fake_store.endpoints[0].hold_watches = true;
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000002", "wk-000001").status,
                    503); /* never a 422 */
-  fake_store.endpoints[0].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[0].hold_watches = false;
+  fake_answer_pending_watches();
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000002", "wk-000001").status,
                    201);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000003", "wk-000777").status,
                    422);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   int status = submit_with_dependencies(first_controller, "wk-000004", "wk-000777").status;
   assert_int_equal(status, 503); /* it cannot be decided now */
 }
 
 static int submit_with_list(const struct tmx_buffer *list) {
   struct tmx_buffer body = {0};
-  encode_submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
+  encode_submission_with_dependencies(&body, "wk-000009", WV_ARRAY, 1, 2, "t", list);
   int status = send_request(first_controller, "POST", WP_JOBS, &body).status;
   tmx_buffer_free(&body);
   return status;
@@ -310,7 +310,7 @@
   char type[TMX_ID_BYTES];
   unsigned answered = 0;
   register_worker(&worker);
-  struct tmx_http_client *client = client_of(first_controller);
+  struct tmx_http_client *client = new_controller_client(first_controller);
   for (int i = 1; i <= TYPED_JOBS; i++) { /* so many at once go with a batch */
     struct tmx_buffer body = {0};
     char id[TMX_ID_BYTES];
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -25,7 +25,7 @@
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(worker.token > before); /* the late command would be refused from here on */
   run_loop_for(0.5);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
@@ -40,7 +40,7 @@
                                                                             : second_controller,
                         *other = old == first_controller ? second_controller : first_controller;
   assert_true(tmx_store_is_leader(old->store));
-  fake_store.endpoints[old == first_controller ? 0 : 1].freeze_watch = true;
+  fake_store.endpoints[old == first_controller ? 0 : 1].hold_watches = true;
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", other->settings.node_name);
   tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(other->store));
@@ -52,16 +52,16 @@
     snprintf(id, sizeof id, "wk-%06d", i);
     submit_simple_job(i % 2 ? first_controller : second_controller, id, "batch", 1, 2, "t");
   }
-  for (int i = 0; i < 300 && fake_count_placed() < 4; i++) {
+  for (int i = 0; i < 300 && fake_count_placed_tasks() < 4; i++) {
     run_loop_for(0.02);
-    assert_in_range(fake_count_placed(), 0, 4);
+    assert_in_range(fake_count_placed_tasks(), 0, 4);
     if (i == 20) {
-      fake_store.endpoints[0].freeze_watch = fake_store.endpoints[1].freeze_watch = false;
-      fake_free_watches();
+      fake_store.endpoints[0].hold_watches = fake_store.endpoints[1].hold_watches = false;
+      fake_answer_pending_watches();
     }
   }
   run_loop_for(0.5);
-  assert_int_equal(fake_count_placed(), 4);
+  assert_int_equal(fake_count_placed_tasks(), 4);
   for (size_t i = 0; i < worker.n_tasks; i++) assert_int_equal(worker.tasks[i].attempt, 1);
 }
 
@@ -86,7 +86,7 @@
   assert_int_not_equal(worker.report_status, 200);
   worker.session = session;
   worker.sequence = sequence;
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
 }
 
 /* The token of another, newer owner: this controller must not keep the worker. */
@@ -102,21 +102,21 @@
 static void a_quota_holds_over_two_controllers(void **state) {
   (void)state;
   register_worker_at_owner();
-  fake_store.endpoints[1].freeze_watch = true; /* b lags from here on */
+  fake_store.endpoints[1].hold_watches = true; /* b lags from here on */
   char id[32];
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     submit_simple_job(i % 2 ? first_controller : second_controller, id, "batch", 1, 2, "t");
   }
   run_loop_for(0.3);
-  fake_store.endpoints[1].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[1].hold_watches = false;
+  fake_answer_pending_watches();
   for (int i = 0, full = 0; i < 300 && full < 20; i++) {
     run_loop_for(0.03);
-    full += fake_count_placed() == 4;
-    assert_in_range(fake_count_placed(), 0, 4); /* 4 tasks of 2 CPUs are the limit of 8 */
+    full += fake_count_placed_tasks() == 4;
+    assert_in_range(fake_count_placed_tasks(), 0, 4); /* 4 tasks of 2 CPUs are the limit of 8 */
   }
-  assert_int_equal(fake_count_placed(), 4);
+  assert_int_equal(fake_count_placed_tasks(), 4);
 }
 
 /* A zone is cut off from everything: its workers' owner is outside, and no view can be written. The
@@ -135,7 +135,7 @@
                                 first_controller->settings.node_name);
   struct tmx_controller *inside = first_is_owner ? second_controller : first_controller;
   assert_int_equal(tmx_job_find(&inside->replica, "wk-000002")->outcome, TMX_JOB_CANCELLED);
-  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = true;
   stop_controller(first_is_owner ? first_controller : second_controller);
   if (first_is_owner)
     first_controller = NULL;
--- a/tests/test_job_record_format.c
+++ b/tests/test_job_record_format.c
@@ -131,7 +131,7 @@
   struct tmx_job_ids ids;
   struct tmx_buffer buffer = {0};
   char text[1024], line[64];
-  sample_awaits(&ids, count);
+  sample_dependencies(&ids, count);
   record_line(recording, "== %s", title);
   uint32_t written =
       tmx_job_encode_open(&buffer, "wk-000005", &spec, sample_submitted_at, &ids, room);
@@ -164,7 +164,7 @@
   char text[64], line[64];
   for (; spec.n_types < 12; spec.n_types++)
     snprintf(spec.types[spec.n_types], TMX_ID_BYTES, "type %zu", spec.n_types);
-  sample_awaits(&one, 1);
+  sample_dependencies(&one, 1);
   record_line(&recording, "types in 200 bytes: %zu, beside awaited jobs: %zu, in none: %zu",
               tmx_job_count_types_that_fit("wk-000006", &spec, sample_submitted_at, &none, 200),
               tmx_job_count_types_that_fit("wk-000006", &spec, sample_submitted_at, &one, 200),
--- a/tests/test_late_messages.c
+++ b/tests/test_late_messages.c
@@ -45,12 +45,12 @@
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   wait_for_starts(1);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_ERROR);
   struct fake_worker copy = worker;
   copy.sequence = ++worker.sequence;
   stop_controller(first_controller);
-  fake_store.endpoints[0].refuse = false;
+  fake_store.endpoints[0].unavailable = false;
   worker.session++;
   worker.n_tasks = 0;
   first_controller = start_controller(0, 1);
@@ -72,7 +72,7 @@
     fake_worker_execute_commands(&worker);
     run_loop_for(0.1);
   }
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_ERROR); /* this one is its own */
   fake_worker_send_heartbeat(&worker, first_controller);
   for (int i = 0; i < 200 && !fake_log_contains("e wk-000001/0 1 e"); i++) run_loop_for(0.02);
@@ -112,7 +112,7 @@
   endpoint->next_transaction_is_late = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
   wait_for_starts(2);
-  assert_non_null(endpoint->late_transaction);
+  assert_non_null(endpoint->late_transaction_body);
   assert_int_equal(fake_execute_late_transaction(endpoint), 409);
   assert_stays_placed(2, 0.3);
   /* and so is a cancellation of a job that ended in the meantime */
@@ -156,7 +156,7 @@
   (void)state;
   uint64_t run = tmx_store_incarnation(first_controller->store);
   fake_store.leases_expired_up_to = fake_store.leases_granted;
-  fake_drop(TMX_KEY_MEMBER "hand-0");
+  fake_delete(TMX_KEY_MEMBER "hand-0");
   run_loop_for(0.3);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   assert_true(tmx_store_incarnation(first_controller->store) > run);
@@ -181,7 +181,7 @@
   for (int i = 0; i < 300 && worker.sequence < seq + 2; i++) run_loop_for(0.02);
   assert_true(worker.sequence >= seq + 2); /* probes were answered */
   run_loop_for(0.4);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
@@ -217,7 +217,7 @@
   submit_simple_job(first_controller, "wk-000001", "batch", 3, 2, "t");
   for (int i = 0; i < 200 && worker.executed_starts < 3; i++) run_loop_for(0.02);
   assert_int_equal(worker.executed_starts, 3);
-  assert_int_equal(fake_count_placed(), 3);
+  assert_int_equal(fake_count_placed_tasks(), 3);
   for (size_t i = 0; i < worker.n_tasks; i++) assert_int_equal(worker.tasks[i].attempt, 1);
 }
 
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -73,14 +73,14 @@
   for (int i = 0; i < 10; i++) {
     struct tmx_controller *next = i % 2 ? first_controller : second_controller;
     if (i == 5)
-      fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse =
+      fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable =
           true; /* also inside an outage */
     let_lead(next);
     snprintf(id, sizeof id, "wk-%06d", i);
     if (i != 5) assert_int_equal(submit_simple_job(next, id, "batch", 1, 2, "t"), 201);
     for (int k = 0; k < 6; k++) {
       run_loop_for(0.05);
-      assert_in_range(fake_count_placed(), 0, 4);
+      assert_in_range(fake_count_placed_tasks(), 0, 4);
       for (size_t task = 0; task < worker.n_tasks; task++)
         assert_int_equal(worker.tasks[task].attempt, 1);
       complete_all_tasks();
@@ -88,7 +88,7 @@
       if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
       fake_worker_execute_commands(&worker);
     }
-    if (i == 5) fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = false;
+    if (i == 5) fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = false;
   }
   for (int i = 0; i < 100 && done < 9; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
@@ -202,7 +202,7 @@
       fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1)); /* still on its way */
   uint64_t before = worker.token, term = first_controller->replica.view.term;
   fake_store.endpoints[0].expire_next_watch = true;
-  fake_free_watches();
+  fake_answer_pending_watches();
   for (int i = 0;
        i < 200 && (fake_store.endpoints[0].expire_next_watch || first_controller->replica.loaded);
        i++)
@@ -228,13 +228,13 @@
   for (int i = 0; i < 4; i++) {
     struct tmx_controller *one = asked[i % 2], *other = asked[1 - i % 2];
     struct fake_endpoint *lags = &fake_store.endpoints[1 - i % 2];
-    lags->freeze_watch = true;
+    lags->hold_watches = true;
     assert_int_equal(submit_simple_job(one, ids[i], "batch", 1, 2, "t"), 201);
     struct fake_answer answer = poll_job(other, ids[i]);
     assert_int_equal(answer.status, 503); /* never a 404 */
     assert_int_not_equal(submit_simple_job(other, ids[i], "batch", 1, 2, "t"), 201);
-    lags->freeze_watch = false;
-    fake_free_watches();
+    lags->hold_watches = false;
+    fake_answer_pending_watches();
     assert_int_equal(submit_simple_job(other, ids[i], "batch", 1, 2, "t"), 200);
     unsigned begun = worker.executed_starts;
     if (i < 2) { /* it ends */
@@ -248,9 +248,9 @@
       for (int k = 0; k < 200 && strcmp(poll_job(one, ids[i]).state, states[1]); k++)
         run_loop_for(0.01);
       assert_string_equal(poll_job(one, ids[i]).state, WV_DONE);
-      lags->freeze_watch = true;
+      lags->hold_watches = true;
     } else {
-      lags->freeze_watch = true;
+      lags->hold_watches = true;
       assert_string_equal(cancel_job(one, ids[i]).state, WV_CANCELLED);
       begun = worker.executed_starts;
     }
@@ -261,8 +261,8 @@
       assert_string_equal(poll_job(one, ids[i]).state, end);
       assert_string_equal(cancel_job(one, ids[i]).state, end);
     }
-    lags->freeze_watch = false;
-    fake_free_watches();
+    lags->hold_watches = false;
+    fake_answer_pending_watches();
     run_loop_for(0.3);
     assert_string_equal(poll_job(other, ids[i]).state, end);
     if (i >= 2) assert_in_range(worker.executed_starts, 0, begun); /* nothing starts after it */
@@ -276,7 +276,7 @@
 }
 
 static void serve_worker(void) {
-  report_to_owner();
+  report_worker_to_owner();
   fake_worker_execute_commands(&worker);
 }
 
@@ -298,12 +298,12 @@
 }
 
 static void complete_all_placed(void) {
-  for (int i = 0; i < 400 && fake_count_placed(); i++) {
+  for (int i = 0; i < 400 && fake_count_placed_tasks(); i++) {
     complete_all_tasks();
     serve_worker();
     run_loop_for(0.1);
   }
-  assert_int_equal(fake_count_placed(), 0);
+  assert_int_equal(fake_count_placed_tasks(), 0);
 }
 
 /* One-task jobs come four a second, a quarter of them are cancelled, some at their end, and the
@@ -322,7 +322,7 @@
       cancel_until_confirmed(i % 8 ? first_controller : second_controller, id, told[i]);
     if (i % 20 == 10) let_lead(i % 40 == 10 ? second_controller : first_controller);
     run_loop_for(0.25);
-    assert_in_range(fake_count_placed(), 0, 4);
+    assert_in_range(fake_count_placed_tasks(), 0, 4);
     if (i % 2) complete_all_tasks();
     serve_worker();
   }
@@ -347,8 +347,8 @@
   }
   register_worker(new_worker);
   bool first_is_owner = tmx_store_is_leader(first_controller->store);
-  fake_drop(first_is_owner ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
-  fake_drop(TMX_KEY_LEADER);
+  fake_delete(first_is_owner ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
+  fake_delete(TMX_KEY_LEADER);
   stop_controller(first_is_owner ? first_controller : second_controller);
   *(first_is_owner ? &first_controller : &second_controller) = NULL;
   struct tmx_controller *successor = first_is_owner ? second_controller : first_controller;
@@ -365,7 +365,7 @@
   assert_int_equal(new_worker->executed_starts, 2);
   assert_int_equal(new_worker->n_tasks, 2);
   for (size_t i = 0; i < 2; i++) assert_int_equal(new_worker->tasks[i].attempt, 1);
-  assert_int_equal(fake_count_placed(), 2);
+  assert_int_equal(fake_count_placed_tasks(), 2);
 }
 
 /* A leader that has just come takes machines back that the one before was about to return, when
@@ -387,9 +387,9 @@
     run_loop_for(0.02);
   assert_true(tmx_machine_find(&first_controller->replica, worker.id)->draining);
   submit_simple_job(first_controller, "wk-000002", "batch", 3, 2, "t");
-  for (int i = 0; i < 300 && fake_count_placed() < 4; i++) run_loop_for(0.02);
+  for (int i = 0; i < 300 && fake_count_placed_tasks() < 4; i++) run_loop_for(0.02);
   assert_true(fake_log_contains("d n-000001 0"));
-  assert_int_equal(fake_count_placed(), 4);
+  assert_int_equal(fake_count_placed_tasks(), 4);
 }
 
 int main(void) {
--- a/tests/test_machine_failure.c
+++ b/tests/test_machine_failure.c
@@ -84,7 +84,7 @@
   run_loop_for(3.5);
   tmx_clock_advance(12);
   run_loop_for(1.5);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   assert_false(fake_log_contains("x n-000001"));
   fake_cloud.refuse_delete = false;
   /* the clock was moved: to this leader the silence is older than its own time */
@@ -140,7 +140,7 @@
   assert_false(machine->usable);
   submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t");
   run_loop_for(0.4);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   tmx_clock_advance(first_controller->settings.lease_s);
   fake_cloud.refuse_delete = false;
   for (int i = 0; i < 800 && !fake_log_contains("x n-000001"); i++) {
--- a/tests/test_planner_order.c
+++ b/tests/test_planner_order.c
@@ -32,7 +32,7 @@
   /* begun, it still gets its share of what is placed over many rounds */
   cluster->jobs[0].released_at = 1000 - TMX_AGED_JOB_WAIT_S - 1;
   cluster->jobs[0].n_done = 1;
-  struct tmx_planner *planner = planner_of(cluster);
+  struct tmx_planner *planner = new_planner_for_cluster(cluster);
   int large = 0, all = 0;
   for (int i = 0; i < 200; i++) {
     tmx_planner_run_round(planner, &cluster->input, &output);
@@ -58,7 +58,7 @@
     struct tmx_job_spec *spec = add_job(cluster, 15, service, 2, 1);
     spec->priority--; /* the last */
     cluster->input.max_visits = 600;
-    struct tmx_planner *planner = planner_of(cluster);
+    struct tmx_planner *planner = new_planner_for_cluster(cluster);
     struct tmx_round_output output;
     bool placed = false, cut = false;
     for (int i = 0; i < 16 && !placed; i++) {
@@ -126,7 +126,7 @@
   gsl_rng_set(random, 42);
   struct planned_cluster *cluster = make_cluster(40, 12, 2);
   for (size_t k = 0; k < 12; k++) add_job(cluster, k, false, 20, 2);
-  struct tmx_planner *planner = planner_of(cluster);
+  struct tmx_planner *planner = new_planner_for_cluster(cluster);
   for (int step = 0; step < 300; step++) {
     struct tmx_planner_delta delta = {0};
     for (int i = 0; i < 5; i++) {
--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -152,7 +152,7 @@
   spec.tasks = 10;
   strcpy(spec.types[spec.n_types++], "g8");
   tmx_job_encode(jobs, "wk-000008", &spec, sample_submitted_at, TMX_JOB_OPEN);
-  sample_awaits(&ids, 1);
+  sample_dependencies(&ids, 1);
   strcpy(ids.ids[0], "wk-000008");
   spec.tasks = 1;
   tmx_job_encode_open(jobs, "wk-000009", &spec, sample_submitted_at, &ids,
--- a/tests/test_task_lifecycle.c
+++ b/tests/test_task_lifecycle.c
@@ -9,15 +9,15 @@
   register_worker_at(first_controller);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_true(run_loop_until(any_task_was_started, NULL));
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_RUNNING);
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  fake_store.endpoints[0].refuse = true; /* nothing can be committed now */
+  fake_store.endpoints[0].unavailable = true; /* nothing can be committed now */
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_false(fake_worker_was_commanded(&worker, WV_FORGET, "wk-000001/0", 1));
   assert_string_not_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
-  fake_store.endpoints[0].refuse = false;
-  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  fake_store.endpoints[0].unavailable = false;
+  assert_true(run_loop_until(first_controller_knows_outcome, "wk-000001"));
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(fake_worker_was_commanded(&worker, WV_FORGET, "wk-000001/0", 1) ||
               worker.n_tasks == 0);
@@ -33,7 +33,7 @@
   assert_true(run_loop_until(any_task_was_started, NULL));
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  assert_true(run_loop_until(first_controller_knows_outcome, "wk-000001"));
   for (int i = 0; i < 3; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
     assert_false(fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1));
@@ -61,7 +61,7 @@
       &worker, first_controller); /* a report from before the higher token, without the attempt */
   assert_true(worker.response_token > before);
   run_loop_for(0.5);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   assert_true(worker.token > seen);
   fake_worker_send_heartbeat(
       &worker, first_controller); /* the token has been seen: the late command would be refused */
@@ -85,7 +85,7 @@
   if (worker.report_status == 200) fake_worker_execute_commands(&worker);
   assert_true(run_loop_until(any_task_was_started, NULL));
   assert_true(worker.token > token);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   assert_int_equal(worker.tasks[0].attempt, 1);
 }
 
@@ -98,8 +98,8 @@
   for (int i = 0; i < 200 && worker.executed_starts < 2; i++) run_loop_for(0.02);
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  for (int i = 0; i < 200 && fake_count_placed() > 1; i++) run_loop_for(0.02);
-  assert_int_equal(fake_count_placed(), 1);
+  for (int i = 0; i < 200 && fake_count_placed_tasks() > 1; i++) run_loop_for(0.02);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   restart_first_controller();
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE); /* its reap never came */
   fake_worker_send_heartbeat(&worker, first_controller);
@@ -134,7 +134,7 @@
   fake_worker_set_task(&worker, "wk-000002/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&worker, "wk-000002/1", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  assert_true(run_loop_until(first_controller_knows_outcome, "wk-000001"));
   for (int i = 0; i < 200 && tmx_job_find(&first_controller->replica, "wk-000002")->n_done < 2; i++)
     run_loop_for(0.02);
   assert_int_equal(tmx_job_find(&first_controller->replica, "wk-000002")->n_done, 2);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -139,7 +139,7 @@
   tmx_cbor_put_list(&list, 2);
   tmx_cbor_put_text(&list, "wk-000003");
   tmx_cbor_put_text(&list, "wk-000001");
-  encode_submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
+  encode_submission_with_dependencies(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &list);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
   run_loop_for(0.5);
   assert_true(tmx_job_is_blocked(tmx_job_find(&first_controller->replica, "wk-000007")));
@@ -187,7 +187,7 @@
 static void all_as_production_reads(void) {
   for (size_t i = 0; i < fake_store.n_entries; i++) {
     const struct fake_entry *e = &fake_store.entries[i];
-    cbor_item_t *value = tmx_cbor_parse(e->value, e->len);
+    cbor_item_t *value = tmx_cbor_parse(e->value, e->length);
     if (is_under(e->key, TMX_KEY_JOB))
       record_as_production_reads(value);
     else if (is_under(e->key, TMX_KEY_BATCH) || is_under(e->key, TMX_KEY_PAGE))
--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -13,14 +13,14 @@
 /* A controller whose copy lags gives no older answer, and no 404 for an accepted job. */
 static void a_lagging_controller_gives_no_older_answer(void **state) {
   (void)state;
-  fake_store.endpoints[1].freeze_watch = true;
+  fake_store.endpoints[1].hold_watches = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   struct fake_answer answer = poll_job(second_controller, "wk-000001");
   assert_int_equal(answer.status, 503);
-  fake_store.endpoints[1].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[1].hold_watches = false;
+  fake_answer_pending_watches();
   assert_int_equal(poll_job(second_controller, "wk-000001").status, 200);
-  fake_store.endpoints[1].freeze_watch = true;
+  fake_store.endpoints[1].hold_watches = true;
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   answer = poll_job(second_controller, "wk-000001");
   assert_true(answer.status == 503 || !strcmp(answer.state, WV_CANCELLED));
@@ -31,11 +31,11 @@
 /* The same submission at two controllers at once, one of them behind: the job is taken once. */
 static void a_job_id_is_accepted_once_by_two_controllers(void **state) {
   (void)state;
-  fake_store.endpoints[1].freeze_watch = true; /* b does not see what a accepts */
+  fake_store.endpoints[1].hold_watches = true; /* b does not see what a accepts */
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
   assert_int_not_equal(submit_simple_job(second_controller, "wk-000001", "batch", 1, 2, "t"), 201);
-  fake_store.endpoints[1].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[1].hold_watches = false;
+  fake_answer_pending_watches();
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", "batch", 1, 2, "t"), 200);
   assert_int_equal(tmx_job_find(&second_controller->replica, "wk-000001")->spec.tasks, 2);
 }
@@ -44,13 +44,13 @@
 static void requests_are_refused_at_once_without_the_store(void **state) {
   (void)state;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   run_loop_for(1.5);
   double start = tmx_clock_steady();
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
   assert_int_equal(poll_job(first_controller, "wk-000001").status, 503);
   assert_true(tmx_clock_steady() - start < 0.5);
-  fake_store.endpoints[0].refuse = false;
+  fake_store.endpoints[0].unavailable = false;
   run_loop_for(1.0);
   assert_int_equal(poll_job(first_controller, "wk-000001").status, 200);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
@@ -80,7 +80,7 @@
   snprintf(addr, sizeof addr, "127.0.0.1:%d", tmx_http_server_port(first_controller->server));
   struct tmx_http_client *client = tmx_http_client_new(test_loop, addr, 300);
   assert_non_null(client);
-  fake_store.endpoints[0].freeze_watch = true;
+  fake_store.endpoints[0].hold_watches = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000003", "batch", 1, 2, "t"),
                    201); /* the copy is behind now */
   for (int i = 0; i < TMX_WAITING_REQUESTS_MAX / 2; i++)
@@ -95,8 +95,8 @@
   run_loop_for(0.3);
   assert_int_equal(more.refused, 1);
   assert_int_equal(late.refused, 0);
-  fake_store.endpoints[0].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[0].hold_watches = false;
+  fake_answer_pending_watches();
   for (int i = 0; i < 100 && !late.answered; i++) run_loop_for(0.02);
   assert_int_equal(late.answered, 1);
   tmx_http_client_free(client);
@@ -224,10 +224,10 @@
     assert_non_null(field);
     field[0] = 'X'; /* the field is missing now */
     assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &bad).status, 400);
-    fake_store.endpoints[0].refuse = true;
+    fake_store.endpoints[0].unavailable = true;
     run_loop_for(0.4);
     assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &bad).status, 503);
-    fake_store.endpoints[0].refuse = false;
+    fake_store.endpoints[0].unavailable = false;
     run_loop_for(0.4);
     tmx_buffer_free(&bad);
   }
--- a/tests/test_user_wire_format.c
+++ b/tests/test_user_wire_format.c
@@ -19,7 +19,7 @@
 }
 
 static void answers_without_the_state(struct recording *recording) {
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   start_recorded_controller(1);
   ask(recording, "not ready", "GET /ready", NULL);
   ask(recording, "a submission while the state is out of reach", "POST /v2/runs",
@@ -27,7 +27,7 @@
   ask(recording, "a poll while the state is out of reach", "GET /v2/runs/wk-000001", NULL);
   ask(recording, "a cancellation while the state is out of reach",
       "POST /v2/runs/wk-000001/withdraw", NULL);
-  fake_store.endpoints[0].refuse = false;
+  fake_store.endpoints[0].unavailable = false;
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 
--- a/tests/test_worker_wire_format.c
+++ b/tests/test_worker_wire_format.c
@@ -16,8 +16,8 @@
   record_exchange(recording, title, &exchange);
   const uint8_t *answer = memmem(exchange.answer.data, exchange.answer.length, "\r\n\r\n", 4);
   size_t length = exchange.answer.length - (size_t)(answer + 4 - exchange.answer.data);
-  fake_worker_take_response(&worker, atoi((const char *)exchange.answer.data + strlen("HTTP/1.1 ")),
-                            answer + 4, length);
+  fake_worker_handle_response(
+      &worker, atoi((const char *)exchange.answer.data + strlen("HTTP/1.1 ")), answer + 4, length);
   exchange_free(&exchange);
   tmx_buffer_free(&body);
 }
@@ -81,10 +81,10 @@
 static void answers_to_reports_keep_their_form(void **state) {
   (void)state;
   struct recording recording = {0};
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   start_recorded_controller(1);
   send_report(&recording, "the state is out of reach");
-  fake_store.endpoints[0].refuse = false;
+  fake_store.endpoints[0].unavailable = false;
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
   send_report(&recording, "the first report");
   send_report(&recording, "... which shows the token");
