--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -31,8 +31,8 @@
          cancel_s = first_controller->settings.cancel_s;
   worker.fails_commands = true; /* direct commands that stop tasks fail */
   owner_endpoint->read_delay_s = read_delay_s;
-  owner_endpoint->refuse = !read_delay_s;
-  owner_endpoint->freeze_watch = read_delay_s > 0;
+  owner_endpoint->unavailable = !read_delay_s;
+  owner_endpoint->hold_watches = read_delay_s > 0;
   run_loop_for(0.3);
   unsigned reads_before = owner_endpoint->reads;
   for (int i = 0; read_delay_s && i < 1000 && owner_endpoint->reads == reads_before; i++)
@@ -41,7 +41,7 @@
   double confirmed_at = tmx_clock_steady(), renewed_at = confirmed_at;
   if (read_delay_s)
     run_loop_for(read_delay_s + 0.3); /* until the response to the read above has arrived */
-  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = true;
   unsigned starts_before = worker.executed_starts, accepted_heartbeats = 0;
   double elapsed_s = 0;
   while (elapsed_s < cancel_s + 5) {
@@ -103,14 +103,14 @@
   tmx_clock_advance(9);
   run_loop_for(0.5);
   worker.unresponsive = true;
-  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = true;
   stop_controller(first_is_owner ? first_controller : second_controller);
   if (first_is_owner)
     first_controller = NULL;
   else
     second_controller = NULL;
   run_loop_for(0.2);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   fake_worker_send_heartbeat(&worker, remaining);
   tmx_clock_advance(TMX_STORE_UNREACHABLE_S);
   fake_worker_send_heartbeat(&worker, remaining);
@@ -130,7 +130,7 @@
   register_worker(&worker);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "service", 1, 2, "t"), 201);
   wait_for_starts(1);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   run_loop_for(0.2);
   tmx_clock_advance(TMX_START_REPLICA_AGE_MAX_S);
   /* The lease expired: the worker lost the task, which the log still places on the machine. */
@@ -143,7 +143,7 @@
     run_loop_for(0.1);
   }
   assert_int_equal(worker.executed_starts, 1);
-  fake_store.endpoints[0].refuse = false;
+  fake_store.endpoints[0].unavailable = false;
   for (int i = 0; i < 40 && worker.executed_starts < 2; i++) {
     run_loop_for(0.1);
     fake_worker_send_heartbeat(&worker, first_controller);
@@ -176,8 +176,8 @@
     snprintf(task, sizeof task, "%s/0", ids[late]);
     fake_worker_set_task(&worker, task, 1, WV_EXITED, WV_DONE);
     fake_worker_send_heartbeat(&worker, first_controller);
-    for (int i = 0; i < 200 && (late ? !endpoint->late_transaction : endpoint->lose_next_response);
-         i++)
+    for (int i = 0;
+         i < 200 && (late ? !endpoint->late_transaction_body : endpoint->lose_next_response); i++)
       run_loop_for(0.005);
     /* The fault may have hit the transaction of the cancellation instead. The user then retries. */
     struct fake_answer answer = cancel_job(first_controller, ids[late]);
@@ -223,8 +223,8 @@
     snprintf(id, sizeof id, "wk-%06u", i);
     assert_int_equal(submit_simple_job(successor, id, "batch", 2, 2, "t"), 201);
     wait_for_placed(2);
-    fake_drop(first_is_owner ? TMX_KEY_MEMBER "hand-0"
-                             : TMX_KEY_MEMBER "hand-1"); /* as if its store lease had expired */
+    fake_delete(first_is_owner ? TMX_KEY_MEMBER "hand-0"
+                               : TMX_KEY_MEMBER "hand-1"); /* as if its store lease had expired */
     stop_controller(owner);
     *(first_is_owner ? &first_controller : &second_controller) = NULL;
     run_loop_for(delays_s[i]);
@@ -233,12 +233,12 @@
     assert_string_equal(answer.state, WV_CANCELLED);
     unsigned starts_before = worker.executed_starts;
     worker.fails_commands = false;
-    for (int k = 0; k < 400 && fake_count_placed(); k++) {
+    for (int k = 0; k < 400 && fake_count_placed_tasks(); k++) {
       run_loop_for(0.05);
       fake_worker_send_heartbeat(&worker, successor);
       fake_worker_execute_commands(&worker);
     }
-    assert_int_equal(fake_count_placed(), 0);
+    assert_int_equal(fake_count_placed_tasks(), 0);
     assert_int_equal(worker.executed_starts, starts_before);
     *(first_is_owner ? &first_controller : &second_controller) =
         start_controller(first_is_owner ? 0 : 1, 2);
@@ -255,7 +255,7 @@
 static void a_cancellation_holds_while_the_store_is_unreachable(void **state) {
   (void)state;
   register_worker_at(first_controller);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   run_loop_for(0.2);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_int_equal(worker.report_status, 200); /* the replica is fresh enough to renew the lease */
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -18,7 +18,7 @@
     tmx_cbor_put_text(&types, type);
   }
   struct fake_job job = {.id = id, .team = "t", .tasks = 1, .cpus = 2, .types = &types};
-  encode_submission_of(buffer, &job);
+  encode_job_submission(buffer, &job);
   tmx_buffer_free(&types);
 }
 
@@ -31,7 +31,7 @@
   size_t count = tmx_log_line_split(text, ids, 8);
   tmx_cbor_put_array(&encoded_ids, count);
   for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&encoded_ids, ids[i]);
-  encode_submission_awaiting(&body, id, WV_ARRAY, 1, 2, "t", &encoded_ids);
+  encode_submission_with_dependencies(&body, id, WV_ARRAY, 1, 2, "t", &encoded_ids);
   struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&encoded_ids);
   tmx_buffer_free(&body);
@@ -49,7 +49,7 @@
   double elapsed_s = 0;
   while (elapsed_s < duration_s) {
     run_loop_for(0.2);
-    report_to_owner();
+    report_worker_to_owner();
     assert_string_equal(poll_job(first_controller, id).state, WV_PENDING);
     elapsed_s += 0.2;
   }
@@ -93,7 +93,7 @@
   /* As if the write budget had never sufficed for the final state. */
   first_controller->replica.n_unstored_outcomes = 0;
   /* As if the job had been written in a batch only. */
-  fake_drop(TMX_KEY_JOB "wk-000002");
+  fake_delete(TMX_KEY_JOB "wk-000002");
   tmx_compaction_set_threshold(first_controller->compaction, 0);
   for (int i = 0; i < 600 && !first_controller->replica.compaction_point; i++) run_loop_for(0.02);
   assert_true(first_controller->replica.compaction_point > 0);
@@ -124,7 +124,7 @@
   double released = tmx_job_find(&first_controller->replica, "wk-000002")->released_at;
   restart_first_controller();
   assert_true(tmx_job_find(&first_controller->replica, "wk-000002")->released_at == released);
-  for (int i = 0; i < 10; i++) report_to_owner();
+  for (int i = 0; i < 10; i++) report_worker_to_owner();
   assert_stays_pending("wk-000003", 2);
   assert_stays_pending("wk-000004", 1);
   complete_task("wk-000002/0", 1);
@@ -137,8 +137,8 @@
   (void)loop;
   (void)timer;
   (void)events;
-  fake_store.endpoints[0].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[0].hold_watches = false;
+  fake_answer_pending_watches();
 }
 
 /* The prerequisite's commit arrives while the request waits for a read of the store. The
@@ -147,7 +147,7 @@
   (void)state;
   ev_timer unfreeze_timer;
   register_worker(&worker);
-  fake_store.endpoints[0].freeze_watch = true;
+  fake_store.endpoints[0].hold_watches = true;
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   ev_timer_init(&unfreeze_timer, end_watch_freeze, 0.3, 0);
   ev_timer_start(test_loop, &unfreeze_timer);
@@ -160,24 +160,24 @@
 static void a_dependency_is_found_before_it_is_replicated(void **state) {
   (void)state;
   register_worker(&worker);
-  fake_store.endpoints[0].freeze_watch = true;
+  fake_store.endpoints[0].hold_watches = true;
   assert_int_equal(submit_simple_job(second_controller, "wk-000001", WV_ARRAY, 1, 2, "t"), 201);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000002", "wk-000001").status,
                    503); /* must not be 422, as the prerequisite exists */
-  fake_store.endpoints[0].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[0].hold_watches = false;
+  fake_answer_pending_watches();
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000002", "wk-000001").status,
                    201);
   assert_int_equal(submit_with_dependencies(first_controller, "wk-000003", "wk-000777").status,
                    422);
-  fake_store.endpoints[0].refuse = true;
+  fake_store.endpoints[0].unavailable = true;
   int status = submit_with_dependencies(first_controller, "wk-000004", "wk-000777").status;
   assert_int_equal(status, 503); /* the store is unreachable, so the id cannot be validated */
 }
 
 static int submit_with_list(const struct tmx_buffer *encoded_ids) {
   struct tmx_buffer body = {0};
-  encode_submission_awaiting(&body, "wk-000009", WV_ARRAY, 1, 2, "t", encoded_ids);
+  encode_submission_with_dependencies(&body, "wk-000009", WV_ARRAY, 1, 2, "t", encoded_ids);
   int status = send_request(first_controller, "POST", WP_JOBS, &body).status;
   tmx_buffer_free(&body);
   return status;
@@ -318,7 +318,7 @@
   char type[TMX_ID_BYTES];
   unsigned answered = 0;
   register_worker(&worker);
-  struct tmx_http_client *client = client_of(first_controller);
+  struct tmx_http_client *client = new_controller_client(first_controller);
   for (int i = 1; i <= TYPED_JOBS; i++) { /* concurrent submissions are written in a batch */
     struct tmx_buffer body = {0};
     char id[TMX_ID_BYTES];
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -26,7 +26,7 @@
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(worker.token > token_before); /* the worker now rejects the late command */
   run_loop_for(0.5);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(run_loop_until(no_task_is_placed, NULL));
 }
@@ -44,7 +44,7 @@
                         *successor =
                             deposed == first_controller ? second_controller : first_controller;
   assert_true(tmx_store_is_leader(deposed->store));
-  fake_store.endpoints[deposed == first_controller ? 0 : 1].freeze_watch = true;
+  fake_store.endpoints[deposed == first_controller ? 0 : 1].hold_watches = true;
   tmx_cbor_put_map(&value, 2);
   tmx_cbor_put_text_field(&value, "name", successor->settings.node_name);
   tmx_cbor_put_u64_field(&value, "inc", tmx_store_incarnation(successor->store));
@@ -56,16 +56,16 @@
     snprintf(id, sizeof id, "wk-%06d", i);
     submit_simple_job(i % 2 ? first_controller : second_controller, id, "batch", 1, 2, "t");
   }
-  for (int i = 0; i < 300 && fake_count_placed() < 4; i++) {
+  for (int i = 0; i < 300 && fake_count_placed_tasks() < 4; i++) {
     run_loop_for(0.02);
-    assert_in_range(fake_count_placed(), 0, 4);
+    assert_in_range(fake_count_placed_tasks(), 0, 4);
     if (i == 20) {
-      fake_store.endpoints[0].freeze_watch = fake_store.endpoints[1].freeze_watch = false;
-      fake_free_watches();
+      fake_store.endpoints[0].hold_watches = fake_store.endpoints[1].hold_watches = false;
+      fake_answer_pending_watches();
     }
   }
   run_loop_for(0.5);
-  assert_int_equal(fake_count_placed(), 4);
+  assert_int_equal(fake_count_placed_tasks(), 4);
   for (size_t i = 0; i < worker.n_tasks; i++) assert_int_equal(worker.tasks[i].attempt, 1);
 }
 
@@ -91,7 +91,7 @@
   assert_int_not_equal(worker.report_status, 200);
   worker.session = session;
   worker.sequence = sequence;
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
 }
 
 /* Guards against two owners that both keep a worker. The higher token shows that the worker has a
@@ -109,21 +109,22 @@
 static void a_quota_holds_across_two_controllers(void **state) {
   (void)state;
   register_worker_at_owner();
-  fake_store.endpoints[1].freeze_watch = true; /* its replica becomes stale */
+  fake_store.endpoints[1].hold_watches = true; /* its replica becomes stale */
   char id[32];
   for (int i = 0; i < 12; i++) {
     snprintf(id, sizeof id, "wk-%06d", i);
     submit_simple_job(i % 2 ? first_controller : second_controller, id, "batch", 1, 2, "t");
   }
   run_loop_for(0.3);
-  fake_store.endpoints[1].freeze_watch = false;
-  fake_free_watches();
+  fake_store.endpoints[1].hold_watches = false;
+  fake_answer_pending_watches();
   for (int i = 0, rounds_at_quota = 0; i < 300 && rounds_at_quota < 20; i++) {
     run_loop_for(0.03);
-    rounds_at_quota += fake_count_placed() == 4;
-    assert_in_range(fake_count_placed(), 0, 4); /* 4 tasks of 2 CPUs use the quota of 8 CPUs */
+    rounds_at_quota += fake_count_placed_tasks() == 4;
+    assert_in_range(fake_count_placed_tasks(), 0,
+                    4); /* 4 tasks of 2 CPUs use the quota of 8 CPUs */
   }
-  assert_int_equal(fake_count_placed(), 4);
+  assert_int_equal(fake_count_placed_tasks(), 4);
 }
 
 /* Guards against the loss of running tasks when a zone is partitioned from the store and from the
@@ -143,7 +144,7 @@
                                 first_controller->settings.node_name);
   struct tmx_controller *remaining = first_is_owner ? second_controller : first_controller;
   assert_int_equal(tmx_job_find(&remaining->replica, "wk-000002")->outcome, TMX_JOB_CANCELLED);
-  fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+  fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = true;
   stop_controller(first_is_owner ? first_controller : second_controller);
   if (first_is_owner)
     first_controller = NULL;
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -78,13 +78,13 @@
   for (int i = 0; i < 10; i++) {
     struct tmx_controller *next = i % 2 ? first_controller : second_controller;
     if (i == 5) /* this leader change happens during an outage of the store */
-      fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = true;
+      fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = true;
     make_leader(next);
     snprintf(id, sizeof id, "wk-%06d", i);
     if (i != 5) assert_int_equal(submit_simple_job(next, id, "batch", 1, 2, "t"), 201);
     for (int k = 0; k < 6; k++) {
       run_loop_for(0.05);
-      assert_in_range(fake_count_placed(), 0, 4);
+      assert_in_range(fake_count_placed_tasks(), 0, 4);
       for (size_t task = 0; task < worker.n_tasks; task++)
         assert_int_equal(worker.tasks[task].attempt, 1);
       complete_all_tasks();
@@ -92,7 +92,7 @@
       if (worker.report_status != 200) fake_worker_send_heartbeat(&worker, second_controller);
       fake_worker_execute_commands(&worker);
     }
-    if (i == 5) fake_store.endpoints[0].refuse = fake_store.endpoints[1].refuse = false;
+    if (i == 5) fake_store.endpoints[0].unavailable = fake_store.endpoints[1].unavailable = false;
   }
   for (int i = 0; i < 100 && n_done < 9; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
@@ -211,7 +211,7 @@
   assert_true(fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1));
   uint64_t token_before = worker.token, term_before = first_controller->replica.view.term;
   fake_store.endpoints[0].expire_next_watch = true;
-  fake_free_watches();
+  fake_answer_pending_watches();
   for (int i = 0;
        i < 200 && (fake_store.endpoints[0].expire_next_watch || first_controller->replica.loaded);
        i++)
@@ -237,13 +237,13 @@
   for (int i = 0; i < 4; i++) {
     struct tmx_controller *updated = controllers[i % 2], *lagging = controllers[1 - i % 2];
     struct fake_endpoint *lagging_endpoint = &fake_store.endpoints[1 - i % 2];
-    lagging_endpoint->freeze_watch = true;
+    lagging_endpoint->hold_watches = true;
     assert_int_equal(submit_simple_job(updated, ids[i], "batch", 1, 2, "t"), 201);
     struct fake_answer answer = poll_job(lagging, ids[i]);
     assert_int_equal(answer.status, 503); /* never 404 */
     assert_int_not_equal(submit_simple_job(lagging, ids[i], "batch", 1, 2, "t"), 201);
-    lagging_endpoint->freeze_watch = false;
-    fake_free_watches();
+    lagging_endpoint->hold_watches = false;
+    fake_answer_pending_watches();
     assert_int_equal(submit_simple_job(lagging, ids[i], "batch", 1, 2, "t"), 200);
     unsigned starts_before = worker.executed_starts;
     if (i < 2) { /* the job completes */
@@ -257,9 +257,9 @@
       for (int k = 0; k < 200 && strcmp(poll_job(updated, ids[i]).state, states[1]); k++)
         run_loop_for(0.01);
       assert_string_equal(poll_job(updated, ids[i]).state, WV_DONE);
-      lagging_endpoint->freeze_watch = true;
+      lagging_endpoint->hold_watches = true;
     } else {
-      lagging_endpoint->freeze_watch = true;
+      lagging_endpoint->hold_watches = true;
       assert_string_equal(cancel_job(updated, ids[i]).state, WV_CANCELLED);
       starts_before = worker.executed_starts;
     }
@@ -270,8 +270,8 @@
       assert_string_equal(poll_job(updated, ids[i]).state, final_state);
       assert_string_equal(cancel_job(updated, ids[i]).state, final_state);
     }
-    lagging_endpoint->freeze_watch = false;
-    fake_free_watches();
+    lagging_endpoint->hold_watches = false;
+    fake_answer_pending_watches();
     run_loop_for(0.3);
     assert_string_equal(poll_job(lagging, ids[i]).state, final_state);
     /* Nothing starts after the cancellation. */
@@ -287,7 +287,7 @@
 
 /* One heartbeat of `worker` to its owner, after which the worker executes the commands. */
 static void exchange_heartbeat(void) {
-  report_to_owner();
+  report_worker_to_owner();
   fake_worker_execute_commands(&worker);
 }
 
@@ -312,12 +312,12 @@
 
 /* Lets placed tasks complete until none is left. */
 static void complete_all_placed(void) {
-  for (int i = 0; i < 400 && fake_count_placed(); i++) {
+  for (int i = 0; i < 400 && fake_count_placed_tasks(); i++) {
     complete_all_tasks();
     exchange_heartbeat();
     run_loop_for(0.1);
   }
-  assert_int_equal(fake_count_placed(), 0);
+  assert_int_equal(fake_count_placed_tasks(), 0);
 }
 
 /* One-task jobs are submitted at four per second, and a quarter of them are cancelled, some of them
@@ -336,7 +336,7 @@
       cancel_until_confirmed(i % 8 ? first_controller : second_controller, id, confirmed_states[i]);
     if (i % 20 == 10) make_leader(i % 40 == 10 ? second_controller : first_controller);
     run_loop_for(0.25);
-    assert_in_range(fake_count_placed(), 0, 4);
+    assert_in_range(fake_count_placed_tasks(), 0, 4);
     if (i % 2) complete_all_tasks();
     exchange_heartbeat();
   }
@@ -362,8 +362,8 @@
   }
   register_worker(new_worker);
   bool first_is_leader = tmx_store_is_leader(first_controller->store);
-  fake_drop(first_is_leader ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
-  fake_drop(TMX_KEY_LEADER);
+  fake_delete(first_is_leader ? TMX_KEY_MEMBER "hand-0" : TMX_KEY_MEMBER "hand-1");
+  fake_delete(TMX_KEY_LEADER);
   stop_controller(first_is_leader ? first_controller : second_controller);
   *(first_is_leader ? &first_controller : &second_controller) = NULL;
   struct tmx_controller *successor = first_is_leader ? second_controller : first_controller;
@@ -380,7 +380,7 @@
   assert_int_equal(new_worker->executed_starts, 2);
   assert_int_equal(new_worker->n_tasks, 2);
   for (size_t i = 0; i < 2; i++) assert_int_equal(new_worker->tasks[i].attempt, 1);
-  assert_int_equal(fake_count_placed(), 2);
+  assert_int_equal(fake_count_placed_tasks(), 2);
 }
 
 /* Guards against free capacity that stays unused after a leader change. The former leader has
@@ -402,9 +402,9 @@
     run_loop_for(0.02);
   assert_true(tmx_machine_find(&first_controller->replica, worker.id)->draining);
   submit_simple_job(first_controller, "wk-000002", "batch", 3, 2, "t");
-  for (int i = 0; i < 300 && fake_count_placed() < 4; i++) run_loop_for(0.02);
+  for (int i = 0; i < 300 && fake_count_placed_tasks() < 4; i++) run_loop_for(0.02);
   assert_true(fake_log_contains("d n-000001 0"));
-  assert_int_equal(fake_count_placed(), 4);
+  assert_int_equal(fake_count_placed_tasks(), 4);
 }
 
 int main(void) {
--- a/tests/test_task_lifecycle.c
+++ b/tests/test_task_lifecycle.c
@@ -10,15 +10,15 @@
   register_worker_at(first_controller);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_true(run_loop_until(any_task_was_started, NULL));
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_RUNNING);
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
-  fake_store.endpoints[0].refuse = true; /* the completion cannot be committed */
+  fake_store.endpoints[0].unavailable = true; /* the completion cannot be committed */
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_false(fake_worker_was_commanded(&worker, WV_FORGET, "wk-000001/0", 1));
   assert_string_not_equal(poll_job(first_controller, "wk-000001").state, WV_DONE);
-  fake_store.endpoints[0].refuse = false;
-  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  fake_store.endpoints[0].unavailable = false;
+  assert_true(run_loop_until(first_controller_knows_outcome, "wk-000001"));
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(fake_worker_was_commanded(&worker, WV_FORGET, "wk-000001/0", 1) ||
               worker.n_tasks == 0);
@@ -35,7 +35,7 @@
   assert_true(run_loop_until(any_task_was_started, NULL));
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  assert_true(run_loop_until(first_controller_knows_outcome, "wk-000001"));
   for (int i = 0; i < 3; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
     assert_false(fake_worker_was_commanded(&worker, WV_START, "wk-000001/0", 1));
@@ -64,7 +64,7 @@
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_true(worker.response_token > response_token_before);
   run_loop_for(0.5);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   assert_true(worker.token > token_before);
   /* This report shows the higher token: the worker now rejects the late command. */
   fake_worker_send_heartbeat(&worker, first_controller);
@@ -90,7 +90,7 @@
   if (worker.report_status == 200) fake_worker_execute_commands(&worker);
   assert_true(run_loop_until(any_task_was_started, NULL));
   assert_true(worker.token > token_before);
-  assert_int_equal(fake_count_placed(), 1);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   assert_int_equal(worker.tasks[0].attempt, 1);
 }
 
@@ -104,8 +104,8 @@
   for (int i = 0; i < 200 && worker.executed_starts < 2; i++) run_loop_for(0.02);
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  for (int i = 0; i < 200 && fake_count_placed() > 1; i++) run_loop_for(0.02);
-  assert_int_equal(fake_count_placed(), 1);
+  for (int i = 0; i < 200 && fake_count_placed_tasks() > 1; i++) run_loop_for(0.02);
+  assert_int_equal(fake_count_placed_tasks(), 1);
   restart_first_controller();
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE); /* not forgotten */
   fake_worker_send_heartbeat(&worker, first_controller);
@@ -141,7 +141,7 @@
   fake_worker_set_task(&worker, "wk-000002/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&worker, "wk-000002/1", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(first_knows_outcome, "wk-000001"));
+  assert_true(run_loop_until(first_controller_knows_outcome, "wk-000001"));
   for (int i = 0; i < 200 && tmx_job_find(&first_controller->replica, "wk-000002")->n_done < 2; i++)
     run_loop_for(0.02);
   assert_int_equal(tmx_job_find(&first_controller->replica, "wk-000002")->n_done, 2);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -142,7 +142,7 @@
   tmx_cbor_put_array(&encoded_ids, 2);
   tmx_cbor_put_text(&encoded_ids, "wk-000003");
   tmx_cbor_put_text(&encoded_ids, "wk-000001");
-  encode_submission_awaiting(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &encoded_ids);
+  encode_submission_with_dependencies(&body, "wk-000007", WV_ARRAY, 1, 1, "t", &encoded_ids);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
   run_loop_for(0.5);
   assert_true(tmx_job_is_blocked(tmx_job_find(&first_controller->replica, "wk-000007")));
@@ -190,7 +190,7 @@
 static void assert_production_reads_store(void) {
   for (size_t i = 0; i < fake_store.n_entries; i++) {
     const struct fake_entry *entry = &fake_store.entries[i];
-    cbor_item_t *value = tmx_cbor_parse(entry->value, entry->len);
+    cbor_item_t *value = tmx_cbor_parse(entry->value, entry->length);
     if (has_prefix(entry->key, TMX_KEY_JOB))
       assert_production_reads_record(value);
     else if (has_prefix(entry->key, TMX_KEY_BATCH) || has_prefix(entry->key, TMX_KEY_PAGE))
