--- a/tests/cluster/cluster_load.c
+++ b/tests/cluster/cluster_load.c
@@ -1,7 +1,7 @@
-/* A cluster on loopback: controllers as real processes, and scripted peers in this process: a
- * store, a cloud, workers that run tasks, users that submit and poll. Prints what each controller
- * used and how each class fared. `cluster_load --help` lists the options; docs/results.md and
- * docs/admission.md have what was found with it. */
+/* Load test of a cluster on the loopback interface. The controllers are real processes. Their peers
+ * run in this process: the store, the cloud, workers that run tasks, and users that submit and poll
+ * jobs. Prints the resources that each controller used, and the waiting times of each class.
+ * `cluster_load --help` lists the options; docs/results.md and docs/admission.md have results. */
 #include <gsl/gsl_rng.h>
 #include <popt.h>
 #include <stdio.h>
@@ -18,19 +18,23 @@
 #include "tmx/wire.h"
 #include "base/clock.h"
 
-enum { MACHINE_CPUS = 16, TROUBLES_MAX = 16, SPARE_CONNECTIONS = 16 };
-static const double quiet_s = 5, settle_s = 10, final_s = 240, step_s = 0.02;
+enum { MACHINE_CPUS = 16, FAILURES_MAX = 16, SPARE_CONNECTIONS = 16 };
+static const double registration_s = 5;  /* before the first submission */
+static const double settle_s = 10;       /* between the last submission and the final polls */
+static const double final_polls_s = 240; /* time limit of the final polls */
+static const double step_s = 0.02;
 
 gsl_rng *cluster_rng;
-static int machines = 2187, nodes = 5, seconds = 60, services = 280, arrays = 30, away, seed = 1;
+static int machines = 2187, nodes = 5, seconds = 60, services = 280, arrays = 30, n_restarted,
+           seed = 1;
 static double report_s = 10, run_s = 50, surge;
-static char *operator_config, *history_path, *failures[TROUBLES_MAX];
+static char *operator_config, *history_path, *failures[FAILURES_MAX];
 static size_t n_failures;
-static double begun_at;
+static double started_at;
 static bool submitting;
 static unsigned state_commits, state_reads;
 
-static void adjust(struct tmx_settings *settings) {
+static void adjust_settings(struct tmx_settings *settings) {
   static const char *const teams[] = {"t", "u", "v"};
   static const char *const listed[] = {"small", "tally", "refresh", "live"};
   const size_t n_teams = sizeof teams / sizeof *teams;
@@ -54,7 +58,8 @@
   settings->ram_mb = 162;
 }
 
-/* Twice what the machines can serve, say, of which one team asks for most, in small jobs. */
+/* The jobs of a surge: `surge` times the load that the machines can serve. One team submits most of
+ * it, in small jobs. `per_s` holds the share of the load until it is replaced by the rate. */
 static const struct job_kind *surge_kinds(void) {
   static struct job_kind kinds[] = {{'f', "t", "small", WV_ARRAY, "normal", 1, 2, 10, 0.70, 0},
                                     {'t', "u", "tally", WV_ARRAY, "normal", 10, 2, 15, 0.175, 0},
@@ -82,7 +87,7 @@
 static void inject_due_failures(double now) {
   for (size_t i = 0; i < n_failures; i++) {
     char *rest;
-    if (!failures[i] || now - begun_at < strtod(failures[i], &rest)) continue;
+    if (!failures[i] || now - started_at < strtod(failures[i], &rest)) continue;
     if (!nodes_inject_failure(rest)) fprintf(stderr, "cluster_load: unknown failure: %s\n", rest);
     free(failures[i]);
     failures[i] = NULL;
@@ -100,24 +105,25 @@
   nodes_end_failures();
   fake_enforce_leases();
   workers_step(now, elapsed_s);
-  if (submitting && now - begun_at > quiet_s) users_submit(elapsed_s);
+  if (submitting && now - started_at > registration_s) users_submit(elapsed_s);
   users_step(now);
 }
 
-static void run_for(double duration_s) { /* longer than one pump */
+static void run_for(double duration_s) { /* in parts of at most 5 s */
   double until = tmx_clock_steady() + duration_s;
   while (tmx_clock_steady() < until)
     run_loop_for(until - tmx_clock_steady() < 5 ? until - tmx_clock_steady() : 5);
 }
 
-static void show(const char *when, double over) {
+/* Prints the statistics of a phase that lasted `duration_s`. */
+static void print_phase(const char *phase, double duration_s) {
   unsigned reads = 0;
-  struct users_figures users = users_take_figures();
-  struct workers_figures workers = workers_take_figures();
-  printf("%-22s", when);
+  struct users_statistics users = users_take_statistics();
+  struct workers_statistics workers = workers_take_statistics();
+  printf("%-22s", phase);
   for (int k = 0; k < nodes; k++) {
     double mb = 0, peak = 0, cpu = node[k].pid ? node_resources_used(k, &mb, &peak) : 0;
-    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu_s) / over, mb, peak);
+    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu_s) / duration_s, mb, peak);
     node[k].cpu_s = cpu;
     reads += fake_store.endpoints[k].reads;
   }
@@ -126,8 +132,8 @@
   printf(
       "  | slowest report %.2f s, accepted submission %.2f s; state: %.1f commits, %.1f reads a "
       "second\n",
-      workers.slowest_report, users.slowest_submission, (fake_store.commits - state_commits) / over,
-      (reads - state_reads) / over);
+      workers.slowest_report, users.slowest_submission,
+      (fake_store.commits - state_commits) / duration_s, (reads - state_reads) / duration_s);
   state_commits = fake_store.commits;
   state_reads = reads;
   fflush(stdout);
@@ -135,34 +141,34 @@
 
 static void run_steady(void) {
   run_for(5);
-  show("registering", 5);
+  print_phase("registering", 5);
   run_for(20);
-  show("submissions begin", 20);
+  print_phase("submissions begin", 20);
   for (int i = 0; i < 2; i++) {
     run_for(seconds);
-    show("steady", seconds);
+    print_phase("steady", seconds);
   }
-  if (!away) return;
+  if (!n_restarted) return;
   for (int k = 0; k < nodes; k++) {
     char text[32];
-    snprintf(text, sizeof text, "kill %d %d", k, k < away ? seconds + 10 : 0);
-    if (k < away) nodes_inject_failure(text);
+    snprintf(text, sizeof text, "kill %d %d", k, k < n_restarted ? seconds + 10 : 0);
+    if (k < n_restarted) nodes_inject_failure(text);
   }
   run_for(10);
-  show("others take over", 10);
+  print_phase("others take over", 10);
   run_for(seconds);
-  show("all back", seconds);
+  print_phase("all back", seconds);
 }
 
 static void run_surge(void) {
   run_for(seconds);
-  show("surge", seconds);
+  print_phase("surge", seconds);
   users_print_table(seconds);
   submitting = false;
   run_for(settle_s);
-  users_poll_all_finally();
-  for (double until = tmx_clock_steady() + final_s;
-       tmx_clock_steady() < until && !users_all_answered();)
+  users_start_final_polls();
+  for (double until = tmx_clock_steady() + final_polls_s;
+       tmx_clock_steady() < until && !users_final_polls_answered();)
     run_loop_for(0.5);
 }
 
@@ -176,7 +182,7 @@
       {"arrays", 0, POPT_ARG_INT, &arrays, 0, "arrays of 70 tasks a minute", "N"},
       {"run", 0, POPT_ARG_DOUBLE, &run_s, 0, "mean run time, s", "S"},
       {"report", 0, POPT_ARG_DOUBLE, &report_s, 0, "between reports, s", "S"},
-      {"away", 0, POPT_ARG_INT, &away, 0, "then end so many controllers for a time", "N"},
+      {"away", 0, POPT_ARG_INT, &n_restarted, 0, "then end so many controllers for a time", "N"},
       {"surge", 0, POPT_ARG_DOUBLE, &surge, 0, "instead: this many times what can be served", "X"},
       {"seed", 0, POPT_ARG_INT, &seed, 0, "of the random numbers", "N"},
       {"operator-config", 'o', POPT_ARG_STRING, &operator_config, 0, "of the controllers", "FILE"},
@@ -189,7 +195,7 @@
       POPT_AUTOHELP POPT_TABLEEND};
   poptContext options_context = poptGetContext("cluster_load", argc, argv, options, 0);
   int result;
-  while ((result = poptGetNextOpt(options_context)) == 'd' && n_failures < TROUBLES_MAX)
+  while ((result = poptGetNextOpt(options_context)) == 'd' && n_failures < FAILURES_MAX)
     failures[n_failures++] = failure;
   if (result != -1 || nodes < 1 || nodes > FAKE_NODES || machines < 1 || seconds < 1) {
     fprintf(stderr, "cluster_load: %s\n", result < -1 ? poptStrerror(result) : "out of range");
@@ -215,8 +221,8 @@
   fake_on_write = history_commit;
   history_open(history_path);
   users_open(surge > 0 ? surge_kinds() : steady_kinds(), nodes);
-  nodes_open(nodes, operator_config, adjust, machines + SPARE_CONNECTIONS);
-  begun_at = tmx_clock_steady();
+  nodes_open(nodes, operator_config, adjust_settings, machines + SPARE_CONNECTIONS);
+  started_at = tmx_clock_steady();
   workers_open(&(struct workers_setup){.machines = machines,
                                        .nodes = nodes,
                                        .report_s = report_s,
--- a/tests/cluster/history_check.c
+++ b/tests/cluster/history_check.c
@@ -1,4 +1,4 @@
-/* Judges a history line by line: what each party did is kept in three tables. */
+/* Checks a history line by line, with a table each of jobs, tasks and machines. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,15 +12,15 @@
 
 struct job {
   char id[NAME_BYTES];
-  bool accepted, asked_to_cancel, known_finally;
+  bool accepted, asked_to_cancel, known_at_end;
   unsigned tasks, tasks_done;
-  char final_state[16]; /* done or withdrawn, once told */
+  char final_state[16]; /* done or cancelled, once a response reported it */
   UT_hash_handle hh;
 };
 struct task {
   char id[NAME_BYTES];
-  char machine[NAME_BYTES]; /* where it runs; empty: nowhere */
-  char placed[NAME_BYTES];  /* where the log has its latest attempt */
+  char machine[NAME_BYTES]; /* machine that runs the task; empty: none */
+  char placed[NAME_BYTES];  /* machine of the latest attempt in the log */
   unsigned attempt;
   bool done;
   UT_hash_handle hh;
@@ -28,7 +28,7 @@
 struct machine {
   char id[NAME_BYTES];
   uint64_t term;
-  int owner; /* whose commands of this term it received */
+  int owner; /* controller whose commands it received in this term */
   UT_hash_handle hh;
 };
 struct check {
@@ -45,9 +45,9 @@
   fprintf(check->out, "%s: %s", rule, check->line);
 }
 
-/* The record of that name in the table, made when it is new. The parameters are an lvalue of the
- * table, the name, and a variable for the record. */
-#define RECORD(table, name, record)                         \
+/* Finds the record with the given name, or adds one. `table` is an lvalue, and `record` is the
+ * variable that receives the record. */
+#define FIND_OR_ADD(table, name, record)                    \
   do {                                                      \
     HASH_FIND_STR((table), (name), (record));               \
     if (record) break;                                      \
@@ -59,12 +59,12 @@
 
 static struct job *job_of(struct check *check, const char *id) {
   struct job *job;
-  RECORD(check->jobs, id, job);
+  FIND_OR_ADD(check->jobs, id, job);
   return job;
 }
 static struct task *task_of(struct check *check, const char *id) {
   struct task *task;
-  RECORD(check->tasks, id, task);
+  FIND_OR_ADD(check->tasks, id, task);
   return task;
 }
 
@@ -78,34 +78,36 @@
     add_finding(check, &findings->went_back, "an accepted job is unknown");
   if (status != 200 && status != 201) return;
   job->accepted = true;
-  job->known_finally |= final;
+  job->known_at_end |= final;
   bool is_final = !strcmp(state, WV_DONE) || !strcmp(state, WV_CANCELLED);
   if (job->final_state[0] && strcmp(job->final_state, state))
     add_finding(check, &findings->went_back, "a final state changed");
   if (!is_final || job->final_state[0]) return;
   snprintf(job->final_state, sizeof job->final_state, "%s", state);
   if (!strcmp(state, WV_CANCELLED) && !job->asked_to_cancel)
-    add_finding(check, &findings->not_done, "cancelled, and nobody asked");
+    add_finding(check, &findings->not_done, "cancelled without a request");
   if (!strcmp(state, WV_DONE) && job->tasks_done < job->tasks)
-    add_finding(check, &findings->not_done, "called done before its tasks were");
+    add_finding(check, &findings->not_done, "reported done before its tasks were");
 }
 
 static void on_command(struct check *check, const char *machine_id, int node, uint64_t token) {
   struct machine *machine;
-  RECORD(check->machines, machine_id, machine);
+  FIND_OR_ADD(check->machines, machine_id, machine);
   uint64_t term = token >> TMX_TOKEN_SEQUENCE_BITS;
   bool other = term == machine->term && node != machine->owner;
   if (term < machine->term || other)
-    add_finding(check, &check->findings.two_owners, "commands of two owners");
+    add_finding(check, &check->findings.two_owners,
+                "commands of two owners in one term, or of an earlier term");
   machine->term = term;
   machine->owner = node;
 }
 
 static void on_begin(struct check *check, const char *id, unsigned attempt, const char *machine) {
   struct task *task = task_of(check, id);
-  if (task->machine[0]) add_finding(check, &check->findings.overlaps, "began while on a machine");
+  if (task->machine[0])
+    add_finding(check, &check->findings.overlaps, "started while already running");
   if (strcmp(task->placed, machine) || task->attempt != attempt)
-    add_finding(check, &check->findings.unplanned, "started without a placement in the log");
+    add_finding(check, &check->findings.unplanned, "started without a committed placement");
   snprintf(task->machine, sizeof task->machine, "%s", machine);
 }
 
@@ -119,7 +121,7 @@
   job_of(check, name)->tasks_done++;
 }
 
-static void judge_event(struct check *check, json_t *event) {
+static void check_event(struct check *check, json_t *event) {
   const char *what = "", *ask = "", *job = "", *state = "", *machine = "", *task = "", *how = "";
   int tasks = 0, status = 0, node = 0, attempt = 0, final = 0;
   json_int_t token = 0;
@@ -144,12 +146,12 @@
   }
 }
 
-static void judge_end(struct check *check) {
+static void check_jobs_known_at_end(struct check *check) {
   struct job *job, *next;
   HASH_ITER(hh, check->jobs, job, next) {
     check->line = job->id;
-    if (job->accepted && !job->known_finally) {
-      add_finding(check, &check->findings.lost, "not known at the end");
+    if (job->accepted && !job->known_at_end) {
+      add_finding(check, &check->findings.lost, "unknown at the end");
       fputc('\n', check->out);
     }
     HASH_DEL(check->jobs, job);
@@ -165,12 +167,12 @@
     json_t *event = json_loads(line, 0, NULL);
     check.findings.lines++;
     if (event)
-      judge_event(&check, event);
+      check_event(&check, event);
     else
       check.findings.unreadable++;
     json_decref(event);
   }
-  judge_end(&check);
+  check_jobs_known_at_end(&check);
   struct task *task, *next_task;
   HASH_ITER(hh, check.tasks, task, next_task) {
     HASH_DEL(check.tasks, task);
--- a/tests/cluster/history_checker.c
+++ b/tests/cluster/history_checker.c
@@ -1,6 +1,5 @@
-/* history_checker FILE: judges a history that cluster_load wrote; exit code 1 if a rule is
- * violated.
- */
+/* history_checker FILE: checks a history that cluster_load wrote. The exit code is 1 if a rule is
+ * violated or the file is empty, and 2 if the file cannot be opened. */
 #include <stdio.h>
 
 #include "cluster/history.h"
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -22,13 +22,13 @@
   char bytes[];
 };
 struct pair;
-struct side { /* what one end sends to the other */
+struct side { /* one direction of a connection */
   struct pair *pair;
   int from_fd, to_fd;
   ev_io readable;
   struct chunk *chunks;
 };
-struct pair { /* one connection */
+struct pair { /* a forwarded connection and its two directions */
   struct link *link;
   struct side sides[2];
   struct pair *prev, *next;
@@ -63,7 +63,7 @@
   free(pair);
 }
 
-/* false: the connection is over */
+/* Sends the chunks that are due. Returns false if the connection has failed. */
 static bool send_due(struct side *side, double now) {
   struct chunk *chunk;
   while ((chunk = side->chunks) && chunk->due <= now) {
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -16,10 +16,10 @@
 enum { TO_STATE, TO_PEERS, TO_USERS, TO_WORKERS, DESTINATIONS };
 static const char *const destinations[] = {"state", "peers", "users", "workers"};
 static const double delay_s =
-    0.3; /* of a delayed link: longer than a round, shorter than a lease */
+    0.3; /* of a delayed link: longer than a round of the planner, shorter than a lease */
 
 struct link_failure {
-  double ends_at; /* 0: there is none */
+  double ends_at; /* steady clock, s; 0: no failure */
 };
 struct node node[FAKE_NODES];
 static int n_nodes;
@@ -28,7 +28,7 @@
 static struct link *links[FAKE_NODES][DESTINATIONS + FAKE_NODES];
 static struct link_failure failures[FAKE_NODES][DESTINATIONS];
 
-/* The links of a controller to its peers follow those to the other destinations. */
+/* In `links`, a controller's links to its peers come after those to the other destinations. */
 static struct link *peer_link(int from, int to) { return links[from][DESTINATIONS + to]; }
 
 static json_t *address(int port) { return json_sprintf("127.0.0.1:%d", port); }
--- a/tests/cluster/surge_with_failures.sh
+++ b/tests/cluster/surge_with_failures.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# surge_with_failures.sh CLUSTER_LOAD HISTORY_CHECKER: a short surge at three controllers with a kill, a
-# pause and links that fail, and the verdict on its history.
+# surge_with_failures.sh CLUSTER_LOAD HISTORY_CHECKER: runs a short surge at three controllers, with a
+# killed process, a paused process and failing links, and checks the recorded history.
 set -eu
 folder=$(dirname "$0")
 history=$(mktemp)
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -21,7 +21,7 @@
 static size_t jobs_capacity;
 static int n_nodes;
 static bool final_round;
-static struct users_figures figures;
+static struct users_statistics statistics;
 extern gsl_rng *cluster_rng;
 
 static const struct job_kind *kind_of(const char *id) {
@@ -71,13 +71,13 @@
   history_answer("submit", job->id, job->kind->tasks, status, state, final_round);
   job->busy = false;
   if (status == 200 || status == 201) {
-    figures.accepted++;
-    figures.slowest_submission = fmax(figures.slowest_submission, now - job->sent_at);
+    statistics.accepted++;
+    statistics.slowest_submission = fmax(statistics.slowest_submission, now - job->sent_at);
     job->accepted = true;
     job->next_request_at = now + poll_every_s * gsl_rng_uniform(cluster_rng);
     return;
   }
-  figures.refused++;
+  statistics.refused++;
   state_of(job)->refusals += status == 503;
   job->next_request_at = now + 1 + 4 * gsl_rng_uniform(cluster_rng);
   job->given_up = now - job->first_at > submit_for_s;
@@ -109,16 +109,16 @@
   history_answer("poll", job->id, job->kind->tasks, status, state, final_round);
   job->busy = false;
   job->next_request_at = tmx_clock_steady() + (final_round ? 0.2 : poll_every_s);
-  figures.polls_answered += status == 200;
+  statistics.polls_answered += status == 200;
   job->done |= status == 200 && !strcmp(state, WV_DONE);
-  job->answered_finally |= final_round && status == 200;
+  job->final_poll_answered |= final_round && status == 200;
 }
 
 static void poll_state(struct job *job) {
   char path[64];
   snprintf(path, sizeof path, WP_JOBS "/%s", job->id);
   job->busy = tmx_http_client_call(some_node(), "GET", path, NULL, poll_timeout_s, on_polled, job);
-  figures.polls += job->busy;
+  statistics.polls += job->busy;
   if (!job->busy) job->next_request_at = tmx_clock_steady() + 1;
 }
 
@@ -153,7 +153,7 @@
     struct job *job = users.jobs[i];
     waits[job->kind - users.kinds] |= job->accepted && !job->began_at;
     bool wanted =
-        final_round ? job->accepted && !job->answered_finally : !job->done && !job->given_up;
+        final_round ? job->accepted && !job->final_poll_answered : !job->done && !job->given_up;
     if (!wanted || job->busy || now < job->next_request_at) continue;
     if (job->accepted)
       poll_state(job);
@@ -170,20 +170,20 @@
   }
 }
 
-void users_poll_all_finally(void) {
+void users_start_final_polls(void) {
   final_round = true;
   for (size_t i = 0; i < users.n_jobs; i++) users.jobs[i]->next_request_at = 0;
 }
 
-bool users_all_answered(void) {
+bool users_final_polls_answered(void) {
   for (size_t i = 0; i < users.n_jobs; i++)
-    if (users.jobs[i]->busy || (users.jobs[i]->accepted && !users.jobs[i]->answered_finally))
+    if (users.jobs[i]->busy || (users.jobs[i]->accepted && !users.jobs[i]->final_poll_answered))
       return false;
   return true;
 }
 
-struct users_figures users_take_figures(void) {
-  struct users_figures taken = figures;
-  figures.slowest_submission = 0;
+struct users_statistics users_take_statistics(void) {
+  struct users_statistics taken = statistics;
+  statistics.slowest_submission = 0;
   return taken;
 }
--- a/tests/cluster/users_internal.h
+++ b/tests/cluster/users_internal.h
@@ -1,29 +1,31 @@
-/** What the files of the users share. */
+/** @file Data that the source files of the users share. */
 #ifndef CLUSTER_USERS_INTERNAL_H
 #define CLUSTER_USERS_INTERNAL_H
 #include "cluster/users.h"
 
 enum { KINDS_MAX = 8 };
 
-/** A job as its user knows it. */
+/** A job and the state of its requests. */
 struct job {
   char id[TMX_ID_BYTES];
   const struct job_kind *kind;
-  double first_at, sent_at, next_request_at; /**< first attempt; latest request; next one */
-  double began_at;                           /**< its first task began; 0: not yet */
-  bool accepted, done, given_up, busy, answered_finally;
+  double first_at;        /**< time of the first submission attempt, steady clock, s */
+  double sent_at;         /**< time of the latest submission attempt */
+  double next_request_at; /**< earliest time of the next request */
+  double began_at;        /**< start of its first task; 0: none started yet */
+  bool accepted, done, given_up, busy, final_poll_answered;
 };
 
-/** What has happened to the jobs of a kind. */
+/** Counts and times of the jobs of a kind. */
 struct kind_state {
   unsigned submitted, refusals;
-  double due;           /**< jobs to be submitted, a fraction */
-  double last_start;    /**< of a task */
-  double longest_gap;   /**< s without a start while an accepted job had not begun */
-  double waiting_since; /**< 0: no accepted job waits for its first task */
+  double due;           /**< number of jobs due for submission, with the fraction of the next one */
+  double last_start;    /**< time of the latest start of a task */
+  double longest_gap;   /**< longest time without a start while an accepted job waited, s */
+  double waiting_since; /**< since when an accepted job waits for its first task; 0: none does */
 };
 
-/** The users and their jobs; a job's number in its id is its index. */
+/** The users and their jobs. The number in a job's id is its index in `jobs`. */
 struct users {
   const struct job_kind *kinds;
   struct kind_state states[KINDS_MAX]; /**< by kind */
--- a/tests/cluster/users_table.c
+++ b/tests/cluster/users_table.c
@@ -1,4 +1,4 @@
-/* How each kind of jobs fared. */
+/* Prints the counts and the waiting times of each kind of jobs. */
 #include <gsl/gsl_sort.h>
 #include <gsl/gsl_statistics.h>
 #include <math.h>
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -14,20 +14,21 @@
 
 struct worker {
   struct fake_worker agent;
-  int node; /* the node that it reports to */
+  int node; /* index of the controller that it reports to */
   bool busy;
-  double next_report_at, report_sent_at,
-      lease_renewed_at; /* next report, the latest one, the latest one that was answered */
-  struct fake_worker reported_before; /* its tasks when they were last looked at */
+  double next_report_at;            /* time of the next heartbeat */
+  double report_sent_at;            /* time of the latest heartbeat */
+  double lease_renewed_at;          /* time at which the latest answered heartbeat was sent */
+  struct fake_worker last_recorded; /* state at the last call of record_changes */
 };
 static struct workers_setup setup;
 static struct worker *workers;
-static struct workers_figures figures;
+static struct workers_statistics statistics;
 extern gsl_rng *cluster_rng;
 
 /* Records the tasks that started and ended since the last call. */
 static void record_changes(struct worker *worker) {
-  struct fake_worker *before = &worker->reported_before, *now = &worker->agent;
+  struct fake_worker *before = &worker->last_recorded, *now = &worker->agent;
   for (size_t i = 0; i < now->n_tasks; i++) {
     size_t k = 0;
     while (k < before->n_tasks && (strcmp(before->tasks[k].task, now->tasks[i].task) ||
@@ -42,7 +43,7 @@
       history_end(now->id, now->tasks[i].task, now->tasks[i].attempt, now->tasks[i].why);
     }
   }
-  worker->reported_before = worker->agent;
+  worker->last_recorded = worker->agent;
 }
 
 static void record_commands(const struct worker *worker, int sender, uint64_t token) {
@@ -56,13 +57,13 @@
   struct worker *worker = arg;
   double now = tmx_clock_steady();
   worker->busy = false;
-  figures.slowest_report = fmax(figures.slowest_report, now - worker->report_sent_at);
+  statistics.slowest_report = fmax(statistics.slowest_report, now - worker->report_sent_at);
   if (status != 200 && status != 421) {
     worker->node = (worker->node + 1) % setup.nodes;
     worker->next_report_at = now + 1;
     return;
   }
-  uint64_t had_token = worker->agent.token;
+  uint64_t previous_token = worker->agent.token;
   fake_worker_take_response(&worker->agent, status, body, len);
   if (status == 421) {
     int node_named = worker->agent.redirected_to[0] ? atoi(worker->agent.redirected_to + 5) : -1;
@@ -71,16 +72,18 @@
     return;
   }
   worker->next_report_at = now + setup.report_s * (0.75 + 0.5 * gsl_rng_uniform(cluster_rng));
-  if (worker->agent.response_token < had_token) return; /* dropped */
+  if (worker->agent.response_token < previous_token)
+    return; /* an older response, which was dropped */
   worker->lease_renewed_at = worker->report_sent_at;
-  unsigned had = worker->agent.executed_starts;
+  unsigned previous_starts = worker->agent.executed_starts;
   record_commands(worker, worker->node, worker->agent.response_token);
   fake_worker_execute_commands(&worker->agent);
   record_changes(worker);
-  if (worker->agent.executed_starts != had) worker->next_report_at = now + 0.5;
+  if (worker->agent.executed_starts != previous_starts) worker->next_report_at = now + 0.5;
 }
 
-/* A direct command: its sender shows only in the term of its token, so it is not recorded. */
+/* Handles a direct command. Only the tasks that it started or ended are recorded, not the command:
+ * the sender is known only by the term of the token. */
 static void on_command(struct fake_worker *agent, uint64_t token) {
   (void)token;
   struct worker *worker = (struct worker *)((char *)agent - offsetof(struct worker, agent));
@@ -97,16 +100,17 @@
     memcpy(task, worker->agent.tasks[i].task, sizeof task);
     fake_worker_set_task(&worker->agent, task, worker->agent.tasks[i].attempt, WV_EXITED, WV_DONE);
     if (worker->next_report_at > now + 0.5) worker->next_report_at = now + 0.5;
-    figures.finished++;
+    statistics.finished++;
   }
 }
 
+/* Ends all tasks after the lease has expired, and starts a new session. */
 static void end_session(struct worker *worker, double now) {
   for (size_t i = 0; i < worker->agent.n_tasks; i++)
     if (!strcmp(worker->agent.tasks[i].state, WV_RUNNING))
       history_end(worker->agent.id, worker->agent.tasks[i].task, worker->agent.tasks[i].attempt,
                   "lease");
-  worker->agent.n_tasks = worker->reported_before.n_tasks = 0;
+  worker->agent.n_tasks = worker->last_recorded.n_tasks = 0;
   worker->agent.session++;
   worker->lease_renewed_at = now;
 }
@@ -149,8 +153,8 @@
   }
 }
 
-struct workers_figures workers_take_figures(void) {
-  struct workers_figures taken = figures;
-  figures.slowest_report = 0;
+struct workers_statistics workers_take_statistics(void) {
+  struct workers_statistics taken = statistics;
+  statistics.slowest_report = 0;
   return taken;
 }
--- a/tests/test_admission_policy.c
+++ b/tests/test_admission_policy.c
@@ -1,4 +1,4 @@
-/* The admission policy, pure: shares, accounts, decisions and the operators' settings. */
+/* Tests the pure functions of admission: shares, accounts, decisions and operator settings. */
 #include "fake.h"
 #include <stdio.h>
 #include <string.h>
@@ -11,12 +11,12 @@
   for (int i = 0; i < 3; i++) used[i] = tmx_share_ceiling(&division, used, (size_t)i);
   assert_true(used[0] > 50 && used[1] > 15 && used[2] > 15);
   assert_true(used[0] + used[1] + used[2] <= 90);
-  used[0] = 1000; /* admitted before the bound fell: the others keep what is set aside for them */
+  used[0] = 1000; /* admitted before the bound was lowered: the others keep their reserves */
   assert_true(tmx_share_ceiling(&division, used, 1) >= 15);
   assert_true(tmx_share_ceiling(&division, used, 1) <= 15.001);
 }
 
-static struct tmx_settings platform(void) {
+static struct tmx_settings two_team_settings(void) {
   struct tmx_settings s = {.n_teams = 2, .write_rps = 1000, .value_kb = 16, .ram_mb = 128};
   tmx_operator_settings_set_defaults(&s.operators);
   strcpy(s.teams[0].name, "t");
@@ -34,7 +34,7 @@
 
 static void listed_classes_have_accounts_of_their_own(void **state) {
   (void)state;
-  struct tmx_settings s = platform();
+  struct tmx_settings s = two_team_settings();
   struct tmx_backlog b;
   char name[32];
   bool seen[TMX_ACCOUNTS_MAX] = {false};
@@ -53,7 +53,7 @@
   assert_int_equal(n, TMX_HASHED_ACCOUNTS);
 }
 
-static void absurd_numbers_do_not_overflow(void **state) {
+static void extreme_resource_requests_do_not_overflow(void **state) {
   (void)state;
   struct tmx_job_spec huge = {.cpus = 1e300, .gpus = 1e308, .mem_gb = 1e308, .estimate_s = 1e308};
   struct tmx_load sum = {{0}};
@@ -65,9 +65,9 @@
   for (int i = 0; i < TMX_ADMISSION_RESOURCES; i++) assert_int_equal(sum.amount[i], 0);
 }
 
-static void placed_replicas_are_no_backlog(void **state) {
+static void placed_replicas_do_not_count_as_backlog(void **state) {
   (void)state;
-  struct tmx_settings s = platform();
+  struct tmx_settings s = two_team_settings();
   struct tmx_backlog b;
   struct tmx_job service = {.spec = {.service = true, .tasks = 4, .cpus = 1, .class = "c"}};
   const struct tmx_load *load = &b.accounts[0][0].load;
@@ -84,14 +84,16 @@
   assert_int_equal(b.accounts[0][0].n_open_jobs, 1);
 }
 
-static struct tmx_admission_request candidate(const struct tmx_backlog *b, int team,
-                                              const char *class_name, uint32_t tasks) {
+static struct tmx_admission_request admission_request_for(const struct tmx_backlog *b, int team,
+                                                          const char *class_name, uint32_t tasks) {
   struct tmx_job_spec spec = {.cpus = 1, .mem_gb = 1, .estimate_s = 10, .tasks = tasks};
   return (struct tmx_admission_request){.team = team,
                                         .account = tmx_backlog_account_index(b, class_name),
                                         .load = tmx_job_load(&spec, tasks)};
 }
 
+/* Admits jobs, round-robin over `classes` classes, until 4 * classes of them were refused. Returns
+ * the number of admitted jobs. */
 static unsigned admit_until_refused(const struct tmx_settings *settings, struct tmx_backlog *b,
                                     const struct tmx_resource_rates *rates, int team,
                                     const char *prefix, unsigned classes, uint32_t tasks) {
@@ -99,7 +101,7 @@
   unsigned n = 0, refused = 0;
   for (unsigned i = 0; refused < classes * 4 && i < 100000; i++) {
     snprintf(name, sizeof name, classes > 1 ? "%s-%u" : "%s", prefix, i % classes);
-    struct tmx_admission_request x = candidate(b, team, name, tasks);
+    struct tmx_admission_request x = admission_request_for(b, team, name, tasks);
     if (tmx_admission_decide(settings, b, NULL, rates, &x).result != TMX_ADMITTED) {
       refused++;
       continue;
@@ -112,34 +114,34 @@
   return n;
 }
 
-static void a_flood_leaves_room_for_others(void **state) {
+static void an_overload_leaves_the_reserves_of_others(void **state) {
   (void)state;
   static const struct {
     const char *class_name;
     unsigned classes;
     uint32_t tasks;
-  } floods[] = {{"c", 1, 1}, {"c", 1, 5000}, {"invented", 3000, 1}, {"invented", 3000, 400}};
-  struct tmx_settings s = platform();
+  } overloads[] = {{"c", 1, 1}, {"c", 1, 5000}, {"invented", 3000, 1}, {"invented", 3000, 400}};
+  struct tmx_settings s = two_team_settings();
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
   struct tmx_resource_rates rates = tmx_admission_rates(&s, &machines, &machines);
-  for (size_t i = 0; i < sizeof floods / sizeof *floods; i++) {
+  for (size_t i = 0; i < sizeof overloads / sizeof *overloads; i++) {
     struct tmx_backlog b;
     tmx_backlog_init(&b, &s);
-    admit_until_refused(&s, &b, &rates, 0, floods[i].class_name, floods[i].classes,
-                        floods[i].tasks);
-    /* the flooder's other listed class, and the other team with either, still find room */
-    struct tmx_admission_request other_class = candidate(&b, 0, "d", 4);
-    struct tmx_admission_request other_team = candidate(&b, 1, "c", 4);
+    admit_until_refused(&s, &b, &rates, 0, overloads[i].class_name, overloads[i].classes,
+                        overloads[i].tasks);
+    /* The team's other listed class and the other team are still admitted. */
+    struct tmx_admission_request other_class = admission_request_for(&b, 0, "d", 4);
+    struct tmx_admission_request other_team = admission_request_for(&b, 1, "c", 4);
     assert_int_equal(tmx_admission_decide(&s, &b, NULL, &rates, &other_class).result, TMX_ADMITTED);
     assert_int_equal(tmx_admission_decide(&s, &b, NULL, &rates, &other_team).result, TMX_ADMITTED);
-    /* what is set aside: 14.2 s of the bound of 100 s, at 0.625 s a job */
+    /* The reserve is 14.2 s of the bound of 100 s, and a job takes 0.625 s. */
     assert_true(admit_until_refused(&s, &b, &rates, 1, "c", 1, 4) >= 22);
   }
 }
 
-static void invented_names_gain_nothing(void **state) {
+static void unlisted_classes_together_get_no_more_than_a_listed_one(void **state) {
   (void)state;
-  struct tmx_settings s = platform();
+  struct tmx_settings s = two_team_settings();
   struct tmx_machine_size machines = {.cpus = 64, .mem_gb = 256};
   struct tmx_resource_rates rates = tmx_admission_rates(&s, &machines, &machines);
   struct tmx_backlog one, many;
@@ -147,18 +149,20 @@
   tmx_backlog_init(&many, &s);
   admit_until_refused(&s, &one, &rates, 0, "c", 1, 1);
   admit_until_refused(&s, &many, &rates, 0, "invented", 3000, 1);
-  /* one listed class, or all invented ones together: the same ceiling, within one job */
+  /* One listed class and all unlisted classes together reach the same ceiling, to within one job.
+   */
   assert_true(tmx_team_backlog_seconds(&many, 0, &rates) <=
               tmx_team_backlog_seconds(&one, 0, &rates) + 0.2);
-  /* and what they have of the pool is not there for a listed one: 16.1 s rather than 36.8 s */
+  /* Their part of the shared pool is not available to a listed class, which gets 16.1 s instead of
+   * 36.8 s. */
   double job_s = 10.0 / 64;
-  unsigned beside = admit_until_refused(&s, &many, &rates, 0, "c", 1, 1);
-  assert_true(beside * job_s > 15.5 && beside * job_s < 16.5);
+  unsigned n_listed_admitted = admit_until_refused(&s, &many, &rates, 0, "c", 1, 1);
+  assert_true(n_listed_admitted * job_s > 15.5 && n_listed_admitted * job_s < 16.5);
 }
 
 static void less_capacity_refuses_sooner_but_keeps_reserves(void **state) {
   (void)state;
-  struct tmx_settings s = platform();
+  struct tmx_settings s = two_team_settings();
   struct tmx_machine_size large = {.cpus = 64, .mem_gb = 256}, small = {.cpus = 8, .mem_gb = 32};
   struct tmx_resource_rates before = tmx_admission_rates(&s, &large, &small);
   struct tmx_resource_rates after = tmx_admission_rates(&s, &small, &small);
@@ -166,35 +170,37 @@
   tmx_backlog_init(&b, &s);
   admit_until_refused(&s, &b, &before, 0, "c", 1, 4);
   assert_true(tmx_total_backlog_seconds(&b, &after) > s.operators.admission.backlog_s);
-  struct tmx_admission_request more = candidate(&b, 0, "c", 1), newcomer = candidate(&b, 1, "c", 1);
+  struct tmx_admission_request more = admission_request_for(&b, 0, "c", 1),
+                               newcomer = admission_request_for(&b, 1, "c", 1);
   assert_int_equal(tmx_admission_decide(&s, &b, NULL, &after, &more).result, TMX_REFUSED_TEAM);
   assert_int_equal(tmx_admission_decide(&s, &b, NULL, &after, &newcomer).result, TMX_ADMITTED);
 }
 
-/* A bench day refused services in its first second: the log held no machine yet. */
+/* Guards against refusals right after a start: in a benchmark, services were refused in the first
+ * second, because the log held no machine yet. */
 static void nothing_is_refused_before_machines_are_known(void **state) {
   (void)state;
-  struct tmx_settings s = platform();
+  struct tmx_settings s = two_team_settings();
   struct tmx_machine_size none = {0}, one = {.cpus = 64, .mem_gb = 256}, some = {.cpus = 6400};
   struct tmx_resource_rates unknown = tmx_admission_rates(&s, &none, &one);
   struct tmx_backlog b;
   tmx_backlog_init(&b, &s);
   for (int i = 0; i < 200; i++) {
-    struct tmx_admission_request x = candidate(&b, 0, "c", 500);
+    struct tmx_admission_request x = admission_request_for(&b, 0, "c", 500);
     assert_int_equal(tmx_admission_decide(&s, &b, NULL, &unknown, &x).result, TMX_ADMITTED);
     tmx_load_add(&b.accounts[0][x.account].load, &x.load, 1);
     b.accounts[0][x.account].n_open_jobs++;
   }
-  s.operators.admission.capacity_cpus = 64; /* what operators expect counts from the start ... */
+  s.operators.admission.capacity_cpus = 64; /* the configured capacity counts from the start */
   struct tmx_resource_rates expected = tmx_admission_rates(&s, &none, &one);
-  struct tmx_admission_request more = candidate(&b, 0, "c", 1);
+  struct tmx_admission_request more = admission_request_for(&b, 0, "c", 1);
   assert_int_equal(tmx_admission_decide(&s, &b, NULL, &expected, &more).result, TMX_REFUSED_TEAM);
   struct tmx_resource_rates present =
-      tmx_admission_rates(&s, &some, &one); /* ... and gives way to more */
+      tmx_admission_rates(&s, &some, &one); /* a larger registered capacity replaces it */
   assert_true(present.per_s[TMX_ADMISSION_CPU] > expected.per_s[TMX_ADMISSION_CPU]);
 }
 
-static void a_retry_is_expected_when_there_is_room(void **state) {
+static void the_retry_time_follows_the_excess_backlog(void **state) {
   (void)state;
   struct tmx_admission_decision little = {TMX_REFUSED_TEAM, 10.2, 10},
                                 much = {TMX_REFUSED_TEAM, 1e9, 10};
@@ -239,7 +245,7 @@
        "admission.team_shares: leave nothing to the teams that are not named"},
       {"[admission]\nenabled = true\n[admission.team_shares]\nt = -0.5\n",
        "admission.team_shares.t: out of range"}};
-  struct tmx_settings s = platform();
+  struct tmx_settings s = two_team_settings();
   char err[512];
   for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
     assert_false(load_operator(&s, bad[i][0], err, sizeof err));
@@ -258,13 +264,13 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test(ceilings_leave_reserves_and_stay_under_the_bound),
       cmocka_unit_test(listed_classes_have_accounts_of_their_own),
-      cmocka_unit_test(absurd_numbers_do_not_overflow),
-      cmocka_unit_test(placed_replicas_are_no_backlog),
-      cmocka_unit_test(a_flood_leaves_room_for_others),
-      cmocka_unit_test(invented_names_gain_nothing),
+      cmocka_unit_test(extreme_resource_requests_do_not_overflow),
+      cmocka_unit_test(placed_replicas_do_not_count_as_backlog),
+      cmocka_unit_test(an_overload_leaves_the_reserves_of_others),
+      cmocka_unit_test(unlisted_classes_together_get_no_more_than_a_listed_one),
       cmocka_unit_test(less_capacity_refuses_sooner_but_keeps_reserves),
       cmocka_unit_test(nothing_is_refused_before_machines_are_known),
-      cmocka_unit_test(a_retry_is_expected_when_there_is_room),
+      cmocka_unit_test(the_retry_time_follows_the_excess_backlog),
       cmocka_unit_test(bad_operator_settings_name_the_key),
   };
   return RUN_TESTS(tests);
--- a/tests/test_admission_properties.cpp
+++ b/tests/test_admission_properties.cpp
@@ -1,6 +1,6 @@
-// Properties of admission over random histories of submissions, placements, ends and cancellations.
-// Case counts are bounded and the seed is fixed, so that every run of CI gives the same verdict;
-// RC_PARAMS in the environment sets others.
+// Property tests of admission over random histories of submissions, placements, ends and
+// cancellations. The number of cases and the seed are fixed, so that every CI run gives the same
+// result; the environment variable RC_PARAMS overrides both.
 #include <cstdlib>
 #include <vector>
 
@@ -13,8 +13,8 @@
 }
 
 static admission_report play(const std::vector<uint32_t> &steps) {
-  const size_t load_at = steps.empty() ? 0 : steps[0] % steps.size();
-  return admission_history(steps.data(), steps.size(), load_at);
+  const size_t load_step = steps.empty() ? 0 : steps[0] % steps.size();
+  return admission_history(steps.data(), steps.size(), load_step);
 }
 
 int main() {
--- a/tests/test_history.c
+++ b/tests/test_history.c
@@ -1,4 +1,6 @@
-/* The checker of histories: one that breaks no rule, and one for each rule that breaks just it. */
+/* Tests the history checker. They guard against a checker that overlooks a violation, or reports
+ * one in a valid history: one history violates no rule, and each of the others violates exactly
+ * one. */
 #include "test.h"
 
 #include <stddef.h>
@@ -41,7 +43,7 @@
   return findings;
 }
 
-static void a_history_in_order_breaks_nothing(void **state) {
+static void a_valid_history_has_no_violations(void **state) {
   (void)state;
   struct history_findings findings =
       check(ACCEPTED PLACED("n-1", "1") ORDER("0", TERM_1) BEGIN("n-1", "1")
@@ -50,18 +52,18 @@
                         POLLED("503", "", "false") POLLED("200", "done", "true"));
   assert_int_equal(findings.lines, 11);
   assert_int_equal(history_count_violations(&findings), 0);
-  /* a task that ended without a result is begun once more, as the log says */
+  /* A task that ended without a result is started again where the log placed its next attempt. */
   findings = check(ACCEPTED PLACED("n-1", "1") BEGIN("n-1", "1") END("lease") PLACED("n-2", "2")
                        BEGIN("n-2", "2") POLLED("200", "running", "true"));
   assert_int_equal(history_count_violations(&findings), 0);
 }
 
-static void each_rule_is_found_broken(void **state) {
+static void each_violation_is_found_alone(void **state) {
   (void)state;
   static const struct {
     size_t rule;
     const char *text;
-  } broken[] = {
+  } violations[] = {
       {offsetof(struct history_findings, unreadable), "{\n"},
       {offsetof(struct history_findings, lost), ACCEPTED POLLED("503", "", "true")},
       {offsetof(struct history_findings, overlaps),
@@ -80,15 +82,15 @@
        ACCEPTED PLACED("n-1", "1") BEGIN("n-1", "1") POLLED("200", "done", "true")},
       {offsetof(struct history_findings, not_done), ACCEPTED POLLED("200", "withdrawn", "true")},
   };
-  for (size_t i = 0; i < sizeof broken / sizeof *broken; i++) {
-    struct history_findings findings = check(broken[i].text);
-    assert_int_equal(*(unsigned *)((char *)&findings + broken[i].rule), 1);
+  for (size_t i = 0; i < sizeof violations / sizeof *violations; i++) {
+    struct history_findings findings = check(violations[i].text);
+    assert_int_equal(*(unsigned *)((char *)&findings + violations[i].rule), 1);
     assert_int_equal(history_count_violations(&findings), 1);
   }
 }
 
 int main(void) {
-  const struct CMUnitTest tests[] = {cmocka_unit_test(a_history_in_order_breaks_nothing),
-                                     cmocka_unit_test(each_rule_is_found_broken)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test(a_valid_history_has_no_violations),
+                                     cmocka_unit_test(each_violation_is_found_alone)};
   return RUN_TESTS(tests);
 }
--- a/tests/test_planner_order.c
+++ b/tests/test_planner_order.c
@@ -1,5 +1,6 @@
-/* The order of a round: aged jobs begin, bounded rounds reach every job, and deltas give the plan
- * of a fresh start. */
+/* Tests the order in which a round tries jobs. They guard against starvation of large jobs by small
+ * ones and by a round's bound, and against a planner state that diverges when it is updated by
+ * deltas. */
 #include "planned_cluster.h"
 #include "test.h"
 
@@ -10,12 +11,13 @@
 #include "planner/planner.h"
 #include "tmx/constants.h"
 
-/* However much small work comes, a job that has waited long gets a first task, and then a share. */
-static void aged_jobs_begin(void **state) {
+/* Guards against starvation of a large job by a stream of small ones: a job that has waited long
+ * gets a first task, and then a share of all placements. */
+static void aged_jobs_get_a_share_of_the_placements(void **state) {
   (void)state;
   struct planned_cluster *cluster = make_cluster(1, 2, 1);
   struct tmx_round_output output;
-  add_job(cluster, 0, false, 200, 4); /* large, so last in the order */
+  add_job(cluster, 0, false, 200, 4); /* most work, so last in the order */
   add_job(cluster, 1, false, 200, 2);
   cluster->input.now_wall = cluster->input.now_steady = 1000;
   cluster->jobs[0].released_at = 1000 - TMX_AGED_JOB_WAIT_S - 1;
@@ -29,7 +31,7 @@
   run_round(cluster, &output);
   assert_string_equal(output.operations[0].job, "wk-000001");
   free(output.operations);
-  /* begun, it still gets its share of what is placed over many rounds */
+  /* After its first task the job still gets its share of the placements over many rounds. */
   cluster->jobs[0].released_at = 1000 - TMX_AGED_JOB_WAIT_S - 1;
   cluster->jobs[0].n_done = 1;
   struct tmx_planner *planner = planner_of(cluster);
@@ -45,8 +47,9 @@
   free_cluster(cluster);
 }
 
-/* Jobs without room use up a round's bound, each with another shape, round after round: the one
- * that has room, and comes last in the order, is placed all the same, and so are replicas. */
+/* Guards against starvation by the bound on the visits of a round. Jobs that fit on no machine,
+ * each with different requests, use up the bound in every round. The only job that fits comes last
+ * in the order and is still placed after some rounds. The same holds for services. */
 static void bounded_rounds_reach_every_job(void **state) {
   (void)state;
   for (int service = 0; service < 2; service++) {
@@ -56,28 +59,29 @@
     for (size_t k = 0; k < 15; k++)
       add_job(cluster, k, service, 2, 2 + 0.1 * (double)k)->mem_gb = 60 - (double)k;
     struct tmx_job_spec *spec = add_job(cluster, 15, service, 2, 1);
-    spec->priority--; /* the last */
+    spec->priority--; /* the last in the order */
     cluster->input.max_visits = 600;
     struct tmx_planner *planner = planner_of(cluster);
     struct tmx_round_output output;
-    bool placed = false, cut = false;
+    bool placed = false, truncated_once = false;
     for (int i = 0; i < 16 && !placed; i++) {
       tmx_planner_run_round(planner, &cluster->input, &output);
       placed = output.n_operations > 0;
-      cut |= output.truncated;
+      truncated_once |= output.truncated;
       if (placed) assert_string_equal(output.operations[0].job, "wk-000015");
       free(output.operations);
     }
-    assert_true(cut); /* the bound was in the way */
+    assert_true(truncated_once); /* the bound took effect */
     assert_true(placed);
     tmx_planner_free(planner);
     free_cluster(cluster);
   }
 }
 
-/* What one job finds on the machines speaks for all alike, so many waiting replicas cost no more
- * than a few; not so where only its own replicas are in the way, or only its own controller's part
- * was looked at. */
+/* If a job fits on no machine, identical jobs are not tried in that round, so that the
+ * visits do not grow with the number of waiting replicas. The result does not count for other jobs
+ * if only the job's own replicas are in the way, or if only the shard of one controller was
+ * searched. */
 static void identical_jobs_are_tried_once(void **state) {
   (void)state;
   struct planned_cluster *cluster = make_cluster(64, 16, 1);
@@ -89,7 +93,8 @@
   assert_int_equal(output.n_operations, 0);
   assert_in_range(output.visits, 64, 64 * 4);
   free(output.operations);
-  /* the first one's replica is on the only machine with room: the others' go there */
+  /* The only machine with free capacity runs a replica of job 0: the other jobs' replicas are
+   * placed there. */
   cluster->machines[7].booked_cpus = 0;
   add_running_task(cluster, 7, 0, 0, 50, false);
   cluster->jobs[0].n_placed = 1;
@@ -100,8 +105,8 @@
   for (size_t i = 0; i < output.n_operations; i++)
     assert_string_not_equal(output.operations[i].job, "wk-000000");
   free(output.operations);
-  /* who does not lead looks at another's job first, in that one's part: it says nothing of its own
-   */
+  /* A controller that is not the leader first tries a job of another controller in that one's
+   * shard. The result does not count for its own shard. */
   cluster->input.leading = false;
   cluster->jobs[0].planning_member = 1;
   cluster->machines[7].owner = 0;
@@ -118,8 +123,8 @@
   free_cluster(cluster);
 }
 
-/* A planner that is given deltas plans as one that is given everything anew, round after round,
- * and a round leaves its tables as they were. */
+/* Guards against a planner state that diverges over time: a planner that is updated by deltas plans
+ * the same as one that is built anew for each round, and a round leaves the state unchanged. */
 static void deltas_give_the_same_plan_as_a_fresh_start(void **state) {
   (void)state;
   gsl_rng *random = gsl_rng_alloc(gsl_rng_mt19937);
@@ -144,23 +149,23 @@
       job->n_waiting = gsl_rng_uniform_int(random, 21);
       job->planning_member = (int)gsl_rng_uniform_int(random, 2);
       *target_job = *job;
-      target_job->spec = NULL; /* as before */
+      target_job->spec = NULL; /* NULL: unchanged */
       target_job->waiting = calloc(21, sizeof *target_job->waiting);
       memcpy(target_job->waiting, job->waiting, job->n_waiting * sizeof *job->waiting);
     }
     tmx_planner_apply(planner, &delta);
-    struct tmx_round_output a, b, c;
-    tmx_planner_run_round(planner, &cluster->input, &a);
-    tmx_planner_run_round(planner, &cluster->input, &b);
-    run_round(cluster, &c);
-    assert_int_equal(a.n_operations, b.n_operations);
-    for (size_t i = 0; i < a.n_operations; i++)
-      assert_memory_equal(&a.operations[i], &b.operations[i], sizeof a.operations[i]);
-    assert_int_equal(a.n_operations, c.n_operations);
-    assert_int_equal(a.unplaced, c.unplaced);
-    free(a.operations);
-    free(b.operations);
-    free(c.operations);
+    struct tmx_round_output first, again, fresh;
+    tmx_planner_run_round(planner, &cluster->input, &first);
+    tmx_planner_run_round(planner, &cluster->input, &again);
+    run_round(cluster, &fresh);
+    assert_int_equal(first.n_operations, again.n_operations);
+    for (size_t i = 0; i < first.n_operations; i++)
+      assert_memory_equal(&first.operations[i], &again.operations[i], sizeof first.operations[i]);
+    assert_int_equal(first.n_operations, fresh.n_operations);
+    assert_int_equal(first.unplaced, fresh.unplaced);
+    free(first.operations);
+    free(again.operations);
+    free(fresh.operations);
   }
   tmx_planner_free(planner);
   free_cluster(cluster);
@@ -169,7 +174,7 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(aged_jobs_begin),
+      cmocka_unit_test(aged_jobs_get_a_share_of_the_placements),
       cmocka_unit_test(bounded_rounds_reach_every_job),
       cmocka_unit_test(identical_jobs_are_tried_once),
       cmocka_unit_test(deltas_give_the_same_plan_as_a_fresh_start),
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,5 @@
-/* The settings of a controller and those of its operator: what is missing or wrong is refused. */
+/* Tests the settings of a controller and of its operator: missing and invalid fields are refused,
+ * with an error that names the field. */
 #include "test.h"
 
 #include <stdio.h>
@@ -19,8 +20,8 @@
     "\"cloud\":{\"rps\":10,\"list_lag_s\":8},"
     "\"quota\":{\"core_share\":0.3,\"ram_mb\":264,\"sockets\":5000},\"clock_off_ms\":5}}";
 
-/* The limits to come: of the present and the coming one the smaller counts, field by field, and
- * each is checked. */
+/* Limits of the store that will apply later (state.next): for each field the smaller of the present
+ * and the next limit takes effect, and each next limit is validated. */
 static void check_next_limits(void) {
   static const struct {
     const char *next, *wrong;
@@ -69,45 +70,49 @@
     strcpy(text, valid_settings);
     char *at = strstr(text, quoted);
     assert_non_null(at);
-    at[1] = 'X'; /* the field is missing now */
+    at[1] = 'X'; /* makes the field missing */
     assert_false(tmx_settings_parse(&settings, text, err, sizeof err));
     assert_non_null(strstr(err, fields[i]));
     assert_null(strchr(err, '\n'));
   }
   check_next_limits();
-  /* so little lies between a lease and a cancellation that no freshness bound is safe: refused, and
-   * not clamped; of long leases drifting clocks take their part */
-  static const char *tight[] = {"\"lease_s\":37.5,", "\"lease_s\":20.0,", "\"lease_s\":2995.0,"};
-  static const char *cancel[] = {"40.0", "40.0", "3000.0"};
+  /* If the time between the end of a lease and the cancellation is too short for any safe bound on
+   * the age of the replica, the settings are refused; the bound is not clamped. For long leases the
+   * bound leaves room for clock drift. */
+  static const char *lease_fields[] = {"\"lease_s\":37.5,", "\"lease_s\":20.0,",
+                                       "\"lease_s\":2995.0,"};
+  static const char *cancel_values[] = {"40.0", "40.0", "3000.0"};
   for (int i = 0; i < 3; i++) {
     const char *lease = strstr(valid_settings, "\"lease_s\":20.0,"),
                *rest = strstr(valid_settings, "40.0");
     assert_true(lease && rest);
     snprintf(text, sizeof text, "%.*s%s\"cancel_s\":%s%s", (int)(lease - valid_settings),
-             valid_settings, tight[i], cancel[i], rest + 4);
+             valid_settings, lease_fields[i], cancel_values[i], rest + 4);
     assert_int_equal(tmx_settings_parse(&settings, text, err, sizeof err), i != 0);
     if (i)
       assert_true(tmx_renewal_replica_age_max(&settings) +
                       settings.lease_s * (1 + TMX_CLOCK_DRIFT_SHARE_MAX) <
                   settings.cancel_s);
   }
-  /* more than a table has room for is refused, not truncated */
-  char many[4096];
+  /* A list that is longer than its table is refused, not truncated. */
+  char too_many_objectives[4096];
   const char *at = strstr(valid_settings, "\"cluster\"");
   assert_non_null(at);
   at = strchr(at, '{') + 1;
-  size_t length = (size_t)snprintf(many, sizeof many, "%.*s\"objectives\":[{}",
-                                   (int)(at - valid_settings), valid_settings);
+  size_t length =
+      (size_t)snprintf(too_many_objectives, sizeof too_many_objectives, "%.*s\"objectives\":[{}",
+                       (int)(at - valid_settings), valid_settings);
   for (int i = 0; i < TMX_OBJECTIVES_MAX; i++)
-    length += (size_t)snprintf(many + length, sizeof many - length, ",{}");
-  snprintf(many + length, sizeof many - length, "],%s", at);
-  assert_false(tmx_settings_parse(&settings, many, err, sizeof err));
+    length +=
+        (size_t)snprintf(too_many_objectives + length, sizeof too_many_objectives - length, ",{}");
+  snprintf(too_many_objectives + length, sizeof too_many_objectives - length, "],%s", at);
+  assert_false(tmx_settings_parse(&settings, too_many_objectives, err, sizeof err));
   assert_non_null(strstr(err, "objectives"));
   assert_false(tmx_settings_parse(&settings, "[1]", err, sizeof err));
   assert_false(tmx_settings_parse(&settings, "{", err, sizeof err));
 }
 
-/* A list that is longer than its table is refused, and not copied beyond the table's end. */
+/* Guards against a write beyond the end of a table: a list that is longer than it is refused. */
 static void lists_that_are_too_long_are_refused(void **state) {
   (void)state;
   enum { ZONES = 1000 };
--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -1,4 +1,5 @@
-/* Answers to users: validation, refusals, overload and hostile connections. */
+/* Tests the responses to users' requests: validation, refusals, overload, stale replicas and
+ * malformed connections. */
 #include "controller_fixture.h"
 
 #include <arpa/inet.h>
@@ -10,8 +11,8 @@
 #include "base/clock.h"
 #include "tmx/wire.h"
 
-/* A controller whose copy lags gives no older answer, and no 404 for an accepted job. */
-static void a_lagging_controller_gives_no_older_answer(void **state) {
+/* A controller whose replica lags returns no stale state, and no 404 for an accepted job. */
+static void a_lagging_replica_gives_no_stale_response(void **state) {
   (void)state;
   fake_store.endpoints[1].freeze_watch = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
@@ -28,10 +29,12 @@
   assert_int_equal(poll_job(first_controller, "wk-999999").status, 404);
 }
 
-/* The same submission at two controllers at once, one of them behind: the job is taken once. */
+/* The same job id is submitted to two controllers, and the replica of the second one lags: the job
+ * is accepted once. */
 static void a_job_id_is_accepted_once_by_two_controllers(void **state) {
   (void)state;
-  fake_store.endpoints[1].freeze_watch = true; /* b does not see what a accepts */
+  fake_store.endpoints[1].freeze_watch =
+      true; /* the second controller does not see what the first one accepts */
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 2, 2, "t"), 201);
   assert_int_not_equal(submit_simple_job(second_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   fake_store.endpoints[1].freeze_watch = false;
@@ -40,7 +43,7 @@
   assert_int_equal(tmx_job_find(&second_controller->replica, "wk-000001")->spec.tasks, 2);
 }
 
-/* A controller that cannot reach the store refuses submissions and polls at once. */
+/* A controller that cannot reach the store refuses submissions and polls without delay. */
 static void requests_are_refused_at_once_without_the_store(void **state) {
   (void)state;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
@@ -56,23 +59,23 @@
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
 }
 
-struct count {
+struct response_counts {
   unsigned refused, answered;
 };
 
 static void count_answer(void *arg, int status, const uint8_t *body, size_t len) {
-  struct count *count = arg;
+  struct response_counts *counts = arg;
   (void)body;
   (void)len;
-  count->answered += status == 200;
-  count->refused += status == 503;
+  counts->answered += status == 200;
+  counts->refused += status == 503;
 }
 
-/* When more polls come than can be answered, a job that was not answered for long goes before
- * one that was just answered: none stays without an answer, however many ask for others. */
+/* Guards against starvation of polls under overload: if more polls arrive than can be answered, a
+ * job whose last answer is older takes precedence over one that was answered recently. */
 static void polls_take_turns_under_overload(void **state) {
   (void)state;
-  struct count often = {0, 0}, late = {0, 0}, more = {0, 0};
+  struct response_counts repeated = {0, 0}, overdue = {0, 0}, excess = {0, 0};
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 201);
   assert_int_equal(poll_job(first_controller, "wk-000001").status, 200);
@@ -82,23 +85,23 @@
   assert_non_null(client);
   fake_store.endpoints[0].freeze_watch = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000003", "batch", 1, 2, "t"),
-                   201); /* the copy is behind now */
+                   201); /* the replica lags from here on */
   for (int i = 0; i < TMX_WAITING_REQUESTS_MAX / 2; i++)
-    assert_true(
-        tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer, &often));
+    assert_true(tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer,
+                                     &repeated));
   run_loop_for(0.3);
-  assert_int_equal(often.refused, 0);
+  assert_int_equal(repeated.refused, 0);
   assert_true(
-      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer, &more));
+      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer, &excess));
   assert_true(
-      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000002", NULL, 5, count_answer, &late));
+      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000002", NULL, 5, count_answer, &overdue));
   run_loop_for(0.3);
-  assert_int_equal(more.refused, 1);
-  assert_int_equal(late.refused, 0);
+  assert_int_equal(excess.refused, 1);
+  assert_int_equal(overdue.refused, 0);
   fake_store.endpoints[0].freeze_watch = false;
   fake_free_watches();
-  for (int i = 0; i < 100 && !late.answered; i++) run_loop_for(0.02);
-  assert_int_equal(late.answered, 1);
+  for (int i = 0; i < 100 && !overdue.answered; i++) run_loop_for(0.02);
+  assert_int_equal(overdue.answered, 1);
   tmx_http_client_free(client);
 }
 
@@ -107,7 +110,7 @@
   struct tmx_buffer body = {0};
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 200);
-  /* known ids are answered before any validation */
+  /* Known ids are answered before any validation. */
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "nonsense", 1, 2, "t"), 200);
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 99, "nobody"), 200);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "nonsense", 1, 2, "t"), 400);
@@ -118,7 +121,7 @@
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 9, "t"),
                    422); /* over the team's limit */
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "service", 5, 2, "t"),
-                   422); /* all of a service count */
+                   422); /* all replicas of a service count */
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 5, 2, "t"), 201);
   tmx_buffer_append(&body, "\xa1\x62", 2);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 400);
@@ -131,15 +134,15 @@
   assert_int_equal(cancel_job(first_controller, "wk-777777").status, 404);
 }
 
-/* Bytes that are no HTTP, and bodies past the limit, close their connection and nothing else. */
+/* Sends raw bytes and `fill` bytes of junk. Returns the status code of the response; 0: none. */
 static int send_raw(const char *head, size_t fill) {
-  struct sockaddr_in to_a = {
+  struct sockaddr_in server_address = {
       .sin_family = AF_INET,
       .sin_port = htons((uint16_t)tmx_http_server_port(first_controller->server))};
   char buf[512] = "";
-  to_a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  server_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   int fd = socket(AF_INET, SOCK_STREAM, 0), status = 0;
-  assert_int_equal(connect(fd, (struct sockaddr *)&to_a, sizeof to_a), 0);
+  assert_int_equal(connect(fd, (struct sockaddr *)&server_address, sizeof server_address), 0);
   assert_true(send(fd, head, strlen(head), MSG_NOSIGNAL) > 0);
   char junk[1024];
   memset(junk, 'x', sizeof junk);
@@ -156,6 +159,7 @@
   return status;
 }
 
+/* Bytes that are not HTTP and bodies over the limit are refused, and the server keeps running. */
 static void oversized_and_partial_requests_are_refused(void **state) {
   (void)state;
   assert_int_equal(send_raw("this is not HTTP at all\r\n\r\n", 0), 400);
@@ -185,8 +189,9 @@
   return status;
 }
 
-/* Workers that went elsewhere leave connections open: when all are taken, the one that was unused
- * longest makes room for a newcomer, and none that was just used does. */
+/* Workers that changed to another controller leave idle connections open. If no connection is free,
+ * the one that has been idle longest is closed for a new client, but none that was used recently.
+ */
 static void idle_connections_are_closed_for_new_ones(void **state) {
   (void)state;
   struct tmx_http_server *server =
@@ -199,16 +204,16 @@
   assert_int_equal(request_once(clients[1]), 200);
   assert_int_not_equal(request_once(clients[2]), 200);
   run_loop_for(TMX_IDLE_CONNECTION_EVICTION_MIN_S + 0.1);
-  assert_int_equal(request_once(clients[0]), 200); /* so the other one is the longest unused */
+  assert_int_equal(request_once(clients[0]), 200); /* the other connection is now idle longest */
   assert_int_equal(request_once(clients[2]), 200);
   assert_int_equal(request_once(clients[0]), 200);
   for (int i = 0; i < 3; i++) tmx_http_client_free(clients[i]);
   tmx_http_server_free(server);
 }
 
-/* During failures: nothing that lacks a field or cannot run is accepted, and what is known
- * is never refused for its body. */
-static void malformed_requests_get_400_in_an_outage(void **state) {
+/* A submission that lacks a field is not accepted, with or without an outage of the store, and a
+ * known job is never refused for its body. */
+static void malformed_submissions_are_never_accepted(void **state) {
   (void)state;
   struct tmx_buffer valid = {0};
   static const char *needed[] = {W_GPUS,  W_ONE_ZONE, W_SPREAD,   W_SPOT,  W_CPUS, W_MEM,
@@ -219,10 +224,10 @@
     size_t len = strlen(needed[i]);
     tmx_buffer_append(&bad, valid.data, valid.length);
     uint8_t *field = memmem(bad.data + 1, bad.length - 1, needed[i], len);
-    while (field && field[-1] != 0x60 + len) /* the name itself, not a part of another */
+    while (field && field[-1] != 0x60 + len) /* the whole name, not a part of another one */
       field = memmem(field + 1, bad.length - (size_t)(field + 1 - bad.data), needed[i], len);
     assert_non_null(field);
-    field[0] = 'X'; /* the field is missing now */
+    field[0] = 'X'; /* makes the field missing */
     assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &bad).status, 400);
     fake_store.endpoints[0].refuse = true;
     run_loop_for(0.4);
@@ -233,7 +238,7 @@
   }
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &valid).status, 201);
   tmx_buffer_free(&valid);
-  /* a body that is too large for a value, under a name that only another controller knows yet */
+  /* A known id with a body that is too large for a value of the store. */
   struct tmx_buffer large = {0}, list = {0};
   encode_submission(&valid, "wk-000001", "batch", 1, 2, "t");
   tmx_cbor_put_map(&large, 18);
@@ -254,7 +259,7 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(a_lagging_controller_gives_no_older_answer,
+      cmocka_unit_test_setup_teardown(a_lagging_replica_gives_no_stale_response,
                                       setup_two_controllers, teardown_controllers),
       cmocka_unit_test_setup_teardown(a_job_id_is_accepted_once_by_two_controllers,
                                       setup_two_controllers, teardown_controllers),
@@ -268,8 +273,8 @@
                                       setup_one_controller, teardown_controllers),
       cmocka_unit_test_setup_teardown(idle_connections_are_closed_for_new_ones,
                                       setup_one_controller, teardown_controllers),
-      cmocka_unit_test_setup_teardown(malformed_requests_get_400_in_an_outage, setup_one_controller,
-                                      teardown_controllers),
+      cmocka_unit_test_setup_teardown(malformed_submissions_are_never_accepted,
+                                      setup_one_controller, teardown_controllers),
   };
   return RUN_TESTS(tests);
 }
