--- a/tests/encode_json.c
+++ b/tests/encode_json.c
@@ -5,15 +5,20 @@
 
 #include "test.h"
 
-static void add_head(struct tmx_buffer *buffer, unsigned major, uint64_t value) {
+/* Appends the head of a CBOR item: its major type and its argument in the shortest form. */
+static void add_head(struct tmx_buffer *buffer, unsigned major_type, uint64_t value) {
   uint8_t head[9];
   int width = value < 24            ? 0
               : value <= UINT8_MAX  ? 1
               : value <= UINT16_MAX ? 2
               : value <= UINT32_MAX ? 4
                                     : 8;
-  int info = width == 0 ? (int)value : width == 1 ? 24 : width == 2 ? 25 : width == 4 ? 26 : 27;
-  head[0] = (uint8_t)(major << 5 | (unsigned)info);
+  int additional_information = width == 0   ? (int)value
+                               : width == 1 ? 24
+                               : width == 2 ? 25
+                               : width == 4 ? 26
+                                            : 27;
+  head[0] = (uint8_t)(major_type << 5 | (unsigned)additional_information);
   for (int i = 0; i < width; i++) head[1 + i] = (uint8_t)(value >> 8 * (width - 1 - i));
   tmx_buffer_append(buffer, head, (size_t)width + 1);
 }
@@ -56,9 +61,9 @@
 }
 
 void encode_json(struct tmx_buffer *buffer, const char *text) {
-  json_error_t err;
-  json_t *parsed = json_loads(text, 0, &err);
-  if (!parsed) fail_msg("%s", err.text);
+  json_error_t error;
+  json_t *parsed = json_loads(text, 0, &error);
+  if (!parsed) fail_msg("invalid JSON: %s", error.text);
   add_json(buffer, parsed);
   json_decref(parsed);
 }
--- a/tests/raw_client.c
+++ b/tests/raw_client.c
@@ -20,24 +20,24 @@
 void raw_send(int fd, const uint8_t *bytes, size_t length) {
   for (size_t sent = 0; sent < length;) {
     ssize_t written = send(fd, bytes + sent, length - sent, MSG_NOSIGNAL);
-    if (written <= 0) return; /* the other side has closed */
+    if (written <= 0) return; /* the peer closed the connection */
     sent += (size_t)written;
   }
 }
 
-ssize_t raw_receive(int fd, uint8_t *buffer, size_t cap) {
+ssize_t raw_receive(int fd, uint8_t *buffer, size_t capacity) {
   ssize_t length;
-  do length = recv(fd, buffer, cap, MSG_DONTWAIT);
+  do length = recv(fd, buffer, capacity, MSG_DONTWAIT);
   while (length < 0 && errno == EINTR);
   return length < 0 && errno == EAGAIN ? -1 : length < 0 ? 0 : length;
 }
 
 void exchange_free(struct exchange *exchange) {
   tmx_buffer_free(&exchange->request);
-  tmx_buffer_free(&exchange->answer);
+  tmx_buffer_free(&exchange->response);
 }
 
-bool http_complete(const struct tmx_buffer *message) {
+bool http_message_is_complete(const struct tmx_buffer *message) {
   const char *body = message->length ? memmem(message->data, message->length, "\r\n\r\n", 4) : NULL;
   const char *length =
       message->length ? memmem(message->data, message->length, "Content-Length: ", 16) : NULL;
@@ -49,11 +49,11 @@
 struct raw_connection {
   int fd;
   ev_io readable;
-  struct tmx_buffer *answer;
+  struct tmx_buffer *response;
   bool closed;
 };
 
-static void on_raw(struct ev_loop *loop, ev_io *watcher, int events) {
+static void on_response_readable(struct ev_loop *loop, ev_io *watcher, int events) {
   (void)loop;
   (void)events;
   static uint8_t received[65536];
@@ -61,26 +61,27 @@
   ssize_t length = raw_receive(connection->fd, received, sizeof received);
   if (length < 0) return;
   if (length)
-    tmx_buffer_append(connection->answer, received, (size_t)length);
+    tmx_buffer_append(connection->response, received, (size_t)length);
   else
     connection->closed = true;
 }
 
-static bool raw_done(void *arg) {
+static bool response_ended(void *arg) {
   struct raw_connection *connection = arg;
-  return connection->closed || http_complete(connection->answer);
+  return connection->closed || http_message_is_complete(connection->response);
 }
 
-void raw_call(const char *address, const void *request, size_t length, struct tmx_buffer *answer) {
-  struct raw_connection connection = {.fd = raw_connect(address), .answer = answer};
-  ev_io_init(&connection.readable, on_raw, connection.fd, EV_READ);
+void raw_call(const char *address, const void *request, size_t length,
+              struct tmx_buffer *response) {
+  struct raw_connection connection = {.fd = raw_connect(address), .response = response};
+  ev_io_init(&connection.readable, on_response_readable, connection.fd, EV_READ);
   connection.readable.data = &connection;
   ev_io_start(test_loop, &connection.readable);
   raw_send(connection.fd, request, length);
-  assert_true(run_loop_until(raw_done, &connection));
+  assert_true(run_loop_until(response_ended, &connection));
   ev_io_stop(test_loop, &connection.readable);
   close(connection.fd);
-  assert_true(http_complete(answer));
+  assert_true(http_message_is_complete(response));
 }
 
 void raw_request(const char *address, const char *line, const struct tmx_buffer *body,
@@ -92,5 +93,5 @@
   memset(out, 0, sizeof *out);
   tmx_buffer_append(&out->request, head, (size_t)head_length);
   if (body && body->length) tmx_buffer_append(&out->request, body->data, body->length);
-  raw_call(address, out->request.data, out->request.length, &out->answer);
+  raw_call(address, out->request.data, out->request.length, &out->response);
 }
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -11,64 +11,66 @@
 
 #include "raw_client.h"
 
-struct relay_link { /* one connection through the relay */
+struct relay_connection { /* one connection through the relay */
   struct relay *relay;
-  int near, far; /* towards the program, towards the scripted peer */
-  ev_io from_near, from_far;
-  struct exchange *now;
-  struct relay_link *prev, *next;
+  int program_fd, peer_fd; /* sockets: to the program, to the scripted peer */
+  ev_io program_readable, peer_readable;
+  struct exchange *current; /* the latest exchange; NULL: no request yet */
+  struct relay_connection *prev, *next;
 };
 
-static void link_close(struct relay_link *link) {
-  ev_io_stop(test_loop, &link->from_near);
-  ev_io_stop(test_loop, &link->from_far);
-  close(link->near);
-  close(link->far);
-  DL_DELETE(link->relay->links, link);
-  free(link);
+static void close_relayed_connection(struct relay_connection *connection) {
+  ev_io_stop(test_loop, &connection->program_readable);
+  ev_io_stop(test_loop, &connection->peer_readable);
+  close(connection->program_fd);
+  close(connection->peer_fd);
+  DL_DELETE(connection->relay->connections, connection);
+  free(connection);
 }
 
-/* Requests are not pipelined: one that comes after an answer has begun is the next. */
-static struct exchange *exchange_at(struct relay_link *link) {
-  if (link->now && !link->now->answer.length) return link->now;
+/* Returns the exchange that received bytes of a request belong to. Requests are not pipelined, so
+ * bytes that arrive after the response has started belong to a new exchange. */
+static struct exchange *exchange_of_request_bytes(struct relay_connection *connection) {
+  if (connection->current && !connection->current->response.length) return connection->current;
   struct exchange *exchange = calloc(1, sizeof *exchange);
   assert_non_null(exchange);
-  if (link->relay->last)
-    link->relay->last->next = exchange;
+  if (connection->relay->last)
+    connection->relay->last->next = exchange;
   else
-    link->relay->first = exchange;
-  link->relay->last = exchange;
-  return link->now = exchange;
+    connection->relay->first = exchange;
+  connection->relay->last = exchange;
+  return connection->current = exchange;
 }
 
-static void on_near(struct ev_loop *loop, ev_io *watcher, int events) {
+static void on_program_readable(struct ev_loop *loop, ev_io *watcher, int events) {
   (void)loop;
   (void)events;
   static uint8_t received[65536];
-  struct relay_link *link = watcher->data;
-  ssize_t length = raw_receive(link->near, received, sizeof received);
+  struct relay_connection *connection = watcher->data;
+  ssize_t length = raw_receive(connection->program_fd, received, sizeof received);
   if (length < 0) return;
   if (!length) {
-    link_close(link);
+    close_relayed_connection(connection);
     return;
   }
-  tmx_buffer_append(&exchange_at(link)->request, received, (size_t)length);
-  raw_send(link->far, received, (size_t)length);
+  tmx_buffer_append(&exchange_of_request_bytes(connection)->request, received, (size_t)length);
+  raw_send(connection->peer_fd, received, (size_t)length);
 }
 
-static void on_far(struct ev_loop *loop, ev_io *watcher, int events) {
+static void on_peer_readable(struct ev_loop *loop, ev_io *watcher, int events) {
   (void)loop;
   (void)events;
   static uint8_t received[65536];
-  struct relay_link *link = watcher->data;
-  ssize_t length = raw_receive(link->far, received, sizeof received);
+  struct relay_connection *connection = watcher->data;
+  ssize_t length = raw_receive(connection->peer_fd, received, sizeof received);
   if (length < 0) return;
   if (!length) {
-    link_close(link);
+    close_relayed_connection(connection);
     return;
   }
-  if (link->now) tmx_buffer_append(&link->now->answer, received, (size_t)length);
-  raw_send(link->near, received, (size_t)length);
+  if (connection->current)
+    tmx_buffer_append(&connection->current->response, received, (size_t)length);
+  raw_send(connection->program_fd, received, (size_t)length);
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *watcher, int events) {
@@ -77,18 +79,18 @@
   char target[32];
   int fd = accept4(relay->fd, NULL, NULL, SOCK_CLOEXEC);
   if (fd < 0) return;
-  struct relay_link *link = calloc(1, sizeof *link);
-  assert_non_null(link);
-  snprintf(target, sizeof target, "127.0.0.1:%d", relay->target);
-  link->relay = relay;
-  link->near = fd;
-  link->far = raw_connect(target);
-  ev_io_init(&link->from_near, on_near, link->near, EV_READ);
-  ev_io_init(&link->from_far, on_far, link->far, EV_READ);
-  link->from_near.data = link->from_far.data = link;
-  ev_io_start(loop, &link->from_near);
-  ev_io_start(loop, &link->from_far);
-  DL_APPEND(relay->links, link);
+  struct relay_connection *connection = calloc(1, sizeof *connection);
+  assert_non_null(connection);
+  snprintf(target, sizeof target, "127.0.0.1:%d", relay->target_port);
+  connection->relay = relay;
+  connection->program_fd = fd;
+  connection->peer_fd = raw_connect(target);
+  ev_io_init(&connection->program_readable, on_program_readable, connection->program_fd, EV_READ);
+  ev_io_init(&connection->peer_readable, on_peer_readable, connection->peer_fd, EV_READ);
+  connection->program_readable.data = connection->peer_readable.data = connection;
+  ev_io_start(loop, &connection->program_readable);
+  ev_io_start(loop, &connection->peer_readable);
+  DL_APPEND(relay->connections, connection);
 }
 
 void relay_open(struct relay *relay, int target_port) {
@@ -96,7 +98,7 @@
   socklen_t size = sizeof address;
   memset(relay, 0, sizeof *relay);
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  relay->target = target_port;
+  relay->target_port = target_port;
   relay->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   assert_int_equal(bind(relay->fd, (struct sockaddr *)&address, sizeof address), 0);
   assert_int_equal(listen(relay->fd, 64), 0);
@@ -109,7 +111,7 @@
 
 void relay_close(struct relay *relay) {
   if (!relay->address[0]) return;
-  while (relay->links) link_close(relay->links);
+  while (relay->connections) close_relayed_connection(relay->connections);
   ev_io_stop(test_loop, &relay->accept);
   close(relay->fd);
   for (struct exchange *exchange = relay->first, *next; exchange; exchange = next) {
@@ -120,33 +122,38 @@
   memset(relay, 0, sizeof *relay);
 }
 
-struct wanted {
+/* What relay_wait searches for, and the exchange that it found. */
+struct exchange_search {
   const struct relay *relay;
   const struct exchange *after, *found;
-  const char *start, *part;
+  const char *prefix, *substring;
 };
 
-static bool is_found(void *arg) {
-  struct wanted *wanted = arg;
-  for (const struct exchange *exchange = wanted->after ? wanted->after->next : wanted->relay->first;
+static bool find_exchange(void *arg) {
+  struct exchange_search *search = arg;
+  for (const struct exchange *exchange = search->after ? search->after->next : search->relay->first;
        exchange; exchange = exchange->next) {
     const struct tmx_buffer *request = &exchange->request;
-    if (!http_complete(request) || !http_complete(&exchange->answer)) continue;
-    if (request->length < strlen(wanted->start) ||
-        memcmp(request->data, wanted->start, strlen(wanted->start)))
+    if (!http_message_is_complete(request) || !http_message_is_complete(&exchange->response))
       continue;
-    if (wanted->part && !memmem(request->data, request->length, wanted->part, strlen(wanted->part)))
+    if (request->length < strlen(search->prefix) ||
+        memcmp(request->data, search->prefix, strlen(search->prefix)))
       continue;
-    wanted->found = exchange;
+    if (search->substring &&
+        !memmem(request->data, request->length, search->substring, strlen(search->substring)))
+      continue;
+    search->found = exchange;
     return true;
   }
   return false;
 }
 
 const struct exchange *relay_wait(struct relay *relay, const struct exchange *after,
-                                  const char *start, const char *part) {
-  struct wanted wanted = {.relay = relay, .after = after, .start = start, .part = part};
-  if (!run_loop_until(is_found, &wanted))
-    fail_msg("no request %s with %s", start, part ? part : "anything");
-  return wanted.found;
+                                  const char *prefix, const char *substring) {
+  struct exchange_search search = {
+      .relay = relay, .after = after, .prefix = prefix, .substring = substring};
+  if (!run_loop_until(find_exchange, &search))
+    fail_msg("no complete exchange whose request starts with %s and contains %s", prefix,
+             substring ? substring : "anything");
+  return search.found;
 }
--- a/tests/test_peer_format.c
+++ b/tests/test_peer_format.c
@@ -1,7 +1,8 @@
-/* Heartbeats between controllers, byte for byte as recorded in tests/data/wire-format, and the
- * names of the protocol, which stand here once more, as literals: whatever the code calls them,
- * their values are agreed with others. In the heartbeat of a running controller its revision and
- * the age of its state differ from run to run and are set to 0 before it is compared. */
+/* Heartbeats between controllers must equal the recordings in tests/data/wire-format byte for byte,
+ * and the constants of the wire names must have the literal values that this test repeats. The test
+ * guards against a rename in the code that changes a name agreed with users, workers, the cloud or
+ * the state service. In the heartbeat of a running controller, the revision and the age of the
+ * replica differ between runs, so the test sets both to 0 before it records the heartbeat. */
 #include "recording.h"
 #include "fake.h"
 
@@ -17,14 +18,14 @@
 
 static struct tmx_controller *first_controller;
 
-static int setup(void **st) {
-  (void)st;
+static int setup(void **state) {
+  (void)state;
   fake_start();
   first_controller = NULL;
   return 0;
 }
-static int teardown(void **st) {
-  (void)st;
+static int teardown(void **state) {
+  (void)state;
   if (first_controller) stop_controller(first_controller);
   fake_stop();
   return 0;
@@ -33,7 +34,7 @@
 /* ------------------------------------------------------------ names */
 
 static const struct {
-  const char *used, *agreed;
+  const char *constant, *agreed; /* value of the constant in wire.h, and the agreed name */
 } protocol_names[] = {
     {WP_JOBS, "/v2/runs"},
     {WP_CANCEL, "/withdraw"},
@@ -131,163 +132,171 @@
     {WV_ERROR, "error"},
 };
 
-static void names_of_the_protocol(void **st) {
-  (void)st;
+static void protocol_names_keep_their_values(void **state) {
+  (void)state;
   for (size_t i = 0; i < sizeof protocol_names / sizeof *protocol_names; i++)
-    assert_string_equal(protocol_names[i].used, protocol_names[i].agreed);
+    assert_string_equal(protocol_names[i].constant, protocol_names[i].agreed);
 }
 
 /* ------------------------------------------------------------ heartbeats */
 
-static size_t encode_heartbeat(struct tmx_heartbeat *beat, char *out, size_t cap) {
-  XDR x;
-  xdrmem_create(&x, out, (u_int)cap, XDR_ENCODE);
-  assert_true(xdr_tmx_heartbeat(&x, beat));
-  size_t n = xdr_getpos(&x);
-  xdr_destroy(&x);
-  return n;
+static size_t encode_heartbeat(struct tmx_heartbeat *heartbeat, char *out, size_t capacity) {
+  XDR xdr;
+  xdrmem_create(&xdr, out, (u_int)capacity, XDR_ENCODE);
+  assert_true(xdr_tmx_heartbeat(&xdr, heartbeat));
+  size_t length = xdr_getpos(&xdr);
+  xdr_destroy(&xdr);
+  return length;
 }
 
-static void decode_heartbeat(struct tmx_heartbeat *beat, char *bytes, size_t n) {
-  XDR x;
-  memset(beat, 0, sizeof *beat);
-  xdrmem_create(&x, bytes, (u_int)n, XDR_DECODE);
-  assert_true(xdr_tmx_heartbeat(&x, beat));
-  assert_int_equal(xdr_getpos(&x), n);
-  xdr_destroy(&x);
+static void decode_heartbeat(struct tmx_heartbeat *heartbeat, char *bytes, size_t length) {
+  XDR xdr;
+  memset(heartbeat, 0, sizeof *heartbeat);
+  xdrmem_create(&xdr, bytes, (u_int)length, XDR_DECODE);
+  assert_true(xdr_tmx_heartbeat(&xdr, heartbeat));
+  assert_int_equal(xdr_getpos(&xdr), length);
+  xdr_destroy(&xdr);
 }
 
-static void record_heartbeat(struct recording *r, const struct tmx_heartbeat *b) {
-  record_line(r, "%s revision %llu term %llu state_age_ms %u no_workers %d", b->node,
-              (unsigned long long)b->revision, (unsigned long long)b->term, b->replica_age_ms,
-              b->reaches_no_workers);
-  for (u_int i = 0; i < b->suspicions.suspicions_len; i++) {
-    const struct tmx_heartbeat_suspicion *s = &b->suspicions.suspicions_val[i];
-    record_line(r, "suspect %s silence_ms %u lost %u unreached_ms %u notice %d", s->id,
-                s->silence_ms, s->probes_lost, s->unacknowledged_ms, s->spot_notice);
+static void record_heartbeat(struct recording *recording, const struct tmx_heartbeat *heartbeat) {
+  record_line(recording, "%s revision %llu term %llu state_age_ms %u no_workers %d",
+              heartbeat->node, (unsigned long long)heartbeat->revision,
+              (unsigned long long)heartbeat->term, heartbeat->replica_age_ms,
+              heartbeat->reaches_no_workers);
+  for (u_int i = 0; i < heartbeat->suspicions.suspicions_len; i++) {
+    const struct tmx_heartbeat_suspicion *suspicion = &heartbeat->suspicions.suspicions_val[i];
+    record_line(recording, "suspect %s silence_ms %u lost %u unreached_ms %u notice %d",
+                suspicion->id, suspicion->silence_ms, suspicion->probes_lost,
+                suspicion->unacknowledged_ms, suspicion->spot_notice);
   }
-  for (u_int i = 0; i < b->zones.zones_len; i++) {
-    const struct tmx_heartbeat_zone *z = &b->zones.zones_val[i];
-    record_line(r, "zone %s machines %u lost %u alive %u", z->name, z->machines, z->lost, z->alive);
+  for (u_int i = 0; i < heartbeat->zones.zones_len; i++) {
+    const struct tmx_heartbeat_zone *zone = &heartbeat->zones.zones_val[i];
+    record_line(recording, "zone %s machines %u lost %u alive %u", zone->name, zone->machines,
+                zone->lost, zone->alive);
   }
 }
 
-/* Encodes it, records its bytes, and records what they are read back as. */
-static size_t record_encoded(struct recording *r, struct tmx_heartbeat *beat, char *bytes,
-                             size_t cap) {
-  struct tmx_heartbeat back;
-  size_t n = encode_heartbeat(beat, bytes, cap);
-  record_bytes(r, "", (const uint8_t *)bytes, n);
-  decode_heartbeat(&back, bytes, n);
-  record_heartbeat(r, &back);
-  xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&back);
-  return n;
+/* Encodes a heartbeat into `bytes`, and records the bytes and the values that they decode to.
+ * Returns the number of bytes. */
+static size_t encode_and_record(struct recording *recording, struct tmx_heartbeat *heartbeat,
+                                char *bytes, size_t capacity) {
+  struct tmx_heartbeat decoded;
+  size_t length = encode_heartbeat(heartbeat, bytes, capacity);
+  record_bytes(recording, "", (const uint8_t *)bytes, length);
+  decode_heartbeat(&decoded, bytes, length);
+  record_heartbeat(recording, &decoded);
+  xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&decoded);
+  return length;
 }
 
-static size_t full_heartbeat(struct recording *r, char *bytes, size_t cap) {
+static size_t record_full_heartbeat(struct recording *recording, char *bytes, size_t capacity) {
   struct tmx_heartbeat_suspicion suspects[] = {{"n-000001", 1500, 2, 300, 1},
                                                {"n-000002", 2560, 0, 0, 0}};
   struct tmx_heartbeat_zone zones[] = {{"a", 40, 2, 38}, {"b", 7, 1, 5}};
-  struct tmx_heartbeat beat = {.node = "hand-1",
-                               .revision = 4711,
-                               .term = 1ull << 33,
-                               .replica_age_ms = 250,
-                               .reaches_no_workers = 1,
-                               .suspicions = {2, suspects},
-                               .zones = {2, zones}};
-  return record_encoded(r, &beat, bytes, cap);
+  struct tmx_heartbeat heartbeat = {.node = "hand-1",
+                                    .revision = 4711,
+                                    .term = 1ull << 33,
+                                    .replica_age_ms = 250,
+                                    .reaches_no_workers = 1,
+                                    .suspicions = {2, suspects},
+                                    .zones = {2, zones}};
+  return encode_and_record(recording, &heartbeat, bytes, capacity);
 }
 
-struct peer_socket { /* stands for hand-1 */
+struct peer_socket { /* receives heartbeats in place of the controller hand-1 */
   int listener, fd;
-  struct tmx_buffer in;
+  struct tmx_buffer received;
 };
 static struct peer_socket peer;
 
-static void reach_peer_socket(struct tmx_settings *s) {
-  struct sockaddr_in at;
-  socklen_t n = sizeof at;
-  assert_int_equal(getsockname(peer.listener, (struct sockaddr *)&at, &n), 0);
-  snprintf(s->peers[0].addr, sizeof s->peers[0].addr, "127.0.0.1:%d", ntohs(at.sin_port));
+static void reach_peer_socket(struct tmx_settings *settings) {
+  struct sockaddr_in address;
+  socklen_t size = sizeof address;
+  assert_int_equal(getsockname(peer.listener, (struct sockaddr *)&address, &size), 0);
+  snprintf(settings->peers[0].addr, sizeof settings->peers[0].addr, "127.0.0.1:%d",
+           ntohs(address.sin_port));
 }
 
 static void peer_listen(void) {
-  struct sockaddr_in at = {.sin_family = AF_INET};
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  struct sockaddr_in address = {.sin_family = AF_INET};
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   peer = (struct peer_socket){.fd = -1};
   peer.listener = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-  assert_int_equal(bind(peer.listener, (struct sockaddr *)&at, sizeof at), 0);
+  assert_int_equal(bind(peer.listener, (struct sockaddr *)&address, sizeof address), 0);
   assert_int_equal(listen(peer.listener, 4), 0);
 }
 
 static bool heartbeat_arrived(void *arg) {
-  uint8_t in[4096];
+  uint8_t chunk[4096];
   (void)arg;
   if (peer.fd < 0) peer.fd = accept4(peer.listener, NULL, NULL, SOCK_NONBLOCK);
-  ssize_t k = peer.fd < 0 ? -1 : recv(peer.fd, in, sizeof in, MSG_DONTWAIT);
-  if (k > 0) tmx_buffer_append(&peer.in, in, (size_t)k);
-  return peer.in.length > 4;
+  ssize_t length = peer.fd < 0 ? -1 : recv(peer.fd, chunk, sizeof chunk, MSG_DONTWAIT);
+  if (length > 0) tmx_buffer_append(&peer.received, chunk, (size_t)length);
+  return peer.received.length > 4;
 }
 
-/* The first message: four bytes of length, most significant first, and the record. */
-static void heartbeat_of_a_controller(struct recording *r) {
+/* Records the first message of the controller, which is a length of four bytes in big-endian order
+ * and the XDR record. */
+static void record_heartbeat_of_the_controller(struct recording *recording) {
   struct tmx_heartbeat sent;
   char bytes[512];
   assert_true(run_loop_until(heartbeat_arrived, NULL));
-  const uint8_t *p = peer.in.data;
-  size_t length = (size_t)p[0] << 24 | (size_t)p[1] << 16 | (size_t)p[2] << 8 | p[3];
-  assert_true(peer.in.length >= 4 + length);
-  decode_heartbeat(&sent, (char *)peer.in.data + 4, length);
+  const uint8_t *prefix = peer.received.data;
+  size_t length =
+      (size_t)prefix[0] << 24 | (size_t)prefix[1] << 16 | (size_t)prefix[2] << 8 | prefix[3];
+  assert_true(peer.received.length >= 4 + length);
+  decode_heartbeat(&sent, (char *)peer.received.data + 4, length);
   sent.revision = 0;
   sent.replica_age_ms = 0;
-  record_line(r, "== as a controller sends it, with a length of %zu bytes before it", length);
-  record_encoded(r, &sent, bytes, sizeof bytes);
+  record_line(recording, "== as a controller sends it, with a length of %zu bytes before it",
+              length);
+  encode_and_record(recording, &sent, bytes, sizeof bytes);
   xdr_free((xdrproc_t)xdr_tmx_heartbeat, (char *)&sent);
 }
 
-static bool heard(void *arg) {
+static bool peer_heartbeat_was_received(void *arg) {
   (void)arg;
   return tmx_peers_silence(first_controller->peers, "hand-1") < 1;
 }
 
-static void send_heartbeat(const char *bytes, size_t n) {
-  struct sockaddr_in at;
-  uint32_t length = htonl((uint32_t)n);
-  int fd = socket(AF_INET, SOCK_STREAM, 0);
-  assert_true(tmx_parse_address(first_controller->settings.peer_listen, &at));
-  assert_int_equal(connect(fd, (struct sockaddr *)&at, sizeof at), 0);
-  assert_int_equal(send(fd, &length, sizeof length, 0), sizeof length);
-  assert_int_equal(send(fd, bytes, n, 0), n);
-  assert_true(run_loop_until(heard, NULL));
-  close(fd);
+static void send_heartbeat(const char *bytes, size_t length) {
+  struct sockaddr_in address;
+  uint32_t length_prefix = htonl((uint32_t)length);
+  int socket_fd = socket(AF_INET, SOCK_STREAM, 0);
+  assert_true(tmx_parse_address(first_controller->settings.peer_listen, &address));
+  assert_int_equal(connect(socket_fd, (struct sockaddr *)&address, sizeof address), 0);
+  assert_int_equal(send(socket_fd, &length_prefix, sizeof length_prefix, 0), sizeof length_prefix);
+  assert_int_equal(send(socket_fd, bytes, length, 0), length);
+  assert_true(run_loop_until(peer_heartbeat_was_received, NULL));
+  close(socket_fd);
 }
 
-static void heartbeats(void **st) {
-  (void)st;
-  struct recording r = {0};
+static void heartbeats_keep_their_format(void **state) {
+  (void)state;
+  struct recording recording = {0};
   char bytes[512];
   peer_listen();
   fake_adjust_settings = reach_peer_socket;
   first_controller = start_controller(0, 2);
-  record_line(&r, "== every field in use");
-  size_t n = full_heartbeat(&r, bytes, sizeof bytes);
-  heartbeat_of_a_controller(&r);
-  assert_false(heard(NULL));
-  send_heartbeat(bytes, n);
+  record_line(&recording, "== every field in use");
+  size_t length = record_full_heartbeat(&recording, bytes, sizeof bytes);
+  record_heartbeat_of_the_controller(&recording);
+  assert_false(peer_heartbeat_was_received(NULL));
+  send_heartbeat(bytes, length);
   assert_int_equal(tmx_peers_zone_liveness(first_controller->peers, "hand-1")[0].machines, 40);
   assert_int_equal(tmx_peers_zone_liveness(first_controller->peers, "hand-1")[0].lost, 2);
   assert_int_equal(tmx_peers_zone_liveness(first_controller->peers, "hand-1")[0].alive, 38);
   assert_true(tmx_peers_reports_no_workers(first_controller->peers, "hand-1"));
   close(peer.listener);
   close(peer.fd);
-  tmx_buffer_free(&peer.in);
-  recording_check(&r, "heartbeats.txt");
+  tmx_buffer_free(&peer.received);
+  recording_check(&recording, "heartbeats.txt");
 }
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test(names_of_the_protocol),
-      cmocka_unit_test_setup_teardown(heartbeats, setup, teardown),
+      cmocka_unit_test(protocol_names_keep_their_values),
+      cmocka_unit_test_setup_teardown(heartbeats_keep_their_format, setup, teardown),
   };
   return RUN_TESTS(tests);
 }
--- a/tests/test_storage_format.c
+++ b/tests/test_storage_format.c
@@ -1,7 +1,7 @@
-/* The forms in which the store keeps the log, its pages and the view, byte for byte as recorded
- * under tests/data/wire-format/storage-*.txt, and read back to what was written. A store that an
- * earlier version wrote must stay readable: a difference here is a change of the format, whatever
- * the code is called. */
+/* The stored formats of the log, the snapshot pages and the view. The encoded bytes must equal the
+ * recordings in tests/data/wire-format/storage-*.txt, and must decode to the values that were
+ * encoded. The test guards against accidental changes of a format, for example by a renamed field,
+ * after which the program could not read a store that an earlier version wrote. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -33,15 +33,15 @@
   return 0;
 }
 
-static struct tmx_operation make_operation(char letter, uint32_t task, char how) {
-  struct tmx_operation operation = {.kind = letter, .task = task, .attempt = 2, .reason = how};
+static struct tmx_operation make_operation(char letter, uint32_t task, char reason) {
+  struct tmx_operation operation = {.kind = letter, .task = task, .attempt = 2, .reason = reason};
   strcpy(operation.job, "wk-000008");
   if (letter == 'p') snprintf(operation.machine, sizeof operation.machine, "n-%06u", task + 1);
   return operation;
 }
 
-static void assert_same_op(const struct tmx_operation *expected,
-                           const struct tmx_operation *actual) {
+static void assert_operations_equal(const struct tmx_operation *expected,
+                                    const struct tmx_operation *actual) {
   assert_int_equal(expected->kind, actual->kind);
   assert_string_equal(expected->job, actual->job);
   assert_int_equal(expected->task, actual->task);
@@ -50,51 +50,53 @@
   assert_int_equal(expected->reason, actual->reason);
 }
 
-static void record_operation(struct recording *recording, char letter, char how) {
-  struct tmx_operation operation = make_operation(letter, 12, how), back;
+static void record_operation(struct recording *recording, char letter, char reason) {
+  struct tmx_operation operation = make_operation(letter, 12, reason), parsed;
   char line[TMX_LOG_LINE_BYTES];
   int length = tmx_operation_print(line, sizeof line, &operation);
   assert_int_equal(length, strlen(line));
   record_line(recording, "%s", line);
-  assert_true(tmx_operation_parse(line, &back));
-  assert_same_op(&back, &operation);
+  assert_true(tmx_operation_parse(line, &parsed));
+  assert_operations_equal(&parsed, &operation);
 }
 
+/* The operations that a group line must contain, and the number of those compared so far. */
 struct expected_group {
   const struct tmx_operation *ops;
-  size_t n;
+  size_t compared;
 };
-static void next_of_group(void *arg, const struct tmx_operation *operation) {
+static void compare_with_group(void *arg, const struct tmx_operation *operation) {
   struct expected_group *group = arg;
-  assert_same_op(operation, &group->ops[group->n++]);
+  assert_operations_equal(operation, &group->ops[group->compared++]);
 }
 
-static void record_group(struct recording *recording, char letter, char how) {
+static void record_group(struct recording *recording, char letter, char reason) {
   struct tmx_operation ops[3];
   char line[TMX_LOG_LINE_BYTES];
-  size_t used = 0;
+  size_t length = 0;
   for (uint32_t i = 0; i < 3; i++) {
-    ops[i] = make_operation(letter, i * 7, how);
+    ops[i] = make_operation(letter, i * 7, reason);
     assert_true(tmx_operation_same_group(&ops[0], &ops[i]));
-    if (!i) used += (size_t)tmx_operation_group_head_print(line, sizeof line, &ops[0]);
-    used += (size_t)tmx_operation_group_item_print(line + used, sizeof line - used, &ops[i]);
+    if (!i) length += (size_t)tmx_operation_group_head_print(line, sizeof line, &ops[0]);
+    length += (size_t)tmx_operation_group_item_print(line + length, sizeof line - length, &ops[i]);
   }
   record_line(recording, "%s", line);
   struct expected_group group = {.ops = ops};
-  tmx_log_line_for_each_operation(line, next_of_group, &group);
-  assert_int_equal(group.n, 3);
+  tmx_log_line_for_each_operation(line, compare_with_group, &group);
+  assert_int_equal(group.compared, 3);
 }
 
-/* Literal letters: these constants are part of the format. */
-static void lines_of_operations_keep_their_form(void **state) {
+/* The test passes literal letters to the program and records the values of the constants, because
+ * the letters are part of the format. */
+static void operation_lines_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {0};
   record_operation(&recording, 'p', 0);
   record_operation(&recording, 's', '1');
   record_operation(&recording, 's', '2');
-  for (const char *how = "dserl"; *how; how++) record_operation(&recording, 'e', *how);
+  for (const char *reason = "dserl"; *reason; reason++) record_operation(&recording, 'e', *reason);
   record_group(&recording, 'p', 0);
-  for (const char *how = "dserl"; *how; how++) record_group(&recording, 'e', *how);
+  for (const char *reason = "dserl"; *reason; reason++) record_group(&recording, 'e', *reason);
   record_line(&recording, "ends: %c %c %c %c %c", TMX_END_DONE, TMX_END_STOPPED, TMX_END_ERROR,
               TMX_END_REFUSED, TMX_END_LOST);
   record_line(&recording, "lines: %c %c %c %c %c %c %c %c %c %c %c", TMX_OPERATION_PLACE,
@@ -120,7 +122,7 @@
   tmx_buffer_free(&list);
 }
 
-/* Records the lines that pages would hold of the replica. */
+/* Records the log lines that snapshot pages would contain for the replica. */
 static void record_replica(struct recording *recording) {
   char line[TMX_LOG_LINE_BYTES];
   struct tmx_machine *machine, *next_machine;
@@ -156,12 +158,12 @@
   strcpy(ids.ids[0], "wk-000008");
   spec.tasks = 1;
   tmx_job_encode_open(jobs, "wk-000009", &spec, sample_submitted_at, &ids,
-                      0); /* the id follows in a line */
+                      0); /* the limit of 0 leaves the id to a log line */
   tmx_job_ids_free(&ids);
   return 2;
 }
 
-static void batches_and_pages_keep_their_form(void **state) {
+static void batches_and_pages_keep_their_format(void **state) {
   (void)state;
   static const char *const batch[] = {"w wk-000009 0 000008",
                                       "y wk-000008 big machine",
@@ -211,20 +213,20 @@
 
 static void record_view(struct recording *recording, const char *title,
                         const struct tmx_view *view) {
-  struct tmx_buffer buffer = {0}, again = {0};
+  struct tmx_buffer buffer = {0}, encoded_again = {0};
   record_line(recording, "== %s", title);
   tmx_view_encode(&buffer, view);
   record_cbor(recording, "", buffer.data, buffer.length);
   apply("t/view", 20, &buffer);
   assert_int_equal(replica.view.version, 20);
-  tmx_view_encode(&again, &replica.view);
-  assert_int_equal(again.length, buffer.length);
-  assert_memory_equal(again.data, buffer.data, buffer.length);
+  tmx_view_encode(&encoded_again, &replica.view);
+  assert_int_equal(encoded_again.length, buffer.length);
+  assert_memory_equal(encoded_again.data, buffer.data, buffer.length);
   tmx_buffer_free(&buffer);
-  tmx_buffer_free(&again);
+  tmx_buffer_free(&encoded_again);
 }
 
-static void views_keep_their_form(void **state) {
+static void views_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {0};
   struct tmx_owner_override overrides[3] = {{.machine = "n-000001", .node = "hand-1"},
@@ -242,7 +244,7 @@
   view.overrides = overrides;
   view.n_overrides = 2;
   record_view(&recording, "... with exceptions", &view);
-  view.n_overrides = 3; /* sorted by node: the third one follows the first */
+  view.n_overrides = 3; /* encoded by node: the third override follows the first */
   struct tmx_buffer buffer = {0};
   tmx_view_encode(&buffer, &view);
   record_line(&recording, "== ... of which two are one node's");
@@ -266,9 +268,9 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(lines_of_operations_keep_their_form, setup, teardown),
-      cmocka_unit_test_setup_teardown(batches_and_pages_keep_their_form, setup, teardown),
-      cmocka_unit_test_setup_teardown(views_keep_their_form, setup, teardown),
+      cmocka_unit_test_setup_teardown(operation_lines_keep_their_format, setup, teardown),
+      cmocka_unit_test_setup_teardown(batches_and_pages_keep_their_format, setup, teardown),
+      cmocka_unit_test_setup_teardown(views_keep_their_format, setup, teardown),
   };
   return RUN_TESTS(tests);
 }
--- a/tests/test_user_wire_format.c
+++ b/tests/test_user_wire_format.c
@@ -1,5 +1,6 @@
-/* What controllers answer to users, byte for byte as recorded under tests/data/wire-format. Masked
- * are ports and, where the program draws it, the value of Retry-After: see recording.h. */
+/* The responses of controllers to users must equal the recordings in tests/data/wire-format byte
+ * for byte, apart from masked ports and random values of Retry-After, see recording.h. The test
+ * guards against accidental changes of the users' interface, for example by a renamed field. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,17 +9,18 @@
 #include "tmx/wire.h"
 #include "wire_fixture.h"
 
-/* Requests that are no CBOR, or no request: only the answer is recorded. */
-static void ask_raw(struct recording *recording, const char *title, const char *request,
-                    size_t length) {
-  struct tmx_buffer answer = {0};
+/* Sends the bytes of a request, which need not be valid CBOR or HTTP, and records only the
+ * response. */
+static void record_raw_response(struct recording *recording, const char *title, const char *request,
+                                size_t length) {
+  struct tmx_buffer response = {0};
   record_line(recording, "== %s", title);
-  raw_call(controller_address, request, length, &answer);
-  record_http(recording, "< ", answer.data, answer.length);
-  tmx_buffer_free(&answer);
+  raw_call(controller_address, request, length, &response);
+  record_http(recording, "< ", response.data, response.length);
+  tmx_buffer_free(&response);
 }
 
-static void answers_without_the_state(struct recording *recording) {
+static void record_responses_without_the_state(struct recording *recording) {
   fake_store.endpoints[0].refuse = true;
   start_recorded_controller(1);
   ask(recording, "not ready", "GET /ready", NULL);
@@ -31,7 +33,7 @@
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 
-static void answers_that_refuse(struct recording *recording) {
+static void record_rejections(struct recording *recording) {
   ask(recording, "malformed: a field is missing", "POST /v2/runs", "{\"id\":\"wk-000009\"}");
   ask(recording, "malformed: not an id", "POST /v2/runs", SUBMISSION("job-1", "t", "2.0"));
   ask(recording, "unknown team", "POST /v2/runs", SUBMISSION("wk-000009", "other", "2.0"));
@@ -44,16 +46,18 @@
   ask(recording, "another method on a job", "POST /v2/runs/wk-000001", NULL);
   ask(recording, "another method on a cancellation", "GET /v2/runs/wk-000001/withdraw", NULL);
   ask(recording, "no such path", "GET /v3/runs", NULL);
-  static const char no_cbor[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 2\r\n\r\n\xff\xff";
-  ask_raw(recording, "malformed: not CBOR", no_cbor, sizeof no_cbor - 1);
+  static const char invalid_cbor[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 2\r\n\r\n\xff\xff";
+  record_raw_response(recording, "malformed: not CBOR", invalid_cbor, sizeof invalid_cbor - 1);
   static const char closing[] = "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
-  ask_raw(recording, "the connection is to be closed", closing, sizeof closing - 1);
-  static const char no_http[] = "HELLO\r\n\r\n";
-  ask_raw(recording, "not HTTP", no_http, sizeof no_http - 1);
-  static const char large[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
-  static char too_large[sizeof large + 65537];
-  memcpy(too_large, large, sizeof large - 1);
-  ask_raw(recording, "a body beyond the limit", too_large, sizeof large - 1 + 65537);
+  record_raw_response(recording, "the connection is to be closed", closing, sizeof closing - 1);
+  static const char invalid_http[] = "HELLO\r\n\r\n";
+  record_raw_response(recording, "not HTTP", invalid_http, sizeof invalid_http - 1);
+  static const char head_of_large_request[] =
+      "POST /v2/runs HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
+  static char large_request[sizeof head_of_large_request + 65537];
+  memcpy(large_request, head_of_large_request, sizeof head_of_large_request - 1);
+  record_raw_response(recording, "a body beyond the limit", large_request,
+                      sizeof head_of_large_request - 1 + 65537);
 }
 
 static bool job_done(void *arg) {
@@ -66,7 +70,7 @@
   return job && job->n_done == 1;
 }
 
-static void answers_about_a_job(struct recording *recording) {
+static void record_responses_about_a_job(struct recording *recording) {
   ask(recording, "accepted", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
   ask(recording, "pending", "GET /v2/runs/wk-000001", NULL);
   ask(recording, "submitted again", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
@@ -90,13 +94,13 @@
   ask(recording, "poll of a cancelled job", "GET /v2/runs/wk-000002", NULL);
 }
 
-static void answers_to_users_keep_their_form(void **state) {
+static void user_responses_keep_their_format(void **state) {
   (void)state;
-  struct recording recording = {.retry_from = 1, .retry_to = 2};
-  answers_without_the_state(&recording);
+  struct recording recording = {.retry_after_min = 1, .retry_after_max = 2};
+  record_responses_without_the_state(&recording);
   ask(&recording, "ready", "GET /ready", NULL);
-  answers_that_refuse(&recording);
-  answers_about_a_job(&recording);
+  record_rejections(&recording);
+  record_responses_about_a_job(&recording);
   recording_check(&recording, "user-answers.txt");
 }
 
@@ -108,13 +112,13 @@
   assert_true(tmx_admission_settings_resolve(settings, err, sizeof err));
 }
 
-/* Retry-After grows with the backlog, up to 20 s, and is spread by as much as half. */
-static void answers_of_admission_keep_their_form(void **state) {
+/* Retry-After grows with the backlog, up to 20 seconds, plus a random share of up to a half. */
+static void admission_responses_keep_their_format(void **state) {
   (void)state;
-  struct recording recording = {.retry_from = 1, .retry_to = 30};
+  struct recording recording = {.retry_after_min = 1, .retry_after_max = 30};
   fake_adjust_settings = with_admission;
   start_ready_controller();
-  /* 90 s of the machine each */
+  /* each submission is 90 seconds of work for the capacity */
   ask(&recording, "a class without work", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
   ask(&recording, "more of its class", "POST /v2/runs", SUBMISSION("wk-000002", "t", "2.0"));
   ask(&recording, "what was refused is not known", "GET /v2/runs/wk-000002", NULL);
@@ -123,9 +127,9 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(answers_to_users_keep_their_form, setup_recorded_peers,
+      cmocka_unit_test_setup_teardown(user_responses_keep_their_format, setup_recorded_peers,
                                       teardown_recorded_peers),
-      cmocka_unit_test_setup_teardown(answers_of_admission_keep_their_form, setup_recorded_peers,
+      cmocka_unit_test_setup_teardown(admission_responses_keep_their_format, setup_recorded_peers,
                                       teardown_recorded_peers),
   };
   return RUN_TESTS(tests);
--- a/tests/test_worker_wire_format.c
+++ b/tests/test_worker_wire_format.c
@@ -1,5 +1,7 @@
-/* What controllers answer to workers, and the commands that they send to them, byte for byte as
- * recorded under tests/data/wire-format. Masked are ports: see recording.h. */
+/* The responses of controllers to workers' reports, and the commands that controllers send to
+ * workers, must equal the recordings in tests/data/wire-format byte for byte, apart from masked
+ * ports, see recording.h. The test guards against accidental changes of the workers' interface, for
+ * example by a renamed field. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,21 +9,25 @@
 #include "tmx/wire.h"
 #include "wire_fixture.h"
 
+/* Sends and records a report of the worker, and passes the response to the worker. */
 static void send_report(struct recording *recording, const char *title) {
   struct exchange exchange;
   struct tmx_buffer body = {0};
-  worker.sequence = (worker.sequence / 100 + 1) * 100; /* above those that probes have used up */
+  worker.sequence =
+      (worker.sequence / 100 + 1) * 100; /* above the numbers that responses to probes used */
   fake_worker_encode_report(&worker, &body);
   raw_request(controller_address, "POST /hello", &body, &exchange);
   record_exchange(recording, title, &exchange);
-  const uint8_t *answer = memmem(exchange.answer.data, exchange.answer.length, "\r\n\r\n", 4);
-  size_t length = exchange.answer.length - (size_t)(answer + 4 - exchange.answer.data);
-  fake_worker_take_response(&worker, atoi((const char *)exchange.answer.data + strlen("HTTP/1.1 ")),
-                            answer + 4, length);
+  const uint8_t *head_end = memmem(exchange.response.data, exchange.response.length, "\r\n\r\n", 4);
+  size_t length = exchange.response.length - (size_t)(head_end + 4 - exchange.response.data);
+  fake_worker_take_response(&worker,
+                            atoi((const char *)exchange.response.data + strlen("HTTP/1.1 ")),
+                            head_end + 4, length);
   exchange_free(&exchange);
   tmx_buffer_free(&body);
 }
 
+/* Puts a value with one log line into the store and runs the event loop for 0.3 s. */
 static void put_line(const char *key, const char *line) {
   struct tmx_buffer value = {0}, list = {0};
   tmx_cbor_put_text(&list, line);
@@ -32,7 +38,7 @@
   run_loop_for(0.3);
 }
 
-static void submit_literally(void) {
+static void submit_with_literal_names(void) {
   struct exchange exchange;
   struct tmx_buffer body = {0};
   encode_json(&body, SUBMISSION("wk-000001", "t", "1.0"));
@@ -41,11 +47,12 @@
   tmx_buffer_free(&body);
 }
 
-/* Records the first request after `previous` that has the text, without the scripted answer. */
+/* Records the first request after `previous` that starts with `prefix` and contains `substring`,
+ * without the response of the scripted worker. */
 static const struct exchange *record_command(struct recording *recording, const char *title,
-                                             const struct exchange *previous, const char *start,
-                                             const char *part) {
-  const struct exchange *exchange = relay_wait(&commands, previous, start, part);
+                                             const struct exchange *previous, const char *prefix,
+                                             const char *substring) {
+  const struct exchange *exchange = relay_wait(&commands, previous, prefix, substring);
   record_line(recording, "== %s", title);
   record_http(recording, "> ", exchange->request.data, exchange->request.length);
   return exchange;
@@ -56,12 +63,12 @@
   return worker.executed_starts == 4;
 }
 
-static void direct_commands_keep_their_form(void **state) {
+static void direct_commands_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {0};
   start_ready_controller();
   for (int i = 0; i < 3; i++) send_unrecorded_heartbeat();
-  submit_literally();
+  submit_with_literal_names();
   const struct exchange *exchange =
       record_command(&recording, "a job is placed", NULL, "POST /commands", "start");
   put_line("t/batch/hand-9/000000", "s wk-000001/0 1 2");
@@ -69,7 +76,7 @@
                             "POST /commands", "halt");
   exchange =
       record_command(&recording, "its end is in the log", exchange, "POST /commands", "reap");
-  assert_true(run_loop_until(four_started, NULL)); /* it was placed again */
+  assert_true(run_loop_until(four_started, NULL)); /* the task was placed again */
   exchange = record_command(&recording, "its next attempt", exchange, "POST /commands", "start");
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
   record_command(&recording, "the job is cancelled", exchange, "POST /commands", "halt");
@@ -77,8 +84,9 @@
   recording_check(&recording, "direct-commands.txt");
 }
 
-/* The worker does not answer commands, so all go with the answers to its reports. */
-static void answers_to_reports_keep_their_form(void **state) {
+/* The worker fails direct commands, so the controller sends all commands in its responses to the
+ * worker's reports. */
+static void report_responses_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {0};
   fake_store.endpoints[0].refuse = true;
@@ -90,7 +98,7 @@
   send_report(&recording, "... which shows the token");
   run_loop_for(0.5);
   worker.fails_commands = true;
-  submit_literally();
+  submit_with_literal_names();
   run_loop_for(0.5);
   send_report(&recording, "the command to start got no answer");
   fake_worker_execute_commands(&worker);
@@ -124,7 +132,7 @@
          fake_controller_is_ready(first_controller);
 }
 
-static void redirections_keep_their_form(void **state) {
+static void redirections_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {0};
   struct tmx_buffer value = {0};
@@ -145,11 +153,11 @@
 
 int main(void) {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test_setup_teardown(direct_commands_keep_their_form, setup_recorded_peers,
+      cmocka_unit_test_setup_teardown(direct_commands_keep_their_format, setup_recorded_peers,
                                       teardown_recorded_peers),
-      cmocka_unit_test_setup_teardown(answers_to_reports_keep_their_form, setup_recorded_peers,
+      cmocka_unit_test_setup_teardown(report_responses_keep_their_format, setup_recorded_peers,
                                       teardown_recorded_peers),
-      cmocka_unit_test_setup_teardown(redirections_keep_their_form, setup_recorded_peers,
+      cmocka_unit_test_setup_teardown(redirections_keep_their_format, setup_recorded_peers,
                                       teardown_recorded_peers),
   };
   return RUN_TESTS(tests);
--- a/tests/wire_fixture.c
+++ b/tests/wire_fixture.c
@@ -41,7 +41,7 @@
                      const struct exchange *exchange) {
   record_line(recording, "== %s", title);
   record_http(recording, "> ", exchange->request.data, exchange->request.length);
-  record_http(recording, "< ", exchange->answer.data, exchange->answer.length);
+  record_http(recording, "< ", exchange->response.data, exchange->response.length);
 }
 
 void ask(struct recording *recording, const char *title, const char *line, const char *json) {
--- a/tests/wire_fixture.h
+++ b/tests/wire_fixture.h
@@ -1,40 +1,42 @@
-/** A fixture for tests of the forms on the wire: one controller, and one worker that it reaches
- *  through a relay. Requests are written as on the protocol's page, not with the program's own
- *  names. */
+/** @file
+ * Fixture for tests of the wire format: one controller, and one scripted worker that the controller
+ * reaches through a relay. The tests write requests with the literal names of the protocol, not
+ * with the program's constants. */
 #ifndef TMX_WIRE_FIXTURE_H
 #define TMX_WIRE_FIXTURE_H
 #include "recording.h"
 #include "relay.h"
 
-/** The controller of the test; NULL: not started. */
+/** The controller under test; NULL: not started. */
 extern struct tmx_controller *first_controller;
-/** Machine n-000001. */
+/** The scripted worker, the agent of machine n-000001. */
 extern struct fake_worker worker;
-/** Between the controller and the worker's server. */
+/** The relay between the controller and the worker's server. */
 extern struct relay commands;
-/** Of the controller, for raw requests. */
+/** Address of the controller's HTTP server, for raw requests. */
 extern char controller_address[32];
 
-/** Starts the scripted peers, without a controller. */
+/** Starts the scripted peers but no controller. */
 int setup_recorded_peers(void **state);
-/** Ends all of them, and the controller. */
+/** Stops the controller, if it was started, and the scripted peers. */
 int teardown_recorded_peers(void **state);
-/** Starts the controller, the first of `count`. */
+/** Starts the first controller of a cluster of `count`, and does not wait until it is ready. */
 void start_recorded_controller(int count);
-/** Starts the only controller and waits until it is ready. */
+/** Starts the controller of a cluster of one and waits until it is ready. */
 void start_ready_controller(void);
 
-/** Records a request and its answer. */
+/** Records a title line, the request and its response. */
 void record_exchange(struct recording *recording, const char *title,
                      const struct exchange *exchange);
-/** Sends a request to the controller and records it with its answer.
- *  @param json the body; NULL: none */
+/** Sends a request to the controller and records it with its response.
+ *  @param line method and path
+ *  @param json the body, encoded as CBOR before it is sent; NULL: no body */
 void ask(struct recording *recording, const char *title, const char *line, const char *json);
 
-/** Sends a heartbeat of the worker, which is not recorded, and runs the loop for a short time. */
+/** Sends a heartbeat of the worker, without recording it, and runs the event loop for 0.2 s. */
 void send_unrecorded_heartbeat(void);
 
-/** The body of a submission, as JSON. */
+/** The body of a submission, as a JSON string literal. */
 #define SUBMISSION(id, outfit, cpus)                                          \
   "{\"id\":\"" id "\",\"crew\":\"train\",\"outfit\":\"" outfit                \
   "\",\"sort\":\"batch\",\"rank\":\"high\",\"loads\":3,\"cpus\":" cpus        \
