--- a/include/tmx/constants.h
+++ b/include/tmx/constants.h
@@ -58,8 +58,11 @@
  * sockets are in use.
  */
 #define TMX_IDLE_CONNECTION_EVICTION_MIN_S 1.0
-/** Seconds within which a request must arrive completely. */
-#define TMX_REQUEST_RECEIVE_TIMEOUT_S 15.0
+/**
+ * Seconds without further data after which a connection that has received only part of a request is
+ * closed. Each part that arrives restarts the time, so the whole request may take longer.
+ */
+#define TMX_REQUEST_STALL_TIMEOUT_S 15.0
 /** @} */
 
 /** @name Key-value store */
@@ -160,8 +163,8 @@
 /** Share of a member's write burst that must be available for a step of a compaction. */
 #define TMX_COMPACTION_FREE_BUDGET_SHARE 0.5
 /**
- * Seconds without a revision read, after which the heartbeats of the peers tell whether the store
- * answers them.
+ * Seconds without a revision read, after which the heartbeats of the peers are used to determine
+ * whether the store answers them.
  */
 #define TMX_STORE_UNREACHABLE_S 3.5
 /** @} */
@@ -235,7 +238,7 @@
  * Seconds for which only a job's own controller places its tasks, in addition to one cycle of
  * commit slots.
  */
-#define TMX_OWN_PLANNER_GRACE_S 0.2
+#define TMX_PLANNING_MEMBER_GRACE_S 0.2
 /**
  * Share of the store's write rate for batches; the rest allows for the writes of batches that
  * conflict.
@@ -320,7 +323,7 @@
  * Seconds without contact between a worker and its owner, after which the worker is taken over
  * without waiting for TMX_FAILOVER_REDIRECT_AGE_MIN_S.
  */
-#define TMX_FAILOVER_SILENCE_S 2.0
+#define TMX_FAILOVER_CONTACT_TIMEOUT_S 2.0
 /** Machines taken over in one view. */
 #define TMX_FAILOVER_MACHINES_MAX 200
 /** Seconds that a report waits for the view that takes its worker over. */
@@ -343,14 +346,16 @@
  */
 #define TMX_RECLAIM_PARTITION_HOLD_S 4.0
 /**
- * Seconds; if a machine had been silent for this long when this controller became leader, the
- * previous leader spared it.
+ * Seconds; if a machine had been without contact for longer than this when this controller became
+ * leader, the previous leader applied the grace period of the zone to it.
  */
-#define TMX_INHERITED_SILENCE_S 8.0
-/** Consecutive lost probes after which a machine can be given up. */
+#define TMX_INHERITED_CONTACT_LOSS_S 8.0
+/** Consecutive lost probes after which a machine can be declared dead. */
 #define TMX_PROBES_LOST_MIN 3
-/** Seconds without any other sign of life that are also required before a machine is given up. */
-#define TMX_MACHINE_SILENCE_S 1.5
+/**
+ * Seconds without any other sign of life that are also required before a machine is declared dead.
+ */
+#define TMX_MACHINE_CONTACT_TIMEOUT_S 1.5
 /**
  * Seconds; a machine counts as alive if its last sign of life is more recent. The window is shorter
  * than the time that it takes to lose a machine.
@@ -363,8 +368,8 @@
 /** Leases for which a machine may remain unacknowledged after contact with it is restored. */
 #define TMX_RECOVERY_GRACE_LEASES 0.2
 /**
- * Machines that a controller must own at least before their silence shows that its own connection
- * has failed.
+ * Machines that a controller must own at least before the loss of contact with them shows that its
+ * own connection has failed.
  */
 #define TMX_REACHABILITY_MACHINES_MIN 4
 /** Seconds between two inspections of all machines. */
@@ -388,15 +393,17 @@
 /** @{ */
 /** Seconds between heartbeats. */
 #define TMX_HEARTBEAT_PERIOD_S 0.4
-/** Seconds of silence after which a peer that refuses connections is considered dead. */
+/** Seconds without a heartbeat after which a peer that refuses connections is considered dead. */
 #define TMX_HEARTBEAT_DEAD_S 1.3
-/** Seconds of silence after which a peer counts as lost and its last heartbeat no longer counts. */
+/**
+ * Seconds after which a heartbeat expires: its contents are ignored, and the peer counts as lost.
+ */
 #define TMX_HEARTBEAT_EXPIRY_S 2.5
 /**
- * Seconds of silence after which a peer is left out of the view, if at least half of the other
- * peers are still heard.
+ * Seconds without a heartbeat after which a peer is excluded from the view, if at least half of the
+ * other peers are alive.
  */
-#define TMX_PEER_SILENCE_S 3.5
+#define TMX_PEER_HEARTBEAT_TIMEOUT_S 3.5
 /** Seconds; a peer whose last batch is more recent is alive even if it refuses connections. */
 #define TMX_RECENT_BATCH_AGE_MAX_S 1.6
 /**
@@ -491,7 +498,7 @@
  * Seconds, in addition to two report periods, after which a machine that is listed as running and
  * has never reported is replaced.
  */
-#define TMX_NEVER_HEARD_S 25.0
+#define TMX_FIRST_HEARTBEAT_TIMEOUT_S 25.0
 /** Multiple of boot_s after which a machine that is still booting is returned. */
 #define TMX_BOOT_LATE_FACTOR 4.0
 /** Seconds between log lines about rented and used capacity. */
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -39,9 +39,9 @@
     const struct tmx_admission_control *admission, struct tmx_admission_request *request,
     const struct tmx_job_ids *dependencies);
 /**
- * Tells whether a request is admitted and may be committed on its own, without a write to head. It
- * may not if the backlog is near a ceiling, since two such commits do not conflict and could both
- * take the remaining capacity. Sets tmx_admission_request::has_open_dependencies.
+ * Returns whether a request is admitted and may be committed on its own, without a write to head.
+ * It may not if the backlog is near a ceiling, since two such commits do not conflict and could
+ * both take the remaining capacity. Sets tmx_admission_request::has_open_dependencies.
  */
 bool tmx_admission_control_may_commit_alone(const struct tmx_admission_control *admission,
                                             struct tmx_admission_request *request,
--- a/src/admission/admission_settings.c
+++ b/src/admission/admission_settings.c
@@ -10,13 +10,13 @@
 
 bool tmx_admission_settings_resolve(struct tmx_settings *settings, char *error, size_t capacity) {
   struct tmx_admission_settings *admission = &settings->operators.admission;
-  bool named[TMX_TEAMS_MAX] = {false};
+  bool has_share[TMX_TEAMS_MAX] = {false};
   double sum = 0;
   for (size_t i = 0; i < admission->n_team_shares; i++) {
     int team = tmx_team_index(settings, admission->team_shares[i].team);
     if (team < 0)
       return reject_shares(error, capacity, admission->team_shares[i].team, "no such team");
-    named[team] = true;
+    has_share[team] = true;
     admission->share_by_team[team] = admission->team_shares[i].share;
     sum += admission->team_shares[i].share;
   }
@@ -28,6 +28,6 @@
   if (!others && admission->n_team_shares && sum < 1 - TMX_SHARE_EPSILON)
     return reject_shares(error, capacity, "", "add up to less than 1");
   for (size_t i = 0; i < settings->n_teams; i++)
-    if (!named[i]) admission->share_by_team[i] = (1 - sum) / (double)others;
+    if (!has_share[i]) admission->share_by_team[i] = (1 - sum) / (double)others;
   return true;
 }
--- a/src/admission/start_rotation.c
+++ b/src/admission/start_rotation.c
@@ -10,8 +10,8 @@
   size_t accounts = tmx_backlog_account_count(backlog);
   for (size_t team = 0; team < backlog->n_teams; team++)
     for (size_t i = 0; i < accounts; i++) {
-      double started_at = backlog->accounts[team][i].last_start_at;
-      rotation->since_start_s[team][i] = started_at > 0 ? now - started_at : TMX_NEVER_S;
+      double last_start_at = backlog->accounts[team][i].last_start_at;
+      rotation->since_start_s[team][i] = last_start_at > 0 ? now - last_start_at : TMX_NEVER_S;
     }
 }
 
--- a/src/admission/start_rotation.h
+++ b/src/admission/start_rotation.h
@@ -17,7 +17,7 @@
 /** Initializes the rotation from the backlog; NULL: no rotation. `now` is the steady clock in s. */
 void tmx_start_rotation_fill(struct tmx_start_rotation *rotation, const struct tmx_backlog *backlog,
                              const struct tmx_settings *settings, double now);
-/** Tells whether a start is due in an account whose oldest waiting job has waited `waited_s`. */
+/** Returns whether a start is due in an account whose oldest waiting job has waited `waited_s`. */
 bool tmx_start_rotation_is_due(const struct tmx_start_rotation *rotation, size_t team,
                                size_t account, double waited_s);
 #endif
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -25,7 +25,7 @@
   struct ev_loop *loop;                /**< event loop of the thread that calls the module */
   const struct tmx_settings *settings; /**< read only */
   struct tmx_replica *replica;         /**< machines and jobs as recorded in the log */
-  struct tmx_store *store;             /**< tells whether this controller is the leader */
+  struct tmx_store *store;             /**< reports whether this controller is the leader */
   struct tmx_machine_catalog *catalog; /**< machine types; filled by this module */
   struct tmx_peers *peers;             /**< heartbeats and reports of the other controllers */
   struct tmx_scheduler *scheduler;     /**< appends this module's lines to the log */
--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -20,7 +20,8 @@
 /** Network partitions between machines and their owners, by zone; steady clock, s. */
 struct tmx_zone_partitions {
   double partitioned_until[TMX_ZONES_MAX]; /**< the zone counts as partitioned until then */
-  double grace_until[TMX_ZONES_MAX];       /**< until then the grace period tolerates silence */
+  double grace_until[TMX_ZONES_MAX]; /**< end of the grace period, in which lost contact with the
+                                        zone is tolerated */
 };
 
 /** A request to rent machines; opaque, see rental.c. */
@@ -31,16 +32,16 @@
 struct tmx_cloud {
   const struct tmx_settings *settings; /**< borrowed */
   struct tmx_replica *replica;         /**< borrowed; machines and jobs as recorded in the log */
-  struct tmx_store *store;             /**< borrowed; tells whether this controller is the leader */
-  struct tmx_machine_catalog *catalog; /**< borrowed; filled by tmx_cloud_read_catalog() */
-  struct tmx_peers *peers;             /**< borrowed; the other controllers */
-  struct tmx_scheduler *scheduler;     /**< borrowed; appends lines to the log */
-  struct tmx_workers *workers;         /**< borrowed; the machines that this controller owns */
-  struct tmx_cloud_api *api;           /**< owned; sends all requests to the cloud */
-  struct tmx_inventory inventory;      /**< instances that the cloud listed or granted */
-  struct tmx_demand_history demand;    /**< recorded by every controller, used by the leader */
-  struct tmx_offer_backoffs offer_backoffs;   /**< offers that the cloud refused recently */
-  struct tmx_idle_timer *idle_timers;         /**< owned; hash by id; NULL: empty */
+  struct tmx_store *store; /**< borrowed; reports whether this controller is the leader */
+  struct tmx_machine_catalog *catalog;      /**< borrowed; filled by tmx_cloud_read_catalog() */
+  struct tmx_peers *peers;                  /**< borrowed; the other controllers */
+  struct tmx_scheduler *scheduler;          /**< borrowed; appends lines to the log */
+  struct tmx_workers *workers;              /**< borrowed; the machines that this controller owns */
+  struct tmx_cloud_api *api;                /**< owned; sends all requests to the cloud */
+  struct tmx_inventory inventory;           /**< instances that the cloud listed or granted */
+  struct tmx_demand_history demand;         /**< recorded by every controller, used by the leader */
+  struct tmx_offer_backoffs offer_backoffs; /**< offers that the cloud refused recently */
+  struct tmx_idle_timer *idle_timers;       /**< owned; hash by id; NULL: empty */
   struct tmx_zone_partitions zone_partitions; /**< written by tmx_reclaim_evidence_gather() */
   /** Steady clock, s: the latest tick at which this controller was not the leader or had lost
    * contact with the store. */
@@ -74,7 +75,7 @@
 /** Deletes failed machines, and drains and deletes machines that are not needed. */
 void tmx_cloud_reclaim(struct tmx_cloud *cloud, double now);
 
-/** Returns whether tasks of several jobs failed on the machine in a row. */
+/** Returns whether consecutive tasks of several jobs failed on the machine. */
 static inline bool tmx_cloud_machine_is_faulty(const struct tmx_machine *machine) {
   return machine->consecutive_errors >= TMX_FAULTY_MACHINE_ERRORS &&
          machine->errors_of_several_jobs;
--- a/src/cloud/idle_machines.c
+++ b/src/cloud/idle_machines.c
@@ -1,4 +1,5 @@
-/* Idle timers of machines without a task. Only the leader keeps them; a new leader starts anew. */
+/* Idle timers of machines without a task. Only the leader keeps them; a new leader starts with
+ * none. */
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/src/cloud/inventory.h
+++ b/src/cloud/inventory.h
@@ -1,8 +1,9 @@
 /**
  * @file
  * The inventory: the instances that the cloud listed or that a rental response named. The cloud's
- * list is eventually consistent; its usual lag is the settings' list_lag_s. So an instance that is
- * missing from the list is kept until the lag can no longer be the reason. Loop's thread only.
+ * list is eventually consistent; its usual lag is the settings' list_lag_s. Therefore an instance
+ * that is missing from the list is kept until the lag can no longer be the reason. Loop's thread
+ * only.
  */
 #ifndef TMX_INVENTORY_H
 #define TMX_INVENTORY_H
--- a/src/cloud/reclaim.c
+++ b/src/cloud/reclaim.c
@@ -7,12 +7,13 @@
 #include "cloud/scale_in.h"
 
 /* Returns whether the previous leader must have applied the zone's grace period: otherwise it would
- * already have deleted a machine that has been silent for so long. The new leader applies the grace
- * period too, as it cannot know of a partition that ended just before it took over. */
+ * already have deleted a machine that has been without contact for `no_contact_s`. The new leader
+ * applies the grace period too, as it cannot know of a partition that ended just before it took
+ * over. */
 static bool predecessor_applied_grace(const struct tmx_reclaim_evidence *evidence, int zone,
-                                      double silence_s) {
+                                      double no_contact_s) {
   return evidence->leading_s < evidence->partition_grace_s[zone] &&
-         silence_s > evidence->leading_s + TMX_INHERITED_SILENCE_S;
+         no_contact_s > evidence->leading_s + TMX_INHERITED_CONTACT_LOSS_S;
 }
 
 static struct tmx_machine_evidence evidence_of_machine(const struct tmx_cloud *cloud,
@@ -32,7 +33,7 @@
   result.partition_grace =
       tmx_reclaim_zone_in_grace_period(cloud, machine->zone, evidence->now) ||
       (machine->zone >= 0 &&
-       predecessor_applied_grace(evidence, machine->zone, result.suspicion.silence_s));
+       predecessor_applied_grace(evidence, machine->zone, result.suspicion.no_contact_s));
   return result;
 }
 
@@ -74,7 +75,7 @@
       .boot_s = type ? type->boot_s : 0,
       .leader_settled = evidence->leader_settled,
       .no_heartbeat_s = now - instance->no_heartbeat_since,
-      .no_heartbeat_max_s = TMX_NEVER_HEARD_S + 2 * cloud->settings->report_s};
+      .no_heartbeat_max_s = TMX_FIRST_HEARTBEAT_TIMEOUT_S + 2 * cloud->settings->report_s};
 }
 
 static void reclaim_instances(struct tmx_cloud *cloud, const struct tmx_reclaim_evidence *evidence,
--- a/src/cloud/reclaim_evidence.c
+++ b/src/cloud/reclaim_evidence.c
@@ -11,7 +11,7 @@
     const char *name = replica->view.members[i].name;
     bool self = !strcmp(name, cloud->settings->node_name);
     bool healthy = self ? !tmx_workers_are_unreachable(cloud->workers)
-                        : tmx_peers_silence(cloud->peers, name) < TMX_HEARTBEAT_DEAD_S &&
+                        : tmx_peers_heartbeat_age(cloud->peers, name) < TMX_HEARTBEAT_DEAD_S &&
                               !tmx_peers_reports_no_workers(cloud->peers, name);
     evidence->owner_healthy[i] = healthy;
     evidence->healthy_owners += healthy;
@@ -34,7 +34,8 @@
     if (type && !machine->draining) evidence->free_cpus += type->cpus - machine->booked_cpus;
     evidence->service_cpus += machine->service_cpus;
   }
-  /* Among thousands of tasks a few are always pending for a moment; they are no backlog. */
+  /* With thousands of tasks, a few are always pending for a short time; they do not count as a
+   * backlog. */
   evidence->has_backlog =
       replica->waiting_cpus > TMX_WAITING_CPUS_SHARE * (evidence->free_cpus + replica->booked_cpus);
 }
@@ -50,12 +51,12 @@
                      tmx_workers_probe_rate(settings));
 }
 
-/* Starts or extends the grace period of each partitioned zone. If a whole zone is silent, a network
- * partition separates it from the owners of its machines, and its tasks may still be running. The
- * cloud's list soon shows machines that died as failed. The other machines come back with their
- * tasks, and there is hardly enough capacity to run these tasks elsewhere. So no machine of the
- * zone is deleted for silence until all its tasks must have ended, plus the length of a
- * lease: see leases_expired_s in tmx_machine_deadlines(). */
+/* Starts or extends the grace period of each partitioned zone. If contact with a whole zone is
+ * lost, a network partition separates it from the owners of its machines, and its tasks may still
+ * be running. The cloud's list soon shows machines that died as failed. The other machines
+ * reconnect with their tasks still running, and there is hardly enough capacity to run these tasks
+ * elsewhere. Therefore no machine of the zone is deleted for loss of contact until all its tasks
+ * must have ended, plus the length of a lease: see leases_expired_s in tmx_machine_deadlines(). */
 static void detect_partitions(struct tmx_reclaim_evidence *evidence, struct tmx_cloud *cloud,
                               const struct tmx_zone_liveness zones[]) {
   struct tmx_zone_partitions *partitions = &cloud->zone_partitions;
--- a/src/cloud/reclaim_evidence.h
+++ b/src/cloud/reclaim_evidence.h
@@ -7,11 +7,11 @@
 #define TMX_RECLAIM_EVIDENCE_H
 #include "cloud/cloud_internal.h"
 
-/** Gathered anew for each pass over the machines. */
+/** Collected again for each pass over the machines. */
 struct tmx_reclaim_evidence {
-  double now;                              /**< steady clock, s: when it was gathered */
-  double leading_s;                        /**< s for which this controller has been the leader */
-  bool leader_settled;                     /**< it has had time to hear its peers and the workers */
+  double now;          /**< steady clock, s: time of the collection */
+  double leading_s;    /**< s for which this controller has been the leader */
+  bool leader_settled; /**< it has had time to establish contact with its peers and the workers */
   bool owner_healthy[TMX_MEMBERS_MAX];     /**< by member of the view: its heartbeats arrive, and it
                                               reaches its workers */
   unsigned healthy_owners;                 /**< how many of `owner_healthy` are true */
--- a/src/cloud/replacement_policy.c
+++ b/src/cloud/replacement_policy.c
@@ -30,26 +30,27 @@
 }
 
 struct tmx_machine_deadlines tmx_machine_deadlines(const struct tmx_settings *settings) {
-  double silence_s = settings->operators.silent_s;
+  double no_contact_s = settings->operators.silent_s;
   return (struct tmx_machine_deadlines){
-      .silence_s = silence_s > 0 ? silence_s : TMX_MACHINE_SILENCE_S,
+      .no_contact_s = no_contact_s > 0 ? no_contact_s : TMX_MACHINE_CONTACT_TIMEOUT_S,
       .leases_expired_s = settings->cancel_s + settings->lease_s,
       .heartbeat_late_s = settings->report_s * HEARTBEAT_TOLERANCE + TMX_REPORT_LATE_MARGIN_S,
       .unacknowledged_s = settings->lease_s * TMX_UNACKNOWLEDGED_LEASES};
 }
 
-/* A machine that lost several probes in a row counts as dead, unless its zone is in a grace period.
- * Then the machine may come back with its tasks, and there is hardly enough capacity to run them
- * elsewhere. So it is kept until its leases have expired, and twice as long if it holds replicas of
- * services, as their replacements would be pending for lack of capacity. */
+/* A machine that left several consecutive probes unanswered counts as dead, unless its zone is in a
+ * grace period. In the grace period, the machine may reconnect with its tasks still running, and
+ * there is hardly enough capacity to run them elsewhere. The machine is therefore kept until its
+ * leases have expired, and twice as long if it holds replicas of services, as their replacements
+ * would be pending for lack of capacity. */
 static bool is_dead(const struct tmx_machine_evidence *evidence,
                     const struct tmx_machine_deadlines *deadlines) {
-  double silence_s = evidence->suspicion.silence_s;
+  double no_contact_s = evidence->suspicion.no_contact_s;
   if (!evidence->leader_settled || !evidence->suspected) return false;
   if (evidence->suspicion.consecutive_probes_lost < TMX_PROBES_LOST_MIN) return false;
-  if (silence_s <= deadlines->silence_s) return false;
+  if (no_contact_s <= deadlines->no_contact_s) return false;
   return !evidence->partition_grace ||
-         silence_s > deadlines->leases_expired_s * (evidence->has_services ? 2 : 1);
+         no_contact_s > deadlines->leases_expired_s * (evidence->has_services ? 2 : 1);
 }
 
 /* Heartbeats of the machine arrive, but it acknowledges no commands, so tasks can be neither
@@ -57,7 +58,7 @@
 static bool is_unreachable(const struct tmx_machine_evidence *evidence,
                            const struct tmx_machine_deadlines *deadlines) {
   return evidence->leader_settled && evidence->suspected && !evidence->partition_grace &&
-         evidence->suspicion.silence_s < deadlines->heartbeat_late_s &&
+         evidence->suspicion.no_contact_s < deadlines->heartbeat_late_s &&
          evidence->suspicion.unacknowledged_s > deadlines->unacknowledged_s;
 }
 
--- a/src/cloud/replacement_policy.h
+++ b/src/cloud/replacement_policy.h
@@ -16,7 +16,7 @@
   TMX_DELETE_SILENT,         /**< it sends no heartbeats and answers no probes */
   TMX_DELETE_UNACKNOWLEDGED, /**< its heartbeats arrive, but it acknowledges no commands */
   TMX_DELETE_DRAINED,        /**< it was draining and holds no tasks any more */
-  TMX_DELETE_FAULTY,         /**< tasks of several jobs failed on it in a row */
+  TMX_DELETE_FAULTY,         /**< consecutive tasks of several jobs failed on it */
   TMX_DELETE_BOOT_TIMEOUT,   /**< it takes far longer to boot than is usual for its type */
   TMX_DELETE_NO_HEARTBEAT    /**< it is listed as running but has sent no heartbeat */
 };
@@ -26,22 +26,26 @@
 
 /** What is known about a registered machine. */
 struct tmx_machine_evidence {
-  bool listed_as_failed;          /**< the cloud's list shows its instance as failed */
-  bool leader_settled;            /**< this leader has had time to hear its peers and the workers */
-  bool suspected;                 /**< its owner is healthy and suspects it */
+  bool listed_as_failed; /**< the cloud's list shows its instance as failed */
+  bool leader_settled;   /**< this leader has had time to establish contact with its peers and the
+                            workers */
+  bool suspected;        /**< its owner is healthy and suspects it */
   struct tmx_suspicion suspicion; /**< the owner's report; valid if `suspected` */
-  bool partition_grace; /**< its zone is in a grace period: silence does not show that it is dead */
+  bool partition_grace; /**< its zone is in a grace period: lost contact does not show that it is
+                           dead */
   bool has_tasks;       /**< tasks are placed on it */
   bool has_services;    /**< some of these tasks are replicas of services */
   bool draining;        /**< it gets no new tasks and is deleted when it is empty */
-  bool faulty;          /**< TMX_FAULTY_MACHINE_ERRORS task errors in a row, of several jobs */
+  bool faulty;          /**< TMX_FAULTY_MACHINE_ERRORS consecutive task errors, of several jobs */
 };
 
 /** Time limits for registered machines, s. */
 struct tmx_machine_deadlines {
-  double silence_s;        /**< a machine that lost its probes is deleted after this silence */
-  double leases_expired_s; /**< after this silence its leases have expired and its tasks ended */
-  double heartbeat_late_s; /**< after this silence a heartbeat is overdue */
+  double no_contact_s;     /**< time without contact after which a machine that lost its probes is
+                              deleted */
+  double leases_expired_s; /**< time without contact after which its leases have expired and its
+                              tasks have ended */
+  double heartbeat_late_s; /**< time without contact after which a heartbeat is overdue */
   double unacknowledged_s; /**< a machine whose heartbeats arrive must acknowledge within this */
 };
 
@@ -58,9 +62,10 @@
   double age_s;                  /**< s since it was rented */
   bool type_known;               /**< its type is in the catalogue */
   double boot_s;                 /**< s: usual boot time of its type; valid if `type_known` */
-  bool leader_settled;           /**< this leader has had time to hear its peers and the workers */
-  double no_heartbeat_s;         /**< s for which it has been running without a heartbeat */
-  double no_heartbeat_max_s;     /**< s: it is deleted when `no_heartbeat_s` exceeds this */
+  bool leader_settled;   /**< this leader has had time to establish contact with its peers and the
+                            workers */
+  double no_heartbeat_s; /**< s for which it has been running without a heartbeat */
+  double no_heartbeat_max_s; /**< s: it is deleted when `no_heartbeat_s` exceeds this */
 };
 
 /** Decides whether an instance without a registered machine is deleted, and why. */
--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -105,14 +105,14 @@
   struct tmx_scale_out scale_outs[SCALE_OUTS_MAX];
   struct capacity capacity = collect_capacity(cloud);
   collect_offers(cloud, now, &list);
-  struct tmx_scale_out_input situation = {.demands = demand->demands,
-                                          .n_demands = demand->count,
-                                          .offers = list.offers,
-                                          .n_offers = list.count,
-                                          .provisioned = capacity.entries,
-                                          .n_provisioned = capacity.count,
-                                          .provisioned_cpus = capacity.cpus};
-  size_t count = tmx_plan_scale_out(&situation, scale_outs, SCALE_OUTS_MAX);
+  struct tmx_scale_out_input input = {.demands = demand->demands,
+                                      .n_demands = demand->count,
+                                      .offers = list.offers,
+                                      .n_offers = list.count,
+                                      .provisioned = capacity.entries,
+                                      .n_provisioned = capacity.count,
+                                      .provisioned_cpus = capacity.cpus};
+  size_t count = tmx_plan_scale_out(&input, scale_outs, SCALE_OUTS_MAX);
   sort_largest_first(scale_outs, count, list.offers);
   for (size_t i = 0; i < count; i++) {
     const struct tmx_offer *offer = &list.offers[scale_outs[i].offer];
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -67,7 +67,7 @@
   double headroom;      /**< CPUs kept free for restarts of services, as a share of the CPUs that
                            services book, 0 to 1 */
   double silent_s;      /**< seconds without a sign of life after which a machine that answers no
-                           probe counts as dead and is deleted; 0: TMX_MACHINE_SILENCE_S */
+                           probe counts as dead and is deleted; 0: TMX_MACHINE_CONTACT_TIMEOUT_S */
   struct tmx_admission_settings admission; /**< admission control */
 };
 
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -20,8 +20,8 @@
 }
 
 /* When a network partition heals, the heartbeats of the peers arrive one after the other, so the
- * peer that is heard last has not necessarily failed. The failure detector therefore ignores
- * a peer's silence until TMX_PEER_SILENCE_S after the latest impairment. */
+ * peer whose heartbeat arrives last has not necessarily failed. The failure detector therefore
+ * ignores missing heartbeats until TMX_PEER_HEARTBEAT_TIMEOUT_S after the latest impairment. */
 static void note_impairment(struct tmx_controller *controller, double now, bool loop_was_late) {
   bool store_lost = now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_UNREACHABLE_S;
   if (loop_was_late || store_lost || !tmx_peers_any_alive(controller->peers))
@@ -62,19 +62,19 @@
   return tmx_workers_collect_completions(controller->workers, operations, max);
 }
 
-static size_t collect_unregistered(void *context, struct tmx_machine_description *facts,
+static size_t collect_unregistered(void *context, struct tmx_machine_description *descriptions,
                                    size_t max) {
   const struct tmx_controller *controller = context;
-  return tmx_workers_collect_unregistered(controller->workers, facts, max);
+  return tmx_workers_collect_unregistered(controller->workers, descriptions, max);
 }
 
-static void each_suspicion(void *context, tmx_suspicion_cb callback, void *arg) {
+static void for_each_suspicion(void *context, tmx_suspicion_cb callback, void *arg) {
   const struct tmx_controller *controller = context;
   tmx_workers_for_each_suspicion(controller->workers, callback, arg);
 }
 
-static void take_suspicion(void *context, const char *node, uint64_t term,
-                           const struct tmx_suspicion *suspicion) {
+static void on_suspicion(void *context, const char *node, uint64_t term,
+                         const struct tmx_suspicion *suspicion) {
   const struct tmx_controller *controller = context;
   tmx_workers_record_suspicion(controller->workers, node, term, suspicion);
 }
@@ -125,8 +125,8 @@
       .replica = &controller->replica,
       .store = controller->store,
       .source = {.context = controller,
-                 .for_each_suspicion = each_suspicion,
-                 .on_suspicion = take_suspicion,
+                 .for_each_suspicion = for_each_suspicion,
+                 .on_suspicion = on_suspicion,
                  .zone_liveness = zone_liveness,
                  .workers_are_unreachable = workers_are_unreachable}};
   controller->peers = tmx_peers_new(&dependencies);
@@ -224,7 +224,7 @@
   if (controller->peers) tmx_peers_free(controller->peers);
   if (controller->user_api) tmx_user_api_free(controller->user_api);
   if (controller->workers) tmx_workers_free(controller->workers);
-  controller->replica.on_cleared = NULL;
+  controller->replica.on_before_clear = NULL;
   tmx_replica_clear(&controller->replica);
   tmx_scheduler_free(controller->scheduler);
   tmx_view_manager_free(controller->view_manager);
--- a/src/controller/replica_events.c
+++ b/src/controller/replica_events.c
@@ -34,10 +34,10 @@
   tmx_workers_view_changed(controller->workers);
 }
 
-static void on_cleared(void *arg) {
+static void on_before_clear(void *arg) {
   struct tmx_controller *controller = arg;
   tmx_scheduler_reset(controller->scheduler);
-  tmx_workers_replica_cleared(controller->workers);
+  tmx_workers_before_replica_clear(controller->workers);
 }
 
 static void on_schedulable_change(void *arg) {
@@ -53,6 +53,6 @@
   replica->on_job_changed = on_job_changed;
   replica->on_job_started = on_job_started;
   replica->on_view_changed = on_view_changed;
-  replica->on_cleared = on_cleared;
+  replica->on_before_clear = on_before_clear;
   replica->on_schedulable_change = on_schedulable_change;
 }
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -14,31 +14,31 @@
 
 #include "tmx/constants.h"
 
-/** Numbers of registered controllers, without this one. A controller is heard if this controller
- * has recently received a heartbeat from it. */
-struct tmx_peer_census {
+/** Numbers of registered controllers, without this one. A controller counts as alive if this
+ * controller received a heartbeat from it within TMX_HEARTBEAT_EXPIRY_S. */
+struct tmx_peer_liveness {
   size_t others;            /**< all other registered controllers */
-  size_t heard;             /**< those of `others` that are heard */
+  size_t alive;             /**< those of `others` that are alive */
   size_t same_zone;         /**< those of `others` in this controller's zone */
-  size_t same_zone_heard;   /**< those of `same_zone` that are heard */
+  size_t same_zone_alive;   /**< those of `same_zone` that are alive */
   size_t other_zones;       /**< those of `others` in any other zone */
-  size_t other_zones_heard; /**< those of `other_zones` that are heard */
+  size_t other_zones_alive; /**< those of `other_zones` that are alive */
 };
 
-/** What this controller knows about one other controller. */
+/** Evidence that this controller has about one other controller. */
 struct tmx_peer_evidence {
   bool refuses_connections; /**< its host responds, but no process listens on its port */
   bool reports_no_workers;  /**< it reports that it reaches almost none of its workers */
-  double silence_s;         /**< seconds since its last heartbeat */
+  double heartbeat_age_s;   /**< seconds since its last heartbeat */
   double last_batch_age_s;  /**< seconds since its last batch in the log */
   double observed_for_s;    /**< seconds for which this controller has been able to receive its
                                heartbeats */
 };
 
-/** Returns whether the zones appear to be partitioned from each other: this controller hears all
- * others in its zone, of which there is at least one, and none in the other zones, of which there
- * are at least two. Each zone must then manage its own machines. */
-bool tmx_zones_are_partitioned(const struct tmx_peer_census *census);
+/** Returns whether the zones appear to be partitioned from each other: in this controller's zone
+ * there is at least one other controller and all of them are alive; in the other zones there are at
+ * least two and none of them is alive. Each zone must then manage its own machines. */
+bool tmx_zones_are_partitioned(const struct tmx_peer_liveness *liveness);
 
 /**
  * Returns whether the controller is suspected to have failed, so that other controllers should take
@@ -47,7 +47,7 @@
  * A false suspicion is safe because the term orders the fencing tokens, but it moves the work of a
  * healthy controller to the others.
  */
-bool tmx_peer_is_suspected(const struct tmx_peer_census *census,
+bool tmx_peer_is_suspected(const struct tmx_peer_liveness *liveness,
                            const struct tmx_peer_evidence *evidence);
 
 /** Liveness of the machines of one zone, as the controllers that own them report it. */
@@ -65,7 +65,7 @@
 /** A report by the owner of a machine that something is wrong with the machine. */
 struct tmx_suspicion {
   char id[TMX_ID_BYTES];       /**< ID of the machine */
-  double silence_s;            /**< seconds since the machine's last sign of life */
+  double no_contact_s;         /**< seconds since the machine's last sign of life */
   int consecutive_probes_lost; /**< number of consecutive probes without an answer */
   double unacknowledged_s;     /**< seconds without evidence that the machine's worker receives the
                                   owner's messages; 0: it receives them */
--- a/src/membership/view_manager.c
+++ b/src/membership/view_manager.c
@@ -104,12 +104,12 @@
 
 /* Adds the registered controllers that are not suspected to the view's members. */
 static void select_members(const struct tmx_view_manager *manager, struct tmx_view *view,
-                           const struct tmx_peer_census *census) {
+                           const struct tmx_peer_liveness *liveness) {
   const struct tmx_replica *replica = manager->replica;
   const struct tmx_view_observer *observer = &manager->observer;
   for (size_t i = 0; i < replica->n_registered_members; i++) {
     const struct tmx_member *member = &replica->registered_members[i];
-    if (!observer->is_suspected(observer->context, member->name, census, manager->leading_since))
+    if (!observer->is_suspected(observer->context, member->name, liveness, manager->leading_since))
       view->members[view->n_members++] = *member;
   }
 }
@@ -148,13 +148,13 @@
   if (!leading) manager->leading_since = now;
   if (!tmx_store_incarnation(manager->store) || !leading || !may_commit(manager)) return;
   struct tmx_view view = {.term = replica->view.term + 1};
-  struct tmx_peer_census census = manager->observer.observe_peers(manager->observer.context);
+  struct tmx_peer_liveness liveness = manager->observer.observe_peers(manager->observer.context);
   /* The view counts the zones as partitioned until TMX_VIEW_PARTITION_HOLD_S after the last sign of
-   * a partition. Only then are owners hashed over the members of all zones again. */
-  if (tmx_zones_are_partitioned(&census)) manager->zones_partitioned_at = now;
+   * a partition. After that, owners are hashed over the members of all zones again. */
+  if (tmx_zones_are_partitioned(&liveness)) manager->zones_partitioned_at = now;
   view.zones_partitioned = manager->zones_partitioned_at > 0 &&
                            now - manager->zones_partitioned_at < TMX_VIEW_PARTITION_HOLD_S;
-  select_members(manager, &view, &census);
+  select_members(manager, &view, &liveness);
   if (has_same_members(replica, &view) && view.zones_partitioned == replica->view.zones_partitioned)
     return;
   copy_valid_overrides(replica, &view);
--- a/src/membership/view_manager.h
+++ b/src/membership/view_manager.h
@@ -24,18 +24,18 @@
 /** Functions through which the view manager consults the failure detector. */
 struct tmx_view_observer {
   void *context; /**< passed to both functions; not owned */
-  /** Counts the other registered controllers and those of them that are heard. */
-  struct tmx_peer_census (*observe_peers)(const void *context);
+  /** Counts the other registered controllers and those of them that are alive. */
+  struct tmx_peer_liveness (*observe_peers)(const void *context);
   /**
    * Returns whether a controller is suspected to have failed.
    * @param context  the observer's `context`
    * @param node     node name of the controller
-   * @param census   result of observe_peers()
+   * @param liveness   result of observe_peers()
    * @param since    start of the period in which this controller could observe its peers, steady
    *                 clock, s
    */
-  bool (*is_suspected)(const void *context, const char *node, const struct tmx_peer_census *census,
-                       double since);
+  bool (*is_suspected)(const void *context, const char *node,
+                       const struct tmx_peer_liveness *liveness, double since);
 };
 
 /**
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -238,7 +238,7 @@
   } else if (HTTP_PARSER_ERRNO(parser) != HPE_OK) {
     reject_request(connection, HTTP_STATUS_BAD_REQUEST);
   } else {
-    restart_idle_timer(connection, TMX_REQUEST_RECEIVE_TIMEOUT_S);
+    restart_idle_timer(connection, TMX_REQUEST_STALL_TIMEOUT_S);
   }
 }
 
@@ -255,11 +255,11 @@
   free(request);
 }
 
-/* Closes the least recently used idle connection, to make room for a new one when the limit is
- * reached. Workers that moved to another controller or lost their network leave connections behind
- * that nobody uses again, and users must not be refused because of these. Returns false if every
- * connection was used within the last TMX_IDLE_CONNECTION_EVICTION_MIN_S seconds or still has an
- * unanswered request or unsent output. */
+/* Closes the least recently used idle connection so that a new one can be accepted when the limit
+ * is reached. Workers that moved to another controller or lost their network leave connections
+ * behind that nobody uses again, and users must not be refused because of these. Returns false if
+ * every connection was used within the last TMX_IDLE_CONNECTION_EVICTION_MIN_S seconds or still has
+ * an unanswered request or unsent output. */
 static bool evict_idle_connection(struct tmx_http_server *server) {
   struct tmx_http_connection *connection;
   DL_FOREACH(server->connections, connection) {
@@ -291,7 +291,7 @@
   server->connection_count++;
 }
 
-static void on_acceptable(struct ev_loop *loop, ev_io *watcher, int events) {
+static void on_listener_readable(struct ev_loop *loop, ev_io *watcher, int events) {
   (void)loop;
   (void)events;
   struct tmx_http_server *server = watcher->data;
@@ -337,7 +337,7 @@
   server->idle_s = idle_s;
   server->handler = handler;
   server->handler_arg = arg;
-  ev_io_init(&server->accept_watcher, on_acceptable, fd, EV_READ);
+  ev_io_init(&server->accept_watcher, on_listener_readable, fd, EV_READ);
   server->accept_watcher.data = server;
   ev_io_start(loop, &server->accept_watcher);
   return server;
--- a/src/peer/heartbeat_codec.c
+++ b/src/peer/heartbeat_codec.c
@@ -13,8 +13,8 @@
 _Static_assert(TMX_HEARTBEAT_NODE_BYTES == TMX_HEARTBEAT_NAME_MAX + 1,
                "TMX_HEARTBEAT_NODE_BYTES must match the name limit of heartbeat.x");
 
-/* Limit of the times in a heartbeat, in seconds. A longer silence or replica age is sent as
- * UINT32_MAX milliseconds, and a longer unacknowledged time as this limit. */
+/* Limit of the times in a heartbeat, in seconds. A longer time without contact or replica age is
+ * sent as UINT32_MAX milliseconds, and a longer unacknowledged time as this limit. */
 static const double ENCODED_TIME_MAX_S = 1e6;
 
 static u_int milliseconds(double seconds) {
@@ -45,7 +45,7 @@
     const struct tmx_suspicion *suspicion = &message->suspicions[i];
     result[i] = (tmx_heartbeat_suspicion){
         .id = (char *)suspicion->id,
-        .silence_ms = milliseconds(suspicion->silence_s),
+        .silence_ms = milliseconds(suspicion->no_contact_s),
         .probes_lost =
             suspicion->consecutive_probes_lost > 0 ? (u_int)suspicion->consecutive_probes_lost : 0,
         .unacknowledged_ms = (u_int)(fmin(suspicion->unacknowledged_s, ENCODED_TIME_MAX_S) * 1000),
@@ -94,7 +94,7 @@
 }
 
 static struct tmx_suspicion suspicion_from_wire(const tmx_heartbeat_suspicion *wire) {
-  struct tmx_suspicion suspicion = {.silence_s = wire->silence_ms / 1000.0,
+  struct tmx_suspicion suspicion = {.no_contact_s = wire->silence_ms / 1000.0,
                                     .consecutive_probes_lost = (int)wire->probes_lost,
                                     .unacknowledged_s = wire->unacknowledged_ms / 1000.0,
                                     .spot_notice = wire->spot_notice};
--- a/src/peer/peer_queries.c
+++ b/src/peer/peer_queries.c
@@ -13,9 +13,9 @@
   return NULL;
 }
 
-double tmx_peers_silence(const struct tmx_peers *peers, const char *node) {
+double tmx_peers_heartbeat_age(const struct tmx_peers *peers, const char *node) {
   const struct tmx_peer *peer = tmx_peers_find(peers, node);
-  if (!peer || !peer->heartbeat_at) return TMX_PEER_NEVER_HEARD_S;
+  if (!peer || !peer->heartbeat_at) return TMX_PEER_NO_HEARTBEAT_S;
   return tmx_clock_steady() - peer->heartbeat_at;
 }
 
@@ -38,7 +38,7 @@
 }
 
 double tmx_peers_freshest_replica_age(const struct tmx_peers *peers) {
-  double freshest_age_s = TMX_PEER_NEVER_HEARD_S, now = tmx_clock_steady();
+  double freshest_age_s = TMX_PEER_NO_HEARTBEAT_S, now = tmx_clock_steady();
   for (size_t i = 0; i < peers->count; i++) {
     const struct tmx_peer *peer = &peers->peers[i];
     double age_s = peer->replica_age_s + (now - peer->heartbeat_at);
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -9,8 +9,8 @@
 #include "peer/heartbeat_codec.h"
 #include "peer/peers_internal.h"
 
-static void take_heartbeat(struct tmx_peers *peers, struct tmx_peer *peer,
-                           const struct tmx_heartbeat_message *message) {
+static void process_heartbeat(struct tmx_peers *peers, struct tmx_peer *peer,
+                              const struct tmx_heartbeat_message *message) {
   peer->heartbeat_at = tmx_clock_steady();
   peer->outgoing.consecutive_refusals = 0;
   peer->replica_age_s = message->replica_age_s;
@@ -29,7 +29,7 @@
   struct tmx_heartbeat_message message;
   if (!tmx_heartbeat_decode(&message, record, length, peers->settings)) return false;
   struct tmx_peer *peer = tmx_peers_find(peers, message.node);
-  if (peer) take_heartbeat(peers, peer, &message);
+  if (peer) process_heartbeat(peers, peer, &message);
   free(message.suspicions);
   return true;
 }
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -16,8 +16,8 @@
 /** The other controllers in the settings, and the connections to and from them. */
 struct tmx_peers;
 
-/** Seconds that are reported as the silence of a peer that has never sent a heartbeat. */
-#define TMX_PEER_NEVER_HEARD_S 1e9
+/** Seconds that are returned as a heartbeat or replica age if no heartbeat has been received. */
+#define TMX_PEER_NO_HEARTBEAT_S 1e9
 
 /** Callbacks that provide the state of this controller's machines for its heartbeats and that
  * receive the suspicions in the heartbeats of peers. */
@@ -55,16 +55,16 @@
  * Earlier calls do nothing. */
 void tmx_peers_tick(struct tmx_peers *peers);
 
-/** Returns the seconds since the peer's last heartbeat; TMX_PEER_NEVER_HEARD_S if there was none or
- * the peer is unknown. */
-double tmx_peers_silence(const struct tmx_peers *peers, const char *node);
+/** Returns the seconds since the peer's last heartbeat; TMX_PEER_NO_HEARTBEAT_S if there was none
+ * or the peer is unknown. */
+double tmx_peers_heartbeat_age(const struct tmx_peers *peers, const char *node);
 /** Returns whether the peer's host has recently refused several consecutive connections while no
  * heartbeat of the peer arrived. */
 bool tmx_peers_refuses_connections(const struct tmx_peers *peers, const char *node);
 /** Returns whether a heartbeat of any peer arrived within TMX_HEARTBEAT_EXPIRY_S. */
 bool tmx_peers_any_alive(const struct tmx_peers *peers);
 /** Returns the age in seconds of the freshest replica among the peers, according to their latest
- * heartbeats; TMX_PEER_NEVER_HEARD_S if there was none. */
+ * heartbeats; TMX_PEER_NO_HEARTBEAT_S if there was none. */
 double tmx_peers_freshest_replica_age(const struct tmx_peers *peers);
 /** Returns whether the store answers a peer but not this controller, so that other controllers
  * should take over this controller's work. If the store answers no controller, all of them continue
--- a/src/planner/candidates.c
+++ b/src/planner/candidates.c
@@ -12,10 +12,10 @@
  * replicas evenly over the zones before other costs count. */
 #define ZONE_BALANCE_COST 4.0
 
-/* Tells whether one more task fits into the machine's free capacity. In POOL_RELEASING, capacity
+/* Returns whether one more task fits into the machine's free capacity. In POOL_RELEASING, capacity
  * that stopping tasks hold counts as free. */
-static bool has_room(const struct planner_machine *machine, const struct tmx_job_spec *spec,
-                     enum candidate_pool pool) {
+static bool has_free_capacity(const struct planner_machine *machine,
+                              const struct tmx_job_spec *spec, enum candidate_pool pool) {
   const struct tmx_plan_machine *record = &machine->record;
   struct tmx_resources used = tmx_resources_booked(record);
   if (pool == POOL_RELEASING) used = tmx_resources_subtract(used, tmx_resources_releasing(record));
@@ -47,14 +47,14 @@
   return true;
 }
 
-/* Tells whether the job's next task may be placed on the machine, and computes the cost. Checks
+/* Returns whether the job's next task may be placed on the machine, and computes the cost. Checks
  * neither the zone nor the group of the machine. */
 static bool evaluate_machine(struct round *round, const struct planner_job *job,
                              struct planner_machine *machine, enum candidate_pool pool,
                              double *cost) {
   if (!machine->record.usable || machine->record.draining) return false;
   if (pool == POOL_OWN_SHARD && machine->record.owner != job->record.planning_member) return false;
-  if (pool != POOL_PREEMPTIBLE && !has_room(machine, job->record.spec, pool)) return false;
+  if (pool != POOL_PREEMPTIBLE && !has_free_capacity(machine, job->record.spec, pool)) return false;
   if (job->record.spec->service && tasks_placed_on(job, machine) >= round->machine_cap) {
     round->job_specific_rejection = true;
     return false;
--- a/src/planner/failed_fits.c
+++ b/src/planner/failed_fits.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Tells whether every machine that could run a task of `larger` could also run one of `smaller`. */
+/* Returns whether every machine that could run a task of `larger` could run one of `smaller`.
+ */
 static bool is_at_least_as_demanding(const struct tmx_job_spec *larger,
                                      const struct tmx_job_spec *smaller) {
   if (!tmx_resources_fit(tmx_resources_of_task(smaller), tmx_resources_of_task(larger)))
@@ -13,7 +14,7 @@
          !memcmp(larger->types, smaller->types, sizeof larger->types[0] * larger->n_types);
 }
 
-/* Tells whether the pool has the same machines for both jobs if the sizes of their tasks are
+/* Returns whether the pool has the same machines for both jobs if the sizes of their tasks are
  * ignored. The own shard depends on the member that plans the job. The tasks that a job may preempt
  * depend on its team, its priority and whether it is guaranteed. */
 static bool have_same_pool(const struct planner_job *left, const struct planner_job *right,
--- a/src/planner/fit.h
+++ b/src/planner/fit.h
@@ -20,8 +20,8 @@
   return job->guaranteed ? PRECEDENCE_GUARANTEED : PRECEDENCE_ORDINARY;
 }
 
-/** Tells whether an empty machine of the group has enough resources for a task of the job, and the
- * job allows machines of its type and spot state. */
+/** Returns whether an empty machine of the group has enough resources for a task of the job, and
+ * the job allows machines of its type and spot state. */
 bool tmx_fit_group_is_eligible(const struct machine_group *group, const struct tmx_job_spec *spec);
 
 /** Returns the number of machines that are usable, not draining and, if empty, could run a task of
@@ -29,10 +29,10 @@
 uint32_t tmx_fit_count_eligible_machines(const struct tmx_planner *planner,
                                          const struct tmx_job_spec *spec);
 
-/** Tells whether the zone cap and `same_place` allow one more task of the job in the zone. */
+/** Returns whether the zone cap and `same_place` allow one more task of the job in the zone. */
 bool tmx_fit_zone_allows(const struct round *round, const struct planner_job *job, size_t zone);
 
-/** Tells whether one more task of the job stays within its team's maximum CPUs and GPUs. Returns
+/** Returns whether one more task of the job stays within its team's maximum CPUs and GPUs. Returns
  * false if the team is unknown. */
 bool tmx_fit_within_quota(const struct round *round, const struct planner_job *job);
 
--- a/src/planner/job_order.h
+++ b/src/planner/job_order.h
@@ -33,7 +33,7 @@
  * Sorts jobs in round-robin order of their accounts: first the oldest job of each account, then the
  * second oldest of each, and so on. Does nothing if start rotation is off.
  *
- * @param round the running round; its input tells whether start rotation is on
+ * @param round the running round; its input contains whether start rotation is enabled
  * @param jobs jobs to sort, the earliest released first
  * @param count entries of `jobs`
  */
--- a/src/planner/placement.c
+++ b/src/planner/placement.c
@@ -19,7 +19,7 @@
   struct planner_job *job;
   enum precedence precedence;
   bool planned_here; /* this controller is the member that plans the job */
-  bool in_grace;     /* unplaced_since is at most own_planner_grace_s ago */
+  bool in_grace;     /* unplaced_since is at most planning_member_grace_s ago */
 };
 
 static int best_machine(const struct job_placement *placement, enum candidate_pool pool,
@@ -83,8 +83,9 @@
 }
 
 /* Reserves capacity, in this round only, for a job of higher precedence that another member plans.
- * A member that does not lead calls this. Otherwise it would at once place its own job arrays in
- * the capacity that the leader frees for that job. */
+ * Called by
+ * members that do not lead. Without the reservation, such a member would immediately place its own
+ * job arrays in the capacity that the leader frees for that job. */
 static enum placement_result reserve_for_other_member(const struct job_placement *placement) {
   static const struct {
     enum candidate_pool pool;
@@ -176,7 +177,7 @@
       .job = job,
       .precedence = tmx_job_precedence(job),
       .planned_here = job->record.planning_member == input->self_member,
-      .in_grace = input->now_steady - job->record.unplaced_since <= input->own_planner_grace_s};
+      .in_grace = input->now_steady - job->record.unplaced_since <= input->planning_member_grace_s};
   if (!may_place_now(round, job)) return 0;
   /* The leader handles all jobs. The other members handle jobs that they do not plan only if the
    * precedence is above ordinary, see reserve_for_other_member(). */
--- a/src/planner/placement_cost.c
+++ b/src/planner/placement_cost.c
@@ -58,11 +58,11 @@
   return cost_with_fetch(machine, spec, remaining_fetch_s(machine, spec, now));
 }
 
-/* Tells whether the job prefers the other kind of machine, spot or on demand. The provider reclaims
- * spot machines, and their tasks lose work. If a task could not repeat the lost work before the
- * job's next completion target, it prefers machines on demand. All other tasks of job arrays prefer
- * spot machines and leave machines on demand to such tasks and to services. Services and jobs that
- * do not allow spot machines have no preference. */
+/* Returns whether the job prefers the other kind of machine, spot or on demand. The provider
+ * reclaims spot machines, and their tasks lose work. If a task could not repeat the lost work
+ * before the job's next completion target, it prefers machines on demand. All other tasks of job
+ * arrays prefer spot machines and leave machines on demand to such tasks and to services. Services
+ * and jobs that do not allow spot machines have no preference. */
 static bool is_unpreferred_kind(const struct round *round, const struct planner_job *job,
                                 bool spot) {
   const struct tmx_job_spec *spec = job->record.spec;
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -20,13 +20,13 @@
 
 /** The input of a round besides the tables. The caller owns it; the round only reads it. */
 struct tmx_round_input {
-  double now_steady,          /**< current time, steady clock, s */
-      now_wall;               /**< current time, wall clock, s */
-  int self_member;            /**< index of this controller among the members */
-  bool leading;               /**< this controller is the leader */
-  size_t n_zones;             /**< number of zones in the settings */
-  double own_planner_grace_s; /**< s: how long a job's planning member has precedence over the
-                                 leader, from unplaced_since */
+  double now_steady,              /**< current time, steady clock, s */
+      now_wall;                   /**< current time, wall clock, s */
+  int self_member;                /**< index of this controller among the members */
+  bool leading;                   /**< this controller is the leader */
+  size_t n_zones;                 /**< number of zones in the settings */
+  double planning_member_grace_s; /**< s: grace period after unplaced_since, in which the job's
+                                     planning member has precedence over the leader */
   struct tmx_usage usage[TMX_TEAMS_MAX];         /**< resources of each team's placed tasks */
   struct tmx_team_settings teams[TMX_TEAMS_MAX]; /**< quotas of each team */
   size_t n_teams;                                /**< entries of `usage` and `teams` in use */
--- a/src/planner/preemption.c
+++ b/src/planner/preemption.c
@@ -25,7 +25,7 @@
   return round->planner->jobs[task->job];
 }
 
-/* Tells whether the job's team still uses its guaranteed quota after one task of the job is
+/* Returns whether the job's team still uses its guaranteed quota after one task of the job is
  * stopped. */
 static bool keeps_guarantee_without(const struct round *round, const struct planner_job *job) {
   const struct tmx_job_spec *spec = job->record.spec;
@@ -35,8 +35,8 @@
          usage->gpus - spec->gpus >= team->gpus - RESOURCE_EPSILON;
 }
 
-/* Tells whether the job may preempt the task. Only tasks of lower precedence are stopped: a task of
- * the same or a higher precedence would be placed again in the freed capacity and stopped again.
+/* Returns whether the job may preempt the task. Only tasks of lower precedence are stopped: a task
+ * of the same or a higher precedence would be placed again in the freed capacity and stopped again.
  * Jobs of ordinary precedence wait for free capacity; preempting other tasks for them would cost
  * more than it gains. */
 static bool may_preempt(const struct round *round, const struct planner_job *job,
--- a/src/planner/resources.h
+++ b/src/planner/resources.h
@@ -81,7 +81,7 @@
   return (struct tmx_resources){count * amount.cpus, count * amount.gpus, count * amount.mem_gb};
 }
 
-/** Tells whether the requested resources are available, within RESOURCE_EPSILON. */
+/** Returns whether the requested resources are available, within RESOURCE_EPSILON. */
 static inline bool tmx_resources_fit(struct tmx_resources requested,
                                      struct tmx_resources available) {
   return requested.cpus <= available.cpus + RESOURCE_EPSILON &&
--- a/src/planner/round.h
+++ b/src/planner/round.h
@@ -41,7 +41,7 @@
 
 /**
  * Limit on the failed fits that a round keeps. The limit bounds the work for each job, which is
- * compared with each failed fit in turn. A failed fit that is not kept only costs another search of
+ * compared with each failed fit. A failed fit that is not kept only costs another search of
  * the machines.
  */
 enum {
@@ -94,8 +94,8 @@
   size_t n_reserved_machines; /**< entries in use */
 };
 
-/** How a worker stops a task. The value is the `reason` of a TMX_OPERATION_STOP operation and
- * stands in the log. */
+/** How a worker stops a task. The value is the `reason` of a TMX_OPERATION_STOP operation and is
+ * stored in the log. */
 enum stop_mode {
   STOP_AT_ONCE = '1',         /**< the task loses its work since the latest checkpoint */
   STOP_AFTER_CHECKPOINT = '2' /**< the task saves a checkpoint first */
--- a/src/planner/scale_out_plan.c
+++ b/src/planner/scale_out_plan.c
@@ -36,7 +36,7 @@
   size_t n_rentals, max_rentals;
 };
 
-/* Tells whether a task of the demand may run on such a machine, if the machine is empty. */
+/* Returns whether a task of the demand may run on such a machine, if the machine is empty. */
 static bool is_suitable(const struct tmx_demand *demand, const struct tmx_machine_type *type,
                         int zone, bool spot) {
   const struct tmx_job_spec *spec = demand->spec;
@@ -74,8 +74,8 @@
   return i;
 }
 
-/* Tells whether the plan already rents TMX_SCALE_OUT_OFFER_MACHINES_MAX machines of the offer. The
- * cloud does not publish how many machines of an offer are available. With the limit, a large
+/* Returns whether the plan already rents TMX_SCALE_OUT_OFFER_MACHINES_MAX machines of the offer.
+ * The cloud does not publish how many machines of an offer are available. With the limit, a large
  * demand is spread over several offers at once, instead of requesting the cheapest one in each plan
  * until it is exhausted. */
 static bool reached_offer_limit(const struct scale_out_plan *plan, int offer) {
--- a/src/replica/apply_log.c
+++ b/src/replica/apply_log.c
@@ -12,8 +12,8 @@
 #include "replica/placement_caps.h"
 #include "replica/replica_internal.h"
 
-/* A record holds only as many dependency ids as fit. The other ids follow in lines of the same
- * transaction or of the same set of pages. The job is blocked until all ids have been read. */
+/* A record holds only as many ids of prerequisites as fit. The other ids follow in lines of the
+ * same transaction or of the same set of pages. The job is blocked until all ids have been read. */
 static void read_dependencies(struct tmx_replica *replica, struct tmx_job *job,
                               const struct tmx_job_record *record) {
   if (!record->n_prerequisites || job->outcome) return;
@@ -63,7 +63,8 @@
   return line + strlen(line);
 }
 
-/* Applies `w JOB POSITION IDS`, where IDS is the rest of the line. */
+/* Applies `w JOB POSITION IDS`, where IDS, the rest of the line, are ids of prerequisites.
+ */
 static void apply_dependency_line(struct tmx_replica *replica, char *line) {
   enum { KIND, JOB, POSITION, FIELDS };
   char *field[FIELDS];
--- a/src/replica/job_dependencies.h
+++ b/src/replica/job_dependencies.h
@@ -2,10 +2,10 @@
  * @file
  * Dependencies between jobs, which each replica derives from the log.
  *
- * A submission may name other jobs as prerequisites. The job is blocked until all its prerequisites
- * are done. When a job is cancelled, all its direct and indirect dependents are cancelled at the
- * same revision. The functions do no I/O. Only the thread of the controller's event loop may call
- * them.
+ * A submission may specify other jobs as prerequisites. The job is blocked until all its
+ * prerequisites are done. When a job is cancelled, all its direct and indirect dependents are
+ * cancelled at the same revision. The functions do no I/O. Only the thread of the controller's
+ * event loop may call them.
  */
 #ifndef TMX_JOB_DEPENDENCIES_H
 #define TMX_JOB_DEPENDENCIES_H
@@ -57,7 +57,7 @@
 /** Releases the memory of the job's dependencies and resets them. */
 void tmx_dependencies_free(struct tmx_job *job);
 
-/** Tells whether the job has prerequisites that are unknown or not done. A blocked job is not
+/** Returns whether the job has prerequisites that are unknown or not done. A blocked job is not
  * planned or placed. */
 bool tmx_job_is_blocked(const struct tmx_job *job);
 #endif
--- a/src/replica/job_ids.h
+++ b/src/replica/job_ids.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Job ids, and the set of ids that a submission names as prerequisites.
+ * Job ids, and the set of ids of a job's prerequisites.
  *
  * Pure functions without shared state: any thread may call them.
  */
@@ -22,8 +22,8 @@
 /** Releases the array and makes the set empty. */
 void tmx_job_ids_free(struct tmx_job_ids *ids);
 
-/** Tells whether the text is a valid job id: the common prefix, then at least one character, all of
- * them permitted. */
+/** Returns whether the text is a valid job id: the common prefix, then at least one character, all
+ * of them permitted. */
 bool tmx_job_id_is_valid(const char *id);
 
 /**
--- a/src/replica/log_codec.h
+++ b/src/replica/log_codec.h
@@ -26,7 +26,7 @@
   TMX_LINE_MACHINE_REMOVED = 'x',  /**< removes a machine that is confirmed to be gone */
   TMX_LINE_TASK_RANGE = 't',       /**< pages only: consecutive tasks with the same state */
   TMX_LINE_PERMITTED_TYPE = 'y',   /**< adds a machine type that a job permits */
-  TMX_LINE_DEPENDENCIES = 'w'      /**< some of a job's dependency ids, from a given position */
+  TMX_LINE_DEPENDENCIES = 'w' /**< ids of some of a job's prerequisites, from a given position */
 };
 
 /**
@@ -57,11 +57,11 @@
 /** Writes a line with one machine type that the job with this id permits. */
 void tmx_permitted_type_line_print(char *out, size_t capacity, const char *id, const char *type);
 /**
- * Writes a line with as many of a job's dependency ids as fit.
+ * Writes a line with the ids of as many of a job's prerequisites as fit.
  * @param out receives the line with a terminating zero.
  * @param capacity size of `out` in bytes.
  * @param id the job's id.
- * @param ids the ids of the jobs that it depends on.
+ * @param ids the ids of all prerequisites of the job.
  * @param from position of the first id to write; moves past the last id written.
  */
 void tmx_dependency_line_print(char *out, size_t capacity, const char *id,
@@ -76,7 +76,7 @@
  * @param capacity size of `out` in bytes.
  * @param job the job.
  * @param from index of the range's first task.
- * @param length receives the line's length; 0 if the tasks were never placed and need no line.
+ * @param length receives the line's length; 0 if the tasks were never placed and get no line.
  * @return number of tasks in the range.
  */
 uint32_t tmx_task_range_line_print(char *out, size_t capacity, const struct tmx_job *job,
--- a/src/replica/placement_caps.h
+++ b/src/replica/placement_caps.h
@@ -38,7 +38,7 @@
  */
 uint32_t tmx_machine_cap(const struct tmx_job_spec *spec, uint32_t eligible);
 
-/** Tells whether the job may run on machines of this type. A job that names no types may run on
+/** Returns whether the job may run on machines of this type. A job that names no types may run on
  * any.
  */
 bool tmx_type_allowed(const struct tmx_job_spec *spec, const char *type);
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -22,7 +22,7 @@
 }
 
 void tmx_replica_clear(struct tmx_replica *replica) {
-  if (replica->on_cleared) replica->on_cleared(replica->observer);
+  if (replica->on_before_clear) replica->on_before_clear(replica->observer);
   tmx_replica_clear_jobs(replica);
   tmx_replica_clear_machines(replica);
   clear_image_names(replica);
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -118,8 +118,8 @@
   void (*on_job_started)(void *observer, struct tmx_job *job);
   /** A new view was applied. Owners of machines may have changed. */
   void (*on_view_changed)(void *observer);
-  /** The replica is about to be cleared. */
-  void (*on_cleared)(void *observer);
+  /** The replica is about to be cleared: its jobs and machines are still valid. */
+  void (*on_before_clear)(void *observer);
   /** @} */
 };
 
--- a/src/scheduler/delta_collection.c
+++ b/src/scheduler/delta_collection.c
@@ -46,10 +46,10 @@
 /* Returns the seconds for which only the member that plans a job may place it. Unless the write
  * load is low, each member waits for its commit slot, so the grace period includes one cycle of all
  * slots. */
-static double own_planner_grace(const struct tmx_scheduler *scheduler) {
-  if (tmx_store_is_write_load_low(scheduler->store)) return TMX_OWN_PLANNER_GRACE_S;
-  return TMX_OWN_PLANNER_GRACE_S + tmx_commit_slot_length(scheduler->settings) *
-                                       (double)(scheduler->replica->view.n_members + 1);
+static double planning_member_grace(const struct tmx_scheduler *scheduler) {
+  if (tmx_store_is_write_load_low(scheduler->store)) return TMX_PLANNING_MEMBER_GRACE_S;
+  return TMX_PLANNING_MEMBER_GRACE_S + tmx_commit_slot_length(scheduler->settings) *
+                                           (double)(scheduler->replica->view.n_members + 1);
 }
 
 /* Limits how many machines and tasks a round visits, by the processor time that it may use. */
@@ -77,7 +77,7 @@
   input->self_member = tmx_authority_member_index(scheduler->authority);
   input->leading = tmx_store_is_leader(scheduler->store);
   input->n_zones = scheduler->settings->n_zones;
-  input->own_planner_grace_s = own_planner_grace(scheduler);
+  input->planning_member_grace_s = planning_member_grace(scheduler);
   tmx_start_rotation_fill(&input->start_rotation, replica->backlog, scheduler->settings,
                           input->now_steady);
   input->n_teams = scheduler->settings->n_teams;
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -36,13 +36,13 @@
                          int max_writes);
 /** Frees the buffers of the batch; the transaction remains. */
 void tmx_log_batch_free_buffers(struct tmx_log_batch *batch);
-/** Tells whether the batch has room for `length` more bytes (as JSON) and for `extra_puts` separate
- * puts. Ends the current value if the bytes need a new one. Returns false if the batch is full. */
+/** Returns whether `length` more bytes (as JSON) and `extra_puts` separate puts fit into the batch.
+ * Ends the current value if the bytes need a new one. Returns false if the batch is full. */
 bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int extra_puts);
-/** Appends a line. Returns false if the batch has no room for it and for `extra_puts` puts. */
+/** Appends a line. Returns false if the line and `extra_puts` puts do not fit into the batch. */
 bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int extra_puts);
-/** Appends an operation, which may share a line with preceding ones. Returns false if the batch has
- * no room for it and for `extra_puts` puts. */
+/** Appends an operation, which may share a line with preceding ones. Returns false if the operation
+ * and `extra_puts` puts do not fit into the batch. */
 bool tmx_log_batch_add_operation(struct tmx_log_batch *batch, const struct tmx_operation *operation,
                                  int extra_puts);
 /** Appends an encoded job record of `json_length` bytes as JSON. The caller has checked with
--- a/src/scheduler/pending_submission.c
+++ b/src/scheduler/pending_submission.c
@@ -8,8 +8,8 @@
 
 bool tmx_pending_submission_next_line(const struct tmx_pending_submission *pending,
                                       uint32_t *position, char *line, size_t capacity) {
-  if (*position >= pending->dependencies.count) return false;
-  tmx_dependency_line_print(line, capacity, pending->id, &pending->dependencies, position);
+  if (*position >= pending->prerequisite_ids.count) return false;
+  tmx_dependency_line_print(line, capacity, pending->id, &pending->prerequisite_ids, position);
   return true;
 }
 
@@ -19,7 +19,7 @@
   size_t value_bytes = tmx_value_json_length_max(pending->scheduler->settings), used = value_bytes;
   int n_values = 1;
   char line[TMX_LOG_LINE_BYTES];
-  uint32_t position = pending->n_dependencies_in_record;
+  uint32_t position = pending->n_prerequisites_in_record;
   while (tmx_pending_submission_next_line(pending, &position, line, sizeof line)) {
     size_t length = tmx_json_text_length(line, strlen(line)) + 1;
     bool begins_value = used + length > value_bytes;
@@ -41,11 +41,11 @@
   struct tmx_pending_submission *pending = tmx_allocate(1, sizeof *pending);
   memcpy(pending->id, submission->id, sizeof pending->id);
   pending->scheduler = scheduler;
-  pending->n_dependencies_in_record = tmx_job_encode_open(
+  pending->n_prerequisites_in_record = tmx_job_encode_open(
       &pending->record, submission->id, &submission->spec, submission->submitted_at,
-      &submission->dependencies, tmx_value_json_length_max(settings));
+      &submission->prerequisite_ids, tmx_value_json_length_max(settings));
   pending->record_json_length = tmx_json_length(&pending->record);
-  copy_ids(&pending->dependencies, &submission->dependencies);
+  copy_ids(&pending->prerequisite_ids, &submission->prerequisite_ids);
   pending->n_values = count_values(pending);
   pending->admission_request = tmx_admission_control_request(
       scheduler->admission, &submission->spec, tmx_team_index(settings, submission->spec.team));
@@ -54,7 +54,7 @@
 
 void tmx_pending_submission_free(struct tmx_pending_submission *pending) {
   tmx_buffer_free(&pending->record);
-  tmx_job_ids_free(&pending->dependencies);
+  tmx_job_ids_free(&pending->prerequisite_ids);
   free(pending);
 }
 
--- a/src/scheduler/pending_submission.h
+++ b/src/scheduler/pending_submission.h
@@ -19,10 +19,10 @@
   struct tmx_scheduler *scheduler; /**< scheduler that owns the queue; not owned */
   struct tmx_buffer record;        /**< the job's record, encoded */
   size_t record_json_length;       /**< bytes of the record as JSON */
-  /** Ids of the jobs that it depends on. The record contains as many as fit; the others follow in
+  /** Ids of the job's prerequisites. The record contains as many as fit; the others follow in
    * lines. */
-  struct tmx_job_ids dependencies;
-  uint32_t n_dependencies_in_record; /**< how many of `dependencies` are in the record */
+  struct tmx_job_ids prerequisite_ids;
+  uint32_t n_prerequisites_in_record; /**< how many of them are in the record */
   int n_values; /**< puts that the record and its lines need; 1: may be committed singly */
   struct tmx_admission_request admission_request; /**< input of the admission decision */
   double deadline;            /**< steady clock, s: end of the wait in the queue */
@@ -40,11 +40,11 @@
                                                           const struct tmx_submission *submission);
 /** Releases the submission. The callback is not called. */
 void tmx_pending_submission_free(struct tmx_pending_submission *pending);
-/** Tells whether the submission exceeds the limits of a transaction. */
+/** Returns whether the submission exceeds the limits of a transaction. */
 bool tmx_pending_submission_is_too_large(const struct tmx_pending_submission *pending);
-/** Prints the next line of dependencies that are not in the record and advances `*position`. The
- * caller sets `*position` to n_dependencies_in_record before the first call. Returns false if no
- * dependencies are left. */
+/** Prints the next line of prerequisites that are not in the record and advances `*position`. The
+ * caller sets `*position` to n_prerequisites_in_record before the first call. Returns false if no
+ * prerequisites are left. */
 bool tmx_pending_submission_next_line(const struct tmx_pending_submission *pending,
                                       uint32_t *position, char *line, size_t capacity);
 /** Adds the condition that the job's own key does not exist. Together with the condition on the
--- a/src/scheduler/round_batch.c
+++ b/src/scheduler/round_batch.c
@@ -56,16 +56,17 @@
 }
 
 /* Leaves a job's last completion for a later round. The last completion and the final state of the
- * job must be in one transaction, so it needs an additional put. If this batch has none left, the
- * other completions are committed without it, and the next round waits until the write budget
- * allows the additional put. Otherwise such a completion could block the log permanently. */
+ * job must be in one transaction, so it needs an additional put. If this batch allows no further
+ * put or final state, the other completions are committed without it, and the next round waits
+ * until the write budget allows the additional put. Otherwise such a completion could block the log
+ * permanently. */
 static void defer_last_completion(struct tmx_scheduler *scheduler, struct tmx_round_batch *batch,
                                   const char *job_id) {
   scheduler->min_batch_writes = TMX_BATCH_WRITES_MIN + 1;
   batch->completion_deferred = true;
   if (tmx_log_enabled(TMX_LOG_DEBUG))
     tmx_log(TMX_LOG_DEBUG,
-            "job: %s: last completion deferred, no room for the final state in this batch", job_id);
+            "job: %s: last completion deferred, this batch cannot hold the final state", job_id);
 }
 
 /* Adds a completion unless it is outdated or deferred. Returns false if the batch is full. */
@@ -131,7 +132,7 @@
     tmx_log_batch_put_outcome(&batch->log_batch, batch->finished_jobs[i], TMX_JOB_DONE, ended_at);
 }
 
-/* Stores the final state of jobs that were cancelled because of a job that they depend on. Until it
+/* Stores the final state of jobs that were cancelled because a prerequisite was cancelled. Until it
  * is stored, every replica and every compaction must keep the records from which the cancellation
  * is derived. This is housekeeping: only the leader does it, and only with spare write budget. */
 static void add_derived_final_states(struct tmx_scheduler *scheduler,
--- a/src/scheduler/round_timing.h
+++ b/src/scheduler/round_timing.h
@@ -16,7 +16,7 @@
 /** Makes the next step wait until the replica has reached this revision, which the store returned
  * for a transaction. */
 void tmx_scheduler_await_revision(struct tmx_scheduler *scheduler, uint64_t revision);
-/** Tells whether the replica has reached the awaited revision. Also returns true after
+/** Returns whether the replica has reached the awaited revision. Also returns true after
  * TMX_STORE_TIMEOUT_S, so that the wait is bounded. */
 bool tmx_scheduler_has_caught_up(const struct tmx_scheduler *scheduler);
 /** Makes the round timer fire within `within_s` seconds, regardless of the minimum spacing of
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -48,7 +48,7 @@
     tmx_scheduler_commit_round(scheduler);
 }
 
-/* Tells whether the next round must wait, and for how long in seconds. Rounds are limited by this
+/* Returns whether the next round must wait, and for how long in seconds. Rounds are limited by this
  * member's share of the puts, which submissions use as well. One round per second ignores the
  * budget: otherwise a steady load of submissions could keep accepted jobs from ever starting. */
 static bool must_wait(const struct tmx_scheduler *scheduler, double now, double *delay_s) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -45,7 +45,7 @@
   const struct tmx_settings *settings; /**< settings of the deployment */
   struct tmx_replica *replica; /**< local copy of the state; operations are checked against it */
   struct tmx_store *store;     /**< commits transactions and keeps the write budget */
-  const struct tmx_authority *authority;     /**< tells whether this controller may plan */
+  const struct tmx_authority *authority;     /**< decides whether this controller may plan */
   const struct tmx_machine_catalog *catalog; /**< machine types */
   struct tmx_admission_control *admission;   /**< NULL: every submission that can run is admitted */
   struct tmx_scheduler_source source; /**< callbacks for data from workers' reports; copied */
@@ -97,10 +97,10 @@
 };
 /** A job to submit; owned by the caller. */
 struct tmx_submission {
-  char id[TMX_ID_BYTES];           /**< id of the job */
-  struct tmx_job_spec spec;        /**< the job's specification */
-  struct tmx_job_ids dependencies; /**< ids of the jobs that it depends on */
-  double submitted_at;             /**< time of day, s */
+  char id[TMX_ID_BYTES];               /**< id of the job */
+  struct tmx_job_spec spec;            /**< the job's specification */
+  struct tmx_job_ids prerequisite_ids; /**< ids of the job's prerequisites */
+  double submitted_at;                 /**< time of day, s */
 };
 /** Queues a copy of the submission for the log. A submission that is still waiting to be sent after
  * `within_s` seconds gets TMX_SUBMISSION_NOT_COMMITTED. */
@@ -110,6 +110,6 @@
 /** Answers submissions whose outcome is known, commits the queued ones that may be committed
  * singly, and requests a round for the rest. To be called after each event loop iteration. */
 void tmx_scheduler_process_submissions(struct tmx_scheduler *scheduler);
-/** Tells whether a round is being planned. For tests. */
+/** Returns whether a round is being planned. For tests. */
 bool tmx_scheduler_is_planning(const struct tmx_scheduler *scheduler);
 #endif
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -37,7 +37,7 @@
   const struct tmx_settings *settings;       /**< settings of the deployment */
   struct tmx_replica *replica;               /**< local copy of the state */
   struct tmx_store *store;                   /**< commits transactions */
-  const struct tmx_authority *authority;     /**< tells whether this controller may plan */
+  const struct tmx_authority *authority;     /**< decides whether this controller may plan */
   const struct tmx_machine_catalog *catalog; /**< machine types */
   struct tmx_admission_control *admission;   /**< NULL: every submission that can run is admitted */
   struct tmx_scheduler_source source;        /**< callbacks for data from workers' reports */
--- a/src/scheduler/single_submission.c
+++ b/src/scheduler/single_submission.c
@@ -43,7 +43,7 @@
   return pending->state == TMX_PENDING_SUBMISSION_QUEUED && pending->n_values == 1 &&
          pending->n_single_conflicts < TMX_SINGLE_SUBMISSION_CONFLICTS_MAX &&
          tmx_admission_control_may_commit_alone(scheduler->admission, &pending->admission_request,
-                                                &pending->dependencies) &&
+                                                &pending->prerequisite_ids) &&
          tmx_store_reserve_submission_write(scheduler->store);
 }
 
@@ -54,9 +54,9 @@
   return n;
 }
 
-/* Tells whether the head version in the replica is up to date. A batch in flight has been committed
- * or rejected once the head version differs from the one that it requires, even if its response has
- * not arrived. */
+/* Returns whether the head version in the replica is up to date. A batch in flight has been
+ * committed or rejected once the head version differs from the one that it requires, even if its
+ * response has not arrived. */
 static bool is_head_current(const struct tmx_scheduler *scheduler) {
   bool decided = !scheduler->batch_in_flight ||
                  scheduler->replica->head_version != scheduler->sent_head_version;
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -18,7 +18,7 @@
     tmx_log(TMX_LOG_INFO,
             "job: %s rejected: a record of %zu bytes and %u dependencies exceed the limits of a "
             "transaction",
-            submission->id, pending->record_json_length, submission->dependencies.count);
+            submission->id, pending->record_json_length, submission->prerequisite_ids.count);
     tmx_pending_submission_free(pending);
     return TMX_SUBMIT_TOO_LARGE;
   }
@@ -59,7 +59,7 @@
   return true;
 }
 
-/* Tells whether the replica contains the job of an unanswered submission. Ignores a submission
+/* Returns whether the replica contains the job of an unanswered submission. Ignores a submission
  * in flight until its response is slow, since only then may the replica show the commit earlier. */
 static bool is_already_committed(const struct tmx_scheduler *scheduler,
                                  const struct tmx_pending_submission *pending, double now) {
@@ -112,7 +112,7 @@
 static bool is_admitted(const struct tmx_scheduler *scheduler,
                         struct tmx_pending_submission *pending) {
   return tmx_admission_control_decide(scheduler->admission, &pending->admission_request,
-                                      &pending->dependencies)
+                                      &pending->prerequisite_ids)
              .result == TMX_ADMITTED;
 }
 
@@ -126,10 +126,11 @@
   }
 }
 
-/* A submission is always committed in a single transaction, so that no reader sees only a part of
- * it. A submission that needs several values must be the first in its batch, and raises the put
- * limit of the batch to what it needs. */
-static bool has_room(struct tmx_log_batch *batch, const struct tmx_pending_submission *pending) {
+/* Returns whether the submission fits into the batch. A submission is always committed in a single
+ * transaction, so that no reader sees only a part of it. A submission that needs several values
+ * must be the first in its batch, and raises the put limit of the batch to what it needs. */
+static bool has_free_capacity(struct tmx_log_batch *batch,
+                              const struct tmx_pending_submission *pending) {
   if (pending->n_values > 1) {
     if (batch->n_lines || batch->n_job_records || batch->transaction.n_operations) return false;
     if (batch->writes_left < pending->n_values) batch->writes_left = pending->n_values;
@@ -140,7 +141,7 @@
 static void add_submission(struct tmx_log_batch *batch,
                            const struct tmx_pending_submission *pending) {
   char line[TMX_LOG_LINE_BYTES];
-  uint32_t position = pending->n_dependencies_in_record;
+  uint32_t position = pending->n_prerequisites_in_record;
   tmx_pending_submission_require_absent(pending, &batch->transaction);
   tmx_log_batch_add_job(batch, &pending->record, pending->record_json_length);
   while (tmx_pending_submission_next_line(pending, &position, line, sizeof line))
@@ -159,7 +160,8 @@
   for (size_t i = 0; i < scheduler->n_submissions; i++) {
     struct tmx_pending_submission *pending = scheduler->submissions[i];
     if (pending->state == TMX_PENDING_SUBMISSION_SENT_SINGLY || pending->answered) continue;
-    full = full || batch->transaction.n_conditions >= max_conditions || !has_room(batch, pending);
+    full = full || batch->transaction.n_conditions >= max_conditions ||
+           !has_free_capacity(batch, pending);
     bool sent = !full && is_admitted(scheduler, pending);
     pending->state = sent ? TMX_PENDING_SUBMISSION_IN_BATCH : TMX_PENDING_SUBMISSION_QUEUED;
     pending->sent_at = tmx_clock_steady();
--- a/src/user/submission_reader.c
+++ b/src/user/submission_reader.c
@@ -12,7 +12,7 @@
 
 static bool read_content(const cbor_item_t *map, struct tmx_submission *submission) {
   return tmx_job_spec_parse(map, &submission->spec, submission->id, sizeof submission->id) &&
-         tmx_job_ids_parse(map, &submission->dependencies);
+         tmx_job_ids_parse(map, &submission->prerequisite_ids);
 }
 
 enum tmx_submission_syntax tmx_user_submission_read(const struct tmx_http_request *http,
@@ -28,6 +28,6 @@
 
 void tmx_user_submission_free(struct tmx_submission *submission) {
   if (!submission) return;
-  tmx_job_ids_free(&submission->dependencies);
+  tmx_job_ids_free(&submission->prerequisite_ids);
   free(submission);
 }
--- a/src/user/submission_reader.h
+++ b/src/user/submission_reader.h
@@ -21,6 +21,6 @@
  */
 enum tmx_submission_syntax tmx_user_submission_read(const struct tmx_http_request *http,
                                                     struct tmx_submission *submission);
-/** Frees a heap-allocated submission and its dependencies. NULL is allowed. */
+/** Frees a heap-allocated submission and its list of prerequisites. NULL is allowed. */
 void tmx_user_submission_free(struct tmx_submission *submission);
 #endif
--- a/src/user/submission_validation.c
+++ b/src/user/submission_validation.c
@@ -42,8 +42,8 @@
 enum tmx_dependency_validity tmx_user_validate_dependencies(
     const struct tmx_replica *replica, const struct tmx_submission *submission) {
   enum tmx_dependency_validity validity = TMX_DEPENDENCIES_VALID;
-  for (uint32_t i = 0; i < submission->dependencies.count; i++) {
-    const char *id = submission->dependencies.ids[i];
+  for (uint32_t i = 0; i < submission->prerequisite_ids.count; i++) {
+    const char *id = submission->prerequisite_ids.ids[i];
     const struct tmx_job *job = tmx_job_find(replica, id);
     if (!strcmp(id, submission->id)) return TMX_DEPENDENCIES_NEVER_DONE;
     if (job && job->spec.service)
--- a/src/user/submission_validation.h
+++ b/src/user/submission_validation.h
@@ -16,15 +16,16 @@
 enum tmx_spec_validity tmx_user_validate_spec(const struct tmx_user_api *api,
                                               const struct tmx_job_spec *spec);
 
-/** Whether a job's dependencies allow it to start. */
+/** Whether a job's prerequisites allow it to start. */
 enum tmx_dependency_validity {
-  TMX_DEPENDENCIES_VALID,      /**< all are in the replica; none is the job itself or a service */
-  TMX_DEPENDENCIES_UNKNOWN,    /**< at least one is not in the replica */
-  TMX_DEPENDENCIES_NEVER_DONE, /**< the job depends on itself or on a service */
+  TMX_DEPENDENCIES_VALID,   /**< all prerequisites are in the replica; none is the job itself or a
+                               service */
+  TMX_DEPENDENCIES_UNKNOWN, /**< at least one prerequisite is not in the replica */
+  TMX_DEPENDENCIES_NEVER_DONE, /**< a prerequisite is the job itself or a service */
 };
-/** Returns whether the dependencies of a submission exist and can finish. Jobs are never removed,
- * so a dependency that exists continues to exist. That a dependency does not exist is certain only
- * after a linearizable read that began after the request was received. */
+/** Returns whether the prerequisites of a submission exist and can finish. Jobs are never removed,
+ * so a prerequisite that exists continues to exist. That a prerequisite does not exist is certain
+ * only after a linearizable read that began after the request was received. */
 enum tmx_dependency_validity tmx_user_validate_dependencies(
     const struct tmx_replica *replica, const struct tmx_submission *submission);
 #endif
--- a/src/user/submissions.c
+++ b/src/user/submissions.c
@@ -72,7 +72,7 @@
   tmx_user_request_finish(request);
 }
 
-/* Removes the dependencies that are done. Done is a final state, so they need not be stored. */
+/* Removes the prerequisites that are done. Done is a final state, so they need not be stored. */
 static void remove_done(const struct tmx_replica *replica, struct tmx_job_ids *ids) {
   uint32_t n = 0;
   for (uint32_t i = 0; i < ids->count; i++) {
@@ -95,14 +95,14 @@
 static enum tmx_submit_result queue_submission(struct tmx_user_request *request,
                                                struct tmx_submission *submission) {
   const struct tmx_user_api *api = request->api;
-  remove_done(api->replica, &submission->dependencies);
-  request->depends_on_cancelled = contains_cancelled(api->replica, &submission->dependencies);
+  remove_done(api->replica, &submission->prerequisite_ids);
+  request->depends_on_cancelled = contains_cancelled(api->replica, &submission->prerequisite_ids);
   if (api->n_waiting > TMX_WAITING_REQUESTS_MAX) return TMX_SUBMIT_QUEUE_FULL;
   return tmx_scheduler_submit(api->scheduler, submission, TMX_SUBMISSION_WAIT_MAX_S,
                               on_submission_settled, request);
 }
 
-/* Queues a submission, whose dependencies are all in the replica, for the log. If it is too large,
+/* Queues a submission, whose prerequisites are all in the replica, for the log. If it is too large,
  * the state is read before it is rejected, because another controller may have accepted the same
  * job ID with another body. */
 static void send_submission(struct tmx_user_request *request) {
@@ -137,7 +137,7 @@
 /* What to do with a submission, decided from the replica before any read of the state. */
 enum early_decision {
   EARLY_SEND,   /* queue the submission for the log */
-  EARLY_VERIFY, /* a dependency is not in the replica: read the state, then validate again */
+  EARLY_VERIFY, /* a prerequisite is not in the replica: read the state, then validate again */
   EARLY_REFUSE, /* read the state; if the job is still unknown, refuse it by `if_unknown` */
 };
 
@@ -160,7 +160,7 @@
       break;
   }
   request->admission_decision = tmx_admission_control_decide(
-      api->admission, &request->admission_request, &submission->dependencies);
+      api->admission, &request->admission_request, &submission->prerequisite_ids);
   return request->admission_decision.result == TMX_ADMITTED
              ? EARLY_SEND
              : refuse(request, TMX_UNKNOWN_JOB_OVERLOAD);
--- a/src/user/user_internal.h
+++ b/src/user/user_internal.h
@@ -29,7 +29,7 @@
   TMX_UNKNOWN_JOB_REJECTED,  /**< 422: the job could never run */
   TMX_UNKNOWN_JOB_RETRY,     /**< 503: undecided; the client should retry */
   TMX_UNKNOWN_JOB_OVERLOAD,  /**< 503: the team or class has reached its admission ceiling */
-  TMX_UNKNOWN_JOB_SUBMIT,    /**< validate the dependencies again and queue the submission */
+  TMX_UNKNOWN_JOB_SUBMIT,    /**< validate the prerequisites again and queue the submission */
 };
 
 /** A request that waits for a read of the state or for a commit. */
@@ -44,7 +44,7 @@
   int n_conflicts;    /**< number of conflicts that the cancellation's commits have met */
   /* Submissions only: */
   struct tmx_submission *submission;                /**< owned; NULL once it is refused or queued */
-  bool depends_on_cancelled;                        /**< at least one dependency is cancelled */
+  bool depends_on_cancelled;                        /**< at least one prerequisite is cancelled */
   struct tmx_admission_request admission_request;   /**< input of admission control */
   struct tmx_admission_decision admission_decision; /**< latest decision of admission control */
 };
@@ -98,7 +98,7 @@
 /** Parses and validates the body, and answers at once, after a read of the state, or after the
  * commit. Defined in submissions.c. */
 void tmx_user_submit(struct tmx_user_api *api, struct tmx_http_request *http);
-/** Validates the dependencies again after the read of the state and queues the submission. The job
+/** Validates the prerequisites again after the read of the state and queues the submission. The job
  * must not be in the replica. Defined in submissions.c. */
 void tmx_user_request_submit(struct tmx_user_request *request);
 /** Answers 503 to a submission that admission control refused, with the Retry-After that the
--- a/src/user/waiting_request.c
+++ b/src/user/waiting_request.c
@@ -82,7 +82,7 @@
 
 /* Returns the number of waiting requests from which on this one is refused. Only half of the queue
  * is open to polls of unknown jobs and of jobs whose state was sent to a user within
- * TMX_POLL_PRIORITY_AFTER_S. The other half keeps room for other requests, so that overload does
+ * TMX_POLL_PRIORITY_AFTER_S. The other half is reserved for other requests, so that overload does
  * not leave any job unanswered for long. */
 static int max_waiting(const struct tmx_user_api *api, const struct tmx_user_request *request) {
   const struct tmx_job *job = tmx_job_find(api->replica, request->id);
--- a/src/worker/commands.c
+++ b/src/worker/commands.c
@@ -57,7 +57,7 @@
 
 /* Handles reported attempts that the log does not place on the machine. The log needs no report of
  * their ends. The worker may forget the attempts that have exited; it must not forget those that
- * still run, and is told to stop them. */
+ * still run, and receives commands to stop them. */
 static void append_commands_for_unplaced(const struct tmx_worker *worker,
                                          enum tmx_command_scope scope,
                                          struct tmx_command_list *list) {
@@ -137,7 +137,7 @@
   if (tmx_worker_has_newer_owner(worker)) return;
   struct tmx_command_list list = {0};
   tmx_worker_derive_commands(worker, TMX_COMMANDS_ALL, &list);
-  if (list.count && tmx_worker_connect(worker, worker->report.facts.addr))
+  if (list.count && tmx_worker_connect(worker, worker->report.description.addr))
     tmx_worker_post_commands(worker, &list, TMX_COMMAND_TIMEOUT_S, on_command_response);
   tmx_command_list_free(&list);
 }
--- a/src/worker/commands.h
+++ b/src/worker/commands.h
@@ -24,7 +24,7 @@
   TMX_COMMANDS_STOPS_ONLY, /**< stops only: they may be sent at any time and are idempotent */
 };
 
-/** Appends the commands that bring the worker in line with the log. Appends nothing if its machine
+/** Appends the commands that reconcile the worker with the log. Appends nothing if its machine
  * is not registered. */
 void tmx_worker_derive_commands(struct tmx_worker *worker, enum tmx_command_scope scope,
                                 struct tmx_command_list *list);
--- a/src/worker/fencing.c
+++ b/src/worker/fencing.c
@@ -92,7 +92,7 @@
   return ownership->highest_token >= ownership->required_token;
 }
 
-/* Whether commands with a token below the required one can no longer be executed. */
+/* Returns whether commands with a token below the required one can no longer be executed. */
 static bool earlier_commands_are_void(const struct tmx_worker *worker) {
   return required_token_was_seen(&worker->ownership) ||
          worker->report.session > worker->ownership.required_session;
@@ -127,10 +127,10 @@
          !worker->commands.is_unanswered && !worker->commands.starts_unconfirmed;
 }
 
-/* A new owner cannot tell a late copy of a report from a new report, even if the copy is of an
- * earlier session. The worker may have forgotten the attempt with that session and started it again
- * (test_late_messages: a_late_report_of_an_earlier_session_proves_no_end). Only a completed attempt
- * stays completed, because the worker keeps its result. */
+/* A new owner cannot distinguish a late copy of a report from a new report, even if the copy is of
+ * an earlier session. The worker may have forgotten the attempt with that session and started it
+ * again (test_late_messages: a_late_report_of_an_earlier_session_proves_no_end). Only a completed
+ * attempt stays completed, because the worker keeps its result. */
 bool tmx_worker_end_is_proven(const struct tmx_worker *worker, char end_reason) {
   return end_reason == TMX_END_DONE || !worker->ownership.report_may_predate_ownership;
 }
--- a/src/worker/fencing.h
+++ b/src/worker/fencing.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Ownership of machines, and fencing tokens. A worker tells commands of its current owner from
- * those of a former one by their tokens. The highest token that a worker has seen proves which
+ * Ownership of machines, and fencing tokens. A worker distinguishes commands of its current owner
+ * from those of a former one by their tokens. The highest token that a worker has seen proves which
  * earlier commands it can no longer execute. Loop's thread only.
  */
 #ifndef TMX_WORKER_FENCING_H
@@ -14,21 +14,23 @@
 bool tmx_worker_update_ownership(struct tmx_worker *worker);
 /** This controller's current fencing token for the machine. */
 uint64_t tmx_worker_token(const struct tmx_worker *worker);
-/** Whether the worker has seen a token above the current one, so that it had a newer owner. */
+/** Returns whether the worker has seen a token above the current one, so that it had a newer owner.
+ */
 bool tmx_worker_has_newer_owner(const struct tmx_worker *worker);
 /** Raises the token after a command got no response. Until the worker has seen the new token or has
- * begun a later session, the absence of an attempt from its reports proves nothing. */
+ * started a later session, the absence of an attempt from its reports proves nothing. */
 void tmx_worker_fence_unanswered_command(struct tmx_worker *worker);
 /** Records the highest token that a new report shows; report.session must already be that of the
  * new report. `now` is in seconds on the steady clock. */
 void tmx_worker_record_token(struct tmx_worker *worker, uint64_t highest_token, double now);
 
-/** Whether the worker is known to receive what this owner sends: its reports show the required
- * token, and no command is left without a response. */
+/** Returns whether the worker is known to receive what this owner sends: its reports show the
+ * required token, and no command is left without a response. */
 bool tmx_worker_acknowledges_owner(const struct tmx_worker *worker);
-/** Whether an attempt that is missing from the latest report is certain never to run again. */
+/** Returns whether an attempt that is missing from the latest report is certain never to run again.
+ */
 bool tmx_worker_absence_proves_end(const struct tmx_worker *worker);
-/** Whether the end (TMX_END_*) in the latest report is certain to be that of the attempt in the
- * log, rather than of an earlier start of the same attempt. */
+/** Returns whether the end (TMX_END_*) in the latest report is certain to be that of the attempt in
+ * the log, rather than of an earlier start of the same attempt. */
 bool tmx_worker_end_is_proven(const struct tmx_worker *worker, char end_reason);
 #endif
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -58,9 +58,9 @@
   tmx_command_list_free(&list);
 }
 
-/* Whether the owner may have sent a start that is still in flight, for a task whose job has ended
- * since. A controller that renews the lease on behalf of the owner does not raise the token, so
- * that the start can still be executed and the task runs until the lease ends. The lease must
+/* Returns whether the owner may have sent a start that is still in flight, for a task whose job has
+ * ended since. A controller that renews the lease on behalf of the owner does not raise the token,
+ * so that the start can still be executed and the task runs until the lease ends. The lease must
  * therefore not be renewed beyond the time limit of a cancellation (test_cancellation:
  * no_lease_is_kept_for_a_delayed_start). */
 static bool is_late_start_possible(const struct tmx_worker *worker, double now) {
@@ -89,13 +89,13 @@
       tmx_authority_fencing_token(workers->authority, TMX_TOKEN_SEQUENCE_MAX))
     return false;
   if (is_late_start_possible(worker, now)) return false;
-  return tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_EXPIRY_S ||
+  return tmx_peers_heartbeat_age(workers->peers, owner) > TMX_HEARTBEAT_EXPIRY_S ||
          (redirected_at && now - redirected_at >= TMX_FAILOVER_REDIRECT_AGE_MIN_S);
 }
 
 /* Renews the lease on behalf of the owner, with the highest token that the worker has seen. The
- * only commands are stops of tasks whose jobs have ended: such a job never resumes, and its tasks
- * must end within the time limit of a cancellation (test_fencing:
+ * response contains only commands to stop tasks whose jobs have ended: such a job never resumes,
+ * and its tasks must end within the time limit of a cancellation (test_fencing:
  * a_lease_is_renewed_for_an_unreachable_owner). */
 static void renew_lease_for_owner(const struct tmx_worker *worker,
                                   struct tmx_http_request *request) {
@@ -105,8 +105,8 @@
   tmx_command_list_free(&list);
 }
 
-/* Whether the worker seems unable to reach its owner: it was redirected there and came back, or the
- * owner reports that the worker is silent and that probes of it are lost. */
+/* Returns whether the worker seems unable to reach its owner: it was redirected there and returned,
+ * or the owner reports that it has lost contact with the worker and that probes were lost. */
 static bool is_cut_off_from_owner(const struct tmx_worker *worker, const char *owner, double now) {
   const struct tmx_workers *workers = worker->workers;
   double redirected_at = worker->redirection.redirected_at;
@@ -114,11 +114,11 @@
   if (redirected_at && since_redirect >= TMX_FAILOVER_REDIRECT_AGE_MIN_S &&
       since_redirect <= TMX_FAILOVER_REDIRECT_AGE_MAX_S)
     return true;
-  if (tmx_peers_silence(workers->peers, owner) > TMX_HEARTBEAT_EXPIRY_S)
+  if (tmx_peers_heartbeat_age(workers->peers, owner) > TMX_HEARTBEAT_EXPIRY_S)
     return redirected_at && since_redirect < TMX_FAILOVER_REDIRECT_AGE_MAX_S;
   struct tmx_suspicion suspicion;
   return worker->machine && tmx_workers_find_suspicion(workers, worker->machine, &suspicion) &&
-         suspicion.silence_s > TMX_FAILOVER_SILENCE_S &&
+         suspicion.no_contact_s > TMX_FAILOVER_CONTACT_TIMEOUT_S &&
          suspicion.consecutive_probes_lost >= TMX_PROBES_LOST_MIN;
 }
 
@@ -190,8 +190,8 @@
   reply_redirect(request, owner);
 }
 
-static struct tmx_report_ingest take_heartbeat(struct tmx_workers *workers,
-                                               const struct tmx_http_request *request) {
+static struct tmx_report_ingest process_heartbeat(struct tmx_workers *workers,
+                                                  const struct tmx_http_request *request) {
   struct tmx_report_ingest ingest = {.status = TMX_INGEST_REJECTED};
   cbor_item_t *map = tmx_cbor_parse(request->body, request->body_len);
   if (map) ingest = tmx_workers_ingest_report(workers, map, TMX_REPORT_FROM_HEARTBEAT);
@@ -200,7 +200,7 @@
 }
 
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request) {
-  struct tmx_report_ingest ingest = take_heartbeat(workers, request);
+  struct tmx_report_ingest ingest = process_heartbeat(workers, request);
   struct tmx_worker *worker = ingest.worker;
   bool is_stale = ingest.status == TMX_INGEST_STALE;
   if (ingest.status == TMX_INGEST_REJECTED) {
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -11,7 +11,7 @@
 #include "worker/worker_connection.h"
 #include "worker/worker_table.h"
 
-double tmx_worker_silence_limit(const struct tmx_settings *settings) {
+double tmx_worker_contact_timeout(const struct tmx_settings *settings) {
   return settings->report_s * 1.25 + TMX_REPORT_LATE_MARGIN_S;
 }
 
@@ -23,7 +23,7 @@
   return fmax(worker->liveness.heartbeat_at, worker->liveness.acknowledged_at);
 }
 
-double tmx_worker_silence(const struct tmx_worker *worker, double now) {
+double tmx_worker_time_since_contact(const struct tmx_worker *worker, double now) {
   return now - fmax(last_sign_of_life(worker), worker->ownership.since);
 }
 
@@ -66,13 +66,14 @@
 }
 
 /* Checks a machine that this controller owns and returns whether it is usable. A machine that
- * responds and sends no heartbeats is not usable (test_machine_failure:
- * a_machine_that_cannot_report_is_replaced). Neither is one that sends heartbeats and does not
- * respond (test_machine_failure: a_machine_that_is_heard_and_not_reached_is_replaced). */
+ * responds but sends no heartbeats is not usable (test_machine_failure:
+ * a_machine_that_cannot_report_is_replaced). A machine that sends heartbeats but does not respond
+ * is not usable either (test_machine_failure: a_machine_that_is_heard_and_not_reached_is_replaced).
+ */
 static bool check_own_machine(struct tmx_worker *worker, struct health_check *check) {
   const struct tmx_settings *settings = worker->workers->settings;
   struct tmx_reachability *reachability = &check->reachability;
-  double limit = tmx_worker_silence_limit(settings);
+  double limit = tmx_worker_contact_timeout(settings);
   tmx_worker_update_ownership(worker);
   count_zone_liveness(worker, check->now);
   reachability->owned++;
@@ -84,7 +85,7 @@
   check->without_heartbeats += !sends_heartbeats;
   return worker->report.session && tmx_worker_acknowledges_owner(worker) &&
          !worker->probing.consecutive_lost && !worker->report.spot_notice && sends_heartbeats &&
-         tmx_worker_silence(worker, check->now) < limit;
+         tmx_worker_time_since_contact(worker, check->now) < limit;
 }
 
 static void set_usable(struct tmx_workers *workers, struct tmx_machine *machine, bool is_usable) {
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -73,7 +73,7 @@
                                             TMX_PROBE_TIMEOUT_S, on_status_response, worker);
 }
 
-/* One round-robin pass of probes. It begins where the last pass ended, and ends when the budget is
+/* A round-robin pass of probes. It begins where the last pass ended, and ends when the budget is
  * spent down to `reserve`. */
 struct probe_pass {
   double now;
--- a/src/worker/reconciliation.c
+++ b/src/worker/reconciliation.c
@@ -137,14 +137,14 @@
 }
 
 size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
-                                        struct tmx_machine_description *facts, size_t max) {
+                                        struct tmx_machine_description *descriptions, size_t max) {
   size_t count = 0;
   double since = tmx_clock_steady() - 2 * workers->settings->report_s;
   struct tmx_worker *worker, *next;
   if (!workers->unregistered_seen_at || workers->unregistered_seen_at < since) return 0;
   HASH_ITER(hh, workers->all, worker, next) {
     if (count == max) break;
-    if (may_be_registered(worker, since)) facts[count++] = worker->report.facts;
+    if (may_be_registered(worker, since)) descriptions[count++] = worker->report.description;
   }
   return count;
 }
--- a/src/worker/reconciliation.h
+++ b/src/worker/reconciliation.h
@@ -10,10 +10,11 @@
 /** Compares the latest report with the log and marks each attempt of one with what the other says
  * of it. Does nothing if neither has changed since the last comparison. */
 void tmx_worker_reconcile(struct tmx_worker *worker);
-/** Whether the latest report contains the attempt that the log places on the machine. Valid after
- * tmx_worker_reconcile(). */
+/** Returns whether the latest report contains the attempt that the log places on the machine. Valid
+ * after tmx_worker_reconcile(). */
 bool tmx_worker_reports_task(const struct tmx_worker *worker, const struct tmx_task *task);
-/** Whether the log requires the attempt to end: it is being stopped, or its job has ended. */
+/** Returns whether the log requires the attempt to end: it is being stopped, or its job has ended.
+ */
 bool tmx_task_must_end(const struct tmx_task *task);
 /** Reconciles a new report of a registered machine, and triggers scheduling rounds for the ends
  * that it shows. */
--- a/src/worker/report_intake.c
+++ b/src/worker/report_intake.c
@@ -15,7 +15,7 @@
 
 /* The fields of a report; its tasks are not parsed yet. */
 struct parsed_report {
-  struct tmx_machine_description facts;
+  struct tmx_machine_description description;
   uint64_t session;
   uint64_t sequence;
   uint64_t highest_token;
@@ -23,27 +23,27 @@
   const cbor_item_t *tasks; /* owned by the message; NULL: none */
 };
 
-/* Gets a text that is not empty and contains no white space: facts are written to records of the
- * log, whose fields are separated by blanks. */
+/* Gets a text that is not empty and contains no white space. Descriptions of machines are written
+ * to lines of the log, whose fields are separated by blanks. */
 static bool get_text_without_blanks(const cbor_item_t *map, const char *key, char *word,
                                     size_t size) {
   return tmx_cbor_get_text(map, key, word, size) && word[0] && !strpbrk(word, " \t\n");
 }
 
 static bool parse_report(const cbor_item_t *map, struct parsed_report *report) {
-  struct tmx_machine_description *facts = &report->facts;
+  struct tmx_machine_description *description = &report->description;
   double notice_s = -1;
   memset(report, 0, sizeof *report);
   report->tasks = tmx_cbor_get(map, W_TASKS);
-  if (!get_text_without_blanks(map, W_MACHINE, facts->id, sizeof facts->id) ||
-      !get_text_without_blanks(map, W_ADDR, facts->addr, sizeof facts->addr) ||
-      !get_text_without_blanks(map, W_TYPE, facts->type, sizeof facts->type) ||
-      !get_text_without_blanks(map, W_ZONE, facts->zone, sizeof facts->zone) ||
+  if (!get_text_without_blanks(map, W_MACHINE, description->id, sizeof description->id) ||
+      !get_text_without_blanks(map, W_ADDR, description->addr, sizeof description->addr) ||
+      !get_text_without_blanks(map, W_TYPE, description->type, sizeof description->type) ||
+      !get_text_without_blanks(map, W_ZONE, description->zone, sizeof description->zone) ||
       !tmx_cbor_get_u64(map, W_SESSION, &report->session) ||
       !tmx_cbor_get_u64(map, W_SEQUENCE, &report->sequence) ||
       (report->tasks && !cbor_isa_array(report->tasks)))
     return false;
-  tmx_cbor_get_bool(map, W_SPOT, &facts->spot);
+  tmx_cbor_get_bool(map, W_SPOT, &description->spot);
   tmx_cbor_get_u64(map, W_TOKEN, &report->highest_token);
   tmx_cbor_get_number(map, W_SPOT_NOTICE, &notice_s);
   report->spot_notice = notice_s >= 0;
@@ -141,11 +141,11 @@
   struct tmx_worker_liveness *liveness = &worker->liveness;
   double now = tmx_clock_steady();
   if (now - fmax(liveness->heartbeat_at, liveness->acknowledged_at) >
-      tmx_worker_silence_limit(workers->settings))
+      tmx_worker_contact_timeout(workers->settings))
     liveness->recovered_at = now;
   worker->report.session = parsed->session;
   worker->report.sequence = parsed->sequence;
-  worker->report.facts = parsed->facts;
+  worker->report.description = parsed->description;
   tmx_worker_record_token(worker, parsed->highest_token, now);
   record_sign_of_life(worker, source, now);
   update_spot_notice(worker, parsed->spot_notice);
@@ -160,11 +160,11 @@
   ingest.session = parsed.session;
   /* A late report must not register a removed machine again (test_machine_failure:
    * a_late_report_does_not_bring_a_removed_machine_back). */
-  if (tmx_machine_was_removed(workers->replica, parsed.facts.id)) {
+  if (tmx_machine_was_removed(workers->replica, parsed.description.id)) {
     ingest.status = TMX_INGEST_MACHINE_REMOVED;
     return ingest;
   }
-  struct tmx_worker *worker = tmx_worker_find_or_create(workers, parsed.facts.id);
+  struct tmx_worker *worker = tmx_worker_find_or_create(workers, parsed.description.id);
   if (!worker) return ingest;
   if (!is_newer(&parsed, worker)) {
     ingest.status = TMX_INGEST_STALE;
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -9,7 +9,7 @@
 #include "worker/machine_health.h"
 #include "worker/worker_table.h"
 
-/* Seconds without proof that the worker receives what this owner sends; 0: nothing is missing. */
+/* Seconds without proof that the worker receives what this owner sends; 0: there is proof. */
 static double unacknowledged_seconds(const struct tmx_worker *worker, double now) {
   const struct tmx_settings *settings = worker->workers->settings;
   const struct tmx_worker_ownership *ownership = &worker->ownership;
@@ -34,17 +34,17 @@
   return unacknowledged_s;
 }
 
-/* Fills in the suspicion. Returns false if nothing is wrong with the machine. */
+/* Fills in the suspicion. Returns false if there is no sign of a fault. */
 static bool get_own_suspicion(const struct tmx_worker *worker, double now,
                               struct tmx_suspicion *suspicion) {
-  suspicion->silence_s = tmx_worker_silence(worker, now);
+  suspicion->no_contact_s = tmx_worker_time_since_contact(worker, now);
   suspicion->consecutive_probes_lost = worker->probing.consecutive_lost;
   suspicion->unacknowledged_s = unacknowledged_seconds(worker, now);
   suspicion->spot_notice = worker->report.spot_notice;
   memcpy(suspicion->id, worker->id, sizeof suspicion->id);
   return suspicion->consecutive_probes_lost || suspicion->unacknowledged_s > 0 ||
          suspicion->spot_notice ||
-         suspicion->silence_s > tmx_worker_silence_limit(worker->workers->settings);
+         suspicion->no_contact_s > tmx_worker_contact_timeout(worker->workers->settings);
 }
 
 void tmx_workers_for_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback,
@@ -72,16 +72,16 @@
   snprintf(record->reporter, sizeof record->reporter, "%s", node);
 }
 
-/* Whether the suspicion came with the owner's latest heartbeat and by the current view. A
- * controller that was partitioned still reports the machines of its former view, none of which it
- * could reach (test_machine_failure: suspicions_of_an_older_view_are_ignored). */
+/* Returns whether the suspicion arrived in the owner's latest heartbeat and belongs to the current
+ * view. A controller that was partitioned still reports the machines of its former view, none of
+ * which it could reach (test_machine_failure: suspicions_of_an_older_view_are_ignored). */
 static bool owner_suspicion_is_current(const struct tmx_workers *workers,
                                        const struct tmx_worker_owner_suspicion *record,
                                        const char *owner, double now) {
   double age = now - record->received_at;
   return record->received_at && record->term >= workers->replica->view.term &&
          !strcmp(record->reporter, owner) &&
-         age <= tmx_peers_silence(workers->peers, owner) + TMX_HEARTBEAT_PERIOD_S / 2 &&
+         age <= tmx_peers_heartbeat_age(workers->peers, owner) + TMX_HEARTBEAT_PERIOD_S / 2 &&
          age <= TMX_HEARTBEAT_EXPIRY_S;
 }
 
@@ -96,6 +96,6 @@
   const char *owner = workers->replica->view.members[machine->owner].name;
   if (!owner_suspicion_is_current(workers, record, owner, now)) return false;
   *out = record->suspicion;
-  out->silence_s += now - record->received_at;
+  out->no_contact_s += now - record->received_at;
   return true;
 }
--- a/src/worker/worker_table.c
+++ b/src/worker/worker_table.c
@@ -30,9 +30,9 @@
   return fmax(worker->liveness.heartbeat_at, worker->owner_suspicion.received_at);
 }
 
-/* Makes room in a full table. Among the workers whose machines are not in the replica, frees the
- * one with the oldest last heartbeat or suspicion. Over months, many machines send a heartbeat and
- * are never registered. */
+/* Evicts a worker from a full table. Among the workers whose machines are not in the replica, frees
+ * the one with the oldest last heartbeat or suspicion. Over months, many machines send a heartbeat
+ * and are never registered. */
 static bool evict_least_recent(struct tmx_workers *workers) {
   struct tmx_worker *worker, *next, *oldest = NULL;
   HASH_ITER(hh, workers->all, worker, next) {
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -60,12 +60,12 @@
   tmx_worker_free(worker);
 }
 
-void tmx_workers_replica_cleared(struct tmx_workers *workers) {
+void tmx_workers_before_replica_clear(struct tmx_workers *workers) {
   struct tmx_worker *worker, *next;
   HASH_ITER(hh, workers->all, worker, next) worker->machine = NULL;
 }
 
-/* Ownership is updated at each view in turn. If another controller owned a machine between two
+/* Ownership must be updated at every view. If another controller owned a machine between two
  * views that give it to this controller, only the views in between show it. */
 void tmx_workers_view_changed(struct tmx_workers *workers) {
   struct tmx_worker *worker, *next;
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -50,8 +50,8 @@
  * while this controller takes the machine over. */
 void tmx_workers_handle_heartbeat(struct tmx_workers *workers, struct tmx_http_request *request);
 /** Sends the commands that the latest events made due, and responds to parked heartbeats. Must be
- * called after each turn of the event loop, once all its events have been applied, and not from
- * their callbacks. */
+ * called after each iteration of the event loop, once all its events have been applied, and not
+ * from their callbacks. */
 void tmx_workers_flush(struct tmx_workers *workers);
 /** Checks the health of machines and sends probes. Does nothing if the last check was less than
  * TMX_RECLAIM_PERIOD_S ago. */
@@ -64,17 +64,17 @@
 void tmx_workers_machine_removed(struct tmx_workers *workers, struct tmx_machine *machine);
 /** Must be called after each new view, which may change the owners of machines. */
 void tmx_workers_view_changed(struct tmx_workers *workers);
-/** Must be called when the replica is cleared, before it is read again. */
-void tmx_workers_replica_cleared(struct tmx_workers *workers);
+/** Must be called before the replica is cleared. Keeps the workers without their machines. */
+void tmx_workers_before_replica_clear(struct tmx_workers *workers);
 
 /** Writes an operation for each attempt whose end the reports prove, at most `max`, and returns
  * their number. */
 size_t tmx_workers_collect_completions(struct tmx_workers *workers,
                                        struct tmx_operation *operations, size_t max);
-/** Writes the facts of machines that send heartbeats and are not registered in the log, at most
- * `max`, and returns their number. */
+/** Writes the descriptions of at most `max` machines that send heartbeats and are not registered in
+ * the log. Returns the number written. */
 size_t tmx_workers_collect_unregistered(struct tmx_workers *workers,
-                                        struct tmx_machine_description *facts, size_t max);
+                                        struct tmx_machine_description *descriptions, size_t max);
 
 /** Calls back for each machine of this controller that is suspected of a fault. */
 void tmx_workers_for_each_suspicion(struct tmx_workers *workers, tmx_suspicion_cb callback,
@@ -97,8 +97,9 @@
 };
 /** The counts of the latest health check, as made by tmx_workers_tick(). */
 struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers);
-/** Whether this controller reaches less than a quarter of its machines, or of the sample, so that
- * others should drive its machines. Always false for fewer than TMX_REACHABILITY_MACHINES_MIN. */
+/** Returns whether this controller reaches less than a quarter of its machines, or of the sample,
+ * so that others should drive its machines. Always false for fewer than
+ * TMX_REACHABILITY_MACHINES_MIN. */
 bool tmx_workers_are_unreachable(const struct tmx_workers *workers);
 /** Liveness of this controller's machines, one entry for each zone of the settings. Owned by the
  * module. */
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -34,10 +34,11 @@
 struct tmx_worker_report {
   uint64_t session;  /**< incarnation of the worker's set of tasks; 0: no report yet */
   uint64_t sequence; /**< sequence number of the report within the session */
-  struct tmx_machine_description facts; /**< description of the machine, as its worker reports it */
-  bool spot_notice;                     /**< the cloud provider is about to reclaim the machine */
-  struct tmx_reported_task *tasks;      /**< owned by the record */
-  size_t n_tasks;                       /**< length of `tasks` */
+  struct tmx_machine_description
+      description;                 /**< description of the machine, as its worker reports it */
+  bool spot_notice;                /**< the cloud provider is about to reclaim the machine */
+  struct tmx_reported_task *tasks; /**< owned by the record */
+  size_t n_tasks;                  /**< length of `tasks` */
   uint32_t number; /**< number that this process gave the report; 0: no report yet */
 };
 
@@ -47,7 +48,8 @@
   double heartbeat_at;    /**< latest new heartbeat that arrived here; 0: never */
   double acknowledged_at; /**< latest proof that the worker receives what this controller sends: a
                                response, or a token of this controller; 0: never */
-  double recovered_at;    /**< first sign of life after a silence beyond the limit */
+  double recovered_at;    /**< first sign of life after a time without contact that exceeded
+                             tmx_worker_contact_timeout() */
 };
 
 /** Versions of the report and of the log that were last compared. Written by reconciliation.c;
@@ -109,7 +111,7 @@
  * connection. */
 struct tmx_worker_probing {
   bool in_flight;       /**< a status request awaits its response */
-  int consecutive_lost; /**< number of probes lost in a row */
+  int consecutive_lost; /**< number of consecutive lost probes */
   double sent_at;       /**< steady clock, s: when the latest probe was sent */
 };
 
@@ -151,7 +153,7 @@
  * position off a worker that is freed. */
 struct tmx_probe_budget {
   double available;                /**< probes that may be sent now */
-  struct tmx_worker *next;         /**< where the next pass begins; NULL: at the first worker */
+  struct tmx_worker *next;         /**< worker at which the next pass begins; NULL: the first */
   struct tmx_worker *next_suspect; /**< the same for the pass over suspect machines */
 };
 
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -110,7 +110,7 @@
   }
 }
 
-static void on_acceptable(struct ev_loop *loop, ev_io *watcher, int events) {
+static void on_listener_readable(struct ev_loop *loop, ev_io *watcher, int events) {
   struct link *link = watcher->data;
   struct sockaddr_in address;
   (void)events;
@@ -148,7 +148,7 @@
       getsockname(link->fd, (struct sockaddr *)&address, &size))
     abort();
   link->port = ntohs(address.sin_port);
-  ev_io_init(&link->acceptable, on_acceptable, link->fd, EV_READ);
+  ev_io_init(&link->acceptable, on_listener_readable, link->fd, EV_READ);
   link->acceptable.data = link;
   ev_io_start(loop, &link->acceptable);
   ev_timer_init(&link->flush, on_flush, flush_s, flush_s);
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -13,12 +13,12 @@
 #define COUNT(array) (sizeof(array) / sizeof(array)[0])
 
 static const struct tmx_machine_deadlines deadlines = {
-    .silence_s = 1.5, .leases_expired_s = 40, .heartbeat_late_s = 3.5, .unacknowledged_s = 5};
+    .no_contact_s = 1.5, .leases_expired_s = 40, .heartbeat_late_s = 3.5, .unacknowledged_s = 5};
 
 /* Whether the leader has settled and the owner suspects the machine, and what the owner says. */
 #define SUSPICION(settled, by_owner, silence, lost, unacknowledged) \
   .leader_settled = (settled), .suspected = (by_owner),             \
-  .suspicion = {.silence_s = (silence),                             \
+  .suspicion = {.no_contact_s = (silence),                          \
                 .consecutive_probes_lost = (lost),                  \
                 .unacknowledged_s = (unacknowledged)}
 #define DEAD SUSPICION(true, true, 2, TMX_PROBES_LOST_MIN, 0)
@@ -86,12 +86,12 @@
   settings->lease_s = 8;
   settings->report_s = 2;
   struct tmx_machine_deadlines derived = tmx_machine_deadlines(settings);
-  assert_float_equal(derived.silence_s, TMX_MACHINE_SILENCE_S, 1e-9);
+  assert_float_equal(derived.no_contact_s, TMX_MACHINE_CONTACT_TIMEOUT_S, 1e-9);
   assert_float_equal(derived.leases_expired_s, 20, 1e-9);
   assert_float_equal(derived.heartbeat_late_s, 2.5 + TMX_REPORT_LATE_MARGIN_S, 1e-9);
   assert_float_equal(derived.unacknowledged_s, 8 * TMX_UNACKNOWLEDGED_LEASES, 1e-9);
   settings->operators.silent_s = 4;
-  assert_float_equal(tmx_machine_deadlines(settings).silence_s, 4, 1e-9);
+  assert_float_equal(tmx_machine_deadlines(settings).no_contact_s, 4, 1e-9);
   free(settings);
 }
 
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -7,17 +7,17 @@
  * hears nobody, and nobody because the zones came apart. */
 static void peers_are_suspected_by_evidence(void **state) {
   (void)state;
-  struct tmx_peer_census all = {.others = 4,
-                                .heard = 3,
-                                .same_zone = 2,
-                                .same_zone_heard = 2,
-                                .other_zones = 2,
-                                .other_zones_heard = 1};
-  struct tmx_peer_census none = {.others = 4, .same_zone = 2, .other_zones = 2};
-  struct tmx_peer_census apart = {
-      .others = 4, .heard = 2, .same_zone = 2, .same_zone_heard = 2, .other_zones = 2};
+  struct tmx_peer_liveness all = {.others = 4,
+                                  .alive = 3,
+                                  .same_zone = 2,
+                                  .same_zone_alive = 2,
+                                  .other_zones = 2,
+                                  .other_zones_alive = 1};
+  struct tmx_peer_liveness none = {.others = 4, .same_zone = 2, .other_zones = 2};
+  struct tmx_peer_liveness apart = {
+      .others = 4, .alive = 2, .same_zone = 2, .same_zone_alive = 2, .other_zones = 2};
   struct tmx_peer_evidence evidence = {
-      .silence_s = 60, .last_batch_age_s = 60, .observed_for_s = 60};
+      .heartbeat_age_s = 60, .last_batch_age_s = 60, .observed_for_s = 60};
   assert_true(tmx_peer_is_suspected(&all, &evidence));
   assert_false(tmx_peer_is_suspected(&none, &evidence));
   assert_false(tmx_zones_are_partitioned(&none));
@@ -30,7 +30,7 @@
   evidence.last_batch_age_s = 0.5; /* it refuses, and its batches come */
   assert_false(tmx_peer_is_suspected(&none, &evidence));
   struct tmx_peer_evidence cut = {
-      .reports_no_workers = true, .silence_s = 0.1, .last_batch_age_s = 0.1};
+      .reports_no_workers = true, .heartbeat_age_s = 0.1, .last_batch_age_s = 0.1};
   assert_true(tmx_peer_is_suspected(&all, &cut));
 }
 
--- a/tests/test_machine_failure.c
+++ b/tests/test_machine_failure.c
@@ -177,7 +177,7 @@
   struct tmx_controller *other =
       !strcmp(owner, first_controller->settings.node_name) ? second_controller : first_controller;
   struct tmx_machine *machine = tmx_machine_find(&other->replica, worker.id);
-  struct tmx_suspicion says = {.silence_s = 60, .consecutive_probes_lost = 9}, suspicion;
+  struct tmx_suspicion says = {.no_contact_s = 60, .consecutive_probes_lost = 9}, suspicion;
   snprintf(says.id, sizeof says.id, "%s", worker.id);
   uint64_t term = other->replica.view.term;
   tmx_workers_record_suspicion(other->workers, owner, term - 1, &says);
--- a/tests/test_peer_format.c
+++ b/tests/test_peer_format.c
@@ -247,7 +247,7 @@
 
 static bool heard(void *arg) {
   (void)arg;
-  return tmx_peers_silence(first_controller->peers, "hand-1") < 1;
+  return tmx_peers_heartbeat_age(first_controller->peers, "hand-1") < 1;
 }
 
 static void send_heartbeat(const char *bytes, size_t n) {
