--- a/include/tmx/constants.h
+++ b/include/tmx/constants.h
@@ -95,7 +95,7 @@
  * clock differences.
  */
 #define TMX_COMMIT_SLOT_START_SHARE 0.45
-/** Submissions that wait to be committed; further ones are refused at once. */
+/** Submissions that wait to be committed; further ones are refused immediately. */
 #define TMX_PENDING_SUBMISSIONS_MAX 400
 /** Waiting submissions up to which each is committed on its own rather than with a batch. */
 #define TMX_SINGLE_SUBMISSIONS_MAX 2
@@ -429,8 +429,8 @@
  */
 #define TMX_POLL_PRIORITY_AFTER_S 20.0
 /**
- * Requests that wait for a revision read; further ones are refused at once. Polls without priority
- * are refused at half of it.
+ * Requests that wait for a revision read; further ones are refused immediately. Polls without
+ * priority are refused at half of it.
  */
 #define TMX_WAITING_REQUESTS_MAX 400
 /** @} */
--- a/src/admission/admission_policy.c
+++ b/src/admission/admission_policy.c
@@ -50,7 +50,7 @@
 }
 
 /* A job that depends on accepted ones may exceed the team's ceiling by TMX_PIPELINE_EXTRA_SHARE,
- * whatever its class. This lets a pipeline that has started continue, but not without limit. */
+ * whatever its class. This allows a pipeline that has started to continue, up to a limit. */
 static struct tmx_admission_decision decide_by_team(const struct decision_context *context) {
   double used[TMX_TEAMS_MAX];
   const struct tmx_admission_settings *settings = &context->settings->operators.admission;
--- a/src/cloud/deletion_request.h
+++ b/src/cloud/deletion_request.h
@@ -23,6 +23,6 @@
 void tmx_deletion_request_add(struct tmx_deletion_request *request, const char *id,
                               enum tmx_deletion_reason reason);
 /** Sends the request if it names any machine and the rate limit allows it. Frees the request when
- * the response arrives or the request fails, or at once if it cannot be sent. */
+ * the response arrives or the request fails, or immediately if it cannot be sent. */
 void tmx_deletion_request_send(struct tmx_deletion_request *request);
 #endif
--- a/src/cloud/inventory.c
+++ b/src/cloud/inventory.c
@@ -67,7 +67,8 @@
     snprintf(inventory->cursor, sizeof inventory->cursor, "%s", id);
 }
 
-/* Removes instances that have been missing for longer than the list can lag, as they are gone. */
+/* Removes instances that have been missing for longer than the list can lag: they no longer exist.
+ */
 static void drop_unlisted(struct tmx_inventory *inventory, double now) {
   const double keep_s = 2 * inventory->settings->list_lag_s + 3 * TMX_INSTANCE_LIST_PERIOD_S;
   struct tmx_instance *instance, *next_instance;
--- a/src/cloud/reclaim_evidence.c
+++ b/src/cloud/reclaim_evidence.c
@@ -54,9 +54,10 @@
 /* Starts or extends the grace period of each partitioned zone. If contact with a whole zone is
  * lost, a network partition separates it from the owners of its machines, and its tasks may still
  * be running. The cloud's list soon shows machines that died as failed. The other machines
- * reconnect with their tasks still running, and there is hardly enough capacity to run these tasks
- * elsewhere. Therefore no machine of the zone is deleted for loss of contact until all its tasks
- * must have ended, plus the length of a lease: see leases_expired_s in tmx_machine_deadlines(). */
+ * reconnect with their tasks still running, and machines elsewhere are unlikely to have enough
+ * capacity for these tasks. Therefore no machine of the zone is deleted for loss of contact until
+ * all its tasks must have ended, plus the length of a lease: see leases_expired_s in
+ * tmx_machine_deadlines(). */
 static void detect_partitions(struct tmx_reclaim_evidence *evidence, struct tmx_cloud *cloud,
                               const struct tmx_zone_liveness zones[]) {
   struct tmx_zone_partitions *partitions = &cloud->zone_partitions;
--- a/src/cloud/replacement_policy.c
+++ b/src/cloud/replacement_policy.c
@@ -40,9 +40,9 @@
 
 /* A machine that left several consecutive probes unanswered counts as dead, unless its zone is in a
  * grace period. In the grace period, the machine may reconnect with its tasks still running, and
- * there is hardly enough capacity to run them elsewhere. The machine is therefore kept until its
- * leases have expired, and twice as long if it holds replicas of services, as their replacements
- * would be pending for lack of capacity. */
+ * the other machines are unlikely to have enough capacity for them. The machine is therefore kept
+ * until its leases have expired, and twice as long if it holds replicas of services, as their
+ * replacements would be pending for lack of capacity. */
 static bool is_dead(const struct tmx_machine_evidence *evidence,
                     const struct tmx_machine_deadlines *deadlines) {
   double no_contact_s = evidence->suspicion.no_contact_s;
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -41,7 +41,7 @@
   size_t n_operations,              /**< entries in use */
       cap_operations;               /**< entries allocated */
   uint32_t unplaced; /**< tasks that were not placed for lack of capacity, or not examined */
-  bool truncated;    /**< the round reached a limit: the next round should start at once */
+  bool truncated;    /**< the round reached a limit: the next round should start immediately */
   size_t visits;     /**< machines and tasks examined */
 };
 
--- a/src/planner/planner_tables.h
+++ b/src/planner/planner_tables.h
@@ -63,8 +63,8 @@
       cap_open_jobs;                 /**< entries allocated */
   uint64_t round_number;             /**< number of rounds started; 0: none */
   double aged_job_credit; /**< tasks that aged jobs may place before others, see ageing.h */
-  /* Where the next round resumes each part of a round that stopped at the visit limit. Each is the
-   * slot of a job; -1: the part starts with its first job. */
+  /* Positions at which the next round resumes each part of a round that stopped at the visit limit.
+   * Each is the slot of a job; -1: the part starts with its first job. */
   int resume_production,  /**< in the jobs of production precedence */
       resume_not_started, /**< in the aged jobs without a start */
       resume_others;      /**< in all other jobs */
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -153,7 +153,7 @@
 }
 
 /* Recomputes the totals of waiting work from all jobs: applying a page changes tasks without
- * updating these totals. Also frees the tasks of jobs that are over. */
+ * updating these totals. Also frees the tasks of jobs that have ended. */
 static void recount_jobs(struct tmx_replica *replica) {
   struct tmx_job *job, *next;
   replica->waiting_cpus = 0;
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -11,7 +11,7 @@
   tmx_log(TMX_LOG_INFO, "state: the lease expired, registering again");
   store->lease.id = 0;
   store->registration.incarnation = 0;
-  tmx_lease_init(&store->lease); /* makes the next request due at once */
+  tmx_lease_init(&store->lease); /* makes the next request due immediately */
 }
 
 static void on_granted(void *arg, int status, const uint8_t *body, size_t length) {
--- a/src/store/read_index.c
+++ b/src/store/read_index.c
@@ -12,7 +12,7 @@
 
 /* period of the check for waiters whose deadline has passed, s */
 static const double DEADLINE_CHECK_S = 0.1;
-/* a read whose pacing delay does not exceed this is sent at once, s */
+/* a read whose pacing delay does not exceed this is sent immediately, s */
 static const double PACING_TOLERANCE_S = 0.001;
 
 /** A call of tmx_store_read_index() without an outcome. Owned by the list of waiters. */
@@ -143,7 +143,7 @@
 
 void tmx_read_index_init(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
-  reads->last_read_at = -TMX_READ_INDEX_PERIOD_MAX_S; /* makes the first read due at once */
+  reads->last_read_at = -TMX_READ_INDEX_PERIOD_MAX_S; /* makes the first read due immediately */
   ev_timer_init(&reads->pacing_timer, on_pacing_timer, 0, 0);
   ev_timer_init(&reads->deadline_timer, on_deadline_timer, DEADLINE_CHECK_S, DEADLINE_CHECK_S);
   reads->pacing_timer.data = reads->deadline_timer.data = store;
--- a/src/store/snapshot_writer.c
+++ b/src/store/snapshot_writer.c
@@ -8,12 +8,12 @@
 
 /* Position in a snapshot. Everything before it is written. */
 struct position {
-  size_t machine;          /* index of the next machine in the writer's `machines` */
-  size_t job;              /* index of the current job in the writer's `jobs` */
-  bool record_written;     /* whether the record of the current job is written */
-  size_t n_types;          /* number of machine types of the current job that are written */
-  uint32_t n_dependencies; /* number of dependencies of the current job that are written */
-  uint32_t task;           /* index of the next task of the current job */
+  size_t machine;           /* index of the next machine in the writer's `machines` */
+  size_t job;               /* index of the current job in the writer's `jobs` */
+  bool record_written;      /* whether the record of the current job is written */
+  size_t n_types;           /* number of machine types of the current job that are written */
+  uint32_t n_prerequisites; /* number of prerequisites of the current job that are written */
+  uint32_t task;            /* index of the next task of the current job */
 };
 
 struct tmx_snapshot_writer {
@@ -116,14 +116,14 @@
  * record. */
 static void encode_record(const struct tmx_settings *settings, const struct tmx_job *job,
                           struct position *position, struct tmx_buffer *record) {
-  const struct tmx_job_ids *dependencies = &job->dependencies.prerequisite_ids;
+  const struct tmx_job_ids *prerequisite_ids = &job->dependencies.prerequisite_ids;
   size_t max_length = tmx_value_json_length_max(settings);
   struct tmx_job_spec spec = job->spec;
-  spec.n_types = tmx_job_count_types_that_fit(job->id, &job->spec, job->submitted_at, dependencies,
-                                              max_length);
+  spec.n_types = tmx_job_count_types_that_fit(job->id, &job->spec, job->submitted_at,
+                                              prerequisite_ids, max_length);
   position->n_types = spec.n_types;
-  position->n_dependencies =
-      tmx_job_encode_open(record, job->id, &spec, job->submitted_at, dependencies, max_length);
+  position->n_prerequisites =
+      tmx_job_encode_open(record, job->id, &spec, job->submitted_at, prerequisite_ids, max_length);
   position->record_written = true;
 }
 
@@ -143,7 +143,7 @@
 /* Produces the next item of the job. Returns false if the whole job is written. */
 static bool next_item_of_job(const struct tmx_settings *settings, const struct tmx_job *job,
                              struct position *position, struct item *item) {
-  const struct tmx_job_ids *dependencies = &job->dependencies.prerequisite_ids;
+  const struct tmx_job_ids *prerequisite_ids = &job->dependencies.prerequisite_ids;
   if (!position->record_written) {
     encode_record(settings, job, position, &item->record);
     return true;
@@ -153,9 +153,9 @@
                                   job->spec.types[position->n_types++]);
     return true;
   }
-  if (position->n_dependencies < dependencies->count) {
-    tmx_dependency_line_print(item->line, sizeof item->line, job->id, dependencies,
-                              &position->n_dependencies);
+  if (position->n_prerequisites < prerequisite_ids->count) {
+    tmx_dependency_line_print(item->line, sizeof item->line, job->id, prerequisite_ids,
+                              &position->n_prerequisites);
     return true;
   }
   return next_task_item(job, position, item);
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -152,7 +152,8 @@
 
 /* read_index.c */
 
-/** Initializes the timers and starts the periodic deadline check. The first read is due at once. */
+/** Initializes the timers and starts the periodic deadline check. The first read is due
+ * immediately. */
 void tmx_read_index_init(struct tmx_store *store);
 /** Stops the timers and frees the waiters without calling their callbacks. */
 void tmx_read_index_free(struct tmx_store *store);
@@ -171,7 +172,7 @@
 
 /* lease.c */
 
-/** Makes the next request of the lease due at once. */
+/** Makes the next request of the lease due immediately. */
 void tmx_lease_init(struct tmx_lease *lease);
 /** Requests a lease or its renewal if that is due. */
 void tmx_lease_maintain(struct tmx_store *store, double now);
@@ -181,17 +182,18 @@
 
 /* registration.c */
 
-/** Derives the member key from this controller's node name and makes its write due at once. */
+/** Derives the member key from this controller's node name and makes its write due immediately. */
 void tmx_registration_init(struct tmx_store *store);
 /** Writes the member key if there is a lease and this controller is not registered. Registers again
  * if the replica does not show the current incarnation. */
 void tmx_registration_maintain(struct tmx_store *store, double now);
-/** Clears the incarnation and makes the write of the member key due at once, for a new lease. */
+/** Clears the incarnation and makes the write of the member key due immediately, for a new lease.
+ */
 void tmx_registration_restart(struct tmx_registration *registration);
 
 /* election.c */
 
-/** Makes the first attempt to become the leader due at once. */
+/** Makes the first attempt to become the leader due immediately. */
 void tmx_election_init(struct tmx_election *election);
 /** Tries to become the leader if there is none or if the leadership may be taken over. */
 void tmx_election_maintain(struct tmx_store *store, double now);
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -35,8 +35,8 @@
   for (size_t i = 0; i < n_events; i++) apply_event(store->replica, tmx_cbor_array_at(events, i));
 }
 
-/* The next poll is sent at once if this controller's share of the request rate allows it, because a
- * controller whose replica lags behind the log has conflicts on the head key. */
+/* The next poll is sent immediately if this controller's share of the request rate allows it,
+ * because a controller whose replica lags behind the log has conflicts on the head key. */
 static void schedule_next_poll(struct tmx_store *store) {
   struct tmx_watch *watch = &store->watch;
   double now = tmx_clock_steady();
--- a/src/user/user_api.h
+++ b/src/user/user_api.h
@@ -30,7 +30,7 @@
 struct tmx_user_api *tmx_user_api_new(const struct tmx_user_api_dependencies *dependencies);
 /** Frees the API. The store and the scheduler must not call back for its requests afterwards. */
 void tmx_user_api_free(struct tmx_user_api *api);
-/** Handles a request and answers it exactly once, at once or later. Returns false, without an
+/** Handles a request and answers it exactly once, immediately or later. Returns false, without an
  * answer, if the path does not belong to the users' API. */
 bool tmx_user_api_handle(struct tmx_user_api *api, struct tmx_http_request *request);
 #endif
--- a/src/user/user_internal.h
+++ b/src/user/user_internal.h
@@ -63,7 +63,7 @@
 
 /**
  * Defers a request until the replica contains everything that was committed before the request was
- * received, and then continues it. Answers 503 at once if the store is unreachable or too many
+ * received, and then continues it. Answers 503 immediately if the store is unreachable or too many
  * requests wait. Defined in waiting_request.c.
  * @param api      the users' API
  * @param http     the HTTP request, which is answered now or later
@@ -84,18 +84,18 @@
 /** Frees the request, which must have been answered, and its submission. */
 void tmx_user_request_finish(struct tmx_user_request *request);
 
-/** Answers with the job's state: at once if the state is final, otherwise after a read of the
+/** Answers with the job's state: immediately if the state is final, otherwise after a read of the
  * state. Defined in polls.c. */
 void tmx_user_poll(struct tmx_user_api *api, struct tmx_http_request *http, const char *id);
 
-/** Cancels the job after a read of the state, or answers at once if the job has ended. Defined in
- * cancellations.c. */
+/** Cancels the job after a read of the state, or answers immediately if the job has ended. Defined
+ * in cancellations.c. */
 void tmx_user_cancel(struct tmx_user_api *api, struct tmx_http_request *http, const char *id);
 /** Commits the cancellation after the read of the state. The job must be in the replica and must
  * not have ended. Defined in cancellations.c. */
 void tmx_user_request_commit_cancellation(struct tmx_user_request *request);
 
-/** Parses and validates the body, and answers at once, after a read of the state, or after the
+/** Parses and validates the body, and answers immediately, after a read of the state, or after the
  * commit. Defined in submissions.c. */
 void tmx_user_submit(struct tmx_user_api *api, struct tmx_http_request *http);
 /** Validates the prerequisites again after the read of the state and queues the submission. The job
--- a/src/user/waiting_request.c
+++ b/src/user/waiting_request.c
@@ -83,7 +83,7 @@
 /* Returns the number of waiting requests from which on this one is refused. Only half of the queue
  * is open to polls of unknown jobs and of jobs whose state was sent to a user within
  * TMX_POLL_PRIORITY_AFTER_S. The other half is reserved for other requests, so that overload does
- * not leave any job unanswered for long. */
+ * not delay the response for any job for a long time. */
 static int max_waiting(const struct tmx_user_api *api, const struct tmx_user_request *request) {
   const struct tmx_job *job = tmx_job_find(api->replica, request->id);
   bool has_priority = request->kind != TMX_USER_POLL ||
@@ -91,8 +91,8 @@
   return has_priority ? TMX_WAITING_REQUESTS_MAX : TMX_WAITING_REQUESTS_MAX / 2;
 }
 
-/* Returns why the request is refused at once, or NULL. While the store is unreachable no read can
- * complete, and an early refusal lets the client try another controller. */
+/* Returns why the request is refused immediately, or NULL. While the store is unreachable no read
+ * can complete, and an early refusal allows the client to try another controller. */
 static const char *refusal_reason(const struct tmx_user_api *api,
                                   const struct tmx_user_request *request) {
   if (!tmx_store_is_reachable(api->store)) return "store unreachable";
