--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -22,7 +22,7 @@
 }
 
 void tmx_replica_clear(struct tmx_replica *replica) {
-  if (replica->on_cleared) replica->on_cleared(replica->observer);
+  if (replica->on_before_clear) replica->on_before_clear(replica->observer);
   tmx_replica_clear_jobs(replica);
   tmx_replica_clear_machines(replica);
   clear_image_names(replica);
@@ -153,7 +153,7 @@
 }
 
 /* Recomputes the totals of waiting work from all jobs: applying a page changes tasks without
- * updating these totals. Also frees the tasks of jobs that are over. */
+ * updating these totals. Also frees the tasks of jobs that have ended. */
 static void recount_jobs(struct tmx_replica *replica) {
   struct tmx_job *job, *next;
   replica->waiting_cpus = 0;
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -13,14 +13,14 @@
 #define ARRAY_LENGTH(array) (sizeof(array) / sizeof(array)[0])
 
 static const struct tmx_machine_deadlines deadlines = {
-    .silence_s = 1.5, .leases_expired_s = 40, .heartbeat_late_s = 3.5, .unacknowledged_s = 5};
+    .no_contact_s = 1.5, .leases_expired_s = 40, .heartbeat_late_s = 3.5, .unacknowledged_s = 5};
 
 /* Evidence of a machine: whether the leader has settled, whether a healthy owner suspects the
  * machine, and the owner's report: seconds of silence, consecutive probes lost, seconds
  * unacknowledged. */
 #define SUSPICION(settled, suspected_by_owner, silence, probes_lost, unacknowledged) \
   .leader_settled = (settled), .suspected = (suspected_by_owner),                    \
-  .suspicion = {.silence_s = (silence),                                              \
+  .suspicion = {.no_contact_s = (silence),                                           \
                 .consecutive_probes_lost = (probes_lost),                            \
                 .unacknowledged_s = (unacknowledged)}
 #define SILENT_AND_PROBES_LOST SUSPICION(true, true, 2, TMX_PROBES_LOST_MIN, 0)
@@ -96,12 +96,12 @@
   settings->lease_s = 8;
   settings->report_s = 2;
   struct tmx_machine_deadlines derived = tmx_machine_deadlines(settings);
-  assert_float_equal(derived.silence_s, TMX_MACHINE_SILENCE_S, 1e-9);
+  assert_float_equal(derived.no_contact_s, TMX_MACHINE_CONTACT_TIMEOUT_S, 1e-9);
   assert_float_equal(derived.leases_expired_s, 20, 1e-9);
   assert_float_equal(derived.heartbeat_late_s, 2.5 + TMX_REPORT_LATE_MARGIN_S, 1e-9);
   assert_float_equal(derived.unacknowledged_s, 8 * TMX_UNACKNOWLEDGED_LEASES, 1e-9);
   settings->operators.silent_s = 4;
-  assert_float_equal(tmx_machine_deadlines(settings).silence_s, 4, 1e-9);
+  assert_float_equal(tmx_machine_deadlines(settings).no_contact_s, 4, 1e-9);
   free(settings);
 }
 
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -8,17 +8,17 @@
  * other, or while the zones are partitioned from each other. */
 static void peers_are_suspected_by_evidence(void **state) {
   (void)state;
-  struct tmx_peer_census most_heard = {.others = 4,
-                                       .heard = 3,
-                                       .same_zone = 2,
-                                       .same_zone_heard = 2,
-                                       .other_zones = 2,
-                                       .other_zones_heard = 1};
-  struct tmx_peer_census none_heard = {.others = 4, .same_zone = 2, .other_zones = 2};
-  struct tmx_peer_census partitioned = {
-      .others = 4, .heard = 2, .same_zone = 2, .same_zone_heard = 2, .other_zones = 2};
+  struct tmx_peer_liveness most_heard = {.others = 4,
+                                         .alive = 3,
+                                         .same_zone = 2,
+                                         .same_zone_alive = 2,
+                                         .other_zones = 2,
+                                         .other_zones_alive = 1};
+  struct tmx_peer_liveness none_heard = {.others = 4, .same_zone = 2, .other_zones = 2};
+  struct tmx_peer_liveness partitioned = {
+      .others = 4, .alive = 2, .same_zone = 2, .same_zone_alive = 2, .other_zones = 2};
   struct tmx_peer_evidence evidence = {
-      .silence_s = 60, .last_batch_age_s = 60, .observed_for_s = 60};
+      .heartbeat_age_s = 60, .last_batch_age_s = 60, .observed_for_s = 60};
   assert_true(tmx_peer_is_suspected(&most_heard, &evidence));
   assert_false(tmx_peer_is_suspected(&none_heard, &evidence));
   assert_false(tmx_zones_are_partitioned(&none_heard));
@@ -31,7 +31,7 @@
   evidence.last_batch_age_s = 0.5; /* a recent batch proves that it is alive */
   assert_false(tmx_peer_is_suspected(&none_heard, &evidence));
   struct tmx_peer_evidence workers_unreachable = {
-      .reports_no_workers = true, .silence_s = 0.1, .last_batch_age_s = 0.1};
+      .reports_no_workers = true, .heartbeat_age_s = 0.1, .last_batch_age_s = 0.1};
   assert_true(tmx_peer_is_suspected(&most_heard, &workers_unreachable));
 }
 
--- a/tests/test_peer_format.c
+++ b/tests/test_peer_format.c
@@ -256,7 +256,7 @@
 
 static bool peer_heartbeat_was_received(void *arg) {
   (void)arg;
-  return tmx_peers_silence(first_controller->peers, "hand-1") < 1;
+  return tmx_peers_heartbeat_age(first_controller->peers, "hand-1") < 1;
 }
 
 static void send_heartbeat(const char *bytes, size_t length) {
