--- a/src/membership/view_manager.h
+++ b/src/membership/view_manager.h
@@ -30,7 +30,7 @@
    * Returns whether a controller is suspected to have failed.
    * @param context  the observer's `context`
    * @param node     node name of the controller
-   * @param liveness   result of observe_peers()
+   * @param liveness result of observe_peers()
    * @param since    start of the period in which this controller could observe its peers, steady
    *                 clock, s
    */
--- a/src/scheduler/delta_collection.h
+++ b/src/scheduler/delta_collection.h
@@ -1,6 +1,8 @@
 /**
  * @file
- * Collects the delta that a round sends to the planner. Loop's thread only.
+ * Collects the delta that a round sends to the planner.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_DELTA_COLLECTION_H
 #define TMX_DELTA_COLLECTION_H
--- a/src/scheduler/log_batch.c
+++ b/src/scheduler/log_batch.c
@@ -84,7 +84,7 @@
   batch->n_job_records++;
 }
 
-/* Bytes of the line as JSON, including the comma after it. */
+/* Returns the bytes of the line as JSON, including the comma after it. */
 static size_t line_length(const char *line) { return tmx_json_text_length(line, strlen(line)) + 1; }
 
 bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int extra_puts) {
--- a/src/scheduler/log_batch.h
+++ b/src/scheduler/log_batch.h
@@ -1,7 +1,9 @@
 /**
  * @file
  * Builds a batch of the log: puts whose values contain job records and lines. The batch respects
- * the limits of the store for a value and for a transaction. Loop's thread only.
+ * the limits of the store for a value and for a transaction.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_LOG_BATCH_H
 #define TMX_LOG_BATCH_H
@@ -17,8 +19,8 @@
   /** @{ */
   struct tmx_buffer job_records; /**< encoded job records */
   struct tmx_buffer lines;       /**< encoded lines */
-  size_t n_job_records,          /**< used entries of `job_records` */
-      n_lines;                   /**< used entries of `lines` */
+  size_t n_job_records,          /**< number of records in `job_records` */
+      n_lines;                   /**< number of lines in `lines` */
   size_t value_json_length,      /**< bytes of the records and lines, including `group_line` */
       value_json_max;            /**< limit of `value_json_length`, bytes */
   /** @} */
@@ -37,7 +39,8 @@
 /** Frees the buffers of the batch; the transaction remains. */
 void tmx_log_batch_free_buffers(struct tmx_log_batch *batch);
 /** Returns whether `length` more bytes (as JSON) and `extra_puts` separate puts fit into the batch.
- * Ends the current value if the bytes need a new one. Returns false if the batch is full. */
+ * Ends the value under construction if the bytes do not fit into it. Returns false if the batch is
+ * full. */
 bool tmx_log_batch_fits(struct tmx_log_batch *batch, size_t length, int extra_puts);
 /** Appends a line. Returns false if the line and `extra_puts` puts do not fit into the batch. */
 bool tmx_log_batch_add_line(struct tmx_log_batch *batch, const char *line, int extra_puts);
@@ -49,9 +52,14 @@
  * tmx_log_batch_fits() that it fits. */
 void tmx_log_batch_add_job(struct tmx_log_batch *batch, const struct tmx_buffer *record,
                            size_t json_length);
-/** Adds a put of the job's final state under the job's own key, and the condition that this key has
- * not changed. `outcome`: enum tmx_job_outcome; `ended_at`: time of day, s; 0: not stored. Does not
- * change `writes_left`. */
+/**
+ * Adds a put of the job's final state under the job's own key, and the condition that this key has
+ * not changed. Does not change `writes_left`.
+ * @param batch     receives the put and the condition
+ * @param job       the job that has ended
+ * @param outcome   a value of enum tmx_job_outcome
+ * @param ended_at  time of day, s; 0: the time is not stored
+ */
 void tmx_log_batch_put_outcome(struct tmx_log_batch *batch, const struct tmx_job *job, int outcome,
                                double ended_at);
 /** Ends the value under construction and adds its put, unless the value is empty. */
--- a/src/scheduler/pending_submission.h
+++ b/src/scheduler/pending_submission.h
@@ -1,6 +1,8 @@
 /**
  * @file
- * A submission that waits to be committed to the log. Loop's thread only.
+ * A submission that waits to be committed to the log.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_PENDING_SUBMISSION_H
 #define TMX_PENDING_SUBMISSION_H
@@ -22,7 +24,7 @@
   /** Ids of the job's prerequisites. The record contains as many as fit; the others follow in
    * lines. */
   struct tmx_job_ids prerequisite_ids;
-  uint32_t n_prerequisites_in_record; /**< how many of them are in the record */
+  uint32_t n_prerequisites_in_record; /**< number of prerequisites in the record */
   int n_values; /**< puts that the record and its lines need; 1: may be committed singly */
   struct tmx_admission_request admission_request; /**< input of the admission decision */
   double deadline;            /**< steady clock, s: end of the wait in the queue */
@@ -30,7 +32,7 @@
   void *callback_arg;         /**< first argument of `callback`; owned by the submitter */
   enum tmx_pending_submission_state state; /**< where the submission is */
   bool answered;          /**< the callback was called; a commit may still be in flight */
-  double sent_at;         /**< steady clock, s: latest attempt to send it */
+  double sent_at;         /**< steady clock, s: latest attempt to send the submission */
   int n_single_conflicts; /**< conflicts of its single transactions */
 };
 
--- a/src/scheduler/round_timing.h
+++ b/src/scheduler/round_timing.h
@@ -1,8 +1,10 @@
 /**
  * @file
- * Decides when a round may begin and when its batch may be sent. Loop's thread only.
+ * Decides when a round may begin and when its batch may be sent.
  *
  * A commit slot is a recurring interval of the time of day that is assigned to one member.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_ROUND_TIMING_H
 #define TMX_ROUND_TIMING_H
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -61,18 +61,19 @@
 /** Requests a round. It begins as soon as the minimum spacing of rounds, the write budget and the
  * commit slots allow. */
 void tmx_scheduler_trigger(struct tmx_scheduler *scheduler);
-/** Requests a round within `within_s` seconds, under the same limits. */
+/** Requests a round within `within_s` seconds. It begins later if the minimum spacing of rounds,
+ * the write budget or the commit slots require that. */
 void tmx_scheduler_trigger_within(struct tmx_scheduler *scheduler, double within_s);
 
 /** Marks the machine as changed: the next round sends its current state to the planner. */
 void tmx_scheduler_machine_changed(struct tmx_scheduler *scheduler, struct tmx_machine *machine);
 /** Marks the job as changed: the next round sends its current state to the planner. */
 void tmx_scheduler_job_changed(struct tmx_scheduler *scheduler, struct tmx_job *job);
-/** Removes the machine from the planner's tables with the next round. To be called before the
- * machine is freed. */
+/** Removes the machine from the planner's tables with the next round. Must be called before
+ * the machine is freed. */
 void tmx_scheduler_machine_removed(struct tmx_scheduler *scheduler, struct tmx_machine *machine);
-/** Discards all pending changes and clears the planner's tables with the next round. To be called
- * when the replica is cleared. */
+/** Discards all pending changes of machines and jobs. The next round clears the planner's tables.
+ * Must be called when the replica is cleared. */
 void tmx_scheduler_reset(struct tmx_scheduler *scheduler);
 /** Queues a line for the log and keeps it until it is committed. Used for machines that drain or
  * were removed. A line that is already queued is not queued again. */
@@ -108,7 +109,7 @@
                                             const struct tmx_submission *submission,
                                             double within_s, tmx_submission_cb callback, void *arg);
 /** Answers submissions whose outcome is known, commits the queued ones that may be committed
- * singly, and requests a round for the rest. To be called after each event loop iteration. */
+ * singly, and requests a round for the rest. Must be called after each event loop iteration. */
 void tmx_scheduler_process_submissions(struct tmx_scheduler *scheduler);
 /** Returns whether a round is being planned. For tests. */
 bool tmx_scheduler_is_planning(const struct tmx_scheduler *scheduler);
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -49,7 +49,7 @@
   double round_started_at;        /**< steady clock, s: start of the latest round */
   double min_batch_writes;        /**< puts that the next batch needs at least */
   uint64_t awaited_revision;      /**< revision that the replica must reach before the next step */
-  double awaited_revision_since;  /**< steady clock, s: latest start of the wait */
+  double awaited_revision_since;  /**< steady clock, s: when the latest wait started */
 
   struct tmx_planner_delta delta;        /**< changes to send to the planner with the next round */
   struct tmx_machine **changed_machines; /**< machines whose state the next delta includes */
@@ -62,7 +62,7 @@
   size_t n_completions;                                        /**< used entries of `completions` */
 
   struct tmx_round_output plan; /**< result of planning; its operations are owned */
-  bool batch_in_flight;         /**< the round's batch was sent and its response is missing */
+  bool batch_in_flight;         /**< the round's batch was sent, and there is no response yet */
   uint64_t sent_head_version;   /**< version of the head key that the latest batch requires */
   int n_resends;                /**< how often the batch of this round conflicted */
   uint64_t next_key_number,     /**< first number to try for the next batch key */
--- a/src/scheduler/submission_queue.c
+++ b/src/scheduler/submission_queue.c
@@ -60,7 +60,8 @@
 }
 
 /* Returns whether the replica contains the job of an unanswered submission. Ignores a submission
- * in flight until its response is slow, since only then may the replica show the commit earlier. */
+ * in flight unless its response is slow: only if the response is slow may the replica show the
+ * commit before the response arrives. */
 static bool is_already_committed(const struct tmx_scheduler *scheduler,
                                  const struct tmx_pending_submission *pending, double now) {
   bool in_flight = pending->state != TMX_PENDING_SUBMISSION_QUEUED;
@@ -148,9 +149,9 @@
     tmx_log_batch_add_line(batch, line, 0);
 }
 
-/* A submission that is not admitted besides those already in the batch waits for the next batch,
- * when admission decides again. The protocol allows four conditions per put; submissions use at
- * most three of them, since the final states of jobs need conditions as well. */
+/* A submission that is not admitted in addition to those already in the batch waits for the next
+ * batch, for which admission control decides again. The protocol allows four conditions per put;
+ * submissions use at most three of them, since the final states of jobs need conditions as well. */
 void tmx_submission_queue_add_to_batch(struct tmx_scheduler *scheduler,
                                        struct tmx_log_batch *batch) {
   bool full = false;
--- a/src/scheduler/submission_queue.h
+++ b/src/scheduler/submission_queue.h
@@ -1,6 +1,8 @@
 /**
  * @file
- * Queue of submissions that wait to be committed. Loop's thread only.
+ * Queue of submissions that wait to be committed.
+ *
+ * All functions must be called on the thread of the event loop.
  */
 #ifndef TMX_SUBMISSION_QUEUE_H
 #define TMX_SUBMISSION_QUEUE_H
@@ -8,7 +10,7 @@
 #include "scheduler/pending_submission.h"
 
 /** Answers submissions that are resolved or not admitted, and adds as many of the others to the
- * batch as fit. To be called before anything else is added, since a value lists its job records
+ * batch as fit. Must be called before anything else is added, since a value lists its job records
  * before its lines. */
 void tmx_submission_queue_add_to_batch(struct tmx_scheduler *scheduler,
                                        struct tmx_log_batch *batch);
--- a/src/store/compaction.c
+++ b/src/store/compaction.c
@@ -118,8 +118,8 @@
   tmx_buffer_free(&transaction.operations);
 }
 
-/* If another leader has moved the compaction point, or if the result is unknown, this compaction
- * ends and the next one starts with a new snapshot. */
+/* Unless the result is that the transaction was committed, this compaction ends and the next one
+ * starts with a new snapshot. One cause is that another leader has moved the compaction point. */
 static void on_point_response(void *arg, enum tmx_transaction_result result, uint64_t revision) {
   struct tmx_compaction *compaction = arg;
   (void)revision;
--- a/src/store/compaction.h
+++ b/src/store/compaction.h
@@ -3,8 +3,8 @@
  * Compaction of the log, performed by the leader.
  *
  * A compaction writes the machines, the open jobs and the states of their tasks into snapshot
- * pages. It then moves the compaction point, from which on controllers read the pages instead of
- * the earlier batches, and deletes the pages of all other compactions.
+ * pages. It then moves the compaction point: controllers that load the log read the pages instead
+ * of the batches up to the point. Finally it deletes the pages of all other compactions.
  *
  * All functions must be called on the thread of the event loop.
  */
--- a/src/store/election.c
+++ b/src/store/election.c
@@ -20,7 +20,7 @@
 }
 
 /* A leader key that an earlier incarnation of this node or a suspected leader wrote exists until
- * its lease expires. This controller may overwrite both immediately. */
+ * its lease expires. This controller may overwrite such a key immediately. */
 static bool may_claim_leadership(const struct tmx_store *store) {
   const struct tmx_replica *replica = store->replica;
   if (leader_key_names_this_incarnation(store)) return false;
--- a/src/store/read_index.c
+++ b/src/store/read_index.c
@@ -66,8 +66,8 @@
 }
 
 /* If the watch's connection breaks without an error, the watch reports a failure only when its poll
- * times out. This check detects it earlier: the store has been ahead of the replica for longer than
- * the delivery of an event takes. */
+ * times out. This function detects the break earlier: it reopens the watch when the store has been
+ * ahead of the replica for longer than the delivery of an event takes. */
 static void reopen_lagging_watch(struct tmx_store *store) {
   struct tmx_read_index *reads = &store->read_index;
   if (!reads->pending_revision || !store->replica->revision || !store->watch.in_flight) return;
--- a/src/store/snapshot_writer.h
+++ b/src/store/snapshot_writer.h
@@ -1,7 +1,8 @@
 /**
  * @file
  * Writes a snapshot of the replica into pages: the machines, the open jobs and the states of their
- * tasks.
+ * tasks. A snapshot also contains ended jobs that have not left all machines, and ended jobs whose
+ * derived final state is not stored yet.
  *
  * A page is committed only if the version of the head key is the one in the replica. The page
  * therefore contains exactly the state at its own version. Controllers load pages and batches in
@@ -56,8 +57,8 @@
  * Adds the next pages and their condition to a transaction.
  * @param writer       the snapshot in progress
  * @param transaction  receives the condition in any case, and the pages
- * @param max_puts     maximum number of operations in the transaction; it contains fewer if it
- *                     reaches its maximum size before
+ * @param max_puts     maximum number of operations in the transaction; the transaction contains
+ *                     fewer if it reaches its maximum size first
  * @return whether pages were added, and if not, why
  */
 enum tmx_snapshot_result tmx_snapshot_writer_add_pages(struct tmx_snapshot_writer *writer,
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -207,7 +207,7 @@
 /**
  * Reserves one put for a submission that is committed on its own instead of in a batch. The next
  * commit consumes the put.
- * @return whether a put was reserved; if not, the submission has to wait for the next batch
+ * @return whether the submission may be committed now; if not, it has to wait for the next batch
  */
 bool tmx_store_reserve_submission_write(struct tmx_store *store);
 
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -63,7 +63,7 @@
   ev_timer pacing_timer;   /**< delays the next read to keep to this controller's request rate */
   ev_timer deadline_timer; /**< periodic: fails waiters whose deadline has passed */
   bool in_flight;          /**< a read was sent, and there is no response yet */
-  bool last_read_failed;   /**< the latest read failed; a refusal for its rate does not count */
+  bool last_read_failed;   /**< the latest read failed for a reason other than its rate */
   bool expedited;          /**< the next read is sent without pacing */
   double sent_at;          /**< steady clock, s: when the latest read was sent */
   double last_read_at;     /**< steady clock, s: start of the pacing interval; equals `sent_at`
@@ -114,7 +114,7 @@
   struct tmx_lease lease;                      /**< the member and leader keys are attached to it */
   struct tmx_registration registration;        /**< this controller's member key */
   struct tmx_election election; /**< this controller's attempts to become the leader */
-  struct pending_transaction *pending_transactions; /**< list of those without a response, owned */
+  struct pending_transaction *pending_transactions; /**< transactions without a response, owned */
 };
 
 /* store.c */
--- a/src/store/write_budget.c
+++ b/src/store/write_budget.c
@@ -4,7 +4,7 @@
 
 #include "tmx/constants.h"
 
-/* puts: enough for the registration and the first batch */
+/* number of puts, enough for the registration and the first batch */
 static const double INITIAL_TOKENS = 4;
 /* added to a delay so that the tokens have accrued when it ends, s */
 static const double DELAY_MARGIN_S = 0.002;
@@ -91,8 +91,8 @@
   return fmax(0, own_part_of_store_tokens_above(budget, share, TMX_STORE_BURST_UNUSED_ABOVE_SHARE));
 }
 
-/* Falls back to puts that all controllers leave unused, because a submission that is not committed
- * on its own waits for the next batch, which takes a whole cycle of commit slots. */
+/* The function falls back to puts that all controllers leave unused, because a submission that is
+ * not committed on its own waits for the next batch, which takes a whole cycle of commit slots. */
 bool tmx_write_budget_reserve_submission(struct tmx_write_budget *budget,
                                          const struct tmx_write_share *share, double now) {
   if (budget->submission_tokens < 1) {
--- a/src/store/write_budget.h
+++ b/src/store/write_budget.h
@@ -65,9 +65,9 @@
                                   const struct tmx_write_share *share);
 
 /**
- * Returns the number of puts that may be sent now; may be negative. It is the balance of this
- * controller's share. While the write load is low, it is half of the store's tokens above
- * TMX_STORE_BURST_RESERVED_SHARE of the bucket if that is more.
+ * Returns the number of puts that may be sent now; may be negative. The result is the balance of
+ * this controller's share. While the write load is low, the result is at least half of the tokens
+ * that the store's bucket is estimated to hold above TMX_STORE_BURST_RESERVED_SHARE of its size.
  */
 double tmx_write_budget_available(const struct tmx_write_budget *budget,
                                   const struct tmx_write_share *share);
@@ -87,7 +87,8 @@
  * @param budget  the budget that provides the put
  * @param share   determines the refill rates and the unused tokens
  * @param now     steady clock, s
- * @return whether a put was reserved
+ * @return whether the next commit may contain the put; true without a reservation if the available
+ * budget covers the put
  */
 bool tmx_write_budget_reserve_submission(struct tmx_write_budget *budget,
                                          const struct tmx_write_share *share, double now);
