--- a/src/replica/apply_operation.c
+++ b/src/replica/apply_operation.c
@@ -8,8 +8,8 @@
 #include "replica/machine_table.h"
 #include "replica/replica_internal.h"
 
-/* Monotonic clock, s, long before this process started: assumed as the start of the image fetch for
- * tasks that were placed before the replica was loaded. */
+/* Assumed start of the image fetch for tasks that were placed before the replica was loaded:
+ * monotonic clock, s, long before this process started. */
 #define FETCHED_LONG_AGO (-1e9)
 
 /* Adds a placed task's resources to all totals that include them, or subtracts them if `sign` is
--- a/src/replica/job.h
+++ b/src/replica/job.h
@@ -87,8 +87,8 @@
   uint32_t placed_in_zone[TMX_ZONES_MAX]; /**< number of placed tasks, by zone */
   double outcome_committed_after; /**< its final state was committed after this time, monotonic
                                      clock, seconds; 0: unknown */
-  double unplaced_since; /**< since when tasks have waited without any placement, monotonic clock,
-                            seconds; 0: no task waits */
+  double unplaced_since; /**< when its tasks began to wait or one was last placed, whichever is
+                            later, monotonic clock, seconds; 0: no task waits */
   double waiting_cpus;   /**< CPUs of its waiting tasks, as included in tmx_replica::waiting_cpus */
   struct tmx_load remaining_load; /**< remaining work, as included in its account */
   int account;     /**< index of its account within the team; valid while `in_account` */
--- a/src/replica/machine_table.h
+++ b/src/replica/machine_table.h
@@ -9,8 +9,8 @@
 /** Returns the machine with this id. If there is none, adds one that is not registered and has no
  * zone. */
 struct tmx_machine *tmx_replica_ensure_machine(struct tmx_replica *replica, const char *id);
-/** Removes and releases all machines. The worker records in src/worker are kept; the
- * controller links them again by machine id. */
+/** Removes and releases all machines. The worker records in src/worker are kept;
+ * tmx_workers_machine_changed() links them again by machine id. */
 void tmx_replica_clear_machines(struct tmx_replica *replica);
 /**
  * Applies a line of kind TMX_LINE_MACHINE, TMX_LINE_MACHINE_DRAINING or TMX_LINE_MACHINE_REMOVED.
--- a/src/replica/operation.h
+++ b/src/replica/operation.h
@@ -41,8 +41,8 @@
       attempt;                /**< number of the attempt */
   char machine[TMX_ID_BYTES]; /**< target machine; placements only */
   char reason;          /**< ends: enum tmx_end_reason; stops: enum tmx_stop_mode as a digit */
-  uint32_t machine_cap; /**< most tasks of the job on the machine, 0: no limit; placements only, and
-                           not part of the line */
+  uint32_t machine_cap; /**< maximum number of the job's tasks on the machine; 0: no limit;
+                           placements only; not part of the line */
 };
 
 /** Writes the operation's line. @return the line's length, as snprintf() does. */
--- a/src/replica/operation_check.c
+++ b/src/replica/operation_check.c
@@ -82,8 +82,8 @@
   return true;
 }
 
-/* Returns whether the machine already has `cap` tasks of the service; 0: no limit. Counts the tasks
- * in the replica only, without those that the batch places. */
+/* Returns whether the machine already has `cap` tasks of the service. A cap of 0 is no limit.
+ * Counts the tasks in the replica only, without those that the batch places. */
 static bool service_is_at_cap(const struct tmx_job *job, const struct tmx_machine *machine,
                               uint32_t cap) {
   if (!job->spec.service || !cap) return false;
--- a/src/replica/ownership.c
+++ b/src/replica/ownership.c
@@ -29,8 +29,8 @@
   return hash;
 }
 
-/* Hashes two names. The last three steps come from MurmurHash3's 64-bit finalizer: without them,
- * the last bytes of the names would affect only some of the bits. */
+/* Hashes two names. The last three steps are the first three of MurmurHash3's 64-bit finalizer.
+ * Without them, the last bytes of the names would affect only some of the bits. */
 static uint64_t hash_pair(const char *first, const char *second) {
   uint64_t hash = hash_text(HASH_INITIAL, first);
   hash = (hash ^ 0xff) * HASH_PRIME; /* separates the names, neither of which contains this byte */
--- a/src/replica/ownership.h
+++ b/src/replica/ownership.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Members of the view, and the owner of each machine and planner of each job among them.
+ * Members of the view. One of them owns each machine, and one of them is the planner of each job.
  *
  * Does no I/O. Like the replica, these functions belong to the thread of the controller's event
  * loop. Returned names are owned by the replica and valid until its view changes.
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -70,7 +70,8 @@
 
 /* Skips pages once the replica is loaded, since it already has their content. Also skips pages of
  * an abandoned compaction: they may show tasks as placed whose ends precede the compaction point in
- * force. If the job is over, no page of the compaction in force corrects that. */
+ * force. If the job of such a task has ended, no page of the compaction in force corrects the task.
+ */
 static void apply_page(struct tmx_replica *replica, const char *key, const char *name,
                        uint64_t version, const cbor_item_t *value) {
   update_key_table(&replica->page_keys, key, version, value != NULL);
@@ -128,8 +129,8 @@
 }
 
 /* Order of loading. The compaction comes first, since it determines which batches and pages apply.
- * Jobs come next, since the log refers to their tasks; sorting by version alone would not ensure
- * this, because writing a job's final state gives its key a newer version. */
+ * Jobs come next, since the log refers to their tasks. Sorting by version alone would not ensure
+ * this order, because writing a job's final state gives its key a newer version. */
 enum load_class { LOAD_COMPACTION, LOAD_JOB, LOAD_OTHER };
 
 static enum load_class load_class_of(const char *key) {
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -98,8 +98,8 @@
   double booked_cpus;          /**< CPUs of all placed tasks */
   double waiting_cpus;         /**< CPUs of all waiting tasks of open, unblocked jobs */
   double now;                  /**< monotonic clock, s, at the latest event; set by the caller */
-  double fresh_as_of; /**< monotonic clock, s: start of the latest revision read whose revision the
-                         replica has reached; set by the caller */
+  double fresh_as_of; /**< monotonic clock, s: time up to which the replica is known to be complete;
+                         set by the caller, see tmx_store_fresh_as_of() */
 
   /** @name Observer
    * Callbacks for changes, called on the thread that applies the change. Each may be NULL. They
@@ -114,7 +114,8 @@
   void (*on_schedulable_change)(void *observer);
   /** A property of the job that the planner uses changed. */
   void (*on_job_changed)(void *observer, struct tmx_job *job);
-  /** The first task of the job was placed. */
+  /** A task of the job was placed, for the first time since loading. Called only if a backlog is
+   * attached and the settings name the job's team. */
   void (*on_job_started)(void *observer, struct tmx_job *job);
   /** A new view was applied. Owners of machines may have changed. */
   void (*on_view_changed)(void *observer);
--- a/src/worker/commands.c
+++ b/src/worker/commands.c
@@ -56,8 +56,8 @@
 }
 
 /* Handles reported attempts that the log does not place on the machine. The log needs no report of
- * their ends. The worker may forget the attempts that have exited; it must not forget those that
- * still run, and receives commands to stop them. */
+ * their ends. The worker may forget the attempts that have exited. It must not forget those that
+ * still run, and it receives commands to stop them. */
 static void append_commands_for_unplaced(const struct tmx_worker *worker,
                                          enum tmx_command_scope scope,
                                          struct tmx_command_list *list) {
--- a/src/worker/fencing.c
+++ b/src/worker/fencing.c
@@ -58,11 +58,12 @@
   return is_owner;
 }
 
-/* The command may still be executed minutes later, so the worker must see a higher token first
- * (test_task_lifecycle: an_unanswered_command_raises_the_token). required_session is set to the
- * latest session each time: if an earlier unanswered command was sent for an earlier session, the
- * end of that session does not void this command (test_late_messages:
- * a_session_end_does_not_void_a_later_command). */
+/* The command may still be executed minutes later. Until the worker has seen a higher token or
+ * started a later session, the absence of an attempt therefore proves nothing (test_task_lifecycle:
+ * an_unanswered_command_raises_the_token). required_session is set to the latest session each time:
+ * if an earlier unanswered command was sent for an earlier session, the end of that session does
+ * not void this command (test_late_messages: a_session_end_does_not_void_a_later_command). While
+ * reports may predate the ownership, required_session stays UINT64_MAX. */
 void tmx_worker_fence_unanswered_command(struct tmx_worker *worker) {
   struct tmx_worker_ownership *ownership = &worker->ownership;
   if (tmx_worker_acknowledges_owner(worker)) ownership->required_since = tmx_clock_steady();
@@ -106,8 +107,8 @@
       worker->liveness.acknowledged_at = now;
     adopt_token_sequence(worker);
   }
-  /* Compares the token of this report, rather than the highest one seen, with the requirement,
-   * which adopt_token_sequence() may just have raised. */
+  /* The token of this report counts, not the highest token seen. adopt_token_sequence() may just
+   * have raised required_token. */
   if (ownership->is_owner && highest_token >= ownership->required_token)
     ownership->report_may_predate_ownership = false;
   if (worker->commands.is_unanswered && earlier_commands_are_void(worker))
@@ -118,10 +119,10 @@
   return required_token_was_seen(&worker->ownership) && !worker->commands.is_unanswered;
 }
 
-/* The attempt may still be started by a command with a token below the required one (test_fencing:
- * late_commands_of_the_former_owner_are_fenced), or by a start of this owner that is in flight: in
- * a direct command, or in a heartbeat response (test_late_messages:
- * a_probe_that_overtakes_a_response_ends_no_attempt). */
+/* An attempt that is missing from the report may still be started in two ways: by a command with a
+ * token below the required one (test_fencing: late_commands_of_the_former_owner_are_fenced), or by
+ * a start that this owner has sent in a direct command or a heartbeat response and that is still in
+ * flight (test_late_messages: a_probe_that_overtakes_a_response_ends_no_attempt). */
 bool tmx_worker_absence_proves_end(const struct tmx_worker *worker) {
   return earlier_commands_are_void(worker) && !worker->commands.in_flight &&
          !worker->commands.is_unanswered && !worker->commands.starts_unconfirmed;
--- a/src/worker/lease_renewal.c
+++ b/src/worker/lease_renewal.c
@@ -59,9 +59,9 @@
 }
 
 /* Returns whether the owner may have sent a start that is still in flight, for a task whose job has
- * ended since. A controller that renews the lease on behalf of the owner does not raise the token,
- * so that the start can still be executed and the task runs until the lease ends. The lease must
- * therefore not be renewed beyond the time limit of a cancellation (test_cancellation:
+ * ended since. A controller that renews the lease on behalf of the owner does not raise the token.
+ * The start can therefore still be executed, and the task then runs until the lease ends. The lease
+ * must not be renewed beyond the time limit of a cancellation (test_cancellation:
  * no_lease_outlasts_a_cancellation_with_a_delayed_start). */
 static bool is_late_start_possible(const struct tmx_worker *worker, double now) {
   const struct tmx_settings *settings = worker->workers->settings;
@@ -105,8 +105,11 @@
   tmx_command_list_free(&list);
 }
 
-/* Returns whether the worker seems unable to reach its owner: it was redirected there and returned,
- * or the owner reports that it has lost contact with the worker and that probes were lost. */
+/* Returns whether the worker seems unable to reach its owner. Any of three signs is enough. The
+ * worker was redirected to the owner and returned between TMX_FAILOVER_REDIRECT_AGE_MIN_S and
+ * TMX_FAILOVER_REDIRECT_AGE_MAX_S later. The worker returned earlier, and the owner's heartbeats to
+ * this controller have expired. The owner reports that it has lost contact with the worker and that
+ * probes were lost. */
 static bool is_cut_off_from_owner(const struct tmx_worker *worker, const char *owner, double now) {
   const struct tmx_workers *workers = worker->workers;
   double redirected_at = worker->redirection.redirected_at;
--- a/src/worker/lease_renewal.h
+++ b/src/worker/lease_renewal.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Responses to heartbeats. A response with status 200 renews the worker's lease, without which its
- * tasks do not go on running. A redirect (421) sends the worker to another controller. Loop's
+ * Responses to heartbeats. A response with status 200 renews the worker's lease. A worker whose
+ * lease has ended kills its tasks. A redirect (421) sends the worker to another controller. Loop's
  * thread only.
  */
 #ifndef TMX_WORKER_LEASE_RENEWAL_H
--- a/src/worker/machine_health.c
+++ b/src/worker/machine_health.c
@@ -34,7 +34,7 @@
   bool is_member;    /* this controller is a member and may act */
   int self;          /* member index of this controller; -1: none */
   struct tmx_reachability reachability;
-  /* Machines whose last two heartbeats or more are missing: they may reach no controller. */
+  /* Number of machines whose last two heartbeats are missing. They may reach no controller. */
   unsigned without_heartbeats;
 };
 
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -93,7 +93,7 @@
 }
 
 /* A suspect machine has lost probes, or does not acknowledge its owner. The interval between its
- * probes doubles with each lost probe from TMX_PROBES_LOST_MIN on, up to
+ * probes doubles with each lost probe after the first TMX_PROBES_LOST_MIN, up to
  * TMX_PROBE_PERIOD_DOUBLINGS_MAX times, so that a failed zone does not use up the budget for the
  * other machines. */
 static bool suspect_probe_is_due(const struct tmx_worker *worker, const struct probe_pass *pass) {
--- a/src/worker/reconciliation.c
+++ b/src/worker/reconciliation.c
@@ -92,15 +92,15 @@
   snprintf(operation->job, sizeof operation->job, "%s", task->job->id);
 }
 
-/* Returns the number of operations written. Sets *is_pending if the worker must be checked again,
- * because an end found is not committed yet or another is expected. */
+/* Returns the number of operations written. Sets *is_pending if the worker must be checked again:
+ * an end was found and is not committed yet, or an end is still expected. */
 static size_t collect_from_worker(struct tmx_worker *worker, struct tmx_operation *operations,
                                   size_t max, bool *is_pending) {
   size_t count = 0;
   *is_pending = false;
   if (!worker->machine || !worker->machine->registered || !worker->machine->tasks ||
       !worker->report.session || !tmx_worker_update_ownership(worker))
-    return 0; /* any event that changes one of these queues the worker again */
+    return 0; /* the worker is queued again when one of these conditions changes */
   tmx_worker_reconcile(worker);
   for (const struct tmx_task *task = worker->machine->tasks; task && count < max;
        task = task->next) {
--- a/src/worker/suspicions.c
+++ b/src/worker/suspicions.c
@@ -1,5 +1,5 @@
-/* Suspicions: faults of its machines that this controller reports to the other controllers, and
- * those of their machines that they report to it. */
+/* Suspicions of machine faults. This controller reports suspicions of its own machines to the other
+ * controllers, and records the suspicions that they report of theirs. */
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -97,9 +97,9 @@
 };
 /** The counts of the latest health check, as made by tmx_workers_tick(). */
 struct tmx_reachability tmx_workers_reachability(const struct tmx_workers *workers);
-/** Returns whether this controller reaches less than a quarter of its machines, or of the sample,
- * so that others should drive its machines. Always false for fewer than
- * TMX_REACHABILITY_MACHINES_MIN. */
+/** Returns whether this controller reaches less than a quarter of its machines, or of the sample.
+ * Other controllers should then own its machines. Always false if it owns fewer than
+ * TMX_REACHABILITY_MACHINES_MIN machines, or if the sample is smaller than that. */
 bool tmx_workers_are_unreachable(const struct tmx_workers *workers);
 /** Liveness of this controller's machines, one entry for each zone of the settings. Owned by the
  * module. */
--- a/src/worker/workers_internal.h
+++ b/src/worker/workers_internal.h
@@ -70,15 +70,16 @@
   uint64_t highest_token;    /**< highest token that the worker reports to have seen */
   uint64_t required_token;   /**< absence of an attempt proves nothing while highest_token is
                                   lower and the session is not above required_session */
-  double required_since;     /**< steady clock, s: since when that token is awaited */
-  uint64_t required_session; /**< UINT64_MAX: no session is late enough, only the token counts */
+  double required_since;     /**< steady clock, s: when the wait for required_token began */
+  uint64_t required_session; /**< a session above this one voids the commands with tokens below
+                                  required_token; UINT64_MAX: no session does */
   bool report_may_predate_ownership; /**< no report is known to have been sent after this
                                         controller became the owner */
 };
 
-/** State of the commands to the worker. Written by commands.c, and by the files that handle the
- * events in question: are_due by workers.c, is_queued by worker_table.c, in_flight by probes.c and
- * worker_connection.c, is_unanswered by fencing.c, starts_unconfirmed by fencing.c,
+/** State of the commands to the worker. Each field has its own writers: are_due is written by
+ * commands.c and workers.c; is_queued by commands.c and worker_table.c; in_flight by commands.c,
+ * probes.c and worker_connection.c; is_unanswered by fencing.c; starts_unconfirmed by fencing.c,
  * lease_renewal.c and report_intake.c. */
 struct tmx_worker_commands {
   bool are_due;            /**< the log changed since commands were last derived */
