--- a/include/tmx/constants.h
+++ b/include/tmx/constants.h
@@ -2,7 +2,8 @@
  * @file
  * The limits, periods and shares that the program uses, each with its unit and the reason for its
  * value. Values that depend on a deployment are derived from its settings instead. A share is a
- * fraction from 0 to 1. "At most" is implied by names that end in MAX.
+ * fraction from 0 to 1. A name that ends in MAX denotes an upper limit, also where its comment does
+ * not say "at most".
  */
 #ifndef TMX_CONSTANTS_H
 #define TMX_CONSTANTS_H
@@ -13,13 +14,13 @@
 /** Bytes of a request's body; the limit is set by PROTOCOL. */
 #define TMX_REQUEST_BODY_BYTES_MAX 65536
 /**
- * Bytes of a response's body. A watch's response has no limit in PROTOCOL; this one bounds the
- * memory that it takes.
+ * Bytes of a response's body. PROTOCOL sets no limit for the response of a watch; this limit bounds
+ * the memory that the response takes.
  */
 #define TMX_RESPONSE_BODY_BYTES_MAX (24u << 20)
 /** Levels of nesting in a CBOR item; no message of PROTOCOL nests deeper than 5. */
 #define TMX_CBOR_DEPTH_MAX 16
-/** Bytes of a buffer for a request's path with its query; a key of the store has at most 200. */
+/** Bytes of a buffer for a request's path with its query; a store key has at most 200 bytes. */
 #define TMX_PATH_BYTES 512
 /** Bytes of a buffer for the name of a controller, zone, team, class or image. */
 #define TMX_NAME_BYTES 64
@@ -86,7 +87,7 @@
 #define TMX_LOW_WRITE_LOAD_SHARE 0.35
 /** Share of the store's burst that a member leaves to the other members under low load. */
 #define TMX_STORE_BURST_RESERVED_SHARE 0.4
-/** Share of the store's burst; tokens above it count as unused by all members. */
+/** Share of the store's burst; tokens above this share count as unused by all members. */
 #define TMX_STORE_BURST_UNUSED_ABOVE_SHARE 0.5
 /** Writes of a typical batch, which set the length of a commit slot. */
 #define TMX_COMMIT_SLOT_WRITES 2.4
@@ -140,9 +141,10 @@
 /** Share by which the rates of the monotonic clocks of different machines differ at most. */
 #define TMX_CLOCK_DRIFT_SHARE_MAX 0.0005
 /**
- * Seconds deducted from cancel_s - lease_s. A lease counts from the time at which the report was
- * sent, which is before the response, so only clock drift has to be allowed for. More is deducted
- * if cancel_s is so long that clock drift requires it.
+ * Seconds deducted from cancel_s - lease_s to bound the age of the replica at which a lease is
+ * renewed. A lease counts from the time at which the report was sent, which is before the response,
+ * so only clock drift has to be allowed for. More is deducted if cancel_s is so long that clock
+ * drift requires it.
  */
 #define TMX_FRESHNESS_MARGIN_S 1.0
 /**
@@ -311,8 +313,8 @@
 /** Commands in one message to a worker. */
 #define TMX_MESSAGE_COMMANDS_MAX 400
 /**
- * Seconds; a worker that returns this long after a redirect cannot reach its owner, since it waits
- * 4 s for a response. Another controller takes it over.
+ * Seconds; a worker that returns this long after a redirect cannot reach its owner, since a worker
+ * waits 4 s for a response. Another controller takes the worker over.
  */
 #define TMX_FAILOVER_REDIRECT_AGE_MIN_S 3.5
 /**
@@ -341,8 +343,8 @@
 /** Seconds to wait for the response to a probe, and between probes of a suspect. */
 #define TMX_PROBE_TIMEOUT_S 0.5
 /**
- * Seconds after the last sign of a zone partition for which a leader that reclaims machines treats
- * the zone as partitioned.
+ * Seconds for which a leader that reclaims machines treats a zone as partitioned after the last
+ * sign of a partition.
  */
 #define TMX_RECLAIM_PARTITION_HOLD_S 4.0
 /**
@@ -365,7 +367,10 @@
 #define TMX_SUSPECT_PROBES_SHARE 0.6
 /** Times that the probe period of a lost machine doubles. */
 #define TMX_PROBE_PERIOD_DOUBLINGS_MAX 3
-/** Leases for which a machine may remain unacknowledged after contact with it is restored. */
+/**
+ * Multiple of lease_s: the time for which a machine may remain unacknowledged after contact with it
+ * is restored.
+ */
 #define TMX_RECOVERY_GRACE_LEASES 0.2
 /**
  * Machines that a controller must own at least before the loss of contact with them shows that its
@@ -421,16 +426,16 @@
 #define TMX_SUBMISSION_WAIT_MAX_S 2.5
 /** Seconds in Retry-After at least. */
 #define TMX_RETRY_AFTER_MIN_S 1
-/** Seconds; the random part of Retry-After is less than this. It spreads out retries. */
+/** Seconds; the random part of Retry-After is less than this. The random part spreads retries. */
 #define TMX_RETRY_AFTER_JITTER_S 2
 /**
- * Seconds without an answer to any user about a job, after which polls for it have priority under
- * overload.
+ * Seconds without an answer to any user about a job, after which polls for the job have priority
+ * under overload.
  */
 #define TMX_POLL_PRIORITY_AFTER_S 20.0
 /**
  * Requests that wait for a revision read; further ones are refused immediately. Polls without
- * priority are refused at half of it.
+ * priority are refused at half of this number.
  */
 #define TMX_WAITING_REQUESTS_MAX 400
 /** @} */
@@ -457,8 +462,8 @@
 /** Seconds before an empty machine is returned; the minimum charge is 60 s. */
 #define TMX_IDLE_RETURN_S 75.0
 /**
- * Seconds over which the peak demand is taken, for which capacity is kept: the minimum charge of a
- * machine, and longer than a boot.
+ * Seconds over which the peak demand is taken. Capacity is kept for this peak. The period equals
+ * the minimum charge of a machine and is longer than a boot.
  */
 #define TMX_PEAK_DEMAND_WINDOW_S 60
 /** Seconds between two observations of the demand; after a longer gap the peak is unknown. */
@@ -470,7 +475,10 @@
  * machine is drained.
  */
 #define TMX_MOVE_CAPACITY_FACTOR 2.0
-/** Share of the zone's part of the peak demand that must be free in addition. */
+/**
+ * Share of the zone's part of the peak demand that must be free in addition to
+ * TMX_MOVE_CAPACITY_FACTOR.
+ */
 #define TMX_MOVE_CAPACITY_SHARE_MAX 0.2
 /** Seconds between two selections of machines to drain. */
 #define TMX_DRAIN_PERIOD_S 3.0
@@ -492,7 +500,7 @@
 #define TMX_SCALE_OUT_MACHINES_MAX 1024
 /** Machines in one request to delete; the limit is set by PROTOCOL. */
 #define TMX_DELETION_REQUEST_MACHINES_MAX 100
-/** Leases; a machine that reports but cannot be reached for this long is replaced. */
+/** Multiple of lease_s; a machine that reports but cannot be reached for this time is replaced. */
 #define TMX_UNACKNOWLEDGED_LEASES 0.5
 /**
  * Seconds, in addition to two report periods, after which a machine that is listed as running and
@@ -562,17 +570,19 @@
 #define TMX_LOG_JOB_BYTES 200
 /** Bytes in the log of a task's placement and end. */
 #define TMX_LOG_TASK_BYTES (2L * TMX_PLACEMENT_LINE_TYPICAL_BYTES)
-/** Share of the batches' puts for values with lines; see TMX_FINAL_STATE_PUTS_SHARE. */
+/** Share of the batches' puts that write values with lines. */
 #define TMX_LINE_PUTS_SHARE 0.3
 /**
- * Share of the batches' puts for final states; what TMX_LINE_PUTS_SHARE also leaves rewrites head.
+ * Share of the batches' puts that write final states. The puts that remain besides this share and
+ * TMX_LINE_PUTS_SHARE rewrite head.
  */
 #define TMX_FINAL_STATE_PUTS_SHARE 0.4
 /** Share of a controller's memory for jobs that are not over. */
 #define TMX_JOBS_MEMORY_SHARE 0.25
 /**
- * Share of the ceiling that decides. If the backlog is above it, a submission is committed with a
- * batch only, since batches all rewrite head.
+ * Share of the ceiling that decides on a submission. If the backlog with the submission is above
+ * this share, the submission is committed with a batch only, since all batches rewrite head and two
+ * of them conflict.
  */
 #define TMX_SINGLE_SUBMISSION_CEILING_SHARE 0.5
 /** Share of the bound on the backlog; a larger submission is committed with a batch only. */
--- a/include/tmx/wire.h
+++ b/include/tmx/wire.h
@@ -1,8 +1,10 @@
 /** @file
  * The names used in messages. This is the only file that maps the terms of the code (class, team,
  * task, attempt, fencing token, incarnation, lease, zone, spot, image) to the words of the
- * protocol. The prefix WP_ marks paths, W_ keys of maps, and WV_ values of such keys. A name that
- * several messages use is listed with the first of them. docs/naming.md explains the terms. */
+ * protocol. The prefix WP_ marks paths, W_ keys of maps, and WV_ values of such keys. The
+ * exceptions are W_JOB_PREFIX, which is a prefix of ids, and WV_NO_LEASE, which is an error text. A
+ * name that several messages use is listed with the first of them. docs/naming.md explains the
+ * terms. */
 #ifndef TMX_WIRE_H
 #define TMX_WIRE_H
 
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -40,8 +40,11 @@
     const struct tmx_job_ids *dependencies);
 /**
  * Returns whether a request is admitted and may be committed on its own, without a write to head.
- * It may not if the backlog is near a ceiling, since two such commits do not conflict and could
- * both take the remaining capacity. Sets tmx_admission_request::has_open_dependencies.
+ * Two such commits do not conflict and could both take the remaining capacity. A request may
+ * therefore not be committed on its own if the backlog with the request is above
+ * TMX_SINGLE_SUBMISSION_CEILING_SHARE of the ceiling, or if the request is larger than
+ * TMX_SINGLE_SUBMISSION_BACKLOG_SHARE of the bound on the backlog. Sets
+ * tmx_admission_request::has_open_dependencies.
  */
 bool tmx_admission_control_may_commit_alone(const struct tmx_admission_control *admission,
                                             struct tmx_admission_request *request,
--- a/src/admission/admission_policy.c
+++ b/src/admission/admission_policy.c
@@ -112,7 +112,7 @@
 }
 
 /* An account without open jobs may take one job of any size, since the largest jobs would never be
- * admitted otherwise. For a job that depends on accepted ones only the team's ceiling applies. */
+ * admitted otherwise. A job that depends on accepted jobs is bounded by the team's ceiling only. */
 struct tmx_admission_decision tmx_admission_decide(const struct tmx_settings *settings,
                                                    const struct tmx_backlog *backlog,
                                                    const struct tmx_backlog *in_flight,
@@ -130,9 +130,10 @@
   return decide_by_unlisted_class(&context, decision.ceiling_s);
 }
 
-/* The whole cluster completes one second of backlog per second. Of one account's backlog it
- * completes at worst the share of the account's reserve and at best all. The wait is estimated as
- * the excess over the ceiling, which requires no assumption about the mix of work. */
+/* The whole cluster completes one second of backlog per second. An account gets at least the share
+ * of this rate that corresponds to its reserve, and at most the whole rate. The excess over the
+ * ceiling is the estimate of the wait. This estimate requires no assumption about the mix of work.
+ */
 double tmx_admission_retry_s(const struct tmx_admission_decision *decision) {
   double excess = decision->backlog_s - decision->ceiling_s;
   return fmin(fmax(ceil(excess), 1), TMX_ADMISSION_RETRY_MAX_S);
--- a/src/admission/admission_rates.h
+++ b/src/admission/admission_rates.h
@@ -22,8 +22,8 @@
  * Returns the rates of all resources. CPUs and GPUs are those of the `present` machines, but at
  * least what the teams are guaranteed and, for CPUs, what the operators expect. Memory is that of
  * the `present` machines, but at least the guaranteed or expected CPUs times the memory per CPU of
- * the `largest` machine. The rates of the log and of the controllers' memory follow from the
- * settings.
+ * the `largest` machine. The rates of the log, of puts and of the controllers' memory follow from
+ * the settings.
  */
 struct tmx_resource_rates tmx_admission_rates(const struct tmx_settings *settings,
                                               const struct tmx_machine_size *present,
--- a/src/admission/statistics.c
+++ b/src/admission/statistics.c
@@ -9,8 +9,8 @@
 /* The statistics of one account. */
 struct account_statistics {
   unsigned long n_results[TMX_REFUSED_CLASS + 1]; /* by enum tmx_admission_result */
-  double max_s;                                   /* longest wait until a start */
-  gsl_histogram *waits;                           /* waits until a start; NULL until the first */
+  double max_s;                                   /* longest wait until a start, s */
+  gsl_histogram *waits;                           /* s; NULL until the first start */
 };
 struct tmx_admission_statistics {
   struct account_statistics accounts[TMX_TEAMS_MAX][TMX_ACCOUNTS_MAX];
--- a/src/admission/statistics.h
+++ b/src/admission/statistics.h
@@ -27,8 +27,9 @@
       refused_team,       /**< submissions refused at the ceiling of the team */
       refused_class;      /**< submissions refused at the ceiling of the class */
   unsigned long starts;   /**< jobs whose first task was placed */
-  double start_median_s,  /**< median wait, s, rounded up to the bound of a bin; 0: no starts */
-      start_p99_s,        /**< 99th percentile of waits, s, rounded up to the bound of a bin */
+  double start_median_s,  /**< median wait, s, rounded up to the bound of a bin, but at most
+                               start_max_s; 0: no starts */
+      start_p99_s,        /**< 99th percentile of the waits, s, rounded like the median */
       start_max_s;        /**< longest wait, s */
 };
 /** Returns the figures of one account; `statistics` must not be NULL. */
--- a/src/planner/candidates.c
+++ b/src/planner/candidates.c
@@ -4,12 +4,13 @@
 #include "planner/placement_cost.h"
 #include "planner/preemption.h"
 
-/* s of lost work that cost as much as one booked share, in the pool of preemptible machines. The
- * value is so large that stopping all tasks of a machine still costs less than COLD_IMAGE_COST. */
+/* Seconds of lost work that cost as much as one booked share in POOL_PREEMPTIBLE. The value is so
+ * large that stopping all tasks of a machine still costs less than COLD_IMAGE_COST. */
 #define PREEMPTION_COST_SCALE_S 1e6
 
-/* Booked shares: added for each replica of a service that is placed in a zone. It spreads the
- * replicas evenly over the zones before other costs count. */
+/* Booked shares: added to a zone's cost for each replica of the service that is placed in the zone.
+ * It spreads the replicas evenly over the zones before the booked share (at most 1) and the fetch
+ * (at most 3) count. COLD_IMAGE_COST and FAILED_MACHINE_COST weigh more than one replica. */
 #define ZONE_BALANCE_COST 4.0
 
 /* Returns whether one more task fits into the machine's free capacity. In POOL_RELEASING, capacity
--- a/src/planner/failed_fits.c
+++ b/src/planner/failed_fits.c
@@ -2,8 +2,7 @@
 
 #include <string.h>
 
-/* Returns whether every machine that could run a task of `larger` could run one of `smaller`.
- */
+/* Returns whether every machine that could run a task of `larger` could run one of `smaller`. */
 static bool is_at_least_as_demanding(const struct tmx_job_spec *larger,
                                      const struct tmx_job_spec *smaller) {
   if (!tmx_resources_fit(tmx_resources_of_task(smaller), tmx_resources_of_task(larger)))
--- a/src/planner/failed_fits.h
+++ b/src/planner/failed_fits.h
@@ -7,8 +7,7 @@
 #define TMX_FAILED_FITS_H
 #include "planner/round.h"
 
-/** Returns whether failed fits of this round prove that the job has no candidate in the pool.
- */
+/** Returns whether failed fits of this round prove that the job has no candidate in the pool. */
 bool tmx_failed_fits_rule_out(const struct round *round, const struct planner_job *job,
                               enum candidate_pool pool);
 
--- a/src/planner/fit.h
+++ b/src/planner/fit.h
@@ -29,7 +29,8 @@
 uint32_t tmx_fit_count_eligible_machines(const struct tmx_planner *planner,
                                          const struct tmx_job_spec *spec);
 
-/** Returns whether the zone cap and `same_place` allow one more task of the job in the zone. */
+/** Returns whether the zone cap and tmx_job_spec::same_zone allow one more task of the job in the
+ * zone. */
 bool tmx_fit_zone_allows(const struct round *round, const struct planner_job *job, size_t zone);
 
 /** Returns whether one more task of the job stays within its team's maximum CPUs and GPUs. Returns
--- a/src/planner/job_order.c
+++ b/src/planner/job_order.c
@@ -8,9 +8,9 @@
 
 /* CPU seconds added to the sort key of late jobs, so that they come after all others. */
 #define LATE_JOB_PENALTY 1e9
-/* Minimum expected run time of a task, s. */
+/* Minimum expected run time of a task in the sort key, s. */
 #define RUN_TIME_MIN_S 1
-/* Minimum CPUs that a task counts with. */
+/* Minimum CPUs of a task in the sort key. */
 #define TASK_CPUS_MIN 0.1
 /* Share of a placed task's work that is assumed to remain. */
 #define PLACED_TASK_REMAINING_SHARE 0.5
--- a/src/planner/placement.c
+++ b/src/planner/placement.c
@@ -9,7 +9,7 @@
 enum placement_result {
   TASK_PLACED,                 /* a placement was emitted */
   TASK_CAPACITY_RESERVED,      /* capacity is reserved for it; no placement was emitted */
-  TASK_NO_CAPACITY,            /* there is none for this task or the job's other tasks */
+  TASK_NO_CAPACITY,            /* no capacity for this task or the job's other tasks */
   TASK_LEFT_TO_PLANNING_MEMBER /* the planning member places it, or counts it as unplaced */
 };
 
@@ -69,8 +69,8 @@
   return true;
 }
 
-/* Reserves capacity for the next task that is not free yet: stopping tasks hold it, or tasks that
- * are preempted now. Only the leader does this. */
+/* Reserves capacity that is not free yet for the next task. The capacity is held by stopping tasks
+ * or by tasks that this round preempts. Only the leader reserves such capacity. */
 static bool reserve_future_capacity(const struct job_placement *placement,
                                     enum image_requirement image) {
   if (!placement->round->input->leading) return false;
@@ -82,10 +82,9 @@
   return true;
 }
 
-/* Reserves capacity, in this round only, for a job of higher precedence that another member plans.
- * Called by
- * members that do not lead. Without the reservation, such a member would immediately place its own
- * job arrays in the capacity that the leader frees for that job. */
+/* Reserves capacity, in this round only, for a job above ordinary precedence that another member
+ * plans. Only members that do not lead call this function. Without the reservation, such a member
+ * would immediately place its own job arrays in the capacity that the leader frees for that job. */
 static enum placement_result reserve_for_other_member(const struct job_placement *placement) {
   static const struct {
     enum candidate_pool pool;
@@ -100,9 +99,10 @@
   return TASK_LEFT_TO_PLANNING_MEMBER;
 }
 
-/* Returns the machine on which to reserve capacity for a job that another member plans and still
- * has precedence for; -1: none. It is in the shard of that member, which is about to use it. A job
- * of production precedence is left to that member only if the image is warm on the machine. */
+/* Returns the machine on which to reserve capacity for a job during the grace period of the other
+ * member that plans it; -1: none. The machine is in the shard of that member, which is about to use
+ * the machine. A job of production precedence is left to that member only if the image is warm on
+ * the machine. */
 static int machine_for_planning_member(const struct job_placement *placement, int warm_machine) {
   if (warm_machine >= 0 || placement->precedence == PRECEDENCE_PRODUCTION) return warm_machine;
   return best_machine(placement, POOL_OWN_SHARD, IMAGE_ANY_STATE);
@@ -118,9 +118,9 @@
   /* A task may be too large for its shard. As in the draft, the leader then searches all shards. */
   if (machine < 0 && leading) machine = best_machine(placement, POOL_ANY_SHARD, IMAGE_WARM);
   if (machine < 0 && placement->precedence == PRECEDENCE_PRODUCTION) {
-    /* On all machines with enough free capacity, fetching the image would make the start late.
-     * Machines with a warm image whose capacity can be freed are preferred. During the grace period
-     * the planning member leaves the leader time to free such capacity. */
+    /* No examined machine with enough free capacity has a warm image, so that a fetch would make
+     * the start late. Machines with a warm image whose capacity can be freed are preferred. During
+     * the grace period the planning member leaves the leader time to free such capacity. */
     if (reserve_future_capacity(placement, IMAGE_WARM)) return TASK_CAPACITY_RESERVED;
     if (!leading && placement->in_grace) return TASK_NO_CAPACITY;
   }
--- a/src/planner/placement.h
+++ b/src/planner/placement.h
@@ -14,8 +14,8 @@
  * Places up to `max` waiting tasks of each job, in order. Returns the number of placed tasks.
  *
  * If the visit limit is reached, the next round resumes with the jobs that were not examined.
- * Otherwise jobs that find no capacity could use up the limit in every round, and jobs behind them
- * that would find some would never be examined.
+ * Otherwise, jobs that find no capacity could use up the limit in every round, and the jobs after
+ * them, for which there may be capacity, would never be examined.
  *
  * @param round the running round
  * @param jobs jobs, in the order in which to place them
--- a/src/planner/placement_cost.c
+++ b/src/planner/placement_cost.c
@@ -8,8 +8,8 @@
  * COLD_IMAGE_COST and FAILED_MACHINE_COST, which stand for more serious reasons. */
 #define FETCH_COST_MAX 3.0
 
-/* Share of the time that the start of the job may take, tmx_job_spec::fetch_tolerance_s. A fetch
- * that takes longer makes the start late. */
+/* Share of tmx_job_spec::fetch_tolerance_s. A fetch that takes longer than this share makes the
+ * start of the job late. */
 #define LATE_FETCH_SHARE 0.6
 
 /* Returns the time until the image is on the machine, s. For an image that is being fetched, it is
--- a/src/planner/placement_cost.h
+++ b/src/planner/placement_cost.h
@@ -21,7 +21,8 @@
 #define COLD_IMAGE_COST 10.0
 
 /** Booked shares: added if a task of the job failed recently on the machine. It exceeds the sum of
- * all other costs, so that such a machine is used only if there is no other. */
+ * all other costs in tmx_placement_cost(), so that such a machine is used only if the pool has no
+ * other one in its zone. */
 #define FAILED_MACHINE_COST 100.0
 
 /** Returns the cost of placing the job's next task on the machine, in booked shares. */
--- a/src/planner/planner_tables.h
+++ b/src/planner/planner_tables.h
@@ -27,7 +27,8 @@
 /** A job in the planner's tables. */
 struct planner_job {
   struct tmx_plan_job record; /**< from the latest delta; a round changes and restores it */
-  double sort_key;            /**< in this round: remaining work, CPU seconds; lower first */
+  double sort_key;            /**< in this round: remaining work, CPU seconds, with a penalty if the
+                                 job is late; lower first */
   uint32_t older_in_account;  /**< number of older jobs of its account in the rotation */
   bool guaranteed;            /**< in this round: covered by its team's guaranteed quota */
   bool in_open_jobs;          /**< listed in tmx_planner::open_jobs */
@@ -36,8 +37,8 @@
   uint32_t saved_placed_in_zone[TMX_ZONES_MAX]; /**< record.placed_in_zone before that round */
 };
 
-/** All machines of one type and zone that are all spot or all not spot. A job is eligible for all
- * machines of a group or for none. */
+/** The machines of one type, zone and kind (spot or on demand). A job is eligible for all machines
+ * of a group or for none. */
 struct machine_group {
   char type[TMX_ID_BYTES];   /**< name of the machine type */
   int zone;                  /**< index of the zone */
@@ -63,8 +64,8 @@
       cap_open_jobs;                 /**< entries allocated */
   uint64_t round_number;             /**< number of rounds started; 0: none */
   double aged_job_credit; /**< tasks that aged jobs may place before others, see ageing.h */
-  /* Positions at which the next round resumes each part of a round that stopped at the visit limit.
-   * Each is the slot of a job; -1: the part starts with its first job. */
+  /* Positions at which the next round resumes the parts that stopped at the visit limit. Each
+   * position is the slot of a job; -1: the part starts with its first job. */
   int resume_production,  /**< in the jobs of production precedence */
       resume_not_started, /**< in the aged jobs without a start */
       resume_others;      /**< in all other jobs */
--- a/src/planner/preemption.c
+++ b/src/planner/preemption.c
@@ -4,9 +4,9 @@
 
 #include <stdlib.h>
 
-/* s of lost work: surcharge for each victim, so that stopping few tasks is preferred to many */
+/* Seconds of lost work: surcharge for each victim, so that few victims are preferred to many. */
 #define VICTIM_COST_S 1
-/* s of lost work: surcharge for each level of the victim's priority */
+/* Seconds of lost work: surcharge for each level of the victim's priority. */
 #define VICTIM_PRIORITY_COST_S 20.0
 
 enum preemption_mode { PREEMPTION_ESTIMATE, PREEMPTION_EXECUTE };
@@ -51,12 +51,13 @@
   return keeps_guarantee_without(round, other);
 }
 
-/* Returns the work that is lost if the task is stopped, s. */
+/* Returns the work that is lost if the task is stopped, s. The estimate does not consider that a
+ * task which is stopped for a service saves no checkpoint, see stop_victim(). */
 static double lost_work_s(const struct round *round, const struct planner_job *job,
                           const struct tmx_plan_task *task) {
   const struct tmx_job_spec *spec = job->record.spec;
   if (spec->checkpoint_s > 0)
-    return spec->checkpoint_save_s + 1; /* it saves a checkpoint before it stops */
+    return spec->checkpoint_save_s + 1; /* the task saves a checkpoint before it stops */
   return round->input->now_steady - task->placed_at;
 }
 
--- a/src/planner/round.h
+++ b/src/planner/round.h
@@ -76,7 +76,7 @@
 
   struct failed_fit failed_fits[FAILED_FITS_MAX]; /**< see failed_fits.h */
   size_t n_failed_fits;                           /**< entries in use */
-  int *releasing_machines;     /**< slots; with stopping tasks at the start of the round */
+  int *releasing_machines;     /**< slots of machines with stopping tasks when the round started */
   size_t n_releasing_machines, /**< entries in use */
       cap_releasing_machines;  /**< entries allocated */
 
@@ -103,8 +103,8 @@
 
 /** The purpose of a reservation of capacity on a machine. */
 enum reservation {
-  RESERVATION_FOR_PLACEMENT, /**< for a placement, here or by the planning member: team usage */
-  RESERVATION_UNTIL_RELEASE  /**< until stopping tasks have ended: no team usage yet */
+  RESERVATION_FOR_PLACEMENT, /**< for a placement here or by the planning member; in team usage */
+  RESERVATION_UNTIL_RELEASE  /**< until stopping tasks have ended; not in team usage yet */
 };
 
 /** Saves the machine's booked and releasing resources and its number of tasks. Must be called
--- a/src/planner/scale_out_plan.c
+++ b/src/planner/scale_out_plan.c
@@ -6,16 +6,16 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* tasks: tolerance when counting how many tasks fit, for quotients that rounding errors put just
- * below a whole number */
+/* Tolerance, in tasks, of the count of tasks that fit. Rounding errors may put a quotient just
+ * below a whole number. */
 #define COUNT_EPSILON 1e-9
-/* limit on the tasks that count as fitting on one machine, for tasks that request no resources */
+/* Limit on the tasks that count as fitting on one machine, for tasks that request no resources. */
 #define TASKS_PER_MACHINE_MAX 1e6
-/* s: lower limit on the expected run time of a task */
+/* Lower limit on the expected run time of a task, s. */
 #define RUN_S_MIN 5
-/* s: job arrays whose tasks run at least this long get capacity for all of them at once */
+/* Seconds; a job array whose tasks run at least this long gets capacity for all tasks at once. */
 #define FULL_DEMAND_RUN_S 45.0
-/* s: a boot time this long doubles the cost of an offer */
+/* Seconds; a boot time of this length doubles the cost of an offer. */
 #define BOOT_PRICE_SCALE_S 200.0
 
 /* A machine that tasks are packed into. */
@@ -75,9 +75,9 @@
 }
 
 /* Returns whether the plan already rents TMX_SCALE_OUT_OFFER_MACHINES_MAX machines of the offer.
- * The cloud does not publish how many machines of an offer are available. With the limit, a large
- * demand is spread over several offers at once, instead of requesting the cheapest one in each plan
- * until it is exhausted. */
+ * The cloud does not publish how many machines of an offer are available. With the limit, one plan
+ * spreads a large demand over several offers. Without the limit, each plan would request only the
+ * cheapest offer until that offer is exhausted. */
 static bool reached_offer_limit(const struct scale_out_plan *plan, int offer) {
   size_t rental = find_rental(plan, offer);
   return rental < plan->n_rentals &&
@@ -151,9 +151,10 @@
   return backlog;
 }
 
-/* Returns the number of tasks for which to provide capacity at once: all replicas of a service. Of
- * a job array, as many as are needed to finish all of its tasks, one after another on that
- * capacity, in about FULL_DEMAND_RUN_S; all tasks if one task runs longer than that. */
+/* Returns the number of tasks for which to provide capacity at once. A service gets capacity for
+ * all of its replicas. A job array gets so much capacity that all of its tasks, run in succession
+ * on that capacity, finish in about FULL_DEMAND_RUN_S. If one task runs at least that long, the
+ * array gets capacity for all tasks. */
 static uint32_t tasks_to_provision(const struct tmx_demand *demand) {
   if (demand->spec->service) return demand->tasks;
   return (uint32_t)ceil(demand->tasks *
@@ -181,8 +182,8 @@
                                 .max_rentals = max};
   plan.bins = tmx_allocate(plan.cap_bins, sizeof *plan.bins);
   add_provisioned_bins(&plan, input);
-  /* If the provisioned machines clear the backlog of job arrays within about the boot time of a
-   * machine, job arrays need no new machines. */
+  /* If the provisioned machines clear the backlog of job arrays within TMX_BACKLOG_CLEAR_S, about
+   * the boot time of a machine, job arrays need no new machines. */
   double backlog = array_backlog(input->demands, input->n_demands);
   bool cleared_soon =
       input->provisioned_cpus > 0 && backlog / input->provisioned_cpus < TMX_BACKLOG_CLEAR_S;
