--- a/src/base/memory.h
+++ b/src/base/memory.h
@@ -20,8 +20,8 @@
 
 /**
  * Grows an array to a capacity of at least `needed` items of `size` bytes. It doubles `*capacity`
- * (in items) until that suffices and zeroes the added items. It returns the array, which may have
- * moved; the old pointer is then invalid. `array` may be NULL if `*capacity` is 0.
+ * (in items, at least 16) until that suffices and zeroes the added items. It returns the array,
+ * which may have moved; the old pointer is then invalid. `array` may be NULL if `*capacity` is 0.
  */
 void *tmx_grow(void *array, size_t *capacity, size_t needed, size_t size);
 #endif
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -43,8 +43,9 @@
 static void scale_out_when_due(struct tmx_cloud *cloud, double now) {
   if (now - cloud->scale_out_at <= TMX_SCALE_OUT_PERIOD_S || !cloud->catalog->n_types) return;
   cloud->scale_out_at = now;
-  /* A new leader reads the list of instances first. Otherwise it would rent machines again that its
-   * predecessor has requested and that are still booting. */
+  /* A new leader waits for one period of the instance list before it rents machines. Its
+   * predecessor may have rented machines that are still booting; without the list, the new leader
+   * would rent their capacity a second time. */
   if (!cloud->rentals_in_flight && now - cloud->leading_since > TMX_INSTANCE_LIST_PERIOD_S)
     tmx_cloud_scale_out(cloud, now);
 }
--- a/src/cloud/cloud_internal.h
+++ b/src/cloud/cloud_internal.h
@@ -10,7 +10,8 @@
 #include "cloud/inventory.h"
 #include "cloud/offer_backoff.h"
 
-/** The time since which a machine has had no task, as observed by this leader. */
+/** The time since which a machine has been idle, as observed by this controller as the leader. A
+ * backlog or a partitioned zone also restarts the time, see tmx_cloud_drain_if_idle(). */
 struct tmx_idle_timer {
   char id[TMX_ID_BYTES]; /**< id of the machine */
   double since;          /**< steady clock, s */
--- a/src/cloud/idle_machines.c
+++ b/src/cloud/idle_machines.c
@@ -1,5 +1,6 @@
-/* Idle timers of machines without a task. Only the leader keeps them; a new leader starts with
- * none. */
+/* Idle timers, one for each registered machine that the leader examines for scale-in. Only the
+ * leader starts and restarts them. A controller that loses the leadership keeps its timers, and
+ * uses them again if it becomes the leader again. */
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/src/cloud/inventory.c
+++ b/src/cloud/inventory.c
@@ -59,7 +59,8 @@
   tmx_cbor_get_number(entry, W_AGE, &instance->age_s);
   if (tmx_cbor_get_text(entry, W_STATE, state_text, sizeof state_text)) {
     enum tmx_instance_state state = parse_instance_state(state_text);
-    /* A list may be older than the list before it, so an earlier state is ignored. */
+    /* The cloud may send an older list after a newer one, so a state that precedes the known state
+     * is ignored. */
     if (state > instance->state) instance->state = state;
   }
   instance->age_as_of = now;
--- a/src/cloud/offer_backoff.h
+++ b/src/cloud/offer_backoff.h
@@ -22,7 +22,7 @@
   int zone;                /**< zone index of the settings */
   bool spot;               /**< spot, else on demand */
   double until;            /**< steady clock, s: end of the backoff; 0: never refused */
-  double latest_backoff_s; /**< s: length of the latest backoff; 0: the latest request succeeded */
+  double latest_backoff_s; /**< s: length of the latest backoff; 0: none, or it was reset */
 };
 
 /** All offers that were looked up. A zeroed table is empty. */
@@ -34,8 +34,9 @@
 /** Returns whether the offer must not be requested at `now`. */
 bool tmx_offer_is_backed_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone,
                              bool spot, double now);
-/** Starts a backoff, twice as long as the one before. To be called if the cloud refused the offer
- * or granted fewer machines than requested. */
+/** Starts a backoff. It is twice as long as the latest backoff, at least TMX_OFFER_BACKOFF_MIN_S
+ * and at most TMX_OFFER_BACKOFF_MAX_S. To be called if the cloud refused the offer or granted fewer
+ * machines than requested. */
 void tmx_offer_back_off(struct tmx_offer_backoffs *backoffs, const char *type, int zone, bool spot,
                         double now);
 /** Makes the next backoff start from TMX_OFFER_BACKOFF_MIN_S again. To be called if the cloud
--- a/src/cloud/reclaim_evidence.h
+++ b/src/cloud/reclaim_evidence.h
@@ -18,7 +18,8 @@
   double partition_grace_s[TMX_ZONES_MAX]; /**< s: length of a zone's grace period */
   double free_cpus;                        /**< CPUs not booked, on machines not draining */
   double service_cpus;                     /**< CPUs booked by services */
-  bool has_backlog;                        /**< tasks are pending beyond TMX_WAITING_CPUS_SHARE */
+  bool has_backlog; /**< pending tasks request more than TMX_WAITING_CPUS_SHARE of the free and
+                       booked CPUs */
   bool any_zone_partitioned; /**< a zone counts as partitioned, see tmx_zone_partitions */
 };
 
--- a/src/cloud/rental.c
+++ b/src/cloud/rental.c
@@ -20,7 +20,7 @@
   int zone;
   bool spot;
   uint32_t count;
-  int attempts;      /* that failed */
+  int attempts;      /* failed attempts */
   double started_at; /* steady clock, s */
   struct tmx_rental_request *prev, *next;
 };
@@ -81,8 +81,8 @@
     free_request(request);
   } else if ((status == 0 || status == HTTP_TOO_MANY_REQUESTS) &&
              ++request->attempts < ATTEMPTS_MAX && tmx_store_is_leader(request->cloud->store)) {
-    /* The request is idempotent: the cloud grants it once per name. It is therefore retried if
-     * there was no response or the rate limit was exceeded. */
+    /* The cloud grants a request only once per name, so the request is safe to retry if there was
+     * no response or the rate limit was exceeded. */
     send_request(request);
   } else {
     handle_refusal(request, status);
--- a/src/cloud/replacement_policy.c
+++ b/src/cloud/replacement_policy.c
@@ -1,10 +1,10 @@
 #include "cloud/replacement_policy.h"
 
-/* s: any machine may take this long to boot, plus TMX_BOOT_LATE_FACTOR times its usual boot time.
- */
+/* s. A machine may take TMX_BOOT_LATE_FACTOR times the usual boot time of its type, plus this time,
+ * to boot. */
 static const double BOOT_GRACE_S = 10;
 
-/* A heartbeat is late after this many times report_s, plus TMX_REPORT_LATE_MARGIN_S. */
+/* A heartbeat is late after this multiple of report_s, plus TMX_REPORT_LATE_MARGIN_S. */
 static const double HEARTBEAT_TOLERANCE = 1.25;
 
 const char *tmx_deletion_reason_text(enum tmx_deletion_reason reason) {
--- a/src/cloud/scale_in.h
+++ b/src/cloud/scale_in.h
@@ -14,7 +14,8 @@
 void tmx_cloud_drain_if_idle(struct tmx_cloud *cloud, struct tmx_reclaim_evidence *evidence,
                              const struct tmx_machine *machine);
 /** Drains the most expensive machines in excess of the peak demand, at most every
- * TMX_DRAIN_PERIOD_S. If `capacity_short`, because of a backlog or a partitioned zone, cancels the
- * draining of machines that still hold tasks instead. */
+ * TMX_DRAIN_PERIOD_S. `capacity_short` says that there is a backlog or a partitioned zone. In that
+ * case no machine is drained, and the draining of machines that still hold tasks is cancelled,
+ * except for faulty machines. */
 void tmx_cloud_drain_above_peak(struct tmx_cloud *cloud, bool capacity_short, double now);
 #endif
--- a/src/cloud/scale_in_policy.c
+++ b/src/cloud/scale_in_policy.c
@@ -4,8 +4,9 @@
 #include <string.h>
 
 /* Weights in drain_cost(). UNBOOKED_WEIGHT is the weight of a machine without bookings; the booked
- * share of its CPUs is subtracted from it. SERVICE_DISCOUNT, times the share of its CPUs that
- * services use, lowers the cost, as their replicas must move. */
+ * share of the machine's CPUs is subtracted from it. SERVICE_DISCOUNT is the discount for a machine
+ * whose CPUs are all booked by services; it is proportional to the share of the CPUs that services
+ * book. The discount makes the machine drain later, as its replicas must move. */
 static const double UNBOOKED_WEIGHT = 1.2, SERVICE_DISCOUNT = 0.8;
 
 enum tmx_drain_decision tmx_idle_drain_decision(const struct tmx_idle_evidence *evidence) {
--- a/src/cloud/scale_in_policy.h
+++ b/src/cloud/scale_in_policy.h
@@ -27,7 +27,7 @@
   bool type_known;     /**< its type is in the catalogue */
   bool draining;       /**< it is draining already */
   bool has_tasks;      /**< tasks are placed on it */
-  double idle_s;       /**< s since it held a task, or a backlog or a partition was seen */
+  double idle_s;       /**< s since the leader last saw a task on it, a backlog or a partition */
   double idle_max_s;   /**< s: it is drained when `idle_s` exceeds this */
   double cpus;         /**< CPUs of the machine; valid if `type_known` */
   double free_cpus;    /**< CPUs not booked, on all machines that are not draining */
--- a/src/cloud/scale_out_demand.c
+++ b/src/cloud/scale_out_demand.c
@@ -4,7 +4,8 @@
 
 #include "base/memory.h"
 
-/* s: the next scheduling round may still place the tasks of a younger job on present machines. */
+/* s since the job was loaded. A younger job adds no demand, as the next scheduling round may still
+ * place its tasks on present machines. */
 static const double JOB_AGE_MIN_S = 0.5;
 
 static const double UNLIMITED_CPUS = 1e9;
@@ -41,7 +42,7 @@
 }
 
 /* Returns the zone that the service must run in: the zone of its spec or, if all replicas must be
- * in one zone, the zone that holds some already. -1: any. */
+ * in one zone, a zone that already holds replicas. -1: any. */
 static int service_zone(const struct tmx_settings *settings, const struct tmx_job *job) {
   int zone = zone_of_spec(settings, &job->spec);
   for (size_t z = 0; zone < 0 && job->spec.same_zone && z < settings->n_zones; z++)
@@ -64,7 +65,8 @@
 }
 
 /* Spreads the pending replicas of a service over the zones that are below the cap, and adds a
- * demand for each zone. Each replica goes to the zone with the fewest. */
+ * demand for each zone. Each replica goes to the zone with the fewest replicas. Replicas
+ * that no zone can take without exceeding the cap add no demand. */
 static void add_service_demand(const struct tmx_settings *settings, struct tmx_demand_list *list,
                                const struct tmx_job *job, uint32_t tasks) {
   const struct tmx_job_spec *spec = &job->spec;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -125,7 +125,8 @@
 /** Sets every operator setting to its default. */
 void tmx_operator_settings_set_defaults(struct tmx_operator_settings *operators);
 /** Reads the operators' settings from a TOML file. A key that is missing in the file keeps the
- *  value that `operators` already holds. Errors are reported as by tmx_settings_load(). */
+ *  value that `operators` already holds; only `admission.enabled` is required if the file has the
+ *  table `admission`. Errors are reported as by tmx_settings_load(). */
 bool tmx_operator_settings_load(struct tmx_operator_settings *operators, const char *path,
                                 char *error, size_t error_capacity);
 
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -9,8 +9,8 @@
 #include "base/memory.h"
 #include "controller/controller_internal.h"
 
-/* libev calls this after the callbacks of a loop iteration, before the loop waits again. By then
- * all events of the iteration have been applied. */
+/* libev calls this function after the callbacks of a loop iteration and before the loop waits
+ * again. By then all events of the iteration have been applied. */
 static void on_prepare(struct ev_loop *loop, ev_prepare *watcher, int events) {
   (void)loop;
   (void)events;
@@ -21,7 +21,7 @@
 
 /* When a network partition heals, the heartbeats of the peers arrive one after the other, so the
  * peer whose heartbeat arrives last has not necessarily failed. The failure detector therefore
- * ignores missing heartbeats until TMX_PEER_HEARTBEAT_TIMEOUT_S after the latest impairment. */
+ * ignores missing heartbeats until TMX_PEER_HEARTBEAT_TIMEOUT_S after `last_impaired_at`. */
 static void note_impairment(struct tmx_controller *controller, double now, bool loop_was_late) {
   bool store_lost = now - tmx_store_fresh_as_of(controller->store) > TMX_STORE_UNREACHABLE_S;
   if (loop_was_late || store_lost || !tmx_peers_any_alive(controller->peers))
@@ -54,8 +54,8 @@
   tmx_admission_control_tick(controller->admission);
 }
 
-/* Callbacks for the scheduler and the peers module. Both are created before the workers module and
- * so cannot hold a pointer to it. */
+/* Callbacks for the scheduler and the peers module. Both modules are created before the workers
+ * module, so they cannot hold a pointer to it. */
 
 static size_t collect_completions(void *context, struct tmx_operation *operations, size_t max) {
   const struct tmx_controller *controller = context;
--- a/src/controller/request_router.c
+++ b/src/controller/request_router.c
@@ -6,8 +6,9 @@
 #include "controller/controller_internal.h"
 #include "tmx/wire.h"
 
-/* The load balancer stops sending users here under conditions in which the controller still serves
- * workers, because no user depends on a particular controller. */
+/* Returns whether the load balancer should send users to this controller. A controller that is not
+ * ready for users may still serve workers. It can turn users away early, because no user depends on
+ * a particular controller. */
 static bool is_ready(const struct tmx_controller *controller) {
   if (!tmx_authority_may_act(&controller->authority) ||
       tmx_peers_store_lost_only_here(controller->peers))
--- a/src/net/cbor_reader.c
+++ b/src/net/cbor_reader.c
@@ -19,8 +19,8 @@
   return cbor_isa_string(item) && cbor_string_is_definite(item);
 }
 
-/* Also accepts undefined. libcbor represents null, undefined, true, false and floats by one item
- * type. */
+/* Returns whether the item is null or undefined. libcbor represents null, undefined, true, false
+ * and floats by one item type. */
 static bool is_null(const cbor_item_t *item) {
   return cbor_isa_float_ctrl(item) && cbor_float_ctrl_is_ctrl(item) && !cbor_is_bool(item);
 }
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -208,7 +208,8 @@
     return;
   }
   struct tmx_http_request *request = take_request(connection);
-  /* A connection handles one request at a time. The next one waits in the kernel's buffer. */
+  /* A connection handles one request at a time. Bytes that arrive before the response is sent wait
+   * in the kernel's buffer. */
   ev_io_stop(server->loop, &connection->readable);
   restart_idle_timer(connection, server->idle_s);
   move_to_most_recently_used(connection);
--- a/src/peer/heartbeat.x
+++ b/src/peer/heartbeat.x
@@ -8,10 +8,11 @@
 
 struct tmx_heartbeat_suspicion {  /* a fault that the sender suspects in one of its machines */
   string id<TMX_HEARTBEAT_NAME_MAX>;
-  unsigned int silence_ms;        /* since the sender received the machine's last sign of life */
+  unsigned int silence_ms;        /* time since the sender received the machine's last sign of
+                                     life */
   unsigned int probes_lost;       /* consecutive probes without an answer */
-  unsigned int unacknowledged_ms; /* without evidence that the worker receives the sender's
-                                     messages; 0: it receives them */
+  unsigned int unacknowledged_ms; /* time without evidence that the worker receives the
+                                     sender's messages; 0: it receives them */
   bool spot_notice;               /* the cloud has announced that it will reclaim the machine */
 };
 
@@ -26,7 +27,7 @@
   string node<TMX_HEARTBEAT_NAME_MAX>; /* node name of the sender */
   unsigned hyper revision;             /* revision of the sender's replica */
   unsigned hyper term;                 /* term of the view that determines the sender's machines */
-  unsigned int replica_age_ms;         /* since its replica was last known to be up to date */
+  unsigned int replica_age_ms;         /* time since that replica was last known to be up to date */
   bool reaches_no_workers;             /* the sender reaches almost none of its workers */
   tmx_heartbeat_suspicion suspicions<TMX_HEARTBEAT_SUSPICIONS_MAX>;
   tmx_heartbeat_zone zones<TMX_HEARTBEAT_ZONES_MAX>;
--- a/src/peer/outgoing_connection.h
+++ b/src/peer/outgoing_connection.h
@@ -23,8 +23,9 @@
   size_t sent_bytes;             /**< number of bytes of `send_buffer` that have been sent */
   double blocked_since;          /**< time since which the unsent data or the attempt to connect has
                                       been pending */
-  int consecutive_refusals;      /**< consecutive attempts to connect that were refused */
-  double refused_at;             /**< time of the latest refusal */
+  int consecutive_refusals; /**< refused attempts to connect since the latest successful attempt
+                                 or the peer's latest heartbeat */
+  double refused_at;        /**< time of the latest refusal */
 };
 
 /** Initialises a zeroed connection to the address, without opening it. */
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -52,7 +52,7 @@
 /** Closes all connections and the listener, and frees the module. */
 void tmx_peers_free(struct tmx_peers *peers);
 /** Opens closed connections and sends a heartbeat to each peer, once every TMX_HEARTBEAT_PERIOD_S.
- * Earlier calls do nothing. */
+ * A call before the end of the period does nothing. */
 void tmx_peers_tick(struct tmx_peers *peers);
 
 /** Returns the seconds since the peer's last heartbeat; TMX_PEER_NO_HEARTBEAT_S if there was none
--- a/src/user/cancellations.c
+++ b/src/user/cancellations.c
@@ -34,14 +34,14 @@
   if (result == TMX_TRANSACTION_CONFLICT && retry_after_conflict(request)) return;
   if (result == TMX_TRANSACTION_COMMITTED)
     tmx_user_reply_state(request->http, 200, request->id, WV_CANCELLED);
-  else /* it may be committed all the same; a retry by the user finds out */
+  else /* the cancellation may still have been committed; the user can repeat it */
     tmx_user_reply_unavailable(request->http, "cancellation not confirmed");
   tmx_user_request_finish(request);
 }
 
-/* The transaction requires the replica's version of the job's key, which the job's completion
- * changes too. It also writes the head key, so that a batch planned before the cancellation gets a
- * conflict and cannot start a task of the job. */
+/* The transaction is committed only if the version of the job's key is still the replica's. The
+ * job's completion changes this version. The transaction also writes the head key, so that a batch
+ * planned before the cancellation gets a conflict and cannot start a task of the job. */
 void tmx_user_request_commit_cancellation(struct tmx_user_request *request) {
   const struct tmx_user_api *api = request->api;
   const struct tmx_job *job = tmx_job_find(api->replica, request->id);
--- a/src/user/submission_validation.c
+++ b/src/user/submission_validation.c
@@ -47,7 +47,7 @@
     const struct tmx_job *job = tmx_job_find(replica, id);
     if (!strcmp(id, submission->id)) return TMX_DEPENDENCIES_NEVER_DONE;
     if (job && job->spec.service)
-      return TMX_DEPENDENCIES_NEVER_DONE; /* ends only by cancellation */
+      return TMX_DEPENDENCIES_NEVER_DONE; /* a service ends only by cancellation */
     if (!job) validity = TMX_DEPENDENCIES_UNKNOWN;
   }
   return validity;
--- a/src/user/waiting_request.c
+++ b/src/user/waiting_request.c
@@ -80,7 +80,7 @@
   return tmx_store_read_index(request->api->store, within_s, on_state_read, request);
 }
 
-/* Returns the number of waiting requests from which on this one is refused. Only half of the queue
+/* Returns the number of waiting requests at which this request is refused. Only half of the queue
  * is open to polls of unknown jobs and of jobs whose state was sent to a user within
  * TMX_POLL_PRIORITY_AFTER_S. The other half is reserved for other requests, so that overload does
  * not delay the response for any job for a long time. */
