--- a/tests/test_admission_control.c
+++ b/tests/test_admission_control.c
@@ -1,5 +1,5 @@
 /* Tests admission control in running controllers. They guard against a backlog above the ceilings,
- * and against refusals without need, while load surges, replicas lag, leaders change, the log is
+ * and against unnecessary refusals, while load surges, replicas lag, leaders change, the log is
  * compacted and controllers restart. */
 #include "fake.h"
 #include <stdio.h>
@@ -20,7 +20,7 @@
   settings->n_objectives = 2;
   settings->operators.admission.enabled = true;
   settings->operators.admission.backlog_s = 100;
-  settings->operators.admission.capacity_cpus = 16; /* stands in for machines: none is registered */
+  settings->operators.admission.capacity_cpus = 16; /* needed because no machine is registered */
   char err[128];
   assert_true(tmx_admission_settings_resolve(settings, err, sizeof err));
 }
--- a/tests/test_admission_policy.c
+++ b/tests/test_admission_policy.c
@@ -149,8 +149,8 @@
   tmx_backlog_init(&many, &s);
   admit_until_refused(&s, &one, &rates, 0, "c", 1, 1);
   admit_until_refused(&s, &many, &rates, 0, "invented", 3000, 1);
-  /* One listed class and all unlisted classes together reach the same ceiling, to within one job.
-   */
+  /* All unlisted classes together get no more backlog than one listed class, to within 0.2 s. A job
+   * takes 0.16 s. */
   assert_true(tmx_team_backlog_seconds(&many, 0, &rates) <=
               tmx_team_backlog_seconds(&one, 0, &rates) + 0.2);
   /* Their part of the shared pool is not available to a listed class, which gets 16.1 s instead of
--- a/tests/test_admission_properties.cpp
+++ b/tests/test_admission_properties.cpp
@@ -1,6 +1,6 @@
 // Property tests of admission over random histories of submissions, placements, ends and
 // cancellations. The number of cases and the seed are fixed, so that every CI run gives the same
-// result; the environment variable RC_PARAMS overrides both.
+// result. If the environment variable RC_PARAMS is set, its value replaces both.
 #include <cstdlib>
 #include <vector>
 
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -154,9 +154,10 @@
 
 /* Guards against contradictory answers to users when a job is cancelled while its last task
  * completes. For the first job the transaction with the completion is committed and its response is
- * lost. For the second job it is answered with an error and executed after the cancellation, where
- * it must conflict. Whichever of the two outcomes is first in the log is final: later polls,
- * cancellations and repeated submissions return it, also after a restart. */
+ * lost. For the second job the store answers this transaction with an error and executes it after
+ * the cancellation. The late transaction must then conflict. Whichever of the two outcomes is first
+ * in the log is final: later polls, cancellations and repeated submissions return it, and so does a
+ * poll after a restart. */
 static void a_cancellation_at_the_last_completion_gets_one_answer(void **state) {
   (void)state;
   static const char *ids[] = {"wk-000001", "wk-000002"};
@@ -250,8 +251,9 @@
 }
 
 /* Guards against a lease that outlasts a cancellation elsewhere. A controller that cannot reach
- * the store does not learn of cancellations, so it may renew leases only for as long as they end
- * within cancel_s, and must reject requests of users and workers after that. */
+ * the store does not learn of cancellations. It may renew a lease only if the lease ends within
+ * cancel_s of any cancellation that it may have missed. After that it must reject the requests of
+ * users and workers. */
 static void a_cancellation_holds_while_the_store_is_unreachable(void **state) {
   (void)state;
   register_worker_at(first_controller);
--- a/tests/test_cbor.c
+++ b/tests/test_cbor.c
@@ -40,9 +40,9 @@
 
 static void malformed_bodies_are_rejected(void **state) {
   (void)state;
-  /* An array head that claims 2^60 items, a map head that claims almost 2^64 pairs, a text head
-   * that claims 2^40 bytes, an array of indefinite length without an end, a break outside an array,
-   * a tag */
+  /* The bodies are, in this order: an array head that claims 2^60 items, a map head that claims
+   * almost 2^64 pairs, a text head that claims 2^40 bytes, an array of indefinite length without an
+   * end, a break outside an array, and a tag. */
   static const uint8_t array[] = {0x9b, 0x10, 0, 0, 0, 0, 0, 0, 0, 0x01};
   static const uint8_t map[] = {0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01};
   static const uint8_t text[] = {0x7b, 0, 0, 1, 0, 0, 0, 0, 0, 'a'};
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -1,9 +1,9 @@
 /* The requests of controllers to the cloud and to the state service must equal the recordings in
- * tests/data/wire-format byte for byte, apart from masked times of day and ports, see recording.h.
- * The test guards against accidental changes of these interfaces, for example by a renamed field.
- * The responses of the scripted cloud are written with the literal names of the protocol. Requests
- * are sent on several connections and their order varies, so only the first request of each kind
- * is recorded. */
+ * tests/data/wire-format byte for byte. Times of day and ports are masked, see recording.h. The
+ * test guards against accidental changes of these interfaces, for example by a renamed field. The
+ * responses of the scripted cloud are written with the literal names of the protocol. Requests are
+ * sent on several connections and their order varies, so only the first request of each kind is
+ * recorded. */
 #include "recording.h"
 #include "relay.h"
 
@@ -274,8 +274,8 @@
   recording_check(&recording, "store-commits.txt");
 }
 
-/* Submits a job whose prerequisite ids, and later also whose machine types, do not fit into its
- * record. */
+/* Submits a job with so many prerequisite ids that they do not fit into its record. Its machine
+ * types fit at first, and no longer fit after the test lowers the value limit. */
 static void submit_with_long_lists(void) {
   struct tmx_buffer prerequisites = {0}, types = {0}, body = {0};
   char id[TMX_ID_BYTES];
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -1,5 +1,6 @@
-/* Tables of cases for the decisions which machines are deleted or drained, and why. Also covers the
- * peak demand and the backoff of offers, on which these decisions depend. The tests do no I/O. */
+/* Tables of cases that show which machines are deleted or drained, and for which reason. Other
+ * tests cover the peak demand, which determines how many machines are kept, and the backoff of
+ * offers. The tests do no I/O. */
 #include "test.h"
 
 #include <stdlib.h>
@@ -15,9 +16,9 @@
 static const struct tmx_machine_deadlines deadlines = {
     .no_contact_s = 1.5, .leases_expired_s = 40, .heartbeat_late_s = 3.5, .unacknowledged_s = 5};
 
-/* Evidence of a machine: whether the leader has settled, whether a healthy owner suspects the
- * machine, and the owner's report: seconds of silence, consecutive probes lost, seconds
- * unacknowledged. */
+/* Evidence about a machine. The first two arguments state whether the leader has settled and
+ * whether a healthy owner suspects the machine. The others are the owner's report: seconds without
+ * contact, consecutive probes lost, and seconds without an acknowledgement. */
 #define SUSPICION(settled, suspected_by_owner, silence, probes_lost, unacknowledged) \
   .leader_settled = (settled), .suspected = (suspected_by_owner),                    \
   .suspicion = {.no_contact_s = (silence),                                           \
@@ -252,8 +253,9 @@
 static void replicas_move_only_if_their_zone_has_free_capacity(void **state) {
   (void)state;
   const struct tmx_reserve reserve = {.peak_cpus = 100, .free_share_for_moves = 0.2};
-  /* The candidate itself has 8 free CPUs, which do not count. Twice the CPUs of its replicas (8)
-   * and a tenth of the peak (10) must be free on other machines of the zone. */
+  /* The candidate itself has 8 free CPUs, which do not count. Other machines of the zone must have
+   * 18 free CPUs: twice the CPUs of its replicas (8) plus this zone's half of a fifth of the peak
+   * (10). */
   const struct tmx_drain_candidate candidate = {
       .type = &type, .zone = 1, .booked_cpus = 8, .service_cpus = 4};
   const struct tmx_drain_candidate without_services = {.type = &type, .zone = 1, .booked_cpus = 8};
--- a/tests/test_compaction.c
+++ b/tests/test_compaction.c
@@ -113,8 +113,9 @@
 static bool is_loaded(void *arg) { return ((struct tmx_controller *)arg)->replica.loaded; }
 
 /* A compaction completes while a starting controller loads the keys. The controller has read the
- * previous compaction point; before it reads that point's pages they are deleted, and batch keys
- * are overwritten. Unless it reads the keys again, it misses what they held. */
+ * previous compaction point. Before it reads the pages of that point, the pages are deleted and
+ * batch keys are overwritten. The controller must read the keys again, or it misses the jobs and
+ * placements that these pages and batches held. */
 static void keys_are_read_again_when_the_compaction_point_moves(void **state) {
   (void)state;
   register_worker(&worker);
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -80,9 +80,9 @@
 }
 
 /* When the write budget is short, the final state of a cancelled dependent is not stored for a
- * while. The batch with the dependent's record is overwritten after a compaction, which must
- * therefore keep the job and the ids of its prerequisites: the cancellation is derived from them.
- */
+ * while. The batch with the dependent's record is overwritten after a compaction. The compaction
+ * must therefore keep the job and the ids of its prerequisites, because the cancellation is derived
+ * from them. */
 static void a_derived_outcome_survives_compaction_before_it_is_stored(void **state) {
   (void)state;
   register_worker(&worker);
@@ -228,8 +228,8 @@
 }
 
 /* Prerequisites that exceed one value are split over several keys of one transaction; those that
- * exceed a transaction are rejected. A list must never be stored in part. A compaction splits it as
- * well. */
+ * exceed a transaction are rejected. A list must never be stored in part. A compaction splits the
+ * list as well. */
 static void dependencies_may_span_several_values(void **state) {
   (void)state;
   enum { WITHIN_LIMIT = 650, ABOVE_LIMIT = 1300 };
@@ -271,8 +271,8 @@
   assert_int_equal(fake_store.oversized_transactions, 0);
 }
 
-/* The store lowers its limits without notice while jobs run. The controller keeps to the lower
- * limits from the start, so the store rejects no transaction and all jobs complete. */
+/* The store lowers its limits without notice while jobs are submitted. The controller keeps to the
+ * lower limits from the start, so the store rejects no transaction and all jobs complete. */
 static void lowered_store_limits_block_no_job(void **state) {
   (void)state;
   first_controller->settings.value_kb = 1;
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -36,7 +36,7 @@
 }
 
 /* Guards against treating the machines of an unreachable zone as dead. Machines are probed one
- * after the other, so the first ones are lost while most of them have not been probed yet. */
+ * after the other, so the first ones count as lost before most of them have been probed. */
 static void a_zone_partition_is_distinguished_from_dead_machines(void **state) {
   (void)state;
   struct tmx_zone_liveness first_lost = {.machines = 800, .lost = 1};
--- a/tests/test_fencing.c
+++ b/tests/test_fencing.c
@@ -32,8 +32,8 @@
 }
 
 /* Guards against placements beyond the quota while two controllers both consider themselves the
- * leader. The watch of the deposed leader is frozen, so it does not learn of its successor. Each
- * batch must conflict unless it was planned with all earlier batches known. */
+ * leader. The watch of the deposed leader is frozen, so it does not learn of its successor. A
+ * batch must conflict unless the controller that planned it knew all earlier batches. */
 static void a_quota_holds_with_two_acting_leaders(void **state) {
   (void)state;
   struct tmx_buffer value = {0};
--- a/tests/test_history.c
+++ b/tests/test_history.c
@@ -1,6 +1,6 @@
 /* Tests the history checker. They guard against a checker that overlooks a violation, or reports
- * one in a valid history: one history violates no rule, and each of the others violates exactly
- * one. */
+ * one in a valid history. The checker must find no violation in the valid histories, and exactly
+ * one in each of the others. */
 #include "test.h"
 
 #include <stddef.h>
--- a/tests/test_job_dependencies.c
+++ b/tests/test_job_dependencies.c
@@ -163,8 +163,8 @@
   assert_int_equal(job("wk-d")->outcome, TMX_JOB_CANCELLED);
 }
 
-/* When a cancellation races with the end of the last task, the job's key accepts one of the two. If
- * the end is first, the dependents are released. */
+/* When a cancellation races with the end of the last task, only one of the two is written to the
+ * job's key. If the end is first, the dependents are released. */
 static void a_done_job_releases_its_dependents(void **state) {
   (void)state;
   put("wk-a", "");
@@ -257,8 +257,9 @@
   tmx_job_ids_free(&prerequisites);
 }
 
-/* A job inherits the priority and the deadline of its dependents, the deadline less the run times
- * in between. A cancelled dependent must no longer count. */
+/* A job inherits the priority and the deadline of its direct and indirect dependents. The inherited
+ * deadline is earlier by the estimated run time of each job that must still run after this one. A
+ * cancelled dependent must no longer count. */
 static void jobs_inherit_the_urgency_of_their_dependents(void **state) {
   (void)state;
   struct tmx_job_spec spec = plain_spec();
--- a/tests/test_late_messages.c
+++ b/tests/test_late_messages.c
@@ -44,8 +44,8 @@
 
 /* Guards against a late copy of a report that ends a running attempt. The attempt failed and its
  * end was not committed. Then the lease expired and the same attempt was started again in the next
- * session. To a controller that has just started, a copy of the earlier session's report looks new,
- * but the end in it is not that of the running attempt. */
+ * session. To a controller that has just started, a copy of the earlier session's report looks new.
+ * The failure in it belongs to the earlier session and must not end the running attempt. */
 static void a_late_report_of_an_earlier_session_ends_no_attempt(void **state) {
   (void)state;
   register_worker(&worker);
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -227,8 +227,8 @@
 }
 
 /* Guards against contradictory answers to users. A job is accepted, done or cancelled at one
- * controller while the watch of the other one is frozen. Users immediately poll,
- * submit again and cancel at both controllers. No answer may contradict an earlier one. */
+ * controller while the watch of the other one is frozen. Users immediately poll, submit again and
+ * cancel. No answer of either controller may contradict an earlier one. */
 static void no_controller_returns_an_older_job_state(void **state) {
   (void)state;
   register_worker(&worker);
@@ -285,7 +285,8 @@
   }
 }
 
-/* One heartbeat of `worker` to its owner, after which the worker executes the commands. */
+/* Sends a heartbeat of `worker` to its owner. The worker then executes the commands of the
+ * response. */
 static void exchange_heartbeat(void) {
   report_worker_to_owner();
   fake_worker_execute_commands(&worker);
@@ -384,8 +385,9 @@
 }
 
 /* Guards against free capacity that stays unused after a leader change. The former leader has
- * started to drain a machine. The new leader does not know the peak demand yet, so it may start to
- * drain none, but it must stop draining this one when tasks wait for capacity. */
+ * started to drain a machine. The new leader does not know the peak demand yet, so it drains
+ * no machine as surplus to the peak. It must still stop draining this machine when tasks wait for
+ * capacity. */
 static void a_new_leader_cancels_draining_for_waiting_tasks(void **state) {
   (void)state;
   register_worker_at(first_controller);
