--- a/tests/cluster/cluster_load.c
+++ b/tests/cluster/cluster_load.c
@@ -58,8 +58,9 @@
   settings->ram_mb = 162;
 }
 
-/* The jobs of a surge: `surge` times the load that the machines can serve. One team submits most of
- * it, in small jobs. `per_s` holds the share of the load until it is replaced by the rate. */
+/* Returns the jobs of a surge, whose load is `surge` times what the machines can serve. One team
+ * submits most of the load, in small jobs. `per_s` is initialized with the kind's share of the load
+ * and is then replaced by the submission rate. */
 static const struct job_kind *surge_kinds(void) {
   static struct job_kind kinds[] = {{'f', "t", "small", WV_ARRAY, "normal", 1, 2, 10, 0.70, 0},
                                     {'t', "u", "tally", WV_ARRAY, "normal", 10, 2, 15, 0.175, 0},
--- a/tests/cluster/history.h
+++ b/tests/cluster/history.h
@@ -38,8 +38,8 @@
   unsigned lost;       /**< accepted jobs that no final poll found */
   unsigned overlaps;   /**< starts of a task that was already running */
   unsigned two_owners; /**< commands of two controllers with the same term, or of an earlier term */
-  unsigned unplanned;  /**< starts without a committed placement on that machine */
-  unsigned went_back;  /**< responses with an older state than an earlier response */
+  unsigned unplanned;  /**< starts on another machine or of another attempt than last placed */
+  unsigned went_back;  /**< responses that lose an accepted job or change a final state */
   unsigned
       not_done; /**< jobs reported done before all tasks were, or cancelled without a request */
 };
--- a/tests/cluster/history_checker.c
+++ b/tests/cluster/history_checker.c
@@ -1,5 +1,6 @@
 /* history_checker FILE: checks a history that cluster_load wrote. The exit code is 1 if a rule is
- * violated or the file is empty, and 2 if the file cannot be opened. */
+ * violated, a line is unreadable or the file is empty. It is 2 if the file cannot be opened or
+ * there is not exactly one argument. */
 #include <stdio.h>
 
 #include "cluster/history.h"
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -16,7 +16,7 @@
 enum { TO_STATE, TO_PEERS, TO_USERS, TO_WORKERS, DESTINATIONS };
 static const char *const destinations[] = {"state", "peers", "users", "workers"};
 static const double delay_s =
-    0.3; /* of a delayed link: longer than a round of the planner, shorter than a lease */
+    0.3; /* delay of a link, s; longer than a round of the planner, shorter than a lease */
 
 struct link_failure {
   double ends_at; /* steady clock, s; 0: no failure */
@@ -28,7 +28,7 @@
 static struct link *links[FAKE_CONTROLLERS_MAX][DESTINATIONS + FAKE_CONTROLLERS_MAX];
 static struct link_failure failures[FAKE_CONTROLLERS_MAX][DESTINATIONS];
 
-/* In `links`, a controller's links to its peers come after those to the other destinations. */
+/* The links of a controller to its peers start at index DESTINATIONS of its row in `links`. */
 static struct link *peer_link(int from, int to) { return links[from][DESTINATIONS + to]; }
 
 static json_t *address(int port) { return json_sprintf("127.0.0.1:%d", port); }
--- a/tests/cluster/users_internal.h
+++ b/tests/cluster/users_internal.h
@@ -22,7 +22,7 @@
   double due;           /**< number of jobs due for submission, with the fraction of the next one */
   double last_start;    /**< time of the latest start of a task */
   double longest_gap;   /**< longest time without a start while an accepted job waited, s */
-  double waiting_since; /**< since when an accepted job waits for its first task; 0: none does */
+  double waiting_since; /**< time since which accepted jobs wait for a first task; 0: none does */
 };
 
 /** The users and their jobs. The number in a job's id is its index in `jobs`. */
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -73,7 +73,7 @@
   }
   worker->next_report_at = now + setup.report_s * (0.75 + 0.5 * gsl_rng_uniform(cluster_rng));
   if (worker->agent.response_token < previous_token)
-    return; /* an older response, which was dropped */
+    return; /* fake_worker_handle_response ignored it: its token is out of date */
   worker->lease_renewed_at = worker->report_sent_at;
   unsigned previous_starts = worker->agent.executed_starts;
   record_commands(worker, worker->node, worker->agent.response_token);
@@ -82,8 +82,9 @@
   if (worker->agent.executed_starts != previous_starts) worker->next_report_at = now + 0.5;
 }
 
-/* Handles a direct command. Only the tasks that it started or ended are recorded, not the command:
- * the sender is known only by the term of the token. */
+/* Handles a direct command. It records the tasks that the command started or ended. It does not
+ * record the command itself, because the request holds only a token with a term and does not name
+ * the controller that sent it. */
 static void on_command(struct fake_worker *agent, uint64_t token) {
   (void)token;
   struct worker *worker = (struct worker *)((char *)agent - offsetof(struct worker, agent));
--- a/tests/fake_clock.c
+++ b/tests/fake_clock.c
@@ -47,7 +47,7 @@
 int epoll_wait(int epfd, struct epoll_event *events, int maxevents, int timeout) {
   int count = poll_events(epfd, events, maxevents, 0);
   elapsed_ns += ITERATION_NS;
-  /* With timeout 0 a timer is due or a planner thread has finished. */
+  /* Timeout 0 means that a timer is due or a planner thread has finished. */
   if (count || !timeout) return count;
   while (!count && fake_any_planner_busy())
     count = poll_events(epfd, events, maxevents, LOOPBACK_WAIT_MS);
--- a/tests/test_machine_failure.c
+++ b/tests/test_machine_failure.c
@@ -52,7 +52,7 @@
   tmx_cbor_put_text_field(&body, W_ZONE, "a");
   struct tmx_buffer rest = {0};
   encode_submission(&rest, "wk-000001", "batch", 2, 2, "t");
-  /* The 17 fields without the header of their map. */
+  /* Appends the 17 fields of the submission without the one-byte header of its map. */
   tmx_buffer_append(&body, rest.data + 1, rest.length - 1);
   tmx_buffer_free(&rest);
   assert_int_equal(send_request(first_controller, "POST", WP_JOBS, &body).status, 201);
@@ -111,10 +111,10 @@
   for (int i = 0; i < 800 && !fake_log_contains("x n-000001"); i++) run_loop_for(0.02);
   assert_true(fake_log_contains("x n-000001"));
   for (int i = 0; i < 2; i++) {
-    worker.sequence = old_sequence - 1; /* the late copy of the report */
+    worker.sequence = old_sequence - 1; /* a late copy of an earlier report */
     worker.token = old_token;
     fake_worker_send_heartbeat(&worker, first_controller);
-    worker.token = old_token; /* no worker receives the response */
+    worker.token = old_token; /* the response does not reach the worker */
     run_loop_for(0.3);
     assert_false(worker_is_registered_at(first_controller));
     restart_first_controller();
@@ -175,9 +175,9 @@
   assert_false(fake_log_contains("x n-000001"));
 }
 
-/* Guards against deleting machines on outdated suspicions. A member that was partitioned still
- * reports the machines that it owned by an older view, none of which it could reach. After a new
- * view names it again, suspicions with the older term must be ignored. */
+/* Guards against deleting machines on outdated suspicions. A partitioned member reaches none of the
+ * machines that it owns by its older view, and still reports them when the partition ends. After a
+ * new view names the member again, its suspicions with the older term must be ignored. */
 static void suspicions_of_an_older_view_are_ignored(void **state) {
   (void)state;
   register_worker_at_owner();
--- a/tests/test_planner_order.c
+++ b/tests/test_planner_order.c
@@ -1,6 +1,6 @@
-/* Tests the order in which a round tries jobs. They guard against starvation of large jobs by small
- * ones and by a round's bound, and against a planner state that diverges when it is updated by
- * deltas. */
+/* Tests the order in which a round tries jobs. The tests guard against two kinds of starvation: of
+ * large jobs by small ones, and of late jobs by the bound on the visits of a round. They also guard
+ * against a planner state that diverges when it is updated by deltas. */
 #include "planned_cluster.h"
 #include "test.h"
 
@@ -78,10 +78,9 @@
   }
 }
 
-/* If a job fits on no machine, identical jobs are not tried in that round, so that the
- * visits do not grow with the number of waiting replicas. The result does not count for other jobs
- * if only the job's own replicas are in the way, or if only the shard of one controller was
- * searched. */
+/* If a job fits on no machine, identical jobs are not tried in that round, so that the visits do
+ * not grow with the number of waiting replicas. Identical jobs are still tried in two cases: only
+ * the first job's own replicas are in the way, or only the shard of one controller was searched. */
 static void identical_jobs_are_tried_once(void **state) {
   (void)state;
   struct planned_cluster *cluster = make_cluster(64, 16, 1);
@@ -105,8 +104,8 @@
   for (size_t i = 0; i < output.n_operations; i++)
     assert_string_not_equal(output.operations[i].job, "wk-000000");
   free(output.operations);
-  /* A controller that is not the leader first tries a job of another controller in that one's
-   * shard. The result does not count for its own shard. */
+  /* A controller that is not the leader first tries a job of another controller in the shard of
+   * that controller. Failure there must not stop the search for identical jobs in its own shard. */
   cluster->input.leading = false;
   cluster->jobs[0].planning_member = 1;
   cluster->machines[7].owner = 0;
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -1,5 +1,5 @@
-/* The replica: the state that it derives from the log, from a load at several revisions, and from
- * views. */
+/* Tests the state that the replica derives from the log, from pages that are read at different
+ * revisions, and from views. */
 #include "test.h"
 
 #include <math.h>
@@ -190,7 +190,7 @@
   put_batch("4", 26, "p wk-1/1 1 n-2");
   tmx_replica_advance_to(&replica, 30);
   assert_null(tmx_machine_find(&replica, "n-1"));
-  /* Only a page could tell the attempt, and there is no page. */
+  /* The batch with the placement is ignored, and no page holds the number of the attempt. */
   assert_int_equal(task(0)->attempt, 0);
   assert_int_equal(task(1)->state, TMX_TASK_PLACED);
   assert_int_equal(tmx_job_find(&replica, "wk-1")->placed_in_zone[0], 1);
--- a/tests/test_scale.c
+++ b/tests/test_scale.c
@@ -1,4 +1,5 @@
-/* Faults that appear only with thousands of machines: sizes above former fixed limits. */
+/* Guards against faults that appear only with thousands of machines. The sizes exceed former
+ * fixed limits. */
 #include "fake.h"
 
 #include <stdio.h>
--- a/tests/test_scale_out_plan.c
+++ b/tests/test_scale_out_plan.c
@@ -43,9 +43,10 @@
   assert_int_equal(choices[1].count, TMX_SCALE_OUT_OFFER_MACHINES_MAX);
 }
 
-/* A task of an array is placed on a spot machine, which leaves on-demand machines to other jobs. If
- * a second run would end after the job's next completion target, or if the job is a service, it is
- * placed on an on-demand machine, as a spot machine may be reclaimed. */
+/* A spot machine may be reclaimed, and its tasks must then run again. A task of an array is placed
+ * on a spot machine, which leaves on-demand machines to other jobs. A task of a service is placed
+ * on an on-demand machine, and so is a task whose second run would end after the job's next
+ * completion target. */
 static void only_tasks_that_can_be_rerun_use_spot_machines(void **state) {
   (void)state;
   for (int variant = 0; variant < 3; variant++) {
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -20,8 +20,8 @@
     "\"cloud\":{\"rps\":10,\"list_lag_s\":8},"
     "\"quota\":{\"core_share\":0.3,\"ram_mb\":264,\"sockets\":5000},\"clock_off_ms\":5}}";
 
-/* Limits of the store that will apply later (state.next): for each field the smaller of the present
- * and the next limit takes effect, and each next limit is validated. */
+/* Tests `state.next`, the limits of the store that will apply later. For each field, the smaller of
+ * the present and the next limit takes effect. Each next limit is validated. */
 static void check_next_limits(void) {
   static const struct {
     const char *next, *wrong;
--- a/tests/test_start_rotation.c
+++ b/tests/test_start_rotation.c
@@ -96,7 +96,9 @@
   }
 }
 
-/* Jobs that have waited for 150 s start in rotation of their classes, the older class first. */
+/* Jobs that have waited for at least 150 s without a started task are tried in rotation of their
+ * classes: first the oldest job of each class, then the second oldest. With start_s 0 there is no
+ * rotation. */
 static void aged_jobs_start_in_rotation_of_their_classes(void **state) {
   (void)state;
   bool larger;
--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -29,8 +29,8 @@
   assert_int_equal(poll_job(first_controller, "wk-999999").status, 404);
 }
 
-/* The same job id is submitted to two controllers, and the replica of the second one lags: the job
- * is accepted once. */
+/* Guards against accepting a job twice. The same job id is submitted to two controllers, and the
+ * replica of the second one lags. */
 static void a_job_id_is_accepted_once_by_two_controllers(void **state) {
   (void)state;
   fake_store.endpoints[1].hold_watches =
@@ -159,7 +159,8 @@
   return status;
 }
 
-/* Bytes that are not HTTP and bodies over the limit are refused, and the server keeps running. */
+/* Bytes that are not HTTP and bodies over the size limit are refused. The server continues to
+ * answer valid requests. */
 static void oversized_and_partial_requests_are_refused(void **state) {
   (void)state;
   assert_int_equal(send_raw("this is not HTTP at all\r\n\r\n", 0), 400);
--- a/tests/test_user_wire_format.c
+++ b/tests/test_user_wire_format.c
@@ -112,13 +112,14 @@
   assert_true(tmx_admission_settings_resolve(settings, err, sizeof err));
 }
 
-/* Retry-After grows with the backlog, up to 20 seconds, plus a random share of up to a half. */
+/* Retry-After is a wait that grows with the backlog, up to 20 s, plus a random jitter of at most
+ * half of that wait. */
 static void admission_responses_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {.retry_after_min = 1, .retry_after_max = 30};
   fake_adjust_settings = with_admission;
   start_ready_controller();
-  /* each submission is 90 seconds of work for the capacity */
+  /* each submission holds work for 90 s of the whole capacity */
   ask(&recording, "a class without work", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
   ask(&recording, "more of its class", "POST /v2/runs", SUBMISSION("wk-000002", "t", "2.0"));
   ask(&recording, "what was refused is not known", "GET /v2/runs/wk-000002", NULL);
