--- a/tests/cluster/cluster_load.c
+++ b/tests/cluster/cluster_load.c
@@ -123,9 +123,10 @@
   struct workers_statistics workers = workers_take_statistics();
   printf("%-22s", phase);
   for (int k = 0; k < nodes; k++) {
-    double mb = 0, peak = 0, cpu = node[k].pid ? node_resources_used(k, &mb, &peak) : 0;
-    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - node[k].cpu_s) / duration_s, mb, peak);
-    node[k].cpu_s = cpu;
+    double mb = 0, peak = 0, cpu = cluster_nodes[k].pid ? node_resources_used(k, &mb, &peak) : 0;
+    printf("  %d: %.3f of a core, %.1f MB (%.1f)", k, (cpu - cluster_nodes[k].cpu_s) / duration_s,
+           mb, peak);
+    cluster_nodes[k].cpu_s = cpu;
     reads += fake_store.endpoints[k].reads;
   }
   printf("  | accepted %u, refused %u, polls %u of %u, tasks done %u", users.accepted,
--- a/tests/cluster/history.h
+++ b/tests/cluster/history.h
@@ -15,8 +15,8 @@
 /** Records a response to a user.
  *  @param ask the request: "submit", "poll" or "cancel"
  *  @param final whether the final polls had begun, which come after all submissions and failures */
-void history_answer(const char *ask, const char *job, unsigned tasks, int status, const char *state,
-                    bool final);
+void history_response(const char *ask, const char *job, unsigned tasks, int status,
+                      const char *state, bool final);
 /** Records that a placement was committed. */
 void history_placed(const char *task, uint32_t attempt, const char *machine);
 /** Records each placement in a value that the store committed, if the value is a log batch. A
--- a/tests/cluster/history_write.c
+++ b/tests/cluster/history_write.c
@@ -23,8 +23,8 @@
   json_decref(event);
 }
 
-void history_answer(const char *ask, const char *job, unsigned tasks, int status, const char *state,
-                    bool final) {
+void history_response(const char *ask, const char *job, unsigned tasks, int status,
+                      const char *state, bool final) {
   write_event(json_pack("{ss ss ss si si ss sb}", "what", "answer", "ask", ask, "job", job, "tasks",
                         (int)tasks, "status", status, "state", state, "final", final));
 }
--- a/tests/cluster/link.c
+++ b/tests/cluster/link.c
@@ -22,7 +22,7 @@
   char bytes[];
 };
 struct pair;
-struct side { /* one direction of a connection */
+struct direction { /* one direction of a forwarded connection */
   struct pair *pair;
   int from_fd, to_fd;
   ev_io readable;
@@ -30,7 +30,7 @@
 };
 struct pair { /* a forwarded connection and its two directions */
   struct link *link;
-  struct side sides[2];
+  struct direction directions[2];
   struct pair *prev, *next;
 };
 struct link {
@@ -38,7 +38,7 @@
   int fd, port, target_port;
   enum link_mode mode;
   double delay_s;
-  ev_io acceptable;
+  ev_io listener_readable;
   ev_timer flush;
   struct pair *pairs;
 };
@@ -55,47 +55,48 @@
   struct link *link = pair->link;
   for (int i = 0; i < 2; i++) {
     struct chunk *chunk, *next;
-    ev_io_stop(link->loop, &pair->sides[i].readable);
-    close(pair->sides[i].from_fd);
-    LL_FOREACH_SAFE(pair->sides[i].chunks, chunk, next) free(chunk);
+    ev_io_stop(link->loop, &pair->directions[i].readable);
+    close(pair->directions[i].from_fd);
+    LL_FOREACH_SAFE(pair->directions[i].chunks, chunk, next) free(chunk);
   }
   DL_DELETE(link->pairs, pair);
   free(pair);
 }
 
 /* Sends the chunks that are due. Returns false if the connection has failed. */
-static bool send_due(struct side *side, double now) {
+static bool send_due(struct direction *direction, double now) {
   struct chunk *chunk;
-  while ((chunk = side->chunks) && chunk->due <= now) {
-    ssize_t sent =
-        send(side->to_fd, chunk->bytes + chunk->sent, chunk->length - chunk->sent, MSG_NOSIGNAL);
+  while ((chunk = direction->chunks) && chunk->due <= now) {
+    ssize_t sent = send(direction->to_fd, chunk->bytes + chunk->sent, chunk->length - chunk->sent,
+                        MSG_NOSIGNAL);
     if (sent < 0) return errno == EAGAIN || errno == ENOTCONN;
     chunk->sent += (size_t)sent;
     if (chunk->sent < chunk->length) return true;
-    LL_DELETE(side->chunks, chunk);
+    LL_DELETE(direction->chunks, chunk);
     free(chunk);
   }
   return true;
 }
 
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events) {
-  struct side *side = watcher->data;
-  struct link *link = side->pair->link;
+  struct direction *direction = watcher->data;
+  struct link *link = direction->pair->link;
   (void)loop;
   (void)events;
   struct chunk *chunk = malloc(sizeof *chunk + CHUNK_BYTES);
   if (!chunk) abort();
-  ssize_t received = recv(side->from_fd, chunk->bytes, CHUNK_BYTES, 0);
+  ssize_t received = recv(direction->from_fd, chunk->bytes, CHUNK_BYTES, 0);
   if (received <= 0) {
     free(chunk);
-    if (received == 0 || (errno != EAGAIN && errno != ENOTCONN)) close_pair(side->pair);
+    if (received == 0 || (errno != EAGAIN && errno != ENOTCONN)) close_pair(direction->pair);
     return;
   }
   chunk->length = (size_t)received;
   chunk->sent = 0;
   chunk->due = tmx_clock_steady() + link->delay_s;
-  LL_APPEND(side->chunks, chunk);
-  if (link->mode == LINK_OPEN && !send_due(side, tmx_clock_steady())) close_pair(side->pair);
+  LL_APPEND(direction->chunks, chunk);
+  if (link->mode == LINK_OPEN && !send_due(direction, tmx_clock_steady()))
+    close_pair(direction->pair);
 }
 
 static void on_flush(struct ev_loop *loop, ev_timer *timer, int events) {
@@ -106,7 +107,8 @@
   if (link->mode != LINK_OPEN) return;
   DL_FOREACH_SAFE(link->pairs, pair, next) {
     double now = tmx_clock_steady();
-    if (!send_due(&pair->sides[0], now) || !send_due(&pair->sides[1], now)) close_pair(pair);
+    if (!send_due(&pair->directions[0], now) || !send_due(&pair->directions[1], now))
+      close_pair(pair);
   }
 }
 
@@ -127,11 +129,12 @@
   if (!pair) abort();
   pair->link = link;
   for (int i = 0; i < 2; i++) {
-    struct side *side = &pair->sides[i];
-    *side = (struct side){.pair = pair, .from_fd = i ? target_fd : fd, .to_fd = i ? fd : target_fd};
-    ev_io_init(&side->readable, on_readable, side->from_fd, EV_READ);
-    side->readable.data = side;
-    ev_io_start(loop, &side->readable);
+    struct direction *direction = &pair->directions[i];
+    *direction = (struct direction){
+        .pair = pair, .from_fd = i ? target_fd : fd, .to_fd = i ? fd : target_fd};
+    ev_io_init(&direction->readable, on_readable, direction->from_fd, EV_READ);
+    direction->readable.data = direction;
+    ev_io_start(loop, &direction->readable);
   }
   DL_APPEND(link->pairs, pair);
 }
@@ -148,9 +151,9 @@
       getsockname(link->fd, (struct sockaddr *)&address, &size))
     abort();
   link->port = ntohs(address.sin_port);
-  ev_io_init(&link->acceptable, on_listener_readable, link->fd, EV_READ);
-  link->acceptable.data = link;
-  ev_io_start(loop, &link->acceptable);
+  ev_io_init(&link->listener_readable, on_listener_readable, link->fd, EV_READ);
+  link->listener_readable.data = link;
+  ev_io_start(loop, &link->listener_readable);
   ev_timer_init(&link->flush, on_flush, flush_s, flush_s);
   link->flush.data = link;
   ev_timer_start(loop, &link->flush);
--- a/tests/cluster/nodes.c
+++ b/tests/cluster/nodes.c
@@ -21,7 +21,7 @@
 struct link_failure {
   double ends_at; /* steady clock, s; 0: no failure */
 };
-struct node node[FAKE_CONTROLLERS_MAX];
+struct node cluster_nodes[FAKE_CONTROLLERS_MAX];
 static int n_nodes;
 static const char *operator_path;
 static char settings_path[FAKE_CONTROLLERS_MAX][64];
@@ -61,7 +61,7 @@
           peers, json_pack("{so ss so}", "host_name", json_sprintf("hand-%d", i), "location",
                            settings->zone, "address", address(link_port(peer_link(index, i)))));
   json_t *root = json_pack("{ss ss so ss so s{so ss} so}", "host_name", settings->node_name,
-                           "location", settings->zone, "listen", address(node[index].port),
+                           "location", settings->zone, "listen", address(cluster_nodes[index].port),
                            "peer_listen", settings->peer_listen, "peers", peers, "services",
                            "state", address(link_port(links[index][TO_STATE])), "cloud",
                            settings->cloud_address, "cluster", cluster_json(settings));
@@ -83,31 +83,31 @@
   for (int k = 0; k < count; k++) {
     fake_settings(&settings[k], k, count);
     adjust(&settings[k]);
-    node[k].port = fake_listen_port(k);
+    cluster_nodes[k].port = fake_listen_port(k);
   }
   for (int k = 0; k < count; k++) {
     links[k][TO_STATE] = link_new(test_loop, port_of(settings[k].store_address));
-    links[k][TO_USERS] = link_new(test_loop, node[k].port);
-    links[k][TO_WORKERS] = link_new(test_loop, node[k].port);
+    links[k][TO_USERS] = link_new(test_loop, cluster_nodes[k].port);
+    links[k][TO_WORKERS] = link_new(test_loop, cluster_nodes[k].port);
     for (int i = 0; i < count; i++)
       if (i != k)
         links[k][DESTINATIONS + i] = link_new(test_loop, port_of(settings[i].peer_listen));
     write_settings(k, &settings[k]);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_USERS]));
-    node[k].users = tmx_http_client_new(test_loop, addr, 256);
+    cluster_nodes[k].users = tmx_http_client_new(test_loop, addr, 256);
     snprintf(addr, sizeof addr, "127.0.0.1:%d", link_port(links[k][TO_WORKERS]));
-    node[k].reports = tmx_http_client_new(test_loop, addr, connections);
+    cluster_nodes[k].reports = tmx_http_client_new(test_loop, addr, connections);
     node_start(k);
   }
 }
 
 void node_start(int index) {
   fflush(NULL);
-  node[index].cpu_s = 0;
-  node[index].resumes_at = 0;
-  node[index].paused = false;
-  node[index].pid = fork();
-  if (node[index].pid) return;
+  cluster_nodes[index].cpu_s = 0;
+  cluster_nodes[index].resumes_at = 0;
+  cluster_nodes[index].paused = false;
+  cluster_nodes[index].pid = fork();
+  if (cluster_nodes[index].pid) return;
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (operator_path)
     execl(TMX_PROGRAM, TMX_PROGRAM, "--operator-config", operator_path, "--config",
@@ -118,10 +118,10 @@
 }
 
 static void end(int index) {
-  if (!node[index].pid) return;
-  kill(node[index].pid, SIGKILL);
-  waitpid(node[index].pid, NULL, 0);
-  node[index].pid = 0;
+  if (!cluster_nodes[index].pid) return;
+  kill(cluster_nodes[index].pid, SIGKILL);
+  waitpid(cluster_nodes[index].pid, NULL, 0);
+  cluster_nodes[index].pid = 0;
 }
 
 void nodes_close(void) {
@@ -155,11 +155,11 @@
   if (process) {
     bool pause = !strcmp(kind, "pause");
     if (!pause && strcmp(kind, "kill")) return false;
-    if (!node[index].pid) return true;
-    node[index].resumes_at = now + duration_s;
-    node[index].paused = pause;
+    if (!cluster_nodes[index].pid) return true;
+    cluster_nodes[index].resumes_at = now + duration_s;
+    cluster_nodes[index].paused = pause;
     if (pause)
-      kill(node[index].pid, SIGSTOP);
+      kill(cluster_nodes[index].pid, SIGSTOP);
     else
       end(index);
     return true;
@@ -186,27 +186,27 @@
       failures[k][destination].ends_at = 0;
       set_links(k, destination, LINK_OPEN, 0);
     }
-    if (!node[k].resumes_at || now < node[k].resumes_at) continue;
-    if (!node[k].pid) {
+    if (!cluster_nodes[k].resumes_at || now < cluster_nodes[k].resumes_at) continue;
+    if (!cluster_nodes[k].pid) {
       node_start(k);
       continue;
     }
-    kill(node[k].pid, SIGCONT);
-    node[k].resumes_at = 0;
-    node[k].paused = false;
+    kill(cluster_nodes[k].pid, SIGCONT);
+    cluster_nodes[k].resumes_at = 0;
+    cluster_nodes[k].paused = false;
   }
 }
 
 double node_resources_used(int index, double *memory_mb, double *peak_memory_mb) {
   char path[64], line[512];
   unsigned long user = 0, sys = 0;
-  snprintf(path, sizeof path, "/proc/%d/stat", node[index].pid);
+  snprintf(path, sizeof path, "/proc/%d/stat", cluster_nodes[index].pid);
   FILE *file = fopen(path, "r");
   if (file && fgets(line, sizeof line, file))
     sscanf(strrchr(line, ')') + 2, "%*c %*d %*d %*d %*d %*d %*u %*u %*u %*u %*u %lu %lu", &user,
            &sys);
   if (file) fclose(file);
-  snprintf(path, sizeof path, "/proc/%d/status", node[index].pid);
+  snprintf(path, sizeof path, "/proc/%d/status", cluster_nodes[index].pid);
   file = fopen(path, "r");
   while (file && fgets(line, sizeof line, file)) {
     if (!strncmp(line, "VmRSS:", 6)) *memory_mb = atof(line + 6) / 1024;
--- a/tests/cluster/nodes.h
+++ b/tests/cluster/nodes.h
@@ -18,7 +18,7 @@
 };
 
 /** The controllers by index. Entries from the count of nodes_open on are empty. */
-extern struct node node[FAKE_CONTROLLERS_MAX];
+extern struct node cluster_nodes[FAKE_CONTROLLERS_MAX];
 
 /** Starts the controllers, and links between them and the store, the users and the workers.
  *  @param count number of controllers
--- a/tests/cluster/users.c
+++ b/tests/cluster/users.c
@@ -49,11 +49,11 @@
   double now = tmx_clock_steady();
   update_longest_gap(state_of(job), now);
   state_of(job)->last_start = now;
-  if (!job->began_at) job->began_at = now;
+  if (!job->started_at) job->started_at = now;
 }
 
 static struct tmx_http_client *some_node(void) {
-  return node[gsl_rng_uniform_int(cluster_rng, (unsigned long)n_nodes)].users;
+  return cluster_nodes[gsl_rng_uniform_int(cluster_rng, (unsigned long)n_nodes)].users;
 }
 
 static void read_state(const uint8_t *body, size_t len, char *state, size_t cap) {
@@ -68,7 +68,7 @@
   char state[16];
   double now = tmx_clock_steady();
   read_state(body, len, state, sizeof state);
-  history_answer("submit", job->id, job->kind->tasks, status, state, final_round);
+  history_response("submit", job->id, job->kind->tasks, status, state, final_round);
   job->busy = false;
   if (status == 200 || status == 201) {
     statistics.accepted++;
@@ -106,7 +106,7 @@
   struct job *job = arg;
   char state[16];
   read_state(body, len, state, sizeof state);
-  history_answer("poll", job->id, job->kind->tasks, status, state, final_round);
+  history_response("poll", job->id, job->kind->tasks, status, state, final_round);
   job->busy = false;
   job->next_request_at = tmx_clock_steady() + (final_round ? 0.2 : poll_every_s);
   statistics.polls_answered += status == 200;
@@ -151,7 +151,7 @@
   bool waits[KINDS_MAX] = {false};
   for (size_t i = 0; i < users.n_jobs; i++) {
     struct job *job = users.jobs[i];
-    waits[job->kind - users.kinds] |= job->accepted && !job->began_at;
+    waits[job->kind - users.kinds] |= job->accepted && !job->started_at;
     bool wanted =
         final_round ? job->accepted && !job->final_poll_answered : !job->done && !job->given_up;
     if (!wanted || job->busy || now < job->next_request_at) continue;
--- a/tests/cluster/users_internal.h
+++ b/tests/cluster/users_internal.h
@@ -12,7 +12,7 @@
   double first_at;        /**< time of the first submission attempt, steady clock, s */
   double sent_at;         /**< time of the latest submission attempt */
   double next_request_at; /**< earliest time of the next request */
-  double began_at;        /**< start of its first task; 0: none started yet */
+  double started_at;      /**< start of its first task; 0: none started yet */
   bool accepted, done, given_up, busy, final_poll_answered;
 };
 
--- a/tests/cluster/users_table.c
+++ b/tests/cluster/users_table.c
@@ -20,8 +20,8 @@
     if (job->kind != kind) continue;
     accepted += job->accepted;
     gave_up += job->given_up;
-    if (job->began_at) waits[n_began++] = job->began_at - job->first_at;
-    if (job->accepted && !job->began_at) oldest = fmax(oldest, now - job->first_at);
+    if (job->started_at) waits[n_began++] = job->started_at - job->first_at;
+    if (job->accepted && !job->started_at) oldest = fmax(oldest, now - job->first_at);
   }
   gsl_sort(waits, 1, n_began);
   printf("%-8s %-8s %9u %8u %8u %7u %6zu %7.1f %7.1f %7.1f %7.1f %7.1f\n", kind->team,
--- a/tests/cluster/workers.c
+++ b/tests/cluster/workers.c
@@ -120,8 +120,8 @@
   struct tmx_buffer buffer = {0};
   worker->agent.sequence++;
   fake_worker_encode_report(&worker->agent, &buffer);
-  worker->busy = tmx_http_client_call(node[worker->node].reports, "POST", WP_REPORT, &buffer, 4,
-                                      on_report, worker);
+  worker->busy = tmx_http_client_call(cluster_nodes[worker->node].reports, "POST", WP_REPORT,
+                                      &buffer, 4, on_report, worker);
   worker->report_sent_at = now;
   if (!worker->busy) worker->next_report_at = now + 1;
   tmx_buffer_free(&buffer);
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -146,8 +146,8 @@
 
 static bool has_state(void *arg) {
   const struct expected_state *expected = arg;
-  struct fake_answer answer = poll_job(first_controller, expected->id);
-  return answer.status == 200 && !strcmp(answer.state, expected->state);
+  struct fake_response response = poll_job(first_controller, expected->id);
+  return response.status == 200 && !strcmp(response.state, expected->state);
 }
 
 void wait_for_job_state(const char *id, const char *state) {
--- a/tests/fake_users.c
+++ b/tests/fake_users.c
@@ -12,26 +12,27 @@
 enum { USER_TIMEOUT_S = 5 };
 
 static bool is_answered(void *argument) {
-  const struct fake_answer *answer = argument;
-  return answer->done;
+  const struct fake_response *response = argument;
+  return response->done;
 }
 
-static void on_answer(void *argument, int status, const uint8_t *body, size_t length) {
-  struct fake_answer *answer = argument;
+static void on_response(void *argument, int status, const uint8_t *body, size_t length) {
+  struct fake_response *response = argument;
   cbor_item_t *map = tmx_cbor_parse(body, length);
-  answer->done = true;
-  answer->status = status;
-  tmx_cbor_get_text(map, W_STATE, answer->state, sizeof answer->state);
+  response->done = true;
+  response->status = status;
+  tmx_cbor_get_text(map, W_STATE, response->state, sizeof response->state);
   tmx_cbor_free(map);
 }
 
-struct fake_answer send_request(struct tmx_controller *controller, const char *method,
-                                const char *path, const struct tmx_buffer *body) {
-  struct fake_answer answer = {0};
+struct fake_response send_request(struct tmx_controller *controller, const char *method,
+                                  const char *path, const struct tmx_buffer *body) {
+  struct fake_response response = {0};
   struct tmx_http_client *client = new_controller_client(controller);
-  assert_true(tmx_http_client_call(client, method, path, body, USER_TIMEOUT_S, on_answer, &answer));
-  run_loop_until(is_answered, &answer);
-  struct fake_answer received = answer; /* freeing the client may call on_answer again */
+  assert_true(
+      tmx_http_client_call(client, method, path, body, USER_TIMEOUT_S, on_response, &response));
+  run_loop_until(is_answered, &response);
+  struct fake_response received = response; /* freeing the client may call on_response again */
   tmx_http_client_free(client);
   return received;
 }
@@ -85,9 +86,9 @@
 int submit_job(struct tmx_controller *controller, const struct fake_job *job) {
   struct tmx_buffer buffer = {0};
   encode_job_submission(&buffer, job);
-  struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &buffer);
+  struct fake_response response = send_request(controller, "POST", WP_JOBS, &buffer);
   tmx_buffer_free(&buffer);
-  return answer.status;
+  return response.status;
 }
 
 int submit_simple_job(struct tmx_controller *controller, const char *id, const char *kind,
@@ -96,13 +97,13 @@
   return submit_job(controller, &job);
 }
 
-struct fake_answer poll_job(struct tmx_controller *controller, const char *id) {
+struct fake_response poll_job(struct tmx_controller *controller, const char *id) {
   char path[128];
   snprintf(path, sizeof path, WP_JOBS "/%s", id);
   return send_request(controller, "GET", path, NULL);
 }
 
-struct fake_answer cancel_job(struct tmx_controller *controller, const char *id) {
+struct fake_response cancel_job(struct tmx_controller *controller, const char *id) {
   char path[128];
   snprintf(path, sizeof path, WP_JOBS "/%s" WP_CANCEL, id);
   return send_request(controller, "POST", path, NULL);
--- a/tests/fake_users.h
+++ b/tests/fake_users.h
@@ -9,7 +9,7 @@
 #include "controller/controller_internal.h"
 
 /** The response to a user's request. */
-struct fake_answer {
+struct fake_response {
   bool done;      /**< a response or a failure was received within the wait */
   int status;     /**< HTTP status; 0: the connection failed or timed out */
   char state[16]; /**< state of the job; empty: the response has none */
@@ -43,13 +43,13 @@
 int submit_simple_job(struct tmx_controller *controller, const char *id, const char *kind,
                       uint32_t tasks, double cpus, const char *team);
 /** Requests the state of a job. */
-struct fake_answer poll_job(struct tmx_controller *controller, const char *id);
+struct fake_response poll_job(struct tmx_controller *controller, const char *id);
 /** Cancels a job. */
-struct fake_answer cancel_job(struct tmx_controller *controller, const char *id);
+struct fake_response cancel_job(struct tmx_controller *controller, const char *id);
 
 /** Sends a request and runs the loop until the response is received.
  *  @param body NULL: none; the caller keeps ownership */
-struct fake_answer send_request(struct tmx_controller *controller, const char *method,
-                                const char *path, const struct tmx_buffer *body);
+struct fake_response send_request(struct tmx_controller *controller, const char *method,
+                                  const char *path, const struct tmx_buffer *body);
 
 #endif
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -13,7 +13,7 @@
 
 struct relay_connection { /* one connection through the relay */
   struct relay *relay;
-  int program_fd, peer_fd; /* sockets: to the program, to the scripted peer */
+  int program_fd, peer_fd; /* sockets: to the program, to the fake peer */
   ev_io program_readable, peer_readable;
   struct exchange *current; /* the latest exchange; NULL: no request yet */
   struct relay_connection *prev, *next;
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -1,5 +1,5 @@
 /** @file
- * A TCP relay between the program and a scripted peer. It runs on the event loop of the test and
+ * A TCP relay between the program and a fake peer. It runs on the event loop of the test and
  * keeps the bytes of every request and of its response. */
 #ifndef TMX_RELAY_H
 #define TMX_RELAY_H
@@ -8,7 +8,7 @@
 /** A relay and the exchanges that passed through it. */
 struct relay {
   int fd;           /**< listening socket */
-  int target_port;  /**< port of the scripted peer */
+  int target_port;  /**< port of the fake peer */
   char address[32]; /**< address of the listening socket; empty: the relay is not open */
   ev_io accept;     /**< watches the listening socket */
   struct exchange *first, *last;        /**< list of the exchanges, in the order of the requests */
--- a/tests/test_admission_control.c
+++ b/tests/test_admission_control.c
@@ -11,7 +11,7 @@
 
 static unsigned next_job;
 
-static void with_admission(struct tmx_settings *settings) {
+static void enable_admission(struct tmx_settings *settings) {
   settings->n_teams = 2;
   strcpy(settings->teams[1].name, "u");
   settings->teams[1].cpus_max = 8;
@@ -25,13 +25,13 @@
   assert_true(tmx_admission_settings_resolve(settings, err, sizeof err));
 }
 
-static void without_admission(struct tmx_settings *settings) {
-  with_admission(settings);
+static void disable_admission(struct tmx_settings *settings) {
+  enable_admission(settings);
   settings->operators.admission.enabled = false;
 }
 
 /* Starts a controller and waits until it is ready. */
-static struct tmx_controller *begin(int k) {
+static struct tmx_controller *start_controller_and_wait(int k) {
   struct tmx_controller *controller = start_controller(k, 2);
   assert_true(run_loop_until(fake_controller_is_ready, controller));
   return controller;
@@ -40,9 +40,9 @@
 static int setup(void **state) {
   (void)state;
   fake_start();
-  fake_adjust_settings = with_admission;
-  first_controller = begin(0);
-  second_controller = begin(1);
+  fake_adjust_settings = enable_admission;
+  first_controller = start_controller_and_wait(0);
+  second_controller = start_controller_and_wait(1);
   run_loop_for(0.5);
   next_job = 0;
   return 0;
@@ -227,7 +227,7 @@
   assert_int_equal(submit_next_job(second_controller, "t", "c"), 503);
   stop_controller(second_controller);
   second_controller = NULL;
-  first_controller = begin(0);
+  first_controller = start_controller_and_wait(0);
   assert_true(backlog_seconds_of(first_controller) == before);
   assert_int_equal(submit_next_job(first_controller, "t", "c"), 503);
   assert_int_equal(submit_next_job(first_controller, "u", "c"), 201);
@@ -249,8 +249,8 @@
 static void jobs_of_a_controller_without_admission_count_at_the_other(void **state) {
   (void)state;
   stop_controller(second_controller);
-  fake_adjust_settings = without_admission;
-  second_controller = begin(1);
+  fake_adjust_settings = disable_admission;
+  second_controller = start_controller_and_wait(1);
   for (int i = 0; i < 60; i++) assert_int_equal(submit_next_job(second_controller, "t", "c"), 201);
   run_loop_for(0.5);
   assert_int_equal(submit_next_job(first_controller, "t", "c"),
@@ -260,7 +260,7 @@
 }
 
 static void with_smaller_bound(struct tmx_settings *settings) {
-  with_admission(settings);
+  enable_admission(settings);
   settings->operators.admission.backlog_s = 20;
 }
 
@@ -271,7 +271,7 @@
   stop_controller(second_controller);
   second_controller = NULL;
   fake_adjust_settings = with_smaller_bound;
-  first_controller = begin(0);
+  first_controller = start_controller_and_wait(0);
   char id[TMX_ID_BYTES];
   for (unsigned i = 1; i < n; i++) {
     snprintf(id, sizeof id, "wk-%06u", i);
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -181,22 +181,22 @@
          i < 200 && (late ? !endpoint->late_transaction_body : endpoint->lose_next_response); i++)
       run_loop_for(0.005);
     /* The fault may have hit the transaction of the cancellation instead. The user then retries. */
-    struct fake_answer answer = cancel_job(first_controller, ids[late]);
-    for (int i = 0; i < 20 && answer.status != 200; i++)
-      answer = cancel_job(first_controller, ids[late]);
-    assert_int_equal(answer.status, 200);
-    char first_answer[16];
-    strcpy(first_answer, answer.state);
-    if (!late) assert_string_equal(first_answer, WV_DONE);
+    struct fake_response response = cancel_job(first_controller, ids[late]);
+    for (int i = 0; i < 20 && response.status != 200; i++)
+      response = cancel_job(first_controller, ids[late]);
+    assert_int_equal(response.status, 200);
+    char first_response[16];
+    strcpy(first_response, response.state);
+    if (!late) assert_string_equal(first_response, WV_DONE);
     if (late) assert_int_equal(fake_execute_late_transaction(endpoint), 409);
     for (int i = 0; i < 5; i++) {
-      assert_string_equal(poll_job(first_controller, ids[late]).state, first_answer);
-      assert_string_equal(cancel_job(first_controller, ids[late]).state, first_answer);
+      assert_string_equal(poll_job(first_controller, ids[late]).state, first_response);
+      assert_string_equal(cancel_job(first_controller, ids[late]).state, first_response);
       assert_int_equal(submit_simple_job(first_controller, ids[late], "batch", 1, 2, "t"), 200);
       run_loop_for(0.05);
     }
     restart_first_controller();
-    assert_string_equal(poll_job(first_controller, ids[late]).state, first_answer);
+    assert_string_equal(poll_job(first_controller, ids[late]).state, first_response);
     fake_worker_send_heartbeat(&worker, first_controller);
     fake_worker_execute_commands(&worker);
     fake_worker_send_heartbeat(&worker, first_controller);
@@ -229,9 +229,9 @@
     stop_controller(owner);
     *(first_is_owner ? &first_controller : &second_controller) = NULL;
     run_loop_for(delays_s[i]);
-    struct fake_answer answer = cancel_job(successor, id);
-    for (int k = 0; k < 20 && answer.status == 503; k++) answer = cancel_job(successor, id);
-    assert_string_equal(answer.state, WV_CANCELLED);
+    struct fake_response response = cancel_job(successor, id);
+    for (int k = 0; k < 20 && response.status == 503; k++) response = cancel_job(successor, id);
+    assert_string_equal(response.state, WV_CANCELLED);
     unsigned starts_before = worker.executed_starts;
     worker.fails_commands = false;
     for (int k = 0; k < 400 && fake_count_placed_tasks(); k++) {
@@ -265,8 +265,8 @@
                     TMX_FRESHNESS_MARGIN_S + 0.1);
   fake_worker_send_heartbeat(&worker, first_controller);
   assert_int_equal(worker.report_status, 503);
-  struct fake_answer answer = send_request(first_controller, "GET", WP_READY, NULL);
-  assert_int_equal(answer.status, 503);
+  struct fake_response response = send_request(first_controller, "GET", WP_READY, NULL);
+  assert_int_equal(response.status, 503);
   assert_int_equal(submit_simple_job(first_controller, "wk-000002", "batch", 1, 2, "t"), 503);
 }
 
--- a/tests/test_client_format.c
+++ b/tests/test_client_format.c
@@ -1,7 +1,7 @@
 /* The requests of controllers to the cloud and to the state service must equal the recordings in
  * tests/data/wire-format byte for byte. Times of day and ports are masked, see recording.h. The
  * test guards against accidental changes of these interfaces, for example by a renamed field. The
- * responses of the scripted cloud are written with the literal names of the protocol. Requests are
+ * responses of the fake cloud are written with the literal names of the protocol. Requests are
  * sent on several connections and their order varies, so only the first request of each kind is
  * recorded. */
 #include "recording.h"
@@ -16,7 +16,7 @@
 
 static struct tmx_controller *first_controller;
 static struct fake_worker workers[2];
-static struct relay store, cloud; /* from the controller to the scripted peers */
+static struct relay store, cloud; /* from the controller to the fake peers */
 static struct tmx_http_server *cloud_server;
 
 static void use_relays(struct tmx_settings *settings) {
@@ -49,7 +49,7 @@
   return 0;
 }
 
-static void begin(void) {
+static void start_controller_and_wait(void) {
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
@@ -112,7 +112,7 @@
   struct recording recording = {0};
   cloud_server = tmx_http_server_new(test_loop, "127.0.0.1:0", 100, 60, on_cloud_request, NULL);
   relay_open(&cloud, tmx_http_server_port(cloud_server));
-  begin();
+  start_controller_and_wait();
   record_exchange(&recording, "machine types", relay_wait(&cloud, NULL, "GET /catalog", NULL));
   assert_catalog_was_read();
   record_exchange(&recording, "machines", relay_wait(&cloud, NULL, "GET /machines?page", NULL));
@@ -164,7 +164,7 @@
   fake_put("t/fold", &value);
   tmx_buffer_free(&value);
   fake_store.endpoints[0].page_entries_max = 1;
-  begin();
+  start_controller_and_wait();
   record_store_request(&recording, "the keys are read", "GET /kv?prefix=t/&page", NULL);
   record_store_request(&recording, "the next page", "GET /kv?prefix=t/&from", NULL);
   record_store_request(&recording, "a lease", "POST /holds HTTP", NULL);
@@ -180,7 +180,7 @@
   recording_check(&recording, "store-calls-at-the-start.txt");
 }
 
-static bool job_done(void *arg) {
+static bool job_is_done(void *arg) {
   const struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
   return job && job->outcome == TMX_JOB_DONE;
 }
@@ -222,7 +222,7 @@
   record_http(recording, "> ", exchange->request.data, exchange->request.length);
   fake_worker_set_task(&workers[0], "wk-000001/1", 1, WV_EXITED, WV_DONE);
   end_task("wk-000001/2");
-  assert_true(run_loop_until(job_done, "wk-000001"));
+  assert_true(run_loop_until(job_is_done, "wk-000001"));
   record_transaction(recording, "the last ends, in one line, and the job's final state",
                      "E wk-000001");
 }
@@ -267,7 +267,7 @@
 static void transactions_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {0};
-  begin();
+  start_controller_and_wait();
   record_transactions_of_jobs(&recording);
   record_transactions_of_compactions(&recording);
   record_transactions_of_returned_machines(&recording);
@@ -306,7 +306,7 @@
 static void transactions_with_long_lists_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {0};
-  begin();
+  start_controller_and_wait();
   first_controller->settings.value_kb = 1.2;
   submit_with_long_lists();
   record_transaction(&recording, "ids that found no room in the record follow in lines",
--- a/tests/test_cloud_decisions.c
+++ b/tests/test_cloud_decisions.c
@@ -19,14 +19,14 @@
 /* Evidence about a machine. The first two arguments state whether the leader has settled and
  * whether a healthy owner suspects the machine. The others are the owner's report: seconds without
  * contact, consecutive probes lost, and seconds without an acknowledgement. */
-#define SUSPICION(settled, suspected_by_owner, silence, probes_lost, unacknowledged) \
-  .leader_settled = (settled), .suspected = (suspected_by_owner),                    \
-  .suspicion = {.no_contact_s = (silence),                                           \
-                .consecutive_probes_lost = (probes_lost),                            \
+#define SUSPICION(settled, suspected_by_owner, without_contact_s, probes_lost, unacknowledged) \
+  .leader_settled = (settled), .suspected = (suspected_by_owner),                              \
+  .suspicion = {.no_contact_s = (without_contact_s),                                           \
+                .consecutive_probes_lost = (probes_lost),                                      \
                 .unacknowledged_s = (unacknowledged)}
-#define SILENT_AND_PROBES_LOST SUSPICION(true, true, 2, TMX_PROBES_LOST_MIN, 0)
-#define SILENT_FOR(silence) \
-  SUSPICION(true, true, silence, TMX_PROBES_LOST_MIN, 0), .has_tasks = true
+#define NO_CONTACT_AND_PROBES_LOST SUSPICION(true, true, 2, TMX_PROBES_LOST_MIN, 0)
+#define NO_CONTACT_FOR(without_contact_s) \
+  SUSPICION(true, true, without_contact_s, TMX_PROBES_LOST_MIN, 0), .has_tasks = true
 #define UNACKNOWLEDGED_FOR(unacknowledged) \
   SUSPICION(true, true, 0.5, 0, unacknowledged), .has_tasks = true
 
@@ -40,9 +40,9 @@
       {"healthy", {.leader_settled = true, .has_tasks = true}, TMX_DELETE_NONE},
       {"listed as failed, new leader", {.listed_as_failed = true}, TMX_DELETE_FAILED},
       {"listed as failed, silent",
-       {SILENT_AND_PROBES_LOST, .listed_as_failed = true},
+       {NO_CONTACT_AND_PROBES_LOST, .listed_as_failed = true},
        TMX_DELETE_FAILED},
-      {"silent, probes lost", {SILENT_AND_PROBES_LOST, .has_tasks = true}, TMX_DELETE_SILENT},
+      {"silent, probes lost", {NO_CONTACT_AND_PROBES_LOST, .has_tasks = true}, TMX_DELETE_SILENT},
       {"silent, new leader", {SUSPICION(false, true, 2, TMX_PROBES_LOST_MIN, 0)}, TMX_DELETE_NONE},
       {"silent, owner not healthy",
        {SUSPICION(true, false, 2, TMX_PROBES_LOST_MIN, 0)},
@@ -50,19 +50,19 @@
       {"silent, too few probes lost",
        {SUSPICION(true, true, 2, TMX_PROBES_LOST_MIN - 1, 0)},
        TMX_DELETE_NONE},
-      {"silent for exactly the limit", {SILENT_FOR(1.5)}, TMX_DELETE_NONE},
-      {"partition grace", {SILENT_AND_PROBES_LOST, .partition_grace = true}, TMX_DELETE_NONE},
+      {"silent for exactly the limit", {NO_CONTACT_FOR(1.5)}, TMX_DELETE_NONE},
+      {"partition grace", {NO_CONTACT_AND_PROBES_LOST, .partition_grace = true}, TMX_DELETE_NONE},
       {"partition grace, exactly until leases expire",
-       {SILENT_FOR(40), .partition_grace = true},
+       {NO_CONTACT_FOR(40), .partition_grace = true},
        TMX_DELETE_NONE},
       {"partition grace, leases expired",
-       {SILENT_FOR(40.1), .partition_grace = true},
+       {NO_CONTACT_FOR(40.1), .partition_grace = true},
        TMX_DELETE_SILENT},
       {"partition grace, up to twice the lease expiry, with replicas",
-       {SILENT_FOR(80), .partition_grace = true, .has_services = true},
+       {NO_CONTACT_FOR(80), .partition_grace = true, .has_services = true},
        TMX_DELETE_NONE},
       {"partition grace, beyond twice the lease expiry, with replicas",
-       {SILENT_FOR(80.1), .partition_grace = true, .has_services = true},
+       {NO_CONTACT_FOR(80.1), .partition_grace = true, .has_services = true},
        TMX_DELETE_SILENT},
       {"unacknowledged", {UNACKNOWLEDGED_FOR(5.1)}, TMX_DELETE_UNACKNOWLEDGED},
       {"unacknowledged, new leader", {SUSPICION(false, true, 0.5, 0, 5.1)}, TMX_DELETE_NONE},
@@ -78,7 +78,7 @@
       {"faulty, with tasks", {.faulty = true, .has_tasks = true}, TMX_DELETE_NONE},
       {"faulty", {.faulty = true}, TMX_DELETE_FAULTY},
       {"silent takes precedence over drained",
-       {SILENT_AND_PROBES_LOST, .draining = true},
+       {NO_CONTACT_AND_PROBES_LOST, .draining = true},
        TMX_DELETE_SILENT},
   };
   for (size_t i = 0; i < ARRAY_LENGTH(cases); i++) {
--- a/tests/test_compaction.c
+++ b/tests/test_compaction.c
@@ -66,7 +66,7 @@
   assert_int_equal(tmx_job_find(&first_controller->replica, "wk-000001")->n_placed, 0);
 }
 
-static void store_status(void *arg, int status, const uint8_t *body, size_t len) {
+static void save_status(void *arg, int status, const uint8_t *body, size_t len) {
   (void)body;
   (void)len;
   *(int *)arg = status;
@@ -93,7 +93,7 @@
     clients[i] = tmx_http_client_new(test_loop, addr, 1);
     status[i] = -2;
     assert_true(
-        tmx_http_client_call(clients[i], "POST", WP_JOBS, &buffer, 5, store_status, &status[i]));
+        tmx_http_client_call(clients[i], "POST", WP_JOBS, &buffer, 5, save_status, &status[i]));
     tmx_buffer_free(&buffer);
   }
   for (int i = 0, unanswered = 1; i < 400 && unanswered; i++) {
--- a/tests/test_dependency_scheduling.c
+++ b/tests/test_dependency_scheduling.c
@@ -8,8 +8,8 @@
 #include "tmx/wire.h"
 
 /* Submits a job of one task with the given prerequisites; their ids are separated by spaces. */
-static struct fake_answer submit_with_dependencies(struct tmx_controller *controller,
-                                                   const char *id, const char *prerequisite_ids) {
+static struct fake_response submit_with_dependencies(struct tmx_controller *controller,
+                                                     const char *id, const char *prerequisite_ids) {
   struct tmx_buffer encoded_ids = {0}, body = {0};
   char text[256], *ids[8];
   snprintf(text, sizeof text, "%s", prerequisite_ids);
@@ -17,16 +17,16 @@
   tmx_cbor_put_array(&encoded_ids, count);
   for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&encoded_ids, ids[i]);
   encode_submission_with_dependencies(&body, id, WV_ARRAY, 1, 2, "t", &encoded_ids);
-  struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
+  struct fake_response response = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&encoded_ids);
   tmx_buffer_free(&body);
-  return answer;
+  return response;
 }
 
 static void assert_accepted(const char *id, const char *prerequisite_ids) {
-  struct fake_answer answer = submit_with_dependencies(first_controller, id, prerequisite_ids);
-  assert_int_equal(answer.status, 201);
-  assert_string_equal(answer.state, WV_PENDING);
+  struct fake_response response = submit_with_dependencies(first_controller, id, prerequisite_ids);
+  assert_int_equal(response.status, 201);
+  assert_string_equal(response.state, WV_PENDING);
 }
 
 static void assert_stays_pending(const char *id, double duration_s) {
@@ -97,7 +97,7 @@
     assert_string_equal(cancel_job(controller, "wk-000003").state, WV_CANCELLED);
     assert_int_equal(submit_with_dependencies(controller, "wk-000003", "wk-000002").status, 200);
   }
-  struct fake_answer late_submission =
+  struct fake_response late_submission =
       submit_with_dependencies(second_controller, "wk-000004", "wk-000003");
   assert_int_equal(late_submission.status, 201);
   assert_string_equal(late_submission.state, WV_CANCELLED);
@@ -160,10 +160,10 @@
   fake_store.endpoints[0].lose_next_response = true;
   complete_task("wk-000001/0", 1);
   for (int i = 0; i < 200 && fake_store.endpoints[0].lose_next_response; i++) run_loop_for(0.005);
-  struct fake_answer answer = cancel_job(first_controller, "wk-000001");
-  for (int i = 0; i < 20 && answer.status != 200; i++)
-    answer = cancel_job(first_controller, "wk-000001");
-  assert_string_equal(answer.state, WV_DONE);
+  struct fake_response response = cancel_job(first_controller, "wk-000001");
+  for (int i = 0; i < 20 && response.status != 200; i++)
+    response = cancel_job(first_controller, "wk-000001");
+  assert_string_equal(response.state, WV_DONE);
   wait_for_starts(2);
   complete_task("wk-000002/0", 1);
   wait_for_job_state("wk-000002", WV_DONE);
--- a/tests/test_dependency_storage.c
+++ b/tests/test_dependency_storage.c
@@ -23,8 +23,8 @@
 }
 
 /* Submits a job of one task with the given prerequisites; their ids are separated by spaces. */
-static struct fake_answer submit_with_dependencies(struct tmx_controller *controller,
-                                                   const char *id, const char *prerequisite_ids) {
+static struct fake_response submit_with_dependencies(struct tmx_controller *controller,
+                                                     const char *id, const char *prerequisite_ids) {
   struct tmx_buffer encoded_ids = {0}, body = {0};
   char text[256], *ids[8];
   snprintf(text, sizeof text, "%s", prerequisite_ids);
@@ -32,16 +32,16 @@
   tmx_cbor_put_array(&encoded_ids, count);
   for (size_t i = 0; i < count; i++) tmx_cbor_put_text(&encoded_ids, ids[i]);
   encode_submission_with_dependencies(&body, id, WV_ARRAY, 1, 2, "t", &encoded_ids);
-  struct fake_answer answer = send_request(controller, "POST", WP_JOBS, &body);
+  struct fake_response response = send_request(controller, "POST", WP_JOBS, &body);
   tmx_buffer_free(&encoded_ids);
   tmx_buffer_free(&body);
-  return answer;
+  return response;
 }
 
 static void assert_accepted(const char *id, const char *prerequisite_ids) {
-  struct fake_answer answer = submit_with_dependencies(first_controller, id, prerequisite_ids);
-  assert_int_equal(answer.status, 201);
-  assert_string_equal(answer.state, WV_PENDING);
+  struct fake_response response = submit_with_dependencies(first_controller, id, prerequisite_ids);
+  assert_int_equal(response.status, 201);
+  assert_string_equal(response.state, WV_PENDING);
 }
 
 static void assert_stays_pending(const char *id, double duration_s) {
--- a/tests/test_leader_change.c
+++ b/tests/test_leader_change.c
@@ -228,7 +228,7 @@
 
 /* Guards against contradictory answers to users. A job is accepted, done or cancelled at one
  * controller while the watch of the other one is frozen. Users immediately poll, submit again and
- * cancel. No answer of either controller may contradict an earlier one. */
+ * cancel. No response of either controller may contradict an earlier one. */
 static void no_controller_returns_an_older_job_state(void **state) {
   (void)state;
   register_worker(&worker);
@@ -239,8 +239,8 @@
     struct fake_endpoint *lagging_endpoint = &fake_store.endpoints[1 - i % 2];
     lagging_endpoint->hold_watches = true;
     assert_int_equal(submit_simple_job(updated, ids[i], "batch", 1, 2, "t"), 201);
-    struct fake_answer answer = poll_job(lagging, ids[i]);
-    assert_int_equal(answer.status, 503); /* never 404 */
+    struct fake_response response = poll_job(lagging, ids[i]);
+    assert_int_equal(response.status, 503); /* never 404 */
     assert_int_not_equal(submit_simple_job(lagging, ids[i], "batch", 1, 2, "t"), 201);
     lagging_endpoint->hold_watches = false;
     fake_answer_pending_watches();
@@ -265,8 +265,8 @@
     }
     const char *final_state = i < 2 ? WV_DONE : WV_CANCELLED;
     for (int k = 0; k < 3; k++) {
-      answer = k == 0 ? poll_job(lagging, ids[i]) : cancel_job(lagging, ids[i]);
-      assert_true(answer.status == 503 || !strcmp(answer.state, final_state));
+      response = k == 0 ? poll_job(lagging, ids[i]) : cancel_job(lagging, ids[i]);
+      assert_true(response.status == 503 || !strcmp(response.state, final_state));
       assert_string_equal(poll_job(updated, ids[i]).state, final_state);
       assert_string_equal(cancel_job(updated, ids[i]).state, final_state);
     }
@@ -300,15 +300,15 @@
   assert_true(status == 201 || status == 200);
 }
 
-/* Retries the cancellation until it is confirmed. Copies the job state of the answer to
+/* Retries the cancellation until it is confirmed. Copies the job state of the response to
  * `confirmed_state`. */
 static void cancel_until_confirmed(struct tmx_controller *controller, const char *id,
                                    char *confirmed_state) {
-  struct fake_answer answer = cancel_job(controller, id);
-  for (int retries = 0; retries < 20 && answer.status != 200; retries++)
-    answer = cancel_job(controller, id);
-  assert_int_equal(answer.status, 200);
-  strcpy(confirmed_state, answer.state);
+  struct fake_response response = cancel_job(controller, id);
+  for (int retries = 0; retries < 20 && response.status != 200; retries++)
+    response = cancel_job(controller, id);
+  assert_int_equal(response.status, 200);
+  strcpy(confirmed_state, response.state);
 }
 
 /* Lets placed tasks complete until none is left. */
--- a/tests/test_start_rotation.c
+++ b/tests/test_start_rotation.c
@@ -44,7 +44,7 @@
 /* Runs a round with one larger job and many small ones, which come first in the order. Returns the
  * number of placed tasks. Sets *larger if a task of the larger job is among them. */
 static size_t tasks_placed_among_small_jobs(struct rotation_case input_case, bool *larger) {
-  struct tmx_planner *model = tmx_planner_new();
+  struct tmx_planner *planner = tmx_planner_new();
   struct tmx_planner_delta delta = {0};
   struct tmx_round_output output;
   struct tmx_round_input *input = calloc(1, sizeof *input);
@@ -64,18 +64,18 @@
   for (int i = 0; i < SMALL_JOBS; i++) add_delta_job(&delta, input_case.released - 40, true, i);
   add_delta_job(&delta, input_case.released, false, SMALL_JOBS);
   delta.jobs[SMALL_JOBS].spec->cpus = input_case.cpus;
-  tmx_planner_apply(model, &delta);
-  tmx_planner_run_round(model, input, &output);
+  tmx_planner_apply(planner, &delta);
+  tmx_planner_run_round(planner, input, &output);
   size_t n = output.n_operations;
   *larger = false;
   for (size_t i = 0; i < n; i++) *larger |= !strcmp(output.operations[i].job, "wk-000040");
   free(output.operations);
   input->start_rotation.start_s = 0; /* reserved capacity is free in a round without rotation */
-  tmx_planner_run_round(model, input, &output);
+  tmx_planner_run_round(planner, input, &output);
   assert_int_equal(output.n_operations, (size_t)input_case.free_cpus);
   free(output.operations);
   tmx_planner_delta_clear(&delta);
-  tmx_planner_free(model);
+  tmx_planner_free(planner);
   free(input);
   return n;
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -28,13 +28,13 @@
   fake_stop();
   return 0;
 }
-static void begin(void) {
+static void start_controller_and_wait(void) {
   first_controller = start_controller(0, 1);
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 static void restart_controller(void) {
   stop_controller(first_controller);
-  begin();
+  start_controller_and_wait();
 }
 
 static size_t decode_hex(const char *hex, uint8_t *out, size_t capacity) {
@@ -106,7 +106,7 @@
   worker.sequence = 30;
 }
 
-static bool job_done(void *arg) {
+static bool job_is_done(void *arg) {
   struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
   return job && job->outcome == TMX_JOB_DONE;
 }
@@ -114,7 +114,7 @@
 static void data_of_the_production_version_survives_an_upgrade(void **state) {
   (void)state;
   load_production_state();
-  begin();
+  start_controller_and_wait();
   assert_production_state(&first_controller->replica);
   /* This version compacts the data, and reads it again after the restart. */
   tmx_compaction_set_threshold(first_controller->compaction, 0);
@@ -134,7 +134,7 @@
   assert_int_equal(worker.executed_starts, 0); /* a running task is not started again */
   fake_worker_set_task(&worker, "wk-000006/1", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(job_done, "wk-000006"));
+  assert_true(run_loop_until(job_is_done, "wk-000006"));
   assert_string_equal(poll_job(first_controller, "wk-000003").state, WV_DONE);
   assert_string_equal(poll_job(first_controller, "wk-000004").state, WV_CANCELLED);
   /* A job may have prerequisites that the version in production accepted. */
@@ -149,7 +149,7 @@
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&worker, "wk-000001/2", 2, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(job_done, "wk-000001"));
+  assert_true(run_loop_until(job_is_done, "wk-000001"));
   assert_false(tmx_job_is_blocked(tmx_job_find(&first_controller->replica, "wk-000007")));
   tmx_buffer_free(&encoded_ids);
   tmx_buffer_free(&body);
@@ -208,7 +208,7 @@
  * with prerequisites, the version in production must be able to read every stored value. */
 static void stored_data_without_dependencies_is_readable_by_production(void **state) {
   (void)state;
-  begin();
+  start_controller_and_wait();
   for (int i = 0; i < 5; i++) {
     fake_worker_send_heartbeat(&worker, first_controller);
     run_loop_for(0.1);
@@ -223,7 +223,7 @@
   fake_worker_set_task(&worker, "wk-000003/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&worker, "wk-000003/1", 1, WV_EXITED, WV_DONE);
   fake_worker_send_heartbeat(&worker, first_controller);
-  assert_true(run_loop_until(job_done, "wk-000003"));
+  assert_true(run_loop_until(job_is_done, "wk-000003"));
   assert_string_equal(cancel_job(first_controller, "wk-000002").state, WV_CANCELLED);
   assert_production_reads_store();
   tmx_compaction_set_threshold(first_controller->compaction, 0);
--- a/tests/test_user_requests.c
+++ b/tests/test_user_requests.c
@@ -16,15 +16,15 @@
   (void)state;
   fake_store.endpoints[1].hold_watches = true;
   assert_int_equal(submit_simple_job(first_controller, "wk-000001", "batch", 1, 2, "t"), 201);
-  struct fake_answer answer = poll_job(second_controller, "wk-000001");
-  assert_int_equal(answer.status, 503);
+  struct fake_response response = poll_job(second_controller, "wk-000001");
+  assert_int_equal(response.status, 503);
   fake_store.endpoints[1].hold_watches = false;
   fake_answer_pending_watches();
   assert_int_equal(poll_job(second_controller, "wk-000001").status, 200);
   fake_store.endpoints[1].hold_watches = true;
   assert_string_equal(cancel_job(first_controller, "wk-000001").state, WV_CANCELLED);
-  answer = poll_job(second_controller, "wk-000001");
-  assert_true(answer.status == 503 || !strcmp(answer.state, WV_CANCELLED));
+  response = poll_job(second_controller, "wk-000001");
+  assert_true(response.status == 503 || !strcmp(response.state, WV_CANCELLED));
   assert_string_equal(poll_job(first_controller, "wk-000001").state, WV_CANCELLED);
   assert_int_equal(poll_job(first_controller, "wk-999999").status, 404);
 }
@@ -63,7 +63,7 @@
   unsigned refused, answered;
 };
 
-static void count_answer(void *arg, int status, const uint8_t *body, size_t len) {
+static void count_response(void *arg, int status, const uint8_t *body, size_t len) {
   struct response_counts *counts = arg;
   (void)body;
   (void)len;
@@ -72,7 +72,7 @@
 }
 
 /* Guards against starvation of polls under overload: if more polls arrive than can be answered, a
- * job whose last answer is older takes precedence over one that was answered recently. */
+ * job whose last response is older takes precedence over one that was answered recently. */
 static void polls_take_turns_under_overload(void **state) {
   (void)state;
   struct response_counts repeated = {0, 0}, overdue = {0, 0}, excess = {0, 0};
@@ -87,14 +87,14 @@
   assert_int_equal(submit_simple_job(first_controller, "wk-000003", "batch", 1, 2, "t"),
                    201); /* the replica lags from here on */
   for (int i = 0; i < TMX_WAITING_REQUESTS_MAX / 2; i++)
-    assert_true(tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer,
+    assert_true(tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_response,
                                      &repeated));
   run_loop_for(0.3);
   assert_int_equal(repeated.refused, 0);
   assert_true(
-      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_answer, &excess));
+      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000001", NULL, 5, count_response, &excess));
   assert_true(
-      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000002", NULL, 5, count_answer, &overdue));
+      tmx_http_client_call(client, "GET", WP_JOBS "/wk-000002", NULL, 5, count_response, &overdue));
   run_loop_for(0.3);
   assert_int_equal(excess.refused, 1);
   assert_int_equal(overdue.refused, 0);
@@ -177,7 +177,7 @@
   tmx_http_reply(request, 200, NULL, 0);
 }
 
-static void store_status(void *arg, int status, const uint8_t *body, size_t len) {
+static void save_status(void *arg, int status, const uint8_t *body, size_t len) {
   (void)body;
   (void)len;
   *(int *)arg = status;
@@ -185,7 +185,7 @@
 
 static int request_once(struct tmx_http_client *client) {
   int status = -2;
-  assert_true(tmx_http_client_call(client, "GET", "/", NULL, 1, store_status, &status));
+  assert_true(tmx_http_client_call(client, "GET", "/", NULL, 1, save_status, &status));
   for (int i = 0; i < 100 && status == -2; i++) run_loop_for(0.01);
   return status;
 }
--- a/tests/test_user_wire_format.c
+++ b/tests/test_user_wire_format.c
@@ -23,29 +23,35 @@
 static void record_responses_without_the_state(struct recording *recording) {
   fake_store.endpoints[0].unavailable = true;
   start_recorded_controller(1);
-  ask(recording, "not ready", "GET /ready", NULL);
-  ask(recording, "a submission while the state is out of reach", "POST /v2/runs",
-      SUBMISSION("wk-000001", "t", "2.0"));
-  ask(recording, "a poll while the state is out of reach", "GET /v2/runs/wk-000001", NULL);
-  ask(recording, "a cancellation while the state is out of reach",
-      "POST /v2/runs/wk-000001/withdraw", NULL);
+  send_and_record(recording, "not ready", "GET /ready", NULL);
+  send_and_record(recording, "a submission while the state is out of reach", "POST /v2/runs",
+                  SUBMISSION("wk-000001", "t", "2.0"));
+  send_and_record(recording, "a poll while the state is out of reach", "GET /v2/runs/wk-000001",
+                  NULL);
+  send_and_record(recording, "a cancellation while the state is out of reach",
+                  "POST /v2/runs/wk-000001/withdraw", NULL);
   fake_store.endpoints[0].unavailable = false;
   assert_true(run_loop_until(fake_controller_is_ready, first_controller));
 }
 
 static void record_rejections(struct recording *recording) {
-  ask(recording, "malformed: a field is missing", "POST /v2/runs", "{\"id\":\"wk-000009\"}");
-  ask(recording, "malformed: not an id", "POST /v2/runs", SUBMISSION("job-1", "t", "2.0"));
-  ask(recording, "unknown team", "POST /v2/runs", SUBMISSION("wk-000009", "other", "2.0"));
-  ask(recording, "more than the team's limit", "POST /v2/runs",
-      SUBMISSION("wk-000009", "t", "9.0"));
-  ask(recording, "never accepted", "GET /v2/runs/wk-000009", NULL);
-  ask(recording, "no id", "GET /v2/runs/none", NULL);
-  ask(recording, "cancellation of an unknown job", "POST /v2/runs/wk-000009/withdraw", NULL);
-  ask(recording, "another method on the jobs", "GET /v2/runs", NULL);
-  ask(recording, "another method on a job", "POST /v2/runs/wk-000001", NULL);
-  ask(recording, "another method on a cancellation", "GET /v2/runs/wk-000001/withdraw", NULL);
-  ask(recording, "no such path", "GET /v3/runs", NULL);
+  send_and_record(recording, "malformed: a field is missing", "POST /v2/runs",
+                  "{\"id\":\"wk-000009\"}");
+  send_and_record(recording, "malformed: not an id", "POST /v2/runs",
+                  SUBMISSION("job-1", "t", "2.0"));
+  send_and_record(recording, "unknown team", "POST /v2/runs",
+                  SUBMISSION("wk-000009", "other", "2.0"));
+  send_and_record(recording, "more than the team's limit", "POST /v2/runs",
+                  SUBMISSION("wk-000009", "t", "9.0"));
+  send_and_record(recording, "never accepted", "GET /v2/runs/wk-000009", NULL);
+  send_and_record(recording, "no id", "GET /v2/runs/none", NULL);
+  send_and_record(recording, "cancellation of an unknown job", "POST /v2/runs/wk-000009/withdraw",
+                  NULL);
+  send_and_record(recording, "another method on the jobs", "GET /v2/runs", NULL);
+  send_and_record(recording, "another method on a job", "POST /v2/runs/wk-000001", NULL);
+  send_and_record(recording, "another method on a cancellation", "GET /v2/runs/wk-000001/withdraw",
+                  NULL);
+  send_and_record(recording, "no such path", "GET /v3/runs", NULL);
   static const char invalid_cbor[] = "POST /v2/runs HTTP/1.1\r\nContent-Length: 2\r\n\r\n\xff\xff";
   record_raw_response(recording, "malformed: not CBOR", invalid_cbor, sizeof invalid_cbor - 1);
   static const char closing[] = "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
@@ -60,7 +66,7 @@
                       sizeof head_of_large_request - 1 + 65537);
 }
 
-static bool job_done(void *arg) {
+static bool job_is_done(void *arg) {
   const struct tmx_job *job = tmx_job_find(&first_controller->replica, arg);
   return job && job->outcome == TMX_JOB_DONE;
 }
@@ -71,40 +77,42 @@
 }
 
 static void record_responses_about_a_job(struct recording *recording) {
-  ask(recording, "accepted", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
-  ask(recording, "pending", "GET /v2/runs/wk-000001", NULL);
-  ask(recording, "submitted again", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  send_and_record(recording, "accepted", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
+  send_and_record(recording, "pending", "GET /v2/runs/wk-000001", NULL);
+  send_and_record(recording, "submitted again", "POST /v2/runs",
+                  SUBMISSION("wk-000001", "t", "2.0"));
   for (int i = 0; i < 4; i++) send_unrecorded_heartbeat();
   assert_int_equal(worker.executed_starts, 3);
   fake_worker_set_task(&worker, "wk-000001/1", 1, WV_EXITED, WV_DONE);
   send_unrecorded_heartbeat();
   assert_true(run_loop_until(one_done, "wk-000001"));
-  ask(recording, "running", "GET /v2/runs/wk-000001", NULL);
+  send_and_record(recording, "running", "GET /v2/runs/wk-000001", NULL);
   fake_worker_set_task(&worker, "wk-000001/0", 1, WV_EXITED, WV_DONE);
   fake_worker_set_task(&worker, "wk-000001/2", 1, WV_EXITED, WV_DONE);
   send_unrecorded_heartbeat();
-  assert_true(run_loop_until(job_done, "wk-000001"));
-  ask(recording, "done", "GET /v2/runs/wk-000001", NULL);
-  ask(recording, "cancelled after it was done", "POST /v2/runs/wk-000001/withdraw", NULL);
-  ask(recording, "submitted after it was done", "POST /v2/runs",
-      SUBMISSION("wk-000001", "t", "2.0"));
-  ask(recording, "accepted", "POST /v2/runs", SUBMISSION("wk-000002", "t", "1.0"));
-  ask(recording, "cancelled", "POST /v2/runs/wk-000002/withdraw", NULL);
-  ask(recording, "cancelled again", "POST /v2/runs/wk-000002/withdraw", NULL);
-  ask(recording, "poll of a cancelled job", "GET /v2/runs/wk-000002", NULL);
+  assert_true(run_loop_until(job_is_done, "wk-000001"));
+  send_and_record(recording, "done", "GET /v2/runs/wk-000001", NULL);
+  send_and_record(recording, "cancelled after it was done", "POST /v2/runs/wk-000001/withdraw",
+                  NULL);
+  send_and_record(recording, "submitted after it was done", "POST /v2/runs",
+                  SUBMISSION("wk-000001", "t", "2.0"));
+  send_and_record(recording, "accepted", "POST /v2/runs", SUBMISSION("wk-000002", "t", "1.0"));
+  send_and_record(recording, "cancelled", "POST /v2/runs/wk-000002/withdraw", NULL);
+  send_and_record(recording, "cancelled again", "POST /v2/runs/wk-000002/withdraw", NULL);
+  send_and_record(recording, "poll of a cancelled job", "GET /v2/runs/wk-000002", NULL);
 }
 
 static void user_responses_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {.retry_after_min = 1, .retry_after_max = 2};
   record_responses_without_the_state(&recording);
-  ask(&recording, "ready", "GET /ready", NULL);
+  send_and_record(&recording, "ready", "GET /ready", NULL);
   record_rejections(&recording);
   record_responses_about_a_job(&recording);
   recording_check(&recording, "user-answers.txt");
 }
 
-static void with_admission(struct tmx_settings *settings) {
+static void enable_admission(struct tmx_settings *settings) {
   char err[128];
   settings->operators.admission.enabled = true;
   settings->operators.admission.backlog_s = 10;
@@ -117,12 +125,14 @@
 static void admission_responses_keep_their_format(void **state) {
   (void)state;
   struct recording recording = {.retry_after_min = 1, .retry_after_max = 30};
-  fake_adjust_settings = with_admission;
+  fake_adjust_settings = enable_admission;
   start_ready_controller();
   /* each submission holds work for 90 s of the whole capacity */
-  ask(&recording, "a class without work", "POST /v2/runs", SUBMISSION("wk-000001", "t", "2.0"));
-  ask(&recording, "more of its class", "POST /v2/runs", SUBMISSION("wk-000002", "t", "2.0"));
-  ask(&recording, "what was refused is not known", "GET /v2/runs/wk-000002", NULL);
+  send_and_record(&recording, "a class without work", "POST /v2/runs",
+                  SUBMISSION("wk-000001", "t", "2.0"));
+  send_and_record(&recording, "more of its class", "POST /v2/runs",
+                  SUBMISSION("wk-000002", "t", "2.0"));
+  send_and_record(&recording, "what was refused is not known", "GET /v2/runs/wk-000002", NULL);
   recording_check(&recording, "admission-answers.txt");
 }
 
--- a/tests/test_worker_wire_format.c
+++ b/tests/test_worker_wire_format.c
@@ -48,11 +48,11 @@
 }
 
 /* Records the first request after `previous` that starts with `prefix` and contains `substring`,
- * without the response of the scripted worker. */
+ * without the response of the fake worker. */
 static const struct exchange *record_command(struct recording *recording, const char *title,
                                              const struct exchange *previous, const char *prefix,
                                              const char *substring) {
-  const struct exchange *exchange = relay_wait(&commands, previous, prefix, substring);
+  const struct exchange *exchange = relay_wait(&command_relay, previous, prefix, substring);
   record_line(recording, "== %s", title);
   record_http(recording, "> ", exchange->request.data, exchange->request.length);
   return exchange;
@@ -121,8 +121,9 @@
   worker.session = 0;
   send_report(&recording, "a report of an earlier session");
   worker.session = 1;
-  ask(&recording, "malformed: a field is missing", "POST /hello", "{\"rig\":\"n-000001\"}");
-  ask(&recording, "another method", "GET /hello", NULL);
+  send_and_record(&recording, "malformed: a field is missing", "POST /hello",
+                  "{\"rig\":\"n-000001\"}");
+  send_and_record(&recording, "another method", "GET /hello", NULL);
   recording_check(&recording, "report-answers.txt");
 }
 
--- a/tests/wire_fixture.c
+++ b/tests/wire_fixture.c
@@ -6,22 +6,22 @@
 
 struct tmx_controller *first_controller;
 struct fake_worker worker;
-struct relay commands;
+struct relay command_relay;
 char controller_address[32];
 
 int setup_recorded_peers(void **state) {
   (void)state;
   fake_start();
   fake_worker_open(&worker, "n-000001");
-  relay_open(&commands, tmx_http_server_port(worker.server));
-  snprintf(worker.address, sizeof worker.address, "%s", commands.address);
+  relay_open(&command_relay, tmx_http_server_port(worker.server));
+  snprintf(worker.address, sizeof worker.address, "%s", command_relay.address);
   first_controller = NULL;
   return 0;
 }
 int teardown_recorded_peers(void **state) {
   (void)state;
   if (first_controller) stop_controller(first_controller);
-  relay_close(&commands);
+  relay_close(&command_relay);
   tmx_http_server_free(worker.server);
   fake_stop();
   return 0;
@@ -44,7 +44,8 @@
   record_http(recording, "< ", exchange->response.data, exchange->response.length);
 }
 
-void ask(struct recording *recording, const char *title, const char *line, const char *json) {
+void send_and_record(struct recording *recording, const char *title, const char *line,
+                     const char *json) {
   struct exchange exchange;
   struct tmx_buffer body = {0};
   if (json) encode_json(&body, json);
--- a/tests/wire_fixture.h
+++ b/tests/wire_fixture.h
@@ -1,5 +1,5 @@
 /** @file
- * Fixture for tests of the wire format: one controller, and one scripted worker that the controller
+ * Fixture for tests of the wire format: one controller, and one fake worker that the controller
  * reaches through a relay. The tests write requests with the literal names of the protocol, not
  * with the program's constants. */
 #ifndef TMX_WIRE_FIXTURE_H
@@ -9,16 +9,16 @@
 
 /** The controller under test; NULL: not started. */
 extern struct tmx_controller *first_controller;
-/** The scripted worker, the agent of machine n-000001. */
+/** The fake worker, the agent of machine n-000001. */
 extern struct fake_worker worker;
 /** The relay between the controller and the worker's server. */
-extern struct relay commands;
+extern struct relay command_relay;
 /** Address of the controller's HTTP server, for raw requests. */
 extern char controller_address[32];
 
-/** Starts the scripted peers but no controller. */
+/** Starts the fake peers but no controller. */
 int setup_recorded_peers(void **state);
-/** Stops the controller, if it was started, and the scripted peers. */
+/** Stops the controller, if it was started, and the fake peers. */
 int teardown_recorded_peers(void **state);
 /** Starts the first controller of a cluster of `count`, and does not wait until it is ready. */
 void start_recorded_controller(int count);
@@ -31,7 +31,8 @@
 /** Sends a request to the controller and records it with its response.
  *  @param line method and path
  *  @param json the body, encoded as CBOR before it is sent; NULL: no body */
-void ask(struct recording *recording, const char *title, const char *line, const char *json);
+void send_and_record(struct recording *recording, const char *title, const char *line,
+                     const char *json);
 
 /** Sends a heartbeat of the worker, without recording it, and runs the event loop for 0.2 s. */
 void send_unrecorded_heartbeat(void);
