--- a/tests/cluster/history_check.c
+++ b/tests/cluster/history_check.c
@@ -68,8 +68,8 @@
   return task;
 }
 
-static void on_response(struct check *check, const char *ask, const char *id, unsigned tasks,
-                        int status, const char *state, bool final) {
+static void on_user_response(struct check *check, const char *ask, const char *id, unsigned tasks,
+                             int status, const char *state, bool final) {
   struct job *job = job_of(check, id);
   struct history_findings *findings = &check->findings;
   if (tasks) job->tasks = tasks;
@@ -130,7 +130,7 @@
   json_unpack(event, "{s?i s?i s?i s?i s?b s?I}", "tasks", &tasks, "status", &status, "node", &node,
               "attempt", &attempt, "final", &final, "token", &token);
   if (!strcmp(what, "answer")) {
-    on_response(check, ask, job, (unsigned)tasks, status, state, final);
+    on_user_response(check, ask, job, (unsigned)tasks, status, state, final);
   } else if (!strcmp(what, "order")) {
     on_command(check, machine, node, (uint64_t)token);
   } else if (!strcmp(what, "placed")) {
--- a/tests/fake_users.c
+++ b/tests/fake_users.c
@@ -16,7 +16,7 @@
   return response->done;
 }
 
-static void on_response(void *argument, int status, const uint8_t *body, size_t length) {
+static void on_user_response(void *argument, int status, const uint8_t *body, size_t length) {
   struct fake_response *response = argument;
   cbor_item_t *map = tmx_cbor_parse(body, length);
   response->done = true;
@@ -29,10 +29,10 @@
                                   const char *path, const struct tmx_buffer *body) {
   struct fake_response response = {0};
   struct tmx_http_client *client = new_controller_client(controller);
-  assert_true(
-      tmx_http_client_call(client, method, path, body, USER_TIMEOUT_S, on_response, &response));
+  assert_true(tmx_http_client_call(client, method, path, body, USER_TIMEOUT_S, on_user_response,
+                                   &response));
   run_loop_until(is_answered, &response);
-  struct fake_response received = response; /* freeing the client may call on_response again */
+  struct fake_response received = response; /* freeing the client may call on_user_response again */
   tmx_http_client_free(client);
   return received;
 }
